--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,4 +1,4 @@
-// Package store keeps the council's log and votes on disk: raft's log and stable store in one bbolt file, and its
+// Package store keeps the raft group's log and votes on disk: raft's log and stable store in one bbolt file, and its
 // snapshots in files beside it. What it has acknowledged is on disk (an fsync for each write); what it cannot write it
 // says, and from then on writes nothing more: after a failed write nobody knows what the file holds, and a voter
 // that went on could vote twice or lose what it promised. Opened again, the file tells what it holds.
@@ -25,7 +25,8 @@
 	// Version of the file and of each entry in it. A newer one is refused.
 	Version = 1
 
-	// File is the name of the log's file in its directory.
+	// File is the name of the log's file in its directory. It keeps the name that earlier versions wrote, so that
+	// their directories are read as they are.
 	File = "council.db"
 
 	// SnapshotDir is the name of the folder of snapshots beside it.
@@ -33,17 +34,17 @@
 	// LockFile is what a process holds while it has the directory.
 	LockFile = "council.lock"
 
-	// SizeMost is the most the file grows to, in bytes. Snapshots keep the log to some ten thousand entries, so it
+	// MaxSize is the most the file grows to, in bytes. Snapshots keep the log to some ten thousand entries, so it
 	// is reached only if no snapshot can be written for long; then writes fail and this voter stops voting. Twice
 	// as large: a full disk comes first; half: long bursts of large commands come near it.
-	SizeMost = 256 << 20
+	MaxSize = 256 << 20
 
 	// LockWait is how long Open waits for another process to let go of the file. Longer only hides that two
 	// processes were started in one directory; shorter than a process's end takes, a quick restart fails.
 	LockWait = 3 * time.Second
 
-	// SnapshotsKept is how many snapshots stay on disk: the newest and the one before it, in case the newest is torn.
-	SnapshotsKept = 2
+	// SnapshotsRetained is how many snapshots stay on disk: the newest and the one before it, in case the newest is torn.
+	SnapshotsRetained = 2
 )
 
 // Errors of the store. All others wrap what the disk said.
@@ -65,8 +66,8 @@
 
 // Store is raft.LogStore and raft.StableStore.
 type Store struct {
-	db   *bolt.DB
-	held *os.File // the lock of its directory
+	db      *bolt.DB
+	dirLock *os.File // the lock of its directory
 
 	mu     sync.Mutex
 	failed error // the first failed write
@@ -75,7 +76,7 @@
 // Options of a store that only tests set.
 type Options struct {
 	OpenFile func(name string, flag int, mode os.FileMode) (*os.File, error)
-	SizeMost int           // 0: SizeMost
+	MaxSize  int           // 0: MaxSize
 	LockWait time.Duration // 0: LockWait
 }
 
@@ -86,22 +87,22 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	if o.SizeMost == 0 {
-		o.SizeMost = SizeMost
+	if o.MaxSize == 0 {
+		o.MaxSize = MaxSize
 	}
 	if o.LockWait == 0 {
 		o.LockWait = LockWait
 	}
-	held, err := hold(filepath.Join(dir, LockFile), o.LockWait)
+	dirLock, err := lockDir(filepath.Join(dir, LockFile), o.LockWait)
 	if err != nil {
 		return nil, err
 	}
 	s, err := open(dir, o)
 	if err != nil {
-		held.Close()
+		dirLock.Close()
 		return nil, err
 	}
-	s.held = held
+	s.dirLock = dirLock
 	return s, nil
 }
 
@@ -147,8 +148,8 @@
 	return openFile(path, o, false)
 }
 
-// hold takes the directory for this process.
-func hold(path string, wait time.Duration) (*os.File, error) {
+// lockDir takes the directory for this process, waiting up to wait for another to let it go.
+func lockDir(path string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -167,7 +168,7 @@
 	s := &Store{}
 	err := guard(func() (err error) {
 		s.db, err = bolt.Open(path, 0o600, &bolt.Options{
-			Timeout: o.LockWait, FreelistType: bolt.FreelistMapType, OpenFile: o.OpenFile, MaxSize: o.SizeMost, ReadOnly: readOnly,
+			Timeout: o.LockWait, FreelistType: bolt.FreelistMapType, OpenFile: o.OpenFile, MaxSize: o.MaxSize, ReadOnly: readOnly,
 		})
 		return err
 	})
@@ -273,8 +274,8 @@
 // Close ends the use of the file.
 func (s *Store) Close() error {
 	err := guard(s.db.Close)
-	if s.held != nil {
-		err = errors.Join(err, s.held.Close())
+	if s.dirLock != nil {
+		err = errors.Join(err, s.dirLock.Close())
 	}
 	return err
 }
@@ -315,7 +316,7 @@
 
 // Snapshots is raft's own store of snapshots in files, which checks their sums, in the same directory.
 func Snapshots(dir string, log hclog.Logger) (*raft.FileSnapshotStore, error) {
-	s, err := raft.NewFileSnapshotStoreWithLogger(dir, SnapshotsKept, log)
+	s, err := raft.NewFileSnapshotStoreWithLogger(dir, SnapshotsRetained, log)
 	if err != nil {
 		return nil, fmt.Errorf("store: snapshots: %w", err)
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -41,6 +41,7 @@
 // child writes until it is killed and says what was acknowledged: "last first term". With a limit, it says each
 // error, and ends at a success after one.
 func child(dir string) {
+	// Long: the child process's whole script, which the test that kills it reads line by line in this order.
 	o := Options{}
 	limit := os.Getenv("STORE_LIMIT")
 	var file *os.File
@@ -200,7 +201,7 @@
 }
 
 func TestBounded(t *testing.T) {
-	s, err := Open(t.TempDir(), Options{SizeMost: 1 << 20})
+	s, err := Open(t.TempDir(), Options{MaxSize: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
