--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -6,7 +6,7 @@
 // serves with it.
 type Fleet struct {
 	Revision int              `json:"revision" need:"true" min:"1"`                  // of limits and work: a higher one takes the place of a lower
-	Voters   map[string]Voter `json:"voters" need:"true" len:"1"`                    // the council, by the co-ordinators' names
+	Voters   map[string]Voter `json:"voters" need:"true" len:"1"`                    // the raft group, by the co-ordinators' names
 	Council  FleetCouncil     `json:"council"`                                       // of a voter
 	Gossip   FleetGossip      `json:"gossip" need:"true"`                            // of every co-ordinator
 	Keys     string           `json:"keys_file" need:"true" len:"1"`                 // keys of the gossip, one a line in base64, the first is used to send
@@ -30,13 +30,13 @@
 	Lanes    *Lanes           `json:"lanes"`    // who keeps what while the fleet sheds load; absent: it sheds by no lanes
 }
 
-// Voter is one of the council.
+// Voter is one of the raft group.
 type Voter struct {
 	Address string `json:"address" need:"true"` // HOST:PORT at which the others reach its log
 	Zone    string `json:"zone"`                // of the settings' failure domains; needed where there are several
 }
 
-// FleetCouncil is where a voter listens for the others of the council.
+// FleetCouncil is where a voter listens for the others of the raft group.
 type FleetCouncil struct {
 	Bind string `json:"bind"` // HOST:PORT; the voter's own address if absent
 	// Found lets a voter without a store make a new one: for the first start of a fleet, and to be taken out after it. A
@@ -82,7 +82,7 @@
 	// FleetMemory is bytes for log, gossip, store and copies of the agreed state. Twice as much refuses machines that
 	// would do; half as much leaves no room for a snapshot of 16 MB that comes while one is written.
 	FleetMemory = 64 << 20
-	// FleetSockets is descriptors for listeners, links of the council, exchanges of gossip and files of the store.
+	// FleetSockets is descriptors for listeners, links of the raft group, exchanges of gossip and files of the store.
 	FleetSockets = 128
 
 	// WorkMost is the requests of one file, and NamesMost the names of one. What is over is refused.
