--- a/cmd/birchcart-fleet/main_test.go
+++ b/cmd/birchcart-fleet/main_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/standin"
 	"birchcart/internal/testproc"
 )
@@ -33,7 +33,7 @@
 			end := s.stream()
 			s.ask(false, map[string]any{"names": []string{"r0"}, "reason": "disk", "for_s": 20})
 			s.hangUp()
-			s.until("told", s.phase("r0", takeout.Told))
+			s.until("told", s.phase("r0", maintenance.Acknowledged))
 			var fences []uint64
 			for i := range s.serve {
 				g := s.grants(i)
@@ -52,7 +52,7 @@
 				t.Errorf("%d parts went to r0 after it was told", after-before)
 			}
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) { e.Status = "Terminating" })
-			s.until("out", s.phase("r0", takeout.Out))
+			s.until("out", s.phase("r0", maintenance.Out))
 			s.fleet.Replicas[0].Crash()
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) { e.Status = "Gone" })
 			time.Sleep(300 * time.Millisecond)
@@ -62,7 +62,7 @@
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) {
 				e.Status, e.Since, e.Address = "Ready", time.Now().UnixMilli(), s.fleet.Replicas[0].Address()
 			})
-			s.until("done", s.phase("r0", takeout.Done))
+			s.until("done", s.phase("r0", maintenance.Done))
 			s.until("parts at r0 again", func() bool { return len(s.fleet.Replicas[0].Asked()) > before })
 			if sent, answered, whole := end(); sent < 100 || answered != sent || whole < sent*9/10 {
 				t.Errorf("%d of %d queries were answered, %d whole", answered, sent, whole)
@@ -137,16 +137,16 @@
 	s.ask(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 60})
 	s.hangUp()
 	s.until("the disk does not take it", s.says(3, "can't be kept on disk"))
-	s.until("granted, as all files say", s.phase("r5", takeout.Granted))
+	s.until("granted, as all files say", s.phase("r5", maintenance.Granted))
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if !s.phase("r5", takeout.Granted)() {
+		if !s.phase("r5", maintenance.Granted)() {
 			t.Fatalf("%+v", s.grants(0).Items)
 		}
 	}
 	if err := os.RemoveAll(laid); err != nil {
 		t.Fatal(err)
 	}
-	s.until("told", s.phase("r5", takeout.Told))
+	s.until("told", s.phase("r5", maintenance.Acknowledged))
 	if raw, err := os.ReadFile(laid); err != nil || !strings.Contains(string(raw), `"r5"`) {
 		t.Errorf("%s %v", raw, err)
 	}
@@ -172,7 +172,7 @@
 		t.Fatalf("n3 did not go:\n%s", s.logs[3].String())
 	}
 	s.start(3)
-	s.until("done", s.phase("n3", takeout.Done))
+	s.until("done", s.phase("n3", maintenance.Done))
 	if s.says(3, "goes for work")() {
 		t.Error("n3 went again")
 	}
--- a/cmd/birchcart-fleet/site_test.go
+++ b/cmd/birchcart-fleet/site_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/standin"
 	"birchcart/internal/testproc"
 )
@@ -214,10 +214,10 @@
 }
 
 type grants struct {
-	Version int            `json:"version"`
-	Name    string         `json:"name"`
-	CutOff  bool           `json:"cut_off"`
-	Items   []takeout.Item `json:"items"`
+	Version int                `json:"version"`
+	Name    string             `json:"name"`
+	CutOff  bool               `json:"cut_off"`
+	Items   []maintenance.Item `json:"items"`
 	Grants  []struct {
 		Machine, Reason string
 		Fence           uint64
@@ -239,10 +239,10 @@
 }
 
 // phase tells whether all of the co-ordinators' files have a machine in that phase.
-func (s *site) phase(machine string, p takeout.Phase) func() bool {
+func (s *site) phase(machine string, p maintenance.Phase) func() bool {
 	return func() bool {
 		for i := range s.serve {
-			if !slices.ContainsFunc(s.grants(i).Items, func(it takeout.Item) bool { return it.Machine == machine && it.Phase == p }) {
+			if !slices.ContainsFunc(s.grants(i).Items, func(it maintenance.Item) bool { return it.Machine == machine && it.Phase == p }) {
 				return false
 			}
 		}
--- a/cmd/birchcart-fleet/voters_test.go
+++ b/cmd/birchcart-fleet/voters_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/testproc"
 )
 
@@ -32,7 +32,7 @@
 	s.until("n1 knows that it was a voter", s.says(1, "its store was lost"))
 	s.ask(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 20})
 	s.hangUp()
-	s.until("told", s.phase("r5", takeout.Told))
+	s.until("told", s.phase("r5", maintenance.Acknowledged))
 	// One that is killed and starts again, with nothing agreed at hand yet, sends nothing there either.
 	s.procs[0].Process.Kill()
 	s.procs[0].Wait()
@@ -118,7 +118,7 @@
 	}
 	s.ask(false, out("r0")...)
 	s.hangUp()
-	s.until("r0 told", s.phase("r0", takeout.Told))
+	s.until("r0 told", s.phase("r0", maintenance.Acknowledged))
 	kill(0)
 	s.ask(false, out("r0", "r5")...)
 	s.hangUp()
@@ -155,7 +155,7 @@
 	s.start(2) // with its disk
 	s.until("n2 gives its old seat up", s.says(2, "is put aside"))
 	s.until("n2 votes", s.says(0, `voter \"\" goes, voter \"n2\" comes`))
-	s.until("r0 has lapsed", s.phase("r0", takeout.Lapsed))
+	s.until("r0 has lapsed", s.phase("r0", maintenance.Expired))
 	before, others := len(s.fleet.Replicas[5].Asked()), len(s.fleet.Replicas[11].Asked())
 	end := s.streamTo(3)
 	s.until("queries", func() bool { return len(s.fleet.Replicas[11].Asked()) > others+100 })
@@ -165,7 +165,7 @@
 	}
 	s.ask(false, out("r0", "r2")...)
 	s.hangUp()
-	s.until("r2 told", s.phase("r2", takeout.Told))
+	s.until("r2 told", s.phase("r2", maintenance.Acknowledged))
 	for i := range s.serve {
 		for _, it := range s.grants(i).Items {
 			if it.Machine == "r2" && it.Fence <= fence || it.Machine == "r5" && it.Phase != "" && it.Fence != 0 {
--- a/cmd/birchctl/main_test.go
+++ b/cmd/birchctl/main_test.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"birchcart/internal/fleet/laneconfig"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/operator"
 	"birchcart/internal/template"
 )
@@ -279,7 +279,7 @@
 	if err = errors.Join(err, lanes.Apply(0, nil, laneconfig.KindSet, raw)); err != nil {
 		t.Fatal(err)
 	}
-	raw, err = statemachine.New(map[string]statemachine.Part{"takeout": takeout.New(), "sessions": b, laneconfig.Part: lanes}).Save()
+	raw, err = statemachine.New(map[string]statemachine.Part{"takeout": maintenance.New(), "sessions": b, laneconfig.Part: lanes}).Save()
 	path := filepath.Join(t.TempDir(), "snapshot")
 	if err = errors.Join(err, os.WriteFile(path, raw, 0o600)); err != nil {
 		t.Fatal(err)
--- a/cmd/birchctl/session.go
+++ b/cmd/birchctl/session.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"birchcart/internal/fleet/laneconfig"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/schema"
 	"birchcart/internal/settings"
 )
@@ -65,7 +65,7 @@
 			return err
 		}
 		b := session.New()
-		if err := statemachine.New(map[string]statemachine.Part{"takeout": takeout.New(), "sessions": b, laneconfig.Part: laneconfig.New()}).Load(raw); err != nil {
+		if err := statemachine.New(map[string]statemachine.Part{"takeout": maintenance.New(), "sessions": b, laneconfig.Part: laneconfig.New()}).Load(raw); err != nil {
 			return fmt.Errorf("--snapshot: %w", err)
 		}
 		r, _ := b.Get(id)
--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/operator"
 	"birchcart/policy"
 )
@@ -15,21 +15,21 @@
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
 // Limits are what the agreed order keeps to, from the section, placement and settings.
-func Limits(f *operator.File, cfg *policy.Config) takeout.LimitsBody {
+func Limits(f *operator.File, cfg *policy.Config) maintenance.LimitsBody {
 	fl := f.Fleet
-	return takeout.LimitsBody{Revision: fl.Revision, Limits: takeout.Limits{
-		Cells: cfg.Cells, Reach: cfg.Reach, Shards: cfg.Shards, HoldersLeast: f.Placement.HoldersLeast,
-		OutByZone: fl.Zone, OutMost: fl.Most, Headroom: *fl.Headroom, LoadAge: ms(fl.LoadAge), ListAge: ms(fl.ListAge),
-		WarmUp: time.Duration(cfg.WarmUp * float64(time.Second)), Lease: ms(fl.Lease), Grace: ms(fl.Grace), Settle: ms(fl.Settle),
-		Calm: ms(fl.Calm), PassedMost: fl.Passed,
-		VotersLeast: votersLeast(len(fl.Voters)),
+	return maintenance.LimitsBody{Revision: fl.Revision, Limits: maintenance.Limits{
+		Cells: cfg.Cells, Reach: cfg.Reach, Shards: cfg.Shards, MinHolders: f.Placement.HoldersLeast,
+		MaxOutPerZone: fl.Zone, MaxOut: fl.Most, Headroom: *fl.Headroom, LoadAge: ms(fl.LoadAge), ListAge: ms(fl.ListAge),
+		WarmUp: time.Duration(cfg.WarmUp * float64(time.Second)), Lease: ms(fl.Lease), Grace: ms(fl.Grace), SettleTime: ms(fl.Settle),
+		FailurePause: ms(fl.Calm), MaxPassedOver: fl.Passed,
+		MinVoters: votersLeast(len(fl.Voters)),
 	}}
 }
 
 // Asks is all that the operators ask for, in the file's order.
-func Asks(f *operator.File) takeout.AsksBody {
+func Asks(f *operator.File) maintenance.RequestsBody {
 	fl := f.Fleet
-	out := takeout.AsksBody{Revision: fl.Revision, Paused: fl.Paused, Requests: make([]takeout.Request, len(fl.Work))}
+	out := maintenance.RequestsBody{Revision: fl.Revision, Paused: fl.Paused, Requests: make([]maintenance.Request, len(fl.Work))}
 	for i := range fl.Work {
 		out.Requests[i] = request(&fl.Work[i])
 	}
@@ -37,7 +37,7 @@
 }
 
 // request is the agreed form of one item of work; its ID is a digest of all the rest.
-func request(w *operator.Work) takeout.Request {
+func request(w *operator.Work) maintenance.Request {
 	at := func(text string) time.Duration {
 		t, err := operator.Moment(text)
 		if err != nil || t.IsZero() {
@@ -45,12 +45,12 @@
 		}
 		return time.Duration(t.UnixNano())
 	}
-	r := takeout.Request{
-		Names: slices.Sorted(slices.Values(w.Names)), Kind: takeout.Kind(w.Kind), Zone: w.Zone, Prefix: w.Prefix, Reason: w.Reason,
-		For: time.Duration(w.For * float64(time.Second)), Earliest: at(w.Earliest), Latest: at(w.Latest),
+	r := maintenance.Request{
+		Names: slices.Sorted(slices.Values(w.Names)), Kind: maintenance.Kind(w.Kind), Zone: w.Zone, Prefix: w.Prefix, Reason: w.Reason,
+		MaxOutage: time.Duration(w.For * float64(time.Second)), Earliest: at(w.Earliest), Latest: at(w.Latest),
 	}
 	if w.Priority == "urgent" {
-		r.Priority = takeout.Urgent
+		r.Priority = maintenance.Urgent
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
--- a/internal/fleet/asked_test.go
+++ b/internal/fleet/asked_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/operator"
 	"birchcart/policy"
 )
@@ -26,10 +26,10 @@
 // What is agreed is what the files say, with the file's units made into times and the usual where it says nothing.
 func TestLimitsOfTheFiles(t *testing.T) {
 	got := Limits(file(t, `[]`), &policy.Config{Cells: 6, Reach: 2, Shards: 12, WarmUp: 1.5})
-	want := takeout.LimitsBody{Revision: 7, Limits: takeout.Limits{
-		Cells: 6, Reach: 2, Shards: 12, HoldersLeast: 2, OutByZone: 1, OutMost: 3, LoadAge: 15 * time.Second, ListAge: 15 * time.Second,
-		WarmUp: 1500 * time.Millisecond, Lease: 10 * time.Second, Grace: 250 * time.Millisecond, Settle: 30 * time.Second,
-		Calm: time.Minute, PassedMost: 8, VotersLeast: 4,
+	want := maintenance.LimitsBody{Revision: 7, Limits: maintenance.Limits{
+		Cells: 6, Reach: 2, Shards: 12, MinHolders: 2, MaxOutPerZone: 1, MaxOut: 3, LoadAge: 15 * time.Second, ListAge: 15 * time.Second,
+		WarmUp: 1500 * time.Millisecond, Lease: 10 * time.Second, Grace: 250 * time.Millisecond, SettleTime: 30 * time.Second,
+		FailurePause: time.Minute, MaxPassedOver: 8, MinVoters: 4,
 	}}
 	if got != want {
 		t.Errorf("%+v", got)
@@ -66,7 +66,7 @@
 		all = append(all, other)
 	}
 	asks := Asks(file(t, "["+strings.Join(all, ",")+"]"))
-	if r := asks.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.For != time.Minute {
+	if r := asks.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.MaxOutage != time.Minute {
 		t.Errorf("%+v", r)
 	}
 	if err := played(asks); err != nil {
@@ -99,10 +99,10 @@
 	}
 }
 
-func played(asks takeout.AsksBody) error {
+func played(asks maintenance.RequestsBody) error {
 	body, err := json.Marshal(asks)
 	if err != nil {
 		return err
 	}
-	return takeout.New().Apply(time.Second, func() uint64 { return 1 }, "asks", body)
+	return maintenance.New().Apply(time.Second, func() uint64 { return 1 }, "asks", body)
 }
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -6,11 +6,11 @@
 	"sync"
 
 	"birchcart/internal/fleet/laneconfig"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/raftgroup"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 // copied is this co-ordinator's copy of the agreed state. A voter's council applies to it; without a seat the words that
@@ -19,7 +19,7 @@
 	mu           sync.Mutex
 	seat         *raftgroup.Group // nil: without a vote, or no more
 	stateMachine *statemachine.Machine
-	order        *takeout.State
+	order        *maintenance.State
 	book         *session.Book
 	lanes        *laneconfig.Agreed
 }
@@ -28,7 +28,7 @@
 const part = "takeout"
 
 func newCopy() *copied {
-	s, b, l := takeout.New(), session.New(), laneconfig.New()
+	s, b, l := maintenance.New(), session.New(), laneconfig.New()
 	return &copied{order: s, book: b, lanes: l, stateMachine: statemachine.New(map[string]statemachine.Part{part: s, sessionsPart: b, laneconfig.Part: l})}
 }
 
--- a/internal/fleet/drainctl/clock.go
+++ b/internal/fleet/drainctl/clock.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // The wall's clock of a leader is agreed time, which never goes back: one that is far ahead would carry it away for
@@ -105,7 +105,7 @@
 	}
 	n := 0
 	for _, m := range l.members {
-		if m.Name != l.own && m.Status != takeout.Gone {
+		if m.Name != l.own && m.Status != maintenance.Gone {
 			n++
 		}
 	}
--- a/internal/fleet/drainctl/clock_test.go
+++ b/internal/fleet/drainctl/clock_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 const hour = 3600 * s
@@ -17,7 +17,7 @@
 func five(t *testing.T) *rig {
 	r := begin(t)
 	for _, n := range []string{"d", "e"} {
-		r.members = append(r.members, Member{Name: n, Status: takeout.Up, Voter: true, Load: 0.5, LoadKnown: true})
+		r.members = append(r.members, Member{Name: n, Status: maintenance.Up, Voter: true, Load: 0.5, LoadKnown: true})
 	}
 	r.in = append(r.in, Elected{Term: 2, Own: "a"})
 	r.run(3 * s)
@@ -42,7 +42,7 @@
 	r.run(3 * s)
 	r.want("times handed over", len(r.hands), 2)
 	r.behind = 0
-	r.until("r1", takeout.Granted)
+	r.until("r1", maintenance.Granted)
 	if late := r.stateMachine.Now() - (5000*s + r.now); late > 0 {
 		t.Errorf("agreed time is %v ahead", late)
 	}
@@ -59,7 +59,7 @@
 	r.want("agreed time", r.stateMachine.Now(), was)
 	r.want("times handed over", len(r.hands), 1)
 	r.behind = 0
-	r.until("r1", takeout.Granted)
+	r.until("r1", maintenance.Granted)
 }
 
 // Two of five that are wrong change nothing, whichever way, nor do three that are behind.
@@ -75,7 +75,7 @@
 			r.clocks = clocks
 			r.run(ClockWait + s)
 			r.ask(1, "r1")
-			r.until("r1", takeout.Granted)
+			r.until("r1", maintenance.Granted)
 			r.want(fmt.Sprint("handed over with ", clocks), len(r.hands), 0)
 			if off := r.stateMachine.Now() - (5000*s + r.now); off.Abs() > s {
 				t.Errorf("with %v agreed time is %v off", clocks, off)
@@ -89,7 +89,7 @@
 	r := five(t)
 	r.now += 5 * hour
 	r.ask(1, "r1")
-	if took := r.until("r1", takeout.Granted); took > 1500*time.Millisecond {
+	if took := r.until("r1", maintenance.Granted); took > 1500*time.Millisecond {
 		t.Errorf("granted after %v", took)
 	}
 }
@@ -99,7 +99,7 @@
 func TestNoClocksKnown(t *testing.T) {
 	r := five(t)
 	r.ask(1, "r1")
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 	before := len(r.all)
 	r.unheard, r.in = true, []Input{Elected{Term: 3, Own: "a"}}
 	r.run(2 * s)
@@ -119,10 +119,10 @@
 		t.Error("it waits for ever for those that are silent")
 	}
 
-	r = &rig{t: t, l: New(nil), state: takeout.New(), now: 1000 * s, unheard: true,
-		members: []Member{{Name: "a", Status: takeout.Up, Voter: true}, {Name: "b", Status: takeout.Gone, Voter: true}}}
+	r = &rig{t: t, l: New(nil), state: maintenance.New(), now: 1000 * s, unheard: true,
+		members: []Member{{Name: "a", Status: maintenance.Up, Voter: true}, {Name: "b", Status: maintenance.Gone, Voter: true}}}
 	r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
-	r.in = []Input{Elected{Term: 1, Own: "a"}, Members{r.members}, Asks{Limits: takeout.LimitsBody{Revision: 1, Limits: limits}}}
+	r.in = []Input{Elected{Term: 1, Own: "a"}, Members{r.members}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 	r.step(100 * time.Millisecond)
 	r.want("proposals of one alone", len(r.all), 1)
 }
@@ -153,15 +153,15 @@
 // once the clock is mended, so that a pause lasts as long as it should.
 func TestALeaderFarBehindGoesByTheMost(t *testing.T) {
 	for _, first := range []bool{true, false} { // its first command of all, or in the middle of a plan
-		r := &rig{t: t, l: New(nil), state: takeout.New(), now: 1000 * s}
+		r := &rig{t: t, l: New(nil), state: maintenance.New(), now: 1000 * s}
 		if first {
 			r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
-			r.in = []Input{Elected{Term: 1, Own: "a"}, Asks{Limits: takeout.LimitsBody{Revision: 1, Limits: limits}}}
+			r.in = []Input{Elected{Term: 1, Own: "a"}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 			for i := range 16 {
-				r.list = append(r.list, takeout.Machine{Name: fmt.Sprintf("r%d", i), Cell: i, Kind: takeout.Replica, Status: takeout.Up})
+				r.list = append(r.list, maintenance.Machine{Name: fmt.Sprintf("r%d", i), Cell: i, Kind: maintenance.Replica, Status: maintenance.Up})
 			}
 			for _, n := range []string{"a", "b", "c", "d", "e"} {
-				r.members = append(r.members, Member{Name: n, Status: takeout.Up, Voter: true, Load: 0.5, LoadKnown: true})
+				r.members = append(r.members, Member{Name: n, Status: maintenance.Up, Voter: true, Load: 0.5, LoadKnown: true})
 			}
 		} else {
 			r = five(t)
@@ -173,7 +173,7 @@
 			r.run(2 * s)
 			r.want("agreed time while it waits", r.stateMachine.Now(), time.Duration(0))
 		}
-		r.until("r1", takeout.Granted)
+		r.until("r1", maintenance.Granted)
 		if took := r.now - begun; took > ClockWait+3*s || !first && took > s {
 			t.Errorf("granted after %v", took)
 		}
@@ -181,15 +181,15 @@
 		if off := r.stateMachine.Now() - (5000*s + r.now); off > 0 || off < -2*s {
 			t.Errorf("agreed time is %v off", off)
 		}
-		r.list[9].Status = takeout.Gone // a failure: a pause of Calm
+		r.list[9].Status = maintenance.Gone // a failure: a pause of Calm
 		r.run(s)
 		paused := r.now
 		r.ask(2, "r1", "r4", "r7")
-		r.run(limits.Calm / 3)
+		r.run(limits.FailurePause / 3)
 		r.behind = 0
-		r.until("r7", takeout.Granted)
-		if took := r.now - paused; took < limits.Calm-2*s || took > limits.Calm+2*s {
-			t.Errorf("the pause of %v was over after %v", limits.Calm, took)
+		r.until("r7", maintenance.Granted)
+		if took := r.now - paused; took < limits.FailurePause-2*s || took > limits.FailurePause+2*s {
+			t.Errorf("the pause of %v was over after %v", limits.FailurePause, took)
 		}
 		if n := len(slices.DeleteFunc(slices.Clone(r.logs), func(line string) bool { return !strings.Contains(line, "50m0s behind most of the 4") })); n != 1 {
 			t.Errorf("%d lines say so, want 1: %q", n, r.logs)
--- a/internal/fleet/drainctl/lead.go
+++ b/internal/fleet/drainctl/lead.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 // Times and bounds of a leader.
@@ -76,7 +76,7 @@
 type Member struct {
 	Name      string
 	Zone      string
-	Status    takeout.Status
+	Status    maintenance.Status
 	Started   time.Duration // since the Unix epoch; 0: not told
 	Voter     bool
 	Load      float64 // mean replicas that it keeps busy, if LoadKnown
@@ -109,18 +109,18 @@
 	// Listed is the list of replicas as discovery last confirmed it, so long ago. It must come again when confirmed,
 	// though nothing changed: what is not confirmed grows old and grants nothing.
 	Listed struct {
-		List []takeout.Machine
+		List []maintenance.Machine
 		Age  time.Duration
 	}
 	// Asks is what an operators' file says, the own one or a follower's. The newest revision of either counts; of two
 	// that differ under one number, the agreed one, and a line tells.
 	Asks struct {
-		Limits takeout.LimitsBody
-		Asks   takeout.AsksBody
+		Limits maintenance.LimitsBody
+		Asks   maintenance.RequestsBody
 	}
 	// Applied is the own copy of the agreed state. It is read in this Step and those after it.
 	Applied struct {
-		State *takeout.State
+		State *maintenance.State
 		Index uint64
 		Now   time.Duration
 		Era   uint64 // of the log; an index of another era says nothing
@@ -155,7 +155,7 @@
 func (Log) output()     {}
 
 // Order gives the items that may be asked about, in the order in which they should go. The first that may go is granted.
-type Order func(s *takeout.State, now time.Duration) []takeout.Item
+type Order func(s *maintenance.State, now time.Duration) []maintenance.Item
 
 // Lead is a leader's, or one that may become it. Not for use by several goroutines at once.
 type Lead struct {
@@ -169,7 +169,7 @@
 	since   time.Duration // own time of the election
 	seq     uint64        // of the newest proposal in the term
 
-	state  *takeout.State
+	state  *maintenance.State
 	index  uint64
 	era    uint64
 	agreed time.Duration // as applied
@@ -178,15 +178,15 @@
 	base   time.Duration // the newest agreed time that was applied or proposed, first at the own time baseAt
 	baseAt time.Duration
 
-	list      []takeout.Machine // by name, each once
+	list      []maintenance.Machine // by name, each once
 	listed    bool
-	merged    []takeout.Machine // of list and members, by name; nil: one of both came since
-	listAt    time.Duration     // own time at which it was confirmed
-	members   []Member          // by name, each once
+	merged    []maintenance.Machine // of list and members, by name; nil: one of both came since
+	listAt    time.Duration         // own time at which it was confirmed
+	members   []Member              // by name, each once
 	membersAt time.Duration
 	known     bool // members came
-	limits    takeout.LimitsBody
-	asks      takeout.AsksBody
+	limits    maintenance.LimitsBody
+	asks      maintenance.RequestsBody
 	sameAsks  int // revision under which asks says what was agreed; 0: not compared yet
 
 	wrong           bool // the own wall's clock is ahead of the others', since wrongAt
--- a/internal/fleet/drainctl/lead_test.go
+++ b/internal/fleet/drainctl/lead_test.go
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 const s = time.Second
 
-var limits = takeout.Limits{Cells: 16, Reach: 2, Shards: 16, HoldersLeast: 1, OutByZone: 8, OutMost: 8, Headroom: 0.1, LoadAge: 10 * s,
-	ListAge: 10 * s, WarmUp: 20 * s, Lease: 5 * s, Grace: 2 * s, Settle: 10 * s, Calm: 30 * s, PassedMost: 3, VotersLeast: 2}
+var limits = maintenance.Limits{Cells: 16, Reach: 2, Shards: 16, MinHolders: 1, MaxOutPerZone: 8, MaxOut: 8, Headroom: 0.1, LoadAge: 10 * s,
+	ListAge: 10 * s, WarmUp: 20 * s, Lease: 5 * s, Grace: 2 * s, SettleTime: 10 * s, FailurePause: 30 * s, MaxPassedOver: 3, MinVoters: 2}
 
 // rig steps a leader every 100 ms over a state machine that takes what it proposes, with sixteen replicas and three
 
@@ -24,7 +24,7 @@
 type rig struct {
 	t            *testing.T
 	l            *Lead
-	state        *takeout.State
+	state        *maintenance.State
 	stateMachine *statemachine.Machine
 	now          time.Duration
 	behind       time.Duration            // of the wall's clock
@@ -39,7 +39,7 @@
 	refuses      string
 	lazy         string // polls, and says only old grants laid
 	members      []Member
-	list         []takeout.Machine
+	list         []maintenance.Machine
 	in           []Input
 	all          []Propose
 	logs         []string
@@ -47,25 +47,25 @@
 }
 
 func begin(t *testing.T) *rig {
-	r := &rig{t: t, l: New(nil), state: takeout.New(), now: 1000 * s}
+	r := &rig{t: t, l: New(nil), state: maintenance.New(), now: 1000 * s}
 	r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
 	for i := range 16 {
-		r.list = append(r.list, takeout.Machine{Name: fmt.Sprintf("r%d", i), Cell: i, Kind: takeout.Replica, Status: takeout.Up})
+		r.list = append(r.list, maintenance.Machine{Name: fmt.Sprintf("r%d", i), Cell: i, Kind: maintenance.Replica, Status: maintenance.Up})
 	}
 	for _, n := range []string{"a", "b", "c"} {
-		r.members = append(r.members, Member{Name: n, Status: takeout.Up, Voter: true, Load: 0.5, LoadKnown: true})
+		r.members = append(r.members, Member{Name: n, Status: maintenance.Up, Voter: true, Load: 0.5, LoadKnown: true})
 	}
-	r.in = []Input{Elected{Term: 1}, Asks{Limits: takeout.LimitsBody{Revision: 1, Limits: limits}}}
+	r.in = []Input{Elected{Term: 1}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 	r.run(2 * s)
 	return r
 }
 
 func (r *rig) ask(revision int, names ...string) {
-	var rs []takeout.Request
+	var rs []maintenance.Request
 	for _, n := range names {
-		rs = append(rs, takeout.Request{ID: "q" + n, Names: []string{n}, Reason: "disk", For: 100 * s})
+		rs = append(rs, maintenance.Request{ID: "q" + n, Names: []string{n}, Reason: "disk", MaxOutage: 100 * s})
 	}
-	r.in = append(r.in, Asks{Asks: takeout.AsksBody{Revision: revision, Requests: rs}})
+	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: revision, Requests: rs}})
 }
 
 func (r *rig) run(d time.Duration) {
@@ -161,7 +161,7 @@
 }
 
 // until steps on until an item of the machine is in the phase, and says how long that took.
-func (r *rig) until(name string, p takeout.Phase) time.Duration {
+func (r *rig) until(name string, p maintenance.Phase) time.Duration {
 	r.t.Helper()
 	from := r.now
 	for r.now < from+300*s {
@@ -184,27 +184,27 @@
 func TestAMachineGoesOutAndComesBack(t *testing.T) {
 	r := begin(t)
 	r.ask(1, "r1", "r2", "r5")
-	if took := r.until("r1", takeout.Told); took > 2*s {
+	if took := r.until("r1", maintenance.Acknowledged); took > 2*s {
 		t.Errorf("told after %v", took)
 	}
 	r.run(s)
 	r.want("with a shard in common, and with none", fmt.Sprint(r.phases("r2"), r.phases("r5")), "[asked] [told]")
-	it, _ := r.state.Item("r1")
-	r.want("time to go", it.Until-it.GrantedAt, over(limits)+TellSlack+GoWithin+limits.Settle)
-	r.list[1].Status = takeout.Gone
-	r.list[5].Status = takeout.Terminating
-	r.until("r1", takeout.Out)
+	it, _ := r.state.ActiveItem("r1")
+	r.want("time to go", it.Until-it.GrantedAt, over(limits)+TellSlack+GoWithin+limits.SettleTime)
+	r.list[1].Status = maintenance.Gone
+	r.list[5].Status = maintenance.Terminating
+	r.until("r1", maintenance.Out)
 	r.all = nil
 	r.run(40 * s)
 	if ticks := len(slices.DeleteFunc(r.kinds(), func(k string) bool { return k != "tick" })); ticks < 20 || ticks > 41 {
 		t.Errorf("%d ticks in 40 s", ticks)
 	}
-	r.list[1].Status, r.list[1].Started = takeout.Up, 5000*s+r.now
-	r.until("r1", takeout.Back)
-	if took := r.until("r1", takeout.Done); took < 18*s || took > 25*s {
+	r.list[1].Status, r.list[1].Started = maintenance.Up, 5000*s+r.now
+	r.until("r1", maintenance.Returned)
+	if took := r.until("r1", maintenance.Done); took < 18*s || took > 25*s {
 		t.Errorf("warm after %v", took)
 	}
-	r.until("r2", takeout.Told)
+	r.until("r2", maintenance.Acknowledged)
 	r.want("refused", r.refused, "[]")
 }
 
@@ -212,11 +212,11 @@
 // proposed and refused for ever.
 func TestTheRequestThatMayGoIsProposed(t *testing.T) {
 	r := begin(t)
-	at := takeout.Request{ID: "later", Names: []string{"r1"}, Reason: "disk", For: 100 * s, Earliest: 5000*s + r.now + 3600*s}
-	now := takeout.Request{ID: "now", Names: []string{"r1"}, Reason: "fan", For: 100 * s}
-	r.in = append(r.in, Asks{Asks: takeout.AsksBody{Revision: 1, Requests: []takeout.Request{at, now}}})
-	r.until("r1", takeout.Granted)
-	if it, _ := r.state.Item("r1"); it.Request != "now" {
+	at := maintenance.Request{ID: "later", Names: []string{"r1"}, Reason: "disk", MaxOutage: 100 * s, Earliest: 5000*s + r.now + 3600*s}
+	now := maintenance.Request{ID: "now", Names: []string{"r1"}, Reason: "fan", MaxOutage: 100 * s}
+	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{at, now}}})
+	r.until("r1", maintenance.Granted)
+	if it, _ := r.state.ActiveItem("r1"); it.Request != "now" {
 		t.Errorf("granted to %s", it.Request)
 	}
 }
@@ -232,7 +232,7 @@
 	r.run(2 * s)
 	r.want("then anew", r.all[n+3].Command.ID != r.all[n].Command.ID, true)
 	r.deaf, r.mute = false, true // the state alone shows what came of them
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 	r.run(4 * s)
 	r.want("not repeated", strings.Contains(fmt.Sprint(r.refused), "before"), false)
 	for i := range 20 {
@@ -279,13 +279,13 @@
 	r.in = append(r.in, Deposed{})
 	n := len(r.all)
 	r.ask(1, "r1")
-	r.list[4].Status = takeout.Gone
+	r.list[4].Status = maintenance.Gone
 	r.run(20 * s)
 	r.want("proposed", len(r.all), n)
-	r.list[4].Status = takeout.Up
+	r.list[4].Status = maintenance.Up
 	r.in = append(r.in, Elected{Term: 7})
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 	r.want("ids of the term", r.all[n].Command.ID, "7-1")
-	r.l.Step(r.now, 0, []Input{Applied{State: takeout.New(), Index: 0, Now: 0}})
+	r.l.Step(r.now, 0, []Input{Applied{State: maintenance.New(), Index: 0, Now: 0}})
 	r.want("a state of before", r.l.state == r.state, true)
 }
--- a/internal/fleet/drainctl/lies_test.go
+++ b/internal/fleet/drainctl/lies_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 // A co-ordinator that says it laid what it did not, for all numbers that may come and for machines that it names wrongly, speaks
@@ -32,7 +32,7 @@
 	r.want("while a speaks of another", r.phases("r1"), "[granted]")
 	lie("r1")
 	r.run(2 * s)
-	if got := r.phases("r1"); !slices.Contains(got, string(takeout.Told)) {
+	if got := r.phases("r1"); !slices.Contains(got, string(maintenance.Acknowledged)) {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/fleet/drainctl/observe_test.go
+++ b/internal/fleet/drainctl/observe_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 func TestAtRestNothingIsProposed(t *testing.T) {
@@ -19,14 +19,14 @@
 	r.list[3].Started = 1
 	r.run(2 * s)
 	r.all = r.all[:2]
-	r.list[3].Status, r.list[3].Started = takeout.Gone, 0 // a list that tells no start of what is gone
-	r.list = append(r.list, takeout.Machine{Name: "x", Status: takeout.Gone})
+	r.list[3].Status, r.list[3].Started = maintenance.Gone, 0 // a list that tells no start of what is gone
+	r.list = append(r.list, maintenance.Machine{Name: "x", Status: maintenance.Gone})
 	r.run(5 * s)
 	r.want("a change", r.kinds()[2:], "[observe]")
 	r.want("only it", strings.Count(string(r.all[2].Command.Body), "name"), 1)
 	for i := range 20 {
 		flap := slices.Clone(r.list)
-		flap[4].Status = []takeout.Status{takeout.Terminating, takeout.Up}[i%2]
+		flap[4].Status = []maintenance.Status{maintenance.Terminating, maintenance.Up}[i%2]
 		r.in = append(r.in, Listed{List: flap})
 		r.step(100 * time.Millisecond)
 	}
@@ -51,17 +51,17 @@
 		{"all told", func(*rig) {}, "1.5 true"},
 		{"one of three did not", func(r *rig) { r.members[0].LoadKnown = false }, "0 false"},
 		{"one of three long ago", func(r *rig) { r.members[0].LoadAge = 10*s + 1 }, "0 false"},
-		{"one that is gone counts not", func(r *rig) { r.members[0].Status = takeout.Gone }, "1 true"},
+		{"one that is gone counts not", func(r *rig) { r.members[0].Status = maintenance.Gone }, "1 true"},
 		{"one of five is cut off from the leader and goes on serving", func(r *rig) {
-			r.members = append(r.members, Member{Name: "d", Status: takeout.Unknown, Load: 9, LoadKnown: true},
-				Member{Name: "e", Status: takeout.Up, Load: 0.5, LoadKnown: true})
+			r.members = append(r.members, Member{Name: "d", Status: maintenance.Unknown, Load: 9, LoadKnown: true},
+				Member{Name: "e", Status: maintenance.Up, Load: 0.5, LoadKnown: true})
 		}, "2.5 true"},
 		{"one that is agreed on has no news here", func(r *rig) {
 			r.run(2 * s)
 			r.members = r.members[1:]
 		}, "0 false"},
 		{"one of five did not", func(r *rig) {
-			r.members = append(r.members, Member{Name: "d", Status: takeout.Up}, Member{Name: "e", Status: takeout.Up, Load: 0.5, LoadKnown: true})
+			r.members = append(r.members, Member{Name: "d", Status: maintenance.Up}, Member{Name: "e", Status: maintenance.Up, Load: 0.5, LoadKnown: true})
 		}, "2.5 true"},
 	} {
 		r := begin(t)
@@ -73,14 +73,14 @@
 	r := begin(t)
 	r.old = 999 * s // before what is agreed
 	r.run(15 * s)
-	r.list[9].Status = takeout.Terminating
+	r.list[9].Status = maintenance.Terminating
 	r.ask(1, "r1")
 	r.run(10 * s)
 	r.want("refused with an old list", r.refused, "[]")
 	r.want("with an old list", fmt.Sprint(r.phases("r1"), slices.Contains(r.kinds(), "grant")), "[asked] false")
 	r.old = 0
-	r.list[9].Status = takeout.Up
-	r.until("r1", takeout.Told)
+	r.list[9].Status = maintenance.Up
+	r.until("r1", maintenance.Acknowledged)
 
 	r = begin(t)
 	for i := range r.members {
@@ -93,13 +93,13 @@
 	for i := range r.members {
 		r.members[i].LoadKnown = true
 	}
-	if took := r.until("r1", takeout.Granted); took > 2*s {
+	if took := r.until("r1", maintenance.Granted); took > 2*s {
 		t.Errorf("granted %v after the load was known", took)
 	}
 
 	r = begin(t)
 	calls := 0
-	r.l.order = func(s *takeout.State, now time.Duration) []takeout.Item { calls++; return ByAsking(s, now) }
+	r.l.order = func(s *maintenance.State, now time.Duration) []maintenance.Item { calls++; return ByAsking(s, now) }
 	r.ask(1, "r1", "r2")
 	r.run(60 * s)
 	if calls > 200 {
@@ -113,35 +113,35 @@
 
 // The largest inventory is told in parts that each fit, nothing goes before it is whole, and later changes come in parts too.
 func TestALargeInventoryIsToldInParts(t *testing.T) {
-	for _, length := range []int{64, takeout.NameMost} {
+	for _, length := range []int{64, maintenance.MaxNameLength} {
 		if testing.Short() && length > 64 {
 			continue
 		}
 		r := begin(t)
-		for i := range takeout.MachinesMost - len(r.list) - len(r.members) {
+		for i := range maintenance.MaxMachines - len(r.list) - len(r.members) {
 			name := fmt.Sprintf("%0*d", length, i)
-			r.list = append(r.list, takeout.Machine{Name: name, Zone: "zone", Cell: i % 16, Status: takeout.Up, Started: time.Duration(i + 1)})
+			r.list = append(r.list, maintenance.Machine{Name: name, Zone: "zone", Cell: i % 16, Status: maintenance.Up, Started: time.Duration(i + 1)})
 		}
 		wide := limits
 		wide.Headroom = 0.2 // other limits want the whole inventory once more
-		r.in = append(r.in, Asks{Limits: takeout.LimitsBody{Revision: 2, Limits: wide}})
+		r.in = append(r.in, Asks{Limits: maintenance.LimitsBody{Revision: 2, Limits: wide}})
 		r.ask(1, "r1")
 		before := len(r.all)
 		agreed := func() bool {
-			return !r.state.WantsWhole() && len(r.state.Machines()) == takeout.MachinesMost && len(r.l.differs(r.l.seen())) == 0
+			return !r.state.NeedsCompleteInventory() && len(r.state.Machines()) == maintenance.MaxMachines && len(r.l.differs(r.l.seen())) == 0
 		}
 		for range 400 {
 			if r.step(100 * time.Millisecond); agreed() {
 				break
 			}
-			if r.state.WantsWhole() {
+			if r.state.NeedsCompleteInventory() {
 				r.want("before the whole", r.phases("r1"), "[asked]")
 			}
 		}
 		if !agreed() {
-			t.Fatalf("names of %d: %d machines are agreed, a whole is wanted: %v", length, len(r.state.Machines()), r.state.WantsWhole())
+			t.Fatalf("names of %d: %d machines are agreed, a whole is wanted: %v", length, len(r.state.Machines()), r.state.NeedsCompleteInventory())
 		}
-		r.until("r1", takeout.Told)
+		r.until("r1", maintenance.Acknowledged)
 		for i := range r.list {
 			r.list[i].Zone = "other"
 		}
--- a/internal/fleet/drainctl/propose.go
+++ b/internal/fleet/drainctl/propose.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 // proposal is one whose end is not known.
@@ -91,7 +91,7 @@
 // something else are a mistake in the files, of which a line tells once in a while.
 func (l *Lead) putFile() {
 	limits, revision := l.state.Limits()
-	asks := l.state.Asks()
+	asks := l.state.Requests()
 	if want := l.limits; want.Revision > revision {
 		l.propose(fmt.Sprintf("limits %d", want.Revision), "limits", want, func() bool {
 			_, r := l.state.Limits()
@@ -101,7 +101,7 @@
 		l.mistake("limits", revision)
 	}
 	if want := l.asks; want.Revision > asks.Revision {
-		l.propose(fmt.Sprintf("asks %d", want.Revision), "asks", want, func() bool { return l.state.Asks().Revision >= want.Revision })
+		l.propose(fmt.Sprintf("asks %d", want.Revision), "asks", want, func() bool { return l.state.Requests().Revision >= want.Revision })
 	} else if want.Revision == asks.Revision && want.Revision > 0 && l.sameAsks != want.Revision {
 		if sameAsks(want, asks) {
 			l.sameAsks = want.Revision
@@ -111,7 +111,7 @@
 	}
 }
 
-func sameAsks(a, b takeout.AsksBody) bool {
+func sameAsks(a, b maintenance.RequestsBody) bool {
 	return a.Paused == b.Paused && len(a.Requests) == len(b.Requests) &&
 		(len(a.Requests) == 0 || reflect.DeepEqual(a.Requests, b.Requests))
 }
@@ -126,10 +126,10 @@
 }
 
 // putTick moves agreed time on while something lives or waits, if nothing else does: ends are found by it.
-func (l *Lead) putTick(open []takeout.Item) {
+func (l *Lead) putTick(open []maintenance.Item) {
 	every := time.Duration(0)
 	for _, it := range open {
-		if it.Phase != takeout.Asked {
+		if it.Phase != maintenance.Pending {
 			every = TickLive
 			break
 		}
@@ -139,5 +139,5 @@
 		return
 	}
 	at := l.time
-	l.propose("tick", "tick", takeout.TickBody{}, func() bool { return l.agreed >= at })
+	l.propose("tick", "tick", maintenance.TickBody{}, func() bool { return l.agreed >= at })
 }
--- a/internal/fleet/drainctl/told.go
+++ b/internal/fleet/drainctl/told.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 // heard is what a co-ordinator's newest poll said.
@@ -57,23 +57,23 @@
 }
 
 // over is the silence after which a co-ordinator's lease and grace have ended, however its clock ran.
-func over(limits takeout.Limits) time.Duration {
+func over(limits maintenance.Limits) time.Duration {
 	need := limits.Lease + limits.Grace
 	return need + need/Drift
 }
 
 // Counts says whether a leader of this state waits for the co-ordinator before it tells, though it has never heard of it:
 // the inventory has it. Only such a one may be given a lease; a leader that dies takes with it whom else it has heard.
-func Counts(s *takeout.State, name string) bool {
+func Counts(s *maintenance.State, name string) bool {
 	m, ok := s.Machine(name)
-	return ok && m.Kind == takeout.Coordinator
+	return ok && m.Kind == maintenance.Coordinator
 }
 
 // must are all whose word counts: the co-ordinators of the inventory, in whatever state, and all that have polled.
 func (l *Lead) must() []string {
 	names := slices.Collect(maps.Keys(l.heard))
 	for _, m := range l.state.Machines() {
-		if m.Kind == takeout.Coordinator {
+		if m.Kind == maintenance.Coordinator {
 			names = append(names, m.Name)
 		}
 	}
@@ -83,11 +83,11 @@
 
 // putTold proposes, for each grant that is not told, that it is, once each co-ordinator has laid its drain or is silent
 // for so long; or that it is withdrawn, if one that is live refuses, or takes too long, or if there is no time left.
-func (l *Lead) putTold(limits takeout.Limits, open []takeout.Item) {
+func (l *Lead) putTold(limits maintenance.Limits, open []maintenance.Item) {
 	live := map[uint64]bool{}
 	var must []string
 	for _, it := range open {
-		if it.Phase != takeout.Granted {
+		if it.Phase != maintenance.Granted {
 			continue
 		}
 		live[it.Fence] = true
@@ -102,8 +102,8 @@
 	maps.DeleteFunc(l.granted, func(fence uint64, _ time.Duration) bool { return !live[fence] })
 }
 
-func (l *Lead) tell(limits takeout.Limits, it takeout.Item, must []string) {
-	body := takeout.ToldBody{Machine: it.Machine, Fence: it.Fence}
+func (l *Lead) tell(limits maintenance.Limits, it maintenance.Item, must []string) {
+	body := maintenance.AcknowledgeBody{Machine: it.Machine, Fence: it.Fence}
 	var missing []string
 	for _, name := range must {
 		silent := l.silence(name)
@@ -115,9 +115,9 @@
 		}
 		switch {
 		case says != nil && !says.Refused:
-			body.Said = append(body.Said, name)
+			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > over(limits):
-			body.Silent = append(body.Silent, takeout.Silent{Name: name, For: silent})
+			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent})
 		case says != nil:
 			l.withdraw(it, fmt.Sprintf("%s refuses: %s", name, says.Why))
 			return
@@ -126,7 +126,7 @@
 		}
 	}
 	switch {
-	case it.Until-limits.Settle <= l.time:
+	case it.Until-limits.SettleTime <= l.time:
 		l.withdraw(it, "no time is left to begin")
 	case len(missing) == 0:
 		l.propose(fmt.Sprintf("told %s %d", it.Machine, it.Fence), "told", body, l.notGranted(it))
@@ -135,18 +135,18 @@
 	}
 }
 
-func (l *Lead) withdraw(it takeout.Item, why string) {
-	body := takeout.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Why: why[:min(len(why), takeout.NameMost)]}
+func (l *Lead) withdraw(it maintenance.Item, why string) {
+	body := maintenance.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Reason: why[:min(len(why), maintenance.MaxNameLength)]}
 	if l.propose(fmt.Sprintf("withdraw %s %d", it.Machine, it.Fence), "withdraw", body, l.notGranted(it)) {
 		l.say("the grant %d of %s is withdrawn: %s", it.Fence, it.Machine, why)
 	}
 }
 
 // notGranted says that the grant is told, or ended.
-func (l *Lead) notGranted(it takeout.Item) func() bool {
+func (l *Lead) notGranted(it maintenance.Item) func() bool {
 	return func() bool {
-		now, ok := l.state.Item(it.Machine)
-		return !ok || now.Fence != it.Fence || now.Phase != takeout.Granted
+		now, ok := l.state.ActiveItem(it.Machine)
+		return !ok || now.Fence != it.Fence || now.Phase != maintenance.Granted
 	}
 }
 
--- a/internal/fleet/drainctl/told_test.go
+++ b/internal/fleet/drainctl/told_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 func TestSilenceCountsFromTheLastPollAndTheElection(t *testing.T) {
@@ -21,14 +21,14 @@
 	r.in = append(r.in, Elected{Term: 1}) // said twice
 	heard := r.l.heard["c"].at
 	r.ask(1, "r1")
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 	if gone := r.now - heard; gone <= 7070*time.Millisecond || gone > 8*s {
 		t.Errorf("told %v after the last poll of c", gone)
 	}
 	r.ask(2, "r1", "r5")
 	elected := r.now
 	r.in = append(r.in, Deposed{}, Elected{Term: 2})
-	r.until("r5", takeout.Told)
+	r.until("r5", maintenance.Acknowledged)
 	if gone := r.now - elected; gone <= 7070*time.Millisecond || gone > 8*s {
 		t.Errorf("told %v after the election", gone)
 	}
@@ -44,26 +44,26 @@
 	r := begin(t)
 	r.refuses = "b"
 	r.ask(1, "r1")
-	r.until("r1", takeout.Withdrawn)
+	r.until("r1", maintenance.Withdrawn)
 	at := r.now
 	for _, it := range r.state.Items() {
-		r.want("why", it.Why == "b refuses: alone" || it.Phase == takeout.Asked, true)
+		r.want("why", it.Reason == "b refuses: alone" || it.Phase == maintenance.Pending, true)
 	}
 	r.refuses = ""
 	r.in = append(r.in, Deposed{}, Elected{Term: 2}) // the next leader waits too
-	r.until("r1", takeout.Granted)
+	r.until("r1", maintenance.Granted)
 	if took := r.now - at; took < HoldLeast-s || took > HoldLeast+3*s {
 		t.Errorf("granted again after %v", took)
 	}
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 }
 
 func TestWhatIsNotLaidInTimeIsWithdrawn(t *testing.T) {
 	r := begin(t)
 	r.lazy = "b"
 	r.ask(1, "r1")
-	r.until("r1", takeout.Granted)
-	took := r.until("r1", takeout.Withdrawn)
+	r.until("r1", maintenance.Granted)
+	took := r.until("r1", maintenance.Withdrawn)
 	if want := over(limits) + TellSlack; took < want || took > want+s {
 		t.Errorf("withdrawn after %v, want %v", took, want)
 	}
@@ -72,12 +72,12 @@
 	r = begin(t)
 	r.lazy = "b"
 	r.ask(1, "r1")
-	r.until("r1", takeout.Granted)
+	r.until("r1", maintenance.Granted)
 	r.in = append(r.in, Deposed{})
 	r.run(199 * s) // by its time nobody leads
 	r.lazy = ""
 	r.in = append(r.in, Elected{Term: 2})
-	r.until("r1", takeout.Withdrawn)
+	r.until("r1", maintenance.Withdrawn)
 	r.want("why", strings.HasSuffix(r.logs[len(r.logs)-1], "no time is left to begin"), true)
 }
 
@@ -86,25 +86,28 @@
 	r.ask(3, "r1")
 	r.ask(2, "r2")
 	other := limits
-	other.OutMost = 1
-	r.in = append(r.in, Asks{Limits: takeout.LimitsBody{Revision: 1, Limits: other}})
+	other.MaxOut = 1
+	r.in = append(r.in, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: other}})
 	r.run(3 * s)
 	r.want("asked", fmt.Sprint(r.phases("r1"), r.phases("r2")), "[told] []")
 	r.ask(2, "r2")
 	r.run(3 * s)
-	r.want("an older file", r.state.Asks().Revision, 3)
+	r.want("an older file", r.state.Requests().Revision, 3)
 	r.want("other limits under one number", fmt.Sprint(strings.Count(strings.Join(r.logs, "\n"), "limits of revision 1")), 1)
 	r.ask(3)
 	r.run(30 * s)
 	r.want("a mistake is said once in a while", strings.Count(strings.Join(r.logs, "\n"), "asks of revision 3"), 1)
 	r.want("refused", r.refused, "[]")
-	bad := takeout.LimitsBody{Revision: 2}
-	r.in = append(r.in, Asks{Limits: bad}, Asks{Limits: takeout.LimitsBody{Revision: 1, Limits: limits}})
+	bad := maintenance.LimitsBody{Revision: 2}
+	r.in = append(r.in, Asks{Limits: bad}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}})
 	r.run(30 * s)
 	r.want("limits that can't be are tried once in a while", len(r.refused), 1)
-	r.l.order = func(*takeout.State, time.Duration) []takeout.Item { t.Error("planned though paused"); return nil }
-	r.in = append(r.in, Asks{Asks: takeout.AsksBody{Revision: 4, Paused: true, Requests: append(r.state.Asks().Requests,
-		takeout.Request{ID: "p", Names: []string{"r7"}, Reason: "x", For: s})}})
+	r.l.order = func(*maintenance.State, time.Duration) []maintenance.Item {
+		t.Error("planned though paused")
+		return nil
+	}
+	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: 4, Paused: true, Requests: append(r.state.Requests().Requests,
+		maintenance.Request{ID: "p", Names: []string{"r7"}, Reason: "x", MaxOutage: s})}})
 	r.step(100 * time.Millisecond)
 	r.run(5 * s)
 }
@@ -115,10 +118,10 @@
 	r.members = r.members[:2]
 	r.run(5 * s)
 	m, _ := r.state.Machine("c")
-	r.want("at first", m.Status, takeout.Unknown)
+	r.want("at first", m.Status, maintenance.Unknown)
 	r.run(10 * s)
 	m, _ = r.state.Machine("c")
-	r.want("later", m.Status, takeout.Gone)
+	r.want("later", m.Status, maintenance.Gone)
 }
 
 func TestALatePollTakesBackNoSilenceAndGivesNoWord(t *testing.T) {
@@ -142,10 +145,10 @@
 	r := begin(t)
 	r.behind, r.clocks = 1000*s, map[string]time.Duration{"a": -1000 * s, "b": -1000 * s, "c": -1000 * s}
 	r.ask(1, "r1")
-	r.until("r1", takeout.Told)
-	r.list[1].Status = takeout.Gone
-	r.until("r1", takeout.Out)
-	if took := r.until("r1", takeout.Lapsed); took < 99*s || took > 104*s {
+	r.until("r1", maintenance.Acknowledged)
+	r.list[1].Status = maintenance.Gone
+	r.until("r1", maintenance.Out)
+	if took := r.until("r1", maintenance.Expired); took < 99*s || took > 104*s {
 		t.Errorf("counted as failed after %v", took)
 	}
 }
@@ -153,14 +156,14 @@
 func TestTheOrderWithoutAPlan(t *testing.T) {
 	r := begin(t)
 	r.ask(1, "r1")
-	r.until("r1", takeout.Told)
+	r.until("r1", maintenance.Acknowledged)
 	r.ask(2, "r1", "r2", "r0")
 	r.run(3 * s)
 	r.ask(3, "r1", "r2", "r0", "r5", "r7", "r9") // three pass those that share a shard with r1
-	r.until("r9", takeout.Told)
-	asks := r.state.Asks()
-	asks.Revision, asks.Requests = 4, append(asks.Requests, takeout.Request{ID: "v", Names: []string{"r4"}, Reason: "x", For: s},
-		takeout.Request{ID: "u", Names: []string{"r8"}, Reason: "x", For: s, Priority: takeout.Urgent})
+	r.until("r9", maintenance.Acknowledged)
+	asks := r.state.Requests()
+	asks.Revision, asks.Requests = 4, append(asks.Requests, maintenance.Request{ID: "v", Names: []string{"r4"}, Reason: "x", MaxOutage: s},
+		maintenance.Request{ID: "u", Names: []string{"r8"}, Reason: "x", MaxOutage: s, Priority: maintenance.Urgent})
 	r.in = append(r.in, Asks{Asks: asks})
 	r.run(s)
 	var got []string
@@ -178,12 +181,12 @@
 	term := uint64(1)
 	for range 60 {
 		m := &r.list[rng.IntN(8)]
-		it, _ := r.state.Item(m.Name)
+		it, _ := r.state.ActiveItem(m.Name)
 		switch {
-		case it.Phase == takeout.Told || it.Phase != takeout.Back && rng.IntN(40) == 0:
-			m.Status = takeout.Gone
-		case m.Status == takeout.Gone:
-			m.Status, m.Started = takeout.Up, 5000*s+r.now
+		case it.Phase == maintenance.Acknowledged || it.Phase != maintenance.Returned && rng.IntN(40) == 0:
+			m.Status = maintenance.Gone
+		case m.Status == maintenance.Gone:
+			m.Status, m.Started = maintenance.Up, 5000*s+r.now
 		}
 		one := []string{"", "", "a", "b", "c"}[rng.IntN(5)]
 		switch rng.IntN(12) {
@@ -217,7 +220,7 @@
 
 func TestAFastMonotonicClockDoesNotCarryAgreedTimeAway(t *testing.T) {
 	l, wall, now := New(nil), 5000*s, 1000*s
-	state := takeout.New()
+	state := maintenance.New()
 	for i := range uint64(3600) {
 		wall, now = wall+s, now+s+s/100
 		l.Step(now, wall, []Input{Applied{State: state, Index: i, Now: l.time}})
@@ -253,7 +256,7 @@
 		}
 	}
 	r.want("counted", got, "[a b]")
-	r.members = append(r.members, Member{Name: "d", Status: takeout.Up})
+	r.members = append(r.members, Member{Name: "d", Status: maintenance.Up})
 	r.run(2 * s)
 	r.want("once it was observed", Counts(r.state, "d"), true)
 }
--- a/internal/fleet/fleetsim/actions.go
+++ b/internal/fleet/fleetsim/actions.go
@@ -7,7 +7,7 @@
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
 	"birchcart/internal/fleet/fleetsim/history"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/view"
 )
 
@@ -39,7 +39,7 @@
 	for j := range s.rooms {
 		name := fmt.Sprintf("r%d", j)
 		s.tell(history.Event{Kind: history.Sends, By: fmt.Sprintf("c%d", i), Name: name,
-			On: !n.drains[name] && n.list[j].Status == takeout.Up})
+			On: !n.drains[name] && n.list[j].Status == maintenance.Up})
 	}
 }
 
@@ -170,17 +170,17 @@
 }
 
 // told is a leader's honest word that all sends to a machine have ended.
-func (s *small) told(item takeout.Item) bool {
+func (s *small) told(item maintenance.Item) bool {
 	n := &s.nodes[s.leader]
 	need := s.limits.Lease + s.limits.Grace
-	body := takeout.ToldBody{Machine: item.Machine, Fence: item.Fence}
+	body := maintenance.AcknowledgeBody{Machine: item.Machine, Fence: item.Fence}
 	for i := range s.nodes {
 		name := fmt.Sprintf("c%d", i)
 		switch silent := s.silent(s.leader, i); {
 		case n.laid[item.Fence]&(1<<i) != 0 || i == s.leader && s.nodes[i].drains[item.Machine]:
-			body.Said = append(body.Said, name)
+			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > need+need/view.Drift, s.off == "told":
-			body.Silent = append(body.Silent, takeout.Silent{Name: name, For: silent + 1})
+			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent + 1})
 		default:
 			return false
 		}
@@ -274,18 +274,18 @@
 	items := s.books[len(s.books)-1].out.Open()
 	for _, it := range items {
 		switch it.Phase {
-		case takeout.Asked:
+		case maintenance.Pending:
 			add(func(s *small) bool {
 				return s.propose("grant", fmt.Sprintf("g%d-%s-%s", len(s.grants), it.Request, it.Machine),
-					takeout.GrantBody{Request: it.Request, Machine: it.Machine, Until: clockwork.Epoch + s.now + s.until()})
+					maintenance.GrantBody{Request: it.Request, Machine: it.Machine, Until: clockwork.Epoch + s.now + s.until()})
 			}, "c%d grants %s to %s", s.leader, it.Machine, it.Request)
-		case takeout.Granted:
+		case maintenance.Granted:
 			add(func(s *small) bool { return s.told(it) }, "c%d says that %s is told", s.leader, it.Machine)
 			if s.left.Withdraw > 0 {
 				add(func(s *small) bool {
 					s.left.Withdraw--
 					return s.propose("withdraw", fmt.Sprintf("w%d", it.Fence),
-						takeout.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Why: "wrong"})
+						maintenance.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Reason: "wrong"})
 				}, "c%d withdraws %s", s.leader, it.Machine)
 			}
 		}
@@ -303,9 +303,9 @@
 func (s *small) roomActions(add func(func(*small) bool, string, ...any)) {
 	for j, r := range s.rooms {
 		name := fmt.Sprintf("r%d", j)
-		if r.status == takeout.Gone {
+		if r.status == maintenance.Gone {
 			add(always(func(s *small) {
-				s.rooms[j].status, s.rooms[j].start = takeout.Up, clockwork.Epoch+s.now
+				s.rooms[j].status, s.rooms[j].start = maintenance.Up, clockwork.Epoch+s.now
 				s.tell(history.Event{Kind: history.Risen, Name: name, Warm: s.now + s.limits.WarmUp})
 			}), "%s is up again", name)
 			continue
@@ -313,7 +313,7 @@
 		if s.left.Fail > 0 {
 			add(always(func(s *small) {
 				s.left.Fail--
-				s.rooms[j].status = takeout.Gone
+				s.rooms[j].status = maintenance.Gone
 				s.tell(history.Event{Kind: history.Failed, Name: name})
 			}), "%s fails", name)
 		}
@@ -323,7 +323,7 @@
 				if g.Machine == name && g.Fence > r.acted && clockwork.Epoch+s.now < g.Before {
 					goes = true
 					add(always(func(s *small) {
-						s.rooms[j].status, s.rooms[j].acted = takeout.Gone, g.Fence
+						s.rooms[j].status, s.rooms[j].acted = maintenance.Gone, g.Fence
 						s.tell(history.Event{Kind: history.Taken, Name: name, Fence: g.Fence})
 					}), "%s goes, by the file of c%d", name, i)
 				}
--- a/internal/fleet/fleetsim/canon.go
+++ b/internal/fleet/fleetsim/canon.go
@@ -42,10 +42,10 @@
 var modes = map[string]mode{
 	"view.View.out": none, "view.View.index": none, "view.polls.no": none, // see canon.poll and small.digest
 	"statemachine.Machine.parts": none, "statemachine.Machine.index": none, "statemachine.Machine.ids": none, "statemachine.Machine.seen": none,
-	"takeout.State.byID": none, "takeout.State.machines": none, "takeout.State.cells": none, "takeout.State.last": none,
-	"takeout.State.sums": none, "takeout.State.fresh": none, "takeout.State.pauseWhy": none, "takeout.request.At": none,
-	"takeout.machine.live": none, "takeout.machine.asked": none, "takeout.machine.GoneAt": none, "takeout.machine.Settle": ahead,
-	"takeout.Machine.Started": start, "takeout.Item.Start": start, "takeout.Item.Why": none, "takeout.Item.AskedAt": none,
+	"maintenance.State.byID": none, "maintenance.State.machines": none, "maintenance.State.cells": none, "maintenance.State.latest": none,
+	"maintenance.State.sums": none, "maintenance.State.sumsValid": none, "maintenance.State.pauseWhy": none, "maintenance.request.FirstSeenAt": none,
+	"maintenance.machine.live": none, "maintenance.machine.pending": none, "maintenance.machine.GoneAt": none, "maintenance.machine.Settle": ahead,
+	"maintenance.Machine.Started": start, "maintenance.Item.StartedAt": start, "maintenance.Item.Reason": none, "maintenance.Item.RequestedAt": none,
 	"history.Checker.items": none, "history.Checker.commands": none, "history.Checker.moved": none, "history.Checker.running": none,
 	"history.Checker.Figures": none, "history.Checker.names": none, "history.Item.Asked": none, "history.truth.warm": ahead,
 	"history.peer.lease": ahead, "history.truth.goes": none, "history.standing.told": none, "fleetsim.smallRoom.start": start,
@@ -56,17 +56,17 @@
 	fields []string
 	says   func(c *canon, v reflect.Value) bool
 }{
-	"takeout.Item": {
-		{[]string{"GrantedAt", "Until", "ToldAt", "OutAt", "BackAt", "EndedAt", "Start"}, func(_ *canon, v reflect.Value) bool {
+	"maintenance.Item": {
+		{[]string{"GrantedAt", "Until", "AcknowledgedAt", "OutAt", "ReturnedAt", "EndedAt", "StartedAt"}, func(_ *canon, v reflect.Value) bool {
 			phase := v.FieldByName("Phase").String()
 			return phase != "asked" && !running(phase)
 		}},
-		{[]string{"GrantedAt", "ToldAt", "OutAt", "BackAt"}, func(_ *canon, v reflect.Value) bool { // its end counts from then on
+		{[]string{"GrantedAt", "AcknowledgedAt", "OutAt", "ReturnedAt"}, func(_ *canon, v reflect.Value) bool { // its end counts from then on
 			phase := v.FieldByName("Phase").String()
 			return phase == "out" || phase == "back"
 		}},
 	},
-	"takeout.flap": {{[]string{"UpAt"}, func(_ *canon, v reflect.Value) bool { return !v.FieldByName("Flaps").Bool() }}},
+	"maintenance.flapHistory": {{[]string{"UpAt"}, func(_ *canon, v reflect.Value) bool { return !v.FieldByName("Flapping").Bool() }}},
 	"view.View": {{[]string{"first"}, func(_ *canon, v reflect.Value) bool {
 		return v.FieldByName("polls").FieldByName("answered").Bool()
 	}}},
--- a/internal/fleet/fleetsim/clock.go
+++ b/internal/fleet/fleetsim/clock.go
@@ -1,5 +1,5 @@
 // Package fleetsim is the project's own emulator of a fleet, in virtual time: many instances of the pure packages (view,
-// lead, ledger, takeout) over an agreed log that changes its leaders, links that lose, delay, repeat and reorder,
+// drainctl, statemachine, maintenance) over an agreed log that changes its leaders, links that lose, delay, repeat and reorder,
 // processes that stall, crash and lose their disk, clocks that run up to 1 % apart, machines that go, fail and come
 // back, and a discovery whose news is late. All that happens follows from a Schedule: same seed, same bytes. What
 // happens is told to package history, whose checker knows none of the deciding code.
--- a/internal/fleet/fleetsim/digest.go
+++ b/internal/fleet/fleetsim/digest.go
@@ -5,14 +5,14 @@
 	"reflect"
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // canon digests a copy of the agreed state as it counts by its own time. Commands that it remembers are those in grants.
 func (b *book) canon() uint64 {
 	if b.sum == 0 {
 		now, old := b.led.Now()-clockwork.Epoch, oldShort
-		if l, _ := b.out.Limits(); l.Calm > oldShort/takeout.CalmMost {
+		if l, _ := b.out.Limits(); l.FailurePause > oldShort/maintenance.MaxPauseFactor {
 			old = oldMost
 		}
 		b.sum = canonOf(now, old, b.led)*31 + canonOf(now, old, b.out)
--- a/internal/fleet/fleetsim/disk.go
+++ b/internal/fleet/fleetsim/disk.go
@@ -49,7 +49,7 @@
 		file[name] = line
 	}
 	for name := range n.drains {
-		if it, ok := n.book.out.Item(name); ok {
+		if it, ok := n.book.out.ActiveItem(name); ok {
 			file[name] = laidLine{it.Fence, it.Until}
 		}
 	}
--- a/internal/fleet/fleetsim/leader.go
+++ b/internal/fleet/fleetsim/leader.go
@@ -6,8 +6,8 @@
 
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/fleetsim/clockwork"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 // leadTurn is a turn of the pure leader's step: it begins once the own copy has all that was agreed before the term.
@@ -67,13 +67,13 @@
 	out := make([]drainctl.Member, 0, len(n.w.nodes))
 	load := n.w.loadOfOne()
 	for _, o := range n.w.nodes {
-		m := drainctl.Member{Name: o.name, Zone: zone(o.id, n.w.s.Zones), Status: takeout.Up, Started: clockwork.Epoch + o.started, Voter: o.v != nil,
+		m := drainctl.Member{Name: o.name, Zone: zone(o.id, n.w.s.Zones), Status: maintenance.Up, Started: clockwork.Epoch + o.started, Voter: o.v != nil,
 			Load: load, LoadKnown: true, LoadAge: gossipLag}
 		if !o.up && n.w.Now-o.downAt > deadAfter {
-			m.Status, m.LoadKnown = takeout.Gone, false
+			m.Status, m.LoadKnown = maintenance.Gone, false
 		}
 		if n.w.cutOff(n.id, o.id) {
-			m.Status, m.LoadKnown = takeout.Unknown, false
+			m.Status, m.LoadKnown = maintenance.Unknown, false
 		}
 		out = append(out, m)
 	}
--- a/internal/fleet/fleetsim/loosen.go
+++ b/internal/fleet/fleetsim/loosen.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // loosen takes a guard out of the state for one command, and gives what puts it back.
@@ -15,11 +15,11 @@
 	}
 	state := reflect.ValueOf(b.out).Elem()
 	field := func(of reflect.Value, name string) reflect.Value { return open(of.FieldByName(name)) }
-	limits := field(state, "limits").Addr().Interface().(*takeout.Limits)
+	limits := field(state, "limits").Addr().Interface().(*maintenance.Limits)
 	was := *limits
-	fresh := field(state, "fresh")
-	fresh.SetBool(false)
-	back := func() { *limits = was; fresh.SetBool(false) }
+	sumsValid := field(state, "sumsValid")
+	sumsValid.SetBool(false)
+	back := func() { *limits = was; sumsValid.SetBool(false) }
 	machines := field(state, "list")
 	switch {
 	case off == "W4 once" && kind == "grant":
@@ -31,17 +31,17 @@
 		limits.Lease, limits.Grace = 1, 0
 	case kind != "grant":
 	case off == "W1":
-		limits.HoldersLeast = 0
+		limits.MinHolders = 0
 	case off == "W1 warm":
 		limits.WarmUp = 0
 	case off == "W2 zone":
-		limits.OutByZone = 99
+		limits.MaxOutPerZone = 99
 	case off == "W2 all":
-		limits.OutMost = 99
+		limits.MaxOut = 99
 	case off == "W3":
 		field(state, "load").SetFloat(0)
 	case off == "W5":
-		limits.PassedMost = 99
+		limits.MaxPassedOver = 99
 	case off == "W6":
 		field(state, "pauseUntil").SetInt(0)
 	case off == "W2 voters":
@@ -52,7 +52,7 @@
 			back()
 			for i := range machines.Len() {
 				m := field(machines.Index(i).Elem(), "Machine")
-				m.FieldByName("Voter").SetBool(m.FieldByName("Kind").String() == string(takeout.Coordinator))
+				m.FieldByName("Voter").SetBool(m.FieldByName("Kind").String() == string(maintenance.Coordinator))
 			}
 		}
 	case off == "W4 live":
--- a/internal/fleet/fleetsim/machines.go
+++ b/internal/fleet/fleetsim/machines.go
@@ -8,7 +8,7 @@
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
 	"birchcart/internal/fleet/fleetsim/history"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/view"
 )
 
@@ -27,7 +27,7 @@
 	name   string
 	zone   string
 	cell   int
-	status takeout.Status
+	status maintenance.Status
 	start  time.Duration // since the Unix epoch, as discovery tells it
 	acted  uint64        // highest number that the site's tool has acted on
 	way    string
@@ -36,17 +36,17 @@
 }
 
 // lists are discovery's, one for each change; a co-ordinator stands at one of them.
-type lists struct{ all [][]takeout.Machine }
+type lists struct{ all [][]maintenance.Machine }
 
-func (l *lists) newest() int                { return len(l.all) - 1 }
-func (l *lists) at(i int) []takeout.Machine { return l.all[i] }
+func (l *lists) newest() int                    { return len(l.all) - 1 }
+func (l *lists) at(i int) []maintenance.Machine { return l.all[i] }
 
 // changed makes a new list and lets it reach each co-ordinator when its news does.
 func (w *World) listChanged() {
-	list := make([]takeout.Machine, 0, len(w.machines))
+	list := make([]maintenance.Machine, 0, len(w.machines))
 	for _, name := range w.machineNames {
 		m := w.machines[name]
-		list = append(list, takeout.Machine{Name: m.name, Kind: takeout.Replica, Zone: m.zone, Cell: m.cell, Size: 1,
+		list = append(list, maintenance.Machine{Name: m.name, Kind: maintenance.Replica, Zone: m.zone, Cell: m.cell, Size: 1,
 			Status: m.status, Started: m.start})
 	}
 	w.lists.all = append(w.lists.all, list)
@@ -75,7 +75,7 @@
 // the drains.
 func (n *node) sending() {
 	for _, m := range n.w.lists.at(n.list) {
-		if skip := m.Status != takeout.Up || n.drained(m.Name); skip != n.skips[m.Name] {
+		if skip := m.Status != maintenance.Up || n.drained(m.Name); skip != n.skips[m.Name] {
 			n.skips[m.Name] = skip
 			n.w.tell(history.Event{Kind: history.Sends, By: n.name, Name: m.Name, On: !skip})
 		}
@@ -114,7 +114,7 @@
 		return
 	}
 	for _, item := range n.book.out.Items() { // one who saw it in a log and did not wait for the file
-		if item.Phase == takeout.Granted {
+		if item.Phase == maintenance.Granted {
 			if m := w.toolMachine(item); m != nil && m.way == wayEarly {
 				m.acted = item.Fence
 				w.After(0, func() { w.takeOut(m, item) })
@@ -124,9 +124,9 @@
 }
 
 // toolMachine is the machine of an item if the tool has not acted on that number yet.
-func (w *World) toolMachine(item takeout.Item) *machine {
+func (w *World) toolMachine(item maintenance.Item) *machine {
 	m := w.machines[item.Machine]
-	if m == nil || m.status != takeout.Up || item.Fence <= m.acted {
+	if m == nil || m.status != maintenance.Up || item.Fence <= m.acted {
 		return nil
 	}
 	if m.way == "" {
@@ -151,8 +151,8 @@
 	return ways[w.rng.IntN(len(ways))]
 }
 
-func (w *World) takeOut(m *machine, item takeout.Item) {
-	if m.status != takeout.Up {
+func (w *World) takeOut(m *machine, item maintenance.Item) {
+	if m.status != maintenance.Up {
 		return
 	}
 	w.tell(history.Event{Kind: history.Taken, Name: m.name, Fence: item.Fence})
@@ -164,10 +164,10 @@
 	case wayNever:
 		work = -1
 	}
-	m.status = takeout.Terminating
+	m.status = maintenance.Terminating
 	w.listChanged()
 	w.After(2*time.Second, func() {
-		m.status = takeout.Gone
+		m.status = maintenance.Gone
 		w.listChanged()
 	})
 	if work < 0 {
@@ -186,7 +186,7 @@
 
 // rise is a machine's new start: it takes requests, cold.
 func (w *World) rise(m *machine) {
-	m.status, m.start, m.away = takeout.Up, clockwork.Epoch+w.Now, false
+	m.status, m.start, m.away = maintenance.Up, clockwork.Epoch+w.Now, false
 	m.times++
 	m.way = "" // the next time it may be another
 	w.tell(history.Event{Kind: history.Risen, Name: m.name, Warm: w.Now + w.s.Limits.WarmUp})
@@ -195,14 +195,14 @@
 
 // breakDown is a failure outside the plan.
 func (w *World) breakDown(m *machine, lasts time.Duration) {
-	if m.status == takeout.Gone || m.away {
+	if m.status == maintenance.Gone || m.away {
 		return
 	}
-	m.status = takeout.Gone
+	m.status = maintenance.Gone
 	w.tell(history.Event{Kind: history.Failed, Name: m.name})
 	w.listChanged()
 	w.After(lasts, func() {
-		if m.status == takeout.Gone && !m.away {
+		if m.status == maintenance.Gone && !m.away {
 			w.rise(m)
 		}
 	})
@@ -210,7 +210,7 @@
 
 // leave is a co-ordinator that goes out for work itself: it hands its leadership over, ends, and comes back later.
 func (n *node) leave(fence uint64) {
-	item, ok := n.book.out.Item(n.name)
+	item, ok := n.book.out.ActiveItem(n.name)
 	if !ok || item.Fence != fence || n.w.leaving[n.id] == fence {
 		return
 	}
--- a/internal/fleet/fleetsim/node.go
+++ b/internal/fleet/fleetsim/node.go
@@ -6,8 +6,8 @@
 
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/fleetsim/history"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/fleet/view"
 )
 
@@ -26,13 +26,13 @@
 // book is one copy of the agreed state.
 type book struct {
 	led *statemachine.Machine
-	out *takeout.State
+	out *maintenance.State
 	dig uint64
 	sum uint64 // see canon
 }
 
 func newBook() *book {
-	out := takeout.New()
+	out := maintenance.New()
 	return &book{led: statemachine.New(map[string]statemachine.Part{"takeout": out}), out: out}
 }
 
--- a/internal/fleet/fleetsim/pinned/canon.go
+++ b/internal/fleet/fleetsim/pinned/canon.go
@@ -50,7 +50,7 @@
 	"pool.Pool.next": none, "pool.Pool.now": ahead,
 	"history.Checker.rules": none, "history.Checker.now": none, "history.Checker.Figures": none, "history.Checker.places": none,
 	"history.Checker.begins": none, "history.request.place": rank, "history.request.order": rank, "history.session.last": rank,
-	"history.session.lastHard": rank, "history.session.open": name, "history.session.queued": name, "history.Event.Line": none,
+	"history.session.lastHard": rank, "history.session.open": name, "history.session.queued": name,
 	"pinned.smallNode.applied": rank, "pinned.smallNode.until": ahead, "pinned.smallWord.index": rank,
 }
 
--- a/internal/fleet/fleetsim/plans.go
+++ b/internal/fleet/fleetsim/plans.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Plan is what is asked for in a search.
@@ -20,32 +20,32 @@
 	TwoPlan Plan = "r0-r1"
 )
 
-func smallLimits(off Off, plan Plan) takeout.Limits {
-	l := takeout.Limits{Cells: 4, Reach: 2, Shards: 4, HoldersLeast: 1, OutByZone: 1, OutMost: 2, Headroom: 0.25,
+func smallLimits(off Off, plan Plan) maintenance.Limits {
+	l := maintenance.Limits{Cells: 4, Reach: 2, Shards: 4, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 2, Headroom: 0.25,
 		LoadAge: 4 * time.Second, ListAge: 3 * time.Second, WarmUp: 3 * time.Second, Lease: 3 * time.Second, Grace: time.Second,
-		Settle: 2 * time.Second, Calm: 8 * time.Second, PassedMost: 1, VotersLeast: 1}
+		SettleTime: 2 * time.Second, FailurePause: 8 * time.Second, MaxPassedOver: 1, MinVoters: 1}
 	if plan != AllPlan {
-		l.WarmUp, l.Settle, l.Calm = 2*time.Second, time.Second, 2*time.Second
+		l.WarmUp, l.SettleTime, l.FailurePause = 2*time.Second, time.Second, 2*time.Second
 	}
 	switch off {
 	case "W1": // a view alone keeps one holder, so that two are wanted
-		l.Reach, l.HoldersLeast = 3, 2
+		l.Reach, l.MinHolders = 3, 2
 	case "W1 warm":
-		l.Reach, l.HoldersLeast, l.WarmUp, l.Calm, l.Grace = 3, 2, 12*time.Second, 0, 0
+		l.Reach, l.MinHolders, l.WarmUp, l.FailurePause, l.Grace = 3, 2, 12*time.Second, 0, 0
 	}
 	return l
 }
 
 // smallRequests: r0 is asked for before its neighbours on the ring, which share no
 // shard with each other. A search without a guard asks for what that guard is about as well.
-func smallRequests(off Off, plan Plan) []takeout.Request {
+func smallRequests(off Off, plan Plan) []maintenance.Request {
 	first, second := []string{"r0"}, []string{"r1", "r3"}
 	switch plan {
 	case OnePlan, OneVoter:
-		return []takeout.Request{{ID: "q0", Names: []string{string(plan)}, Reason: "disk", For: 5 * time.Second}}
+		return []maintenance.Request{{ID: "q0", Names: []string{string(plan)}, Reason: "disk", MaxOutage: 5 * time.Second}}
 	case TwoPlan:
-		return []takeout.Request{{ID: "q0", Names: first, Reason: "disk", For: 5 * time.Second},
-			{ID: "q1", Names: second[:1], Reason: "memory", For: 5 * time.Second}}
+		return []maintenance.Request{{ID: "q0", Names: first, Reason: "disk", MaxOutage: 5 * time.Second},
+			{ID: "q1", Names: second[:1], Reason: "memory", MaxOutage: 5 * time.Second}}
 	}
 	switch off {
 	case "W2 zone":
@@ -59,9 +59,9 @@
 	case "W4 live":
 		second = []string{"r0"}
 	}
-	return []takeout.Request{
-		{ID: "q0", Names: first, Reason: "disk", For: 20 * time.Second},
-		{ID: "q1", Names: second, Reason: "memory", For: 20 * time.Second},
+	return []maintenance.Request{
+		{ID: "q0", Names: first, Reason: "disk", MaxOutage: 20 * time.Second},
+		{ID: "q1", Names: second, Reason: "memory", MaxOutage: 20 * time.Second},
 	}
 }
 
--- a/internal/fleet/fleetsim/polls.go
+++ b/internal/fleet/fleetsim/polls.go
@@ -39,7 +39,7 @@
 	}
 	n.w.polls[pollKey{n.id, p.No}] = n.w.Now
 	n.w.send(n.id, to, func(o *node) { o.onPoll(n.id, word) })
-	if n.asks != nil && n.asks.Asks.Revision > n.book.out.Asks().Revision {
+	if n.asks != nil && n.asks.Asks.Revision > n.book.out.Requests().Revision {
 		ask := *n.asks
 		n.w.send(n.id, to, func(o *node) {
 			if o.leads {
--- a/internal/fleet/fleetsim/schedule.go
+++ b/internal/fleet/fleetsim/schedule.go
@@ -6,35 +6,35 @@
 	"time"
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Schedule is all of a world: what its fleet is, what is asked for, and what breaks. Printed whole, it plays the same
 // history again.
 type Schedule struct {
-	Seed         uint64            `json:"seed"`
-	Coordinators int               `json:"coordinators"`
-	Voters       int               `json:"voters"`
-	Zones        int               `json:"zones"`
-	Replicas     int               `json:"replicas"`
-	Limits       takeout.Limits    `json:"limits"`
-	Load         float64           `json:"load"` // in mean replicas kept busy
-	Link         clockwork.Quality `json:"link"`
-	Drift        float64           `json:"drift"`  // most, by which a clock runs fast or slow: 0.01
-	Offset       time.Duration     `json:"offset"` // most, by which a clock stands ahead or behind
-	Odd          float64           `json:"odd"`    // share of goes that don't go as asked
-	Asks         []Ask             `json:"asks"`
-	Steps        []clockwork.Step  `json:"steps"`
-	Brief        bool              `json:"brief,omitempty"` // ends once nothing is under way, and in any case at End
-	End          time.Duration     `json:"end"`             // at the latest
+	Seed         uint64             `json:"seed"`
+	Coordinators int                `json:"coordinators"`
+	Voters       int                `json:"voters"`
+	Zones        int                `json:"zones"`
+	Replicas     int                `json:"replicas"`
+	Limits       maintenance.Limits `json:"limits"`
+	Load         float64            `json:"load"` // in mean replicas kept busy
+	Link         clockwork.Quality  `json:"link"`
+	Drift        float64            `json:"drift"`  // most, by which a clock runs fast or slow: 0.01
+	Offset       time.Duration      `json:"offset"` // most, by which a clock stands ahead or behind
+	Odd          float64            `json:"odd"`    // share of goes that don't go as asked
+	Asks         []Ask              `json:"asks"`
+	Steps        []clockwork.Step   `json:"steps"`
+	Brief        bool               `json:"brief,omitempty"` // ends once nothing is under way, and in any case at End
+	End          time.Duration      `json:"end"`             // at the latest
 }
 
 // Ask is an operators' file as it is read at some co-ordinators.
 type Ask struct {
-	At     time.Duration      `json:"at"`
-	By     []int              `json:"by"` // which co-ordinators read it
-	Limits takeout.LimitsBody `json:"limits"`
-	Asks   takeout.AsksBody   `json:"asks"`
+	At     time.Duration            `json:"at"`
+	By     []int                    `json:"by"` // which co-ordinators read it
+	Limits maintenance.LimitsBody   `json:"limits"`
+	Asks   maintenance.RequestsBody `json:"asks"`
 }
 
 // Kinds of steps. A and B are co-ordinators, or a machine's or zone's number.
@@ -80,7 +80,7 @@
 	for _, a := range s.Asks {
 		for _, r := range a.Asks.Requests {
 			if r.ID == request {
-				return r.For
+				return r.MaxOutage
 			}
 		}
 	}
@@ -106,14 +106,14 @@
 	if coordinators >= 7 && rng.IntN(3) == 0 {
 		s.Voters = 5
 	}
-	s.Limits = takeout.Limits{Cells: 4 + rng.IntN(5), Reach: 2 + rng.IntN(2), HoldersLeast: 1 + rng.IntN(2), OutByZone: 1 + rng.IntN(3),
-		OutMost: 1 + rng.IntN(6), Headroom: 0.25, LoadAge: 15 * time.Second, ListAge: 10 * time.Second,
-		WarmUp: time.Duration(2+rng.IntN(10)) * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second, Settle: 10 * time.Second,
-		Calm: time.Duration(5+rng.IntN(20)) * time.Second, PassedMost: 2 + rng.IntN(5), VotersLeast: s.Voters/2 + 1}
+	s.Limits = maintenance.Limits{Cells: 4 + rng.IntN(5), Reach: 2 + rng.IntN(2), MinHolders: 1 + rng.IntN(2), MaxOutPerZone: 1 + rng.IntN(3),
+		MaxOut: 1 + rng.IntN(6), Headroom: 0.25, LoadAge: 15 * time.Second, ListAge: 10 * time.Second,
+		WarmUp: time.Duration(2+rng.IntN(10)) * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second, SettleTime: 10 * time.Second,
+		FailurePause: time.Duration(5+rng.IntN(20)) * time.Second, MaxPassedOver: 2 + rng.IntN(5), MinVoters: s.Voters/2 + 1}
 	s.Limits.Shards = s.Limits.Cells
 	s.Replicas = s.Limits.Cells * (1 + rng.IntN(2))
 	if s.Limits.Reach == 2 && s.Replicas == s.Limits.Cells {
-		s.Limits.HoldersLeast = 1
+		s.Limits.MinHolders = 1
 	}
 	s.Load = float64(s.Replicas) * 0.5 * rng.Float64()
 	s.Link = clockwork.Quality{Lost: 0.1 * rng.Float64() * rng.Float64(), Twice: 0.1 * rng.Float64(), Late: 0.1 * rng.Float64(),
@@ -151,28 +151,28 @@
 )
 
 // revise is a file that is read at some co-ordinators.
-func (s *Schedule) revise(rng *rand.Rand, at time.Duration, revision int, requests []takeout.Request) {
+func (s *Schedule) revise(rng *rand.Rand, at time.Duration, revision int, requests []maintenance.Request) {
 	by := []int{rng.IntN(s.Coordinators)}
 	for range rng.IntN(4) {
 		by = append(by, rng.IntN(s.Coordinators))
 	}
-	s.Asks = append(s.Asks, Ask{At: at, By: by, Limits: takeout.LimitsBody{Revision: 1, Limits: s.Limits},
-		Asks: takeout.AsksBody{Revision: revision, Requests: requests}})
+	s.Asks = append(s.Asks, Ask{At: at, By: by, Limits: maintenance.LimitsBody{Revision: 1, Limits: s.Limits},
+		Asks: maintenance.RequestsBody{Revision: revision, Requests: requests}})
 }
 
 func (s *Schedule) drawAsks(rng *rand.Rand, long bool) {
-	var requests []takeout.Request
+	var requests []maintenance.Request
 	count, work, later := 3, 20, 40
 	if !long {
 		count, work, later = 2, 8, 20
 	}
 	for i := range 1 + rng.IntN(count) {
-		r := takeout.Request{ID: fmt.Sprintf("q%d", i), Reason: "work", For: time.Duration(10+rng.IntN(work)) * time.Second}
+		r := maintenance.Request{ID: fmt.Sprintf("q%d", i), Reason: "work", MaxOutage: time.Duration(10+rng.IntN(work)) * time.Second}
 		switch rng.IntN(10) {
 		case 0:
-			r.Kind = takeout.Replica
+			r.Kind = maintenance.Replica
 		case 1, 2:
-			r.Kind, r.Zone = takeout.Replica, zone(rng.IntN(s.Zones), s.Zones)
+			r.Kind, r.Zone = maintenance.Replica, zone(rng.IntN(s.Zones), s.Zones)
 		case 3, 4:
 			r.Names = []string{fmt.Sprintf("c%03d", rng.IntN(min(s.Coordinators, 8))), fmt.Sprintf("c%03d", rng.IntN(min(s.Coordinators, 8)))}
 		default:
@@ -181,7 +181,7 @@
 			}
 		}
 		if rng.IntN(4) == 0 {
-			r.Priority = takeout.Urgent
+			r.Priority = maintenance.Urgent
 		}
 		requests = append(requests, r)
 	}
--- a/internal/fleet/fleetsim/small.go
+++ b/internal/fleet/fleetsim/small.go
@@ -8,8 +8,8 @@
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
 	"birchcart/internal/fleet/fleetsim/history"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/fleet/view"
 )
 
@@ -30,18 +30,18 @@
 	now     time.Duration
 	plan    Plan
 	off     Off
-	limits  takeout.Limits
+	limits  maintenance.Limits
 	books   []*book // after each entry of the agreed log
 	leader  int     // of the newest term; -1: none
 	term    uint64
 	nodes   [smallNodes]smallNode
 	words   []smallWord
 	rooms   [smallReplicas]smallRoom
-	list    []takeout.Machine // discovery's, as the co-ordinators will have it after the next step of time
+	list    []maintenance.Machine // discovery's, as the co-ordinators will have it after the next step of time
 	load    float64
 	checker *history.Checker
-	orders  map[order]takeout.Item // as told to the checker
-	cut     [2]int                 // one way; equal: none; the other -1: from all, both ways
+	orders  map[order]maintenance.Item // as told to the checker
+	cut     [2]int                     // one way; equal: none; the other -1: from all, both ways
 	left    budget
 	memo    *memo
 	grants  []smallGrant // commands that were agreed, oldest first
@@ -83,7 +83,7 @@
 	laid    map[uint64]uint8          // by fence: co-ordinators that said so, as bits
 	drains  map[string]bool
 	file    []view.Grant
-	list    []takeout.Machine
+	list    []maintenance.Machine
 }
 
 // smallWord is in flight: a poll, or an answer.
@@ -97,13 +97,13 @@
 }
 
 type smallRoom struct {
-	status takeout.Status
+	status maintenance.Status
 	start  time.Duration
 	acted  uint64
 }
 
 func newSmall(plan Plan, off Off, left budget) *small {
-	s := &small{now: smallBegin, plan: plan, off: off, limits: smallLimits(off, plan), left: left, leader: 0, term: 1, checker: history.New(), orders: map[order]takeout.Item{},
+	s := &small{now: smallBegin, plan: plan, off: off, limits: smallLimits(off, plan), left: left, leader: 0, term: 1, checker: history.New(), orders: map[order]maintenance.Item{},
 		load: 1, ownChecker: true, memo: &memo{books: map[memoKey]memoBook{}}}
 	if off == "W3" { // a load that two warm replicas do not bear
 		s.load = 2
@@ -112,11 +112,11 @@
 	s.books = []*book{newBook()}
 	s.books[0].canon()
 	s.tell(history.Event{Kind: history.Limits, Rules: history.Rules{Cells: l.Cells, Reach: l.Reach, Shards: l.Shards,
-		HoldersLeast: l.HoldersLeast,
-		OutByZone:    l.OutByZone, OutMost: l.OutMost, VotersLeast: l.VotersLeast, PassedMost: l.PassedMost, Settle: l.Settle, Calm: l.Calm,
+		HoldersLeast: l.MinHolders,
+		OutByZone:    l.MaxOutPerZone, OutMost: l.MaxOut, VotersLeast: l.MinVoters, PassedMost: l.MaxPassedOver, Settle: l.SettleTime, Calm: l.FailurePause,
 		Load: s.load, Headroom: l.Headroom, Slack: 2 * smallStep}})
 	for i := range s.rooms {
-		s.rooms[i] = smallRoom{status: takeout.Up, start: clockwork.Epoch - time.Hour}
+		s.rooms[i] = smallRoom{status: maintenance.Up, start: clockwork.Epoch - time.Hour}
 		name := fmt.Sprintf("r%d", i)
 		s.tell(history.Event{Kind: history.Joined, Name: name,
 			Machine: history.Machine{Zone: smallZone(name), Cell: i, Size: 1, Replica: true}})
@@ -133,8 +133,8 @@
 	for i := range s.nodes {
 		s.nodes[i].list = s.list
 	}
-	s.propose("limits", "l", takeout.LimitsBody{Revision: 1, Limits: l})
-	s.propose("asks", "a", takeout.AsksBody{Revision: 1, Requests: smallRequests(off, plan)})
+	s.propose("limits", "l", maintenance.LimitsBody{Revision: 1, Limits: l})
+	s.propose("asks", "a", maintenance.RequestsBody{Revision: 1, Requests: smallRequests(off, plan)})
 	s.observe()
 	for range 2 { // all have applied that, and have a lease
 		s.second(wordFault{})
@@ -146,7 +146,7 @@
 func (s *small) own() {
 	if !s.ownChecker {
 		s.checker, s.ownChecker = deepCopy(s.checker), true
-		next := make(map[order]takeout.Item, len(s.orders))
+		next := make(map[order]maintenance.Item, len(s.orders))
 		maps.Copy(next, s.orders)
 		s.orders = next
 	}
@@ -177,10 +177,10 @@
 }
 
 func (s *small) listed() {
-	list := make([]takeout.Machine, 0, smallReplicas)
+	list := make([]maintenance.Machine, 0, smallReplicas)
 	for i, r := range s.rooms {
 		name := fmt.Sprintf("r%d", i)
-		list = append(list, takeout.Machine{Name: name, Kind: takeout.Replica, Zone: smallZone(name), Cell: i, Size: 1,
+		list = append(list, maintenance.Machine{Name: name, Kind: maintenance.Replica, Zone: smallZone(name), Cell: i, Size: 1,
 			Status: r.status, Started: r.start})
 	}
 	s.list = list
@@ -224,7 +224,7 @@
 		return false
 	}
 	name := ""
-	if g, ok := body.(takeout.GrantBody); ok {
+	if g, ok := body.(maintenance.GrantBody); ok {
 		name = g.Machine
 	}
 	return s.append(enc, kind, id, name)
@@ -253,14 +253,14 @@
 		s.grants = append(s.grants[:len(s.grants):len(s.grants)], smallGrant{s.now, enc, id, machine})
 	}
 	for place, item := range next.out.Items() {
-		key := order{item.Request, item.Machine, item.AskedAt, item.Try}
+		key := order{item.Request, item.Machine, item.RequestedAt, item.Attempt}
 		if old, ok := s.orders[key]; ok && old.Phase == item.Phase && old.Fence == item.Fence && old.Until == item.Until {
 			continue
 		}
 		s.own()
 		s.orders[key] = item
 		s.tell(history.Event{Kind: history.Committed, Index: len(s.books) - 1, Voters: voters, Of: smallNodes, Stored: s.now,
-			Command: id, Item: history.Item{Request: item.Request, Asked: item.AskedAt + time.Duration(item.Try),
+			Command: id, Item: history.Item{Request: item.Request, Asked: item.RequestedAt + time.Duration(item.Attempt),
 				Machine: item.Machine, Phase: string(item.Phase), Fence: item.Fence, Order: place, Lapses: item.Until - clockwork.Epoch}})
 	}
 	return true
@@ -271,14 +271,14 @@
 	if s.leader < 0 {
 		return false
 	}
-	machines := append([]takeout.Machine(nil), s.nodes[s.leader].list...)
+	machines := append([]maintenance.Machine(nil), s.nodes[s.leader].list...)
 	for i := range s.nodes {
 		name := fmt.Sprintf("c%d", i)
-		machines = append(machines, takeout.Machine{Name: name, Kind: takeout.Coordinator, Zone: smallZone(name),
-			Status: takeout.Up, Voter: true})
+		machines = append(machines, maintenance.Machine{Name: name, Kind: maintenance.Coordinator, Zone: smallZone(name),
+			Status: maintenance.Up, Voter: true})
 	}
 	return s.propose("observe", fmt.Sprintf("o%d", s.now),
-		takeout.ObserveBody{Whole: true, Machines: machines, Load: s.load, LoadKnown: true})
+		maintenance.ObserveBody{Complete: true, Machines: machines, Load: s.load, LoadKnown: true})
 }
 
 func (s *small) applied(i int) view.Applied {
--- a/internal/fleet/fleetsim/swap.go
+++ b/internal/fleet/fleetsim/swap.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/waveplan"
 )
 
@@ -17,12 +17,12 @@
 	if coordinators >= 50 {
 		s.Voters = 5
 	}
-	s.Limits = takeout.Limits{Cells: 50, Reach: 3, Shards: 50, HoldersLeast: 8, OutByZone: 20, OutMost: outMost, Headroom: 0.25,
+	s.Limits = maintenance.Limits{Cells: 50, Reach: 3, Shards: 50, MinHolders: 8, MaxOutPerZone: 20, MaxOut: outMost, Headroom: 0.25,
 		LoadAge: 15 * time.Second, ListAge: 10 * time.Second, WarmUp: 30 * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second,
-		Settle: 30 * time.Second, Calm: 30 * time.Second, PassedMost: 5, VotersLeast: s.Voters/2 + 1}
-	s.Asks = []Ask{{At: 5 * time.Second, By: []int{0, coordinators / 2}, Limits: takeout.LimitsBody{Revision: 1, Limits: s.Limits},
-		Asks: takeout.AsksBody{Revision: 1, Requests: []takeout.Request{{ID: "swap", Kind: takeout.Replica, Zone: zone, Reason: "hardware",
-			For: 3 * time.Minute}}}}}
+		SettleTime: 30 * time.Second, FailurePause: 30 * time.Second, MaxPassedOver: 5, MinVoters: s.Voters/2 + 1}
+	s.Asks = []Ask{{At: 5 * time.Second, By: []int{0, coordinators / 2}, Limits: maintenance.LimitsBody{Revision: 1, Limits: s.Limits},
+		Asks: maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{{ID: "swap", Kind: maintenance.Replica, Zone: zone, Reason: "hardware",
+			MaxOutage: 3 * time.Minute}}}}}
 	s.End = 24 * time.Hour
 	return s
 }
--- a/internal/fleet/fleetsim/world.go
+++ b/internal/fleet/fleetsim/world.go
@@ -10,8 +10,8 @@
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/fleetsim/clockwork"
 	"birchcart/internal/fleet/fleetsim/history"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/fleet/waveplan"
 )
 
@@ -37,7 +37,7 @@
 	agreed  agreed
 	decoded []statemachine.Command // of the agreed entries, 1, ...
 	storeAt map[storeKey]time.Duration
-	was     map[wasKey]takeout.Item
+	was     map[wasKey]maintenance.Item
 	polls   map[pollKey]time.Duration // when it was sent
 	changes int                       // of leaders
 	leapt   bool                      // a clock is off by more than the offset of all
@@ -94,7 +94,7 @@
 // New builds a world at time 0.
 func New(s *Schedule) *World {
 	w := &World{s: s, byName: map[string]*node{}, machines: map[string]*machine{}, leaving: map[int]uint64{},
-		was: map[wasKey]takeout.Item{}, polls: map[pollKey]time.Duration{}, results: map[int]error{},
+		was: map[wasKey]maintenance.Item{}, polls: map[pollKey]time.Duration{}, results: map[int]error{},
 		storeAt: map[storeKey]time.Duration{}, checker: history.New(), digest: fnv.New64a(),
 		shared: s.Coordinators > sharedOver || s.Seed%ownEvery != 0}
 	w.rng = clockwork.Rand(s.Seed, "world")
@@ -115,11 +115,11 @@
 func (w *World) populate() {
 	s := w.s
 	w.tell(history.Event{Kind: history.Limits, Rules: history.Rules{Cells: s.Limits.Cells, Reach: s.Limits.Reach, Shards: s.Limits.Shards,
-		HoldersLeast: s.Limits.HoldersLeast, OutByZone: s.Limits.OutByZone, OutMost: s.Limits.OutMost, VotersLeast: s.Limits.VotersLeast,
-		PassedMost: s.Limits.PassedMost, Overtake: 2*s.Limits.OutMost + 8, Load: s.Load, Headroom: s.Limits.Headroom, Calm: s.Limits.Calm,
-		Skew: s.Offset, Settle: s.Limits.Settle, Slack: s.Limits.ListAge + 10*time.Second}})
+		HoldersLeast: s.Limits.MinHolders, OutByZone: s.Limits.MaxOutPerZone, OutMost: s.Limits.MaxOut, VotersLeast: s.Limits.MinVoters,
+		PassedMost: s.Limits.MaxPassedOver, Overtake: 2*s.Limits.MaxOut + 8, Load: s.Load, Headroom: s.Limits.Headroom, Calm: s.Limits.FailurePause,
+		Skew: s.Offset, Settle: s.Limits.SettleTime, Slack: s.Limits.ListAge + 10*time.Second}})
 	for i := range s.Replicas {
-		m := &machine{name: fmt.Sprintf("r%03d", i), cell: i % s.Limits.Cells, status: takeout.Up, start: clockwork.Epoch - time.Hour}
+		m := &machine{name: fmt.Sprintf("r%03d", i), cell: i % s.Limits.Cells, status: maintenance.Up, start: clockwork.Epoch - time.Hour}
 		m.zone = zone(i/s.Limits.Cells+i, s.Zones)
 		w.addMachine(m, 0)
 	}
@@ -191,13 +191,13 @@
 func (w *World) waits() (lines []string) {
 	for _, item := range w.top.out.Open() {
 		why := ""
-		if item.Phase == takeout.Asked {
-			if _, err := w.top.out.MayGo(w.top.led.Now(), item.Machine); err != nil {
+		if item.Phase == maintenance.Pending {
+			if _, err := w.top.out.MayGrant(w.top.led.Now(), item.Machine); err != nil {
 				why = err.Error()
 			}
 		}
 		lines = append(lines, fmt.Sprintf("open: %s of %s is %s, fence %d, passed %d: %s", item.Machine, item.Request, item.Phase,
-			item.Fence, item.Passed, why))
+			item.Fence, item.PassedOver, why))
 	}
 	return lines
 }
--- a/internal/fleet/fleetsim/world_test.go
+++ b/internal/fleet/fleetsim/world_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"birchcart/internal/fleet/fleetsim/clockwork"
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // TestWorlds plays seeded worlds: a thousand by itself, as far as they come, as many as BIRCHCART_WORLDS says by `make worlds`.
@@ -40,7 +40,7 @@
 func frozen(seed uint64, leader int) *Schedule {
 	s := Draw(seed, 5)
 	s.Odd, s.Drift, s.Offset, s.Link, s.Load = 0, 0, 0, clockwork.Quality{Latency: 2 * time.Millisecond}, 0
-	s.Limits.Calm = 0
+	s.Limits.FailurePause = 0
 	s.Steps = []clockwork.Step{{At: 8 * time.Second, For: 7 * time.Second, Kind: stepStall, A: leader}, {At: time.Minute, Kind: stepCut}}
 	for voter := range 3 {
 		if voter != leader {
@@ -56,7 +56,7 @@
 	s.Asks[1].At = 10 * time.Second
 	s.Asks[1].Limits.Revision++
 	s.Asks[1].Asks.Revision++
-	s.Asks[1].Asks.Requests = []takeout.Request{{ID: "q", Names: []string{"r000"}, Reason: "disk", For: 20 * time.Second}}
+	s.Asks[1].Asks.Requests = []maintenance.Request{{ID: "q", Names: []string{"r000"}, Reason: "disk", MaxOutage: 20 * time.Second}}
 	return s
 }
 
@@ -89,10 +89,10 @@
 func leaping(seed uint64, voter int) *Schedule {
 	s := Draw(seed, 5)
 	s.Odd, s.Offset, s.Link = 0, 0, clockwork.Quality{Latency: 2 * time.Millisecond}
-	s.Limits.WarmUp, s.Limits.Calm = 20*time.Second, 0
+	s.Limits.WarmUp, s.Limits.FailurePause = 20*time.Second, 0
 	s.Asks = s.Asks[:1]
 	s.Asks[0].Limits.Limits = s.Limits
-	s.Asks[0].Asks.Requests = []takeout.Request{{ID: "q", Kind: takeout.Replica, Reason: "disk", For: 20 * time.Second}}
+	s.Asks[0].Asks.Requests = []maintenance.Request{{ID: "q", Kind: maintenance.Replica, Reason: "disk", MaxOutage: 20 * time.Second}}
 	s.Steps = []clockwork.Step{{At: 20 * time.Second, For: 40 * time.Second, Kind: stepClock, A: voter, B: 3600}}
 	return s
 }
@@ -122,7 +122,7 @@
 // its place hears nobody.
 func full(seed uint64) *Schedule {
 	s := frozen(seed, 0)
-	s.Load, s.Limits.OutMost = 0, 1
+	s.Load, s.Limits.MaxOut = 0, 1
 	for i := range s.Asks {
 		s.Asks[i].Limits.Limits = s.Limits
 	}
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/view"
 )
 
@@ -29,14 +29,14 @@
 
 // grantsFile is what the site's tools read. Grants are those that may be begun; Items tell how all stands.
 type grantsFile struct {
-	Version int            `json:"version"`
-	Name    string         `json:"name"`             // of the co-ordinator that wrote it
-	Leader  string         `json:"leader,omitempty"` // as far as it is known here
-	CutOff  bool           `json:"cut_off"`          // nothing was heard of the raft group for the lease: no grants are told
-	Index   uint64         `json:"index"`            // of what was agreed
-	Now     time.Duration  `json:"now"`              // agreed time
-	Grants  []grantLine    `json:"grants"`
-	Items   []takeout.Item `json:"items"`
+	Version int                `json:"version"`
+	Name    string             `json:"name"`             // of the co-ordinator that wrote it
+	Leader  string             `json:"leader,omitempty"` // as far as it is known here
+	CutOff  bool               `json:"cut_off"`          // nothing was heard of the raft group for the lease: no grants are told
+	Index   uint64             `json:"index"`            // of what was agreed
+	Now     time.Duration      `json:"now"`              // agreed time
+	Grants  []grantLine        `json:"grants"`
+	Items   []maintenance.Item `json:"items"`
 }
 
 // grantLine is one machine that may be worked on, once the work has begun before StartBefore.
@@ -57,8 +57,8 @@
 }
 
 // shown are the items for the file: the open ones and those that ended lately.
-func shown(items []takeout.Item, now time.Duration) []takeout.Item {
-	out := slices.DeleteFunc(items, func(it takeout.Item) bool { return it.EndedAt > 0 && now-it.EndedAt > ItemsFor })
+func shown(items []maintenance.Item, now time.Duration) []maintenance.Item {
+	out := slices.DeleteFunc(items, func(it maintenance.Item) bool { return it.EndedAt > 0 && now-it.EndedAt > ItemsFor })
 	for i := 0; len(out) > ItemsMost && i < len(out); {
 		if out[i].EndedAt > 0 {
 			out = slices.Delete(out, i, i+1)
--- a/internal/fleet/harness/acts.go
+++ b/internal/fleet/harness/acts.go
@@ -6,7 +6,7 @@
 	"strings"
 	"syscall"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // step waits until it is due and does it.
@@ -15,7 +15,7 @@
 		c.awaitMove(st.After)
 	} else if st.After != "" {
 		seen := c.fences()
-		c.files.Until(stepMost, func() bool { return c.reached(takeout.Phase(st.After), seen) })
+		c.files.Until(stepMost, func() bool { return c.reached(maintenance.Phase(st.After), seen) })
 	}
 	if !c.sleep(st.At) {
 		return
@@ -193,9 +193,9 @@
 }
 
 // reached tells whether a machine is in a phase by a grant that was not there before.
-func (c *Cluster) reached(p takeout.Phase, before map[uint64]bool) bool {
+func (c *Cluster) reached(p maintenance.Phase, before map[uint64]bool) bool {
 	s := c.files.Newest()
-	return s != nil && slices.ContainsFunc(s.Items, func(it takeout.Item) bool { return it.Phase == p && !before[it.Fence] })
+	return s != nil && slices.ContainsFunc(s.Items, func(it maintenance.Item) bool { return it.Phase == p && !before[it.Fence] })
 }
 
 // places finds the processes that a step names.
--- a/internal/fleet/harness/check.go
+++ b/internal/fleet/harness/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const (
@@ -47,8 +47,8 @@
 
 // History is all that was counted outside of the processes in one run.
 type History struct {
-	Limits    takeout.Limits
-	Machines  []takeout.Machine
+	Limits    maintenance.Limits
+	Machines  []maintenance.Machine
 	Files     []*Seen
 	Parts     []Part
 	Sent      []Sent
@@ -121,7 +121,7 @@
 func (h *History) endings(grants []*grant) {
 	process := map[string]int{}
 	for _, m := range h.Machines {
-		if m.Kind == takeout.Coordinator {
+		if m.Kind == maintenance.Coordinator {
 			process[m.Name] = len(process)
 		}
 	}
@@ -154,8 +154,8 @@
 func agreed(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
 
 // away tells whether a phase takes a machine from its shards.
-func away(p takeout.Phase) bool {
-	return p == takeout.Granted || p == takeout.Told || p == takeout.Out || p == takeout.Back
+func away(p maintenance.Phase) bool {
+	return p == maintenance.Granted || p == maintenance.Acknowledged || p == maintenance.Out || p == maintenance.Returned
 }
 
 // checkParts: nothing new reaches a machine between "told" and its end, but from a process that can't have heard.
--- a/internal/fleet/harness/check_calm.go
+++ b/internal/fleet/harness/check_calm.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // checkCalm: W6. After a replica's failure outside the plan nothing is granted for Calm, and for twice as long each time
@@ -24,9 +24,9 @@
 			last, span = o.From, 0
 			continue
 		}
-		pause := h.Limits.Calm
+		pause := h.Limits.FailurePause
 		if span > 0 && o.From.After(last.Add(newsTime)) && known.Before(last.Add(2*span)) {
-			pause = min(2*span, takeout.CalmMost*h.Limits.Calm)
+			pause = min(2*span, maintenance.MaxPauseFactor*h.Limits.FailurePause)
 		}
 		last, span = o.From, pause
 		end := o.From.Add(pause)
@@ -47,11 +47,11 @@
 func (h *History) counts(before []Outage, o Outage, known time.Time, grants []*grant) bool {
 	fails := 0
 	for _, b := range before {
-		if b.Machine == o.Machine && o.From.Sub(b.From) <= 2*takeout.CalmMost*h.Limits.Calm {
+		if b.Machine == o.Machine && o.From.Sub(b.From) <= 2*maintenance.MaxPauseFactor*h.Limits.FailurePause {
 			fails++
 		}
 	}
-	if fails >= takeout.FlapFails {
+	if fails >= maintenance.FlapThreshold {
 		return false
 	}
 	for _, g := range grants { // told: it goes by the plan
@@ -71,7 +71,7 @@
 func (h *History) votes(process int) bool {
 	n := 0
 	for _, m := range h.Machines {
-		if m.Kind == takeout.Coordinator {
+		if m.Kind == maintenance.Coordinator {
 			if n == process {
 				return m.Voter
 			}
--- a/internal/fleet/harness/check_grants.go
+++ b/internal/fleet/harness/check_grants.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // checkFences: W4. A fence is of one machine and request, later grants have higher ones, and no ended one lives again.
@@ -41,8 +41,8 @@
 		if i > 0 && g.GrantedAt < grants[i-1].GrantedAt {
 			v.broken("W4: fence %d was granted before fence %d", g.Fence, grants[i-1].Fence)
 		}
-		for _, end := range []takeout.Phase{takeout.Lapsed, takeout.Withdrawn, takeout.Done} {
-			for _, live := range []takeout.Phase{takeout.Granted, takeout.Told, takeout.Out, takeout.Back} {
+		for _, end := range []maintenance.Phase{maintenance.Expired, maintenance.Withdrawn, maintenance.Done} {
+			for _, live := range []maintenance.Phase{maintenance.Granted, maintenance.Acknowledged, maintenance.Out, maintenance.Returned} {
 				if at, ended := g.phases[end]; ended && g.latest[live] > at.Index {
 					v.broken("W4: fence %d of %s was %s at index %d and %s at %d", g.Fence, g.Machine, end, at.Index, live, g.latest[live])
 				}
@@ -52,10 +52,10 @@
 }
 
 // holders lists the machines that hold a shard.
-func (h *History) holders(shard int) []takeout.Machine {
-	var out []takeout.Machine
+func (h *History) holders(shard int) []maintenance.Machine {
+	var out []maintenance.Machine
 	for _, m := range h.Machines {
-		if m.Kind != takeout.Replica {
+		if m.Kind != maintenance.Replica {
 			continue
 		}
 		for j := range h.Limits.Reach {
@@ -68,10 +68,10 @@
 	return out
 }
 
-func (h *History) machine(name string) (takeout.Machine, bool) {
-	i := slices.IndexFunc(h.Machines, func(m takeout.Machine) bool { return m.Name == name })
+func (h *History) machine(name string) (maintenance.Machine, bool) {
+	i := slices.IndexFunc(h.Machines, func(m maintenance.Machine) bool { return m.Name == name })
 	if i < 0 {
-		return takeout.Machine{}, false
+		return maintenance.Machine{}, false
 	}
 	return h.Machines[i], true
 }
@@ -81,7 +81,7 @@
 	least = len(h.Machines)
 	for s := range h.Limits.Shards {
 		of := h.holders(s)
-		if !slices.ContainsFunc(of, func(m takeout.Machine) bool { return m.Name == name }) {
+		if !slices.ContainsFunc(of, func(m maintenance.Machine) bool { return m.Name == name }) {
 			continue
 		}
 		n := 0
@@ -112,7 +112,7 @@
 			v.broken("W4: fence %d is of %s, which nobody knows", g.Fence, g.Machine)
 			continue
 		}
-		if m.Kind != takeout.Replica {
+		if m.Kind != maintenance.Replica {
 			continue
 		}
 		inFile := map[string]bool{}
@@ -125,9 +125,9 @@
 		least, shard := h.left(g.Machine, func(name string) bool {
 			return inFile[name] || h.outAt(name, before) && h.outAt(name, agreed(g.GrantedAt))
 		})
-		if least < h.Limits.HoldersLeast {
+		if least < h.Limits.MinHolders {
 			v.broken("W1: fence %d of %s leaves shard %d with %d holders, %d wanted; away %v", g.Fence, g.Machine, shard, least,
-				h.Limits.HoldersLeast, slices.Sorted(maps.Keys(inFile)))
+				h.Limits.MinHolders, slices.Sorted(maps.Keys(inFile)))
 		}
 	}
 }
@@ -142,12 +142,12 @@
 				all++
 			}
 		}
-		if all > h.Limits.OutMost {
-			v.broken("W2: %d are out in a file of process %d at index %d, %d allowed", all, s.Process, s.Index, h.Limits.OutMost)
+		if all > h.Limits.MaxOut {
+			v.broken("W2: %d are out in a file of process %d at index %d, %d allowed", all, s.Process, s.Index, h.Limits.MaxOut)
 		}
 		for _, z := range slices.Sorted(maps.Keys(zones)) {
-			if zones[z] > h.Limits.OutByZone {
-				v.broken("W2: %d are out in zone %s in a file of process %d, %d allowed", zones[z], z, s.Process, h.Limits.OutByZone)
+			if zones[z] > h.Limits.MaxOutPerZone {
+				v.broken("W2: %d are out in zone %s in a file of process %d, %d allowed", zones[z], z, s.Process, h.Limits.MaxOutPerZone)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 	}
 	for _, o := range h.Outages {
 		m, ok := h.machine(o.Machine)
-		if o.Fence == 0 || !ok || m.Kind != takeout.Replica || by[o.Fence] == nil {
+		if o.Fence == 0 || !ok || m.Kind != maintenance.Replica || by[o.Fence] == nil {
 			continue
 		}
 		known := agreed(by[o.Fence].GrantedAt).Add(-newsTime)
@@ -172,9 +172,9 @@
 					(x.Fence != 0 || x.From.Before(known))
 			})
 		})
-		if least < h.Limits.HoldersLeast {
+		if least < h.Limits.MinHolders {
 			v.broken("W1: %s went by fence %d and left shard %d with %d holders, %d wanted", o.Machine, o.Fence, shard, least,
-				h.Limits.HoldersLeast)
+				h.Limits.MinHolders)
 		}
 	}
 }
--- a/internal/fleet/harness/check_load.go
+++ b/internal/fleet/harness/check_load.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const (
@@ -59,14 +59,14 @@
 		}
 		m, ok := h.machine(g.Machine)
 		from := at.Add(-h.Limits.LoadAge - loadNews)
-		if !ok || m.Kind != takeout.Replica || h.Bears <= 0 || h.Answer <= 0 ||
+		if !ok || m.Kind != maintenance.Replica || h.Bears <= 0 || h.Answer <= 0 ||
 			slices.ContainsFunc(h.Disturbed, func(s []Span) bool { return meets(s, from, at) }) {
 			continue
 		}
 		v.Loads++
 		left := -1.0 // without itself
 		for _, m := range h.Machines {
-			if m.Kind == takeout.Replica && !slices.ContainsFunc(g.first.Items, func(it takeout.Item) bool {
+			if m.Kind == maintenance.Replica && !slices.ContainsFunc(g.first.Items, func(it maintenance.Item) bool {
 				return it.Machine == m.Name && away(it.Phase) && it.Fence < g.Fence
 			}) {
 				left++
--- a/internal/fleet/harness/check_rules_test.go
+++ b/internal/fleet/harness/check_rules_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // story is a history put together by hand: six replicas on a ring of three cells, two zones' places and three in all.
 type story struct {
 	*History
-	items []takeout.Item
+	items []maintenance.Item
 }
 
 var storyBegan = time.Unix(1000, 0)
@@ -22,11 +22,11 @@
 func newStory() *story {
 	h := sound()
 	h.Files, h.Outages, h.Parts, h.Sent = nil, nil, nil, nil
-	h.Limits.OutByZone, h.Limits.OutMost, h.Limits.HoldersLeast, h.Limits.Cells = 2, 3, 1, 6
+	h.Limits.MaxOutPerZone, h.Limits.MaxOut, h.Limits.MinHolders, h.Limits.Cells = 2, 3, 1, 6
 	for i := range h.Machines {
 		h.Machines[i].Cell = i
 	}
-	h.Limits.PassedMost, h.Limits.Calm, h.Limits.Headroom, h.Limits.LoadAge, h.Limits.ListAge = 2, 8*time.Second, 0.25, 4*time.Second, 6*time.Second
+	h.Limits.MaxPassedOver, h.Limits.FailurePause, h.Limits.Headroom, h.Limits.LoadAge, h.Limits.ListAge = 2, 8*time.Second, 0.25, 4*time.Second, 6*time.Second
 	h.Bears, h.Answer, h.Deaf = 1, 20*time.Millisecond, make([][]Span, 2)
 	h.Silent = make([][]Span, 2)
 	return &story{History: h}
@@ -35,7 +35,7 @@
 // ask has machines asked for, each by a request of its own, in this order.
 func (s *story) ask(machines ...string) {
 	for _, m := range machines {
-		s.items = append(s.items, takeout.Item{Request: "for " + m, Machine: m, Phase: takeout.Asked, AskedAt: time.Duration(after(0).UnixNano())})
+		s.items = append(s.items, maintenance.Item{Request: "for " + m, Machine: m, Phase: maintenance.Pending, RequestedAt: time.Duration(after(0).UnixNano())})
 	}
 }
 
@@ -45,13 +45,13 @@
 	for i := range s.items {
 		it := &s.items[i]
 		switch {
-		case it.Machine == machine && it.Phase == takeout.Asked && !given:
+		case it.Machine == machine && it.Phase == maintenance.Pending && !given:
 			given = true
-			it.Phase, it.Fence, it.GrantedAt = takeout.Granted, fence, time.Duration(after(at).UnixNano())
-		case it.Phase == takeout.Granted && !it.CalledOff:
-			it.Phase, it.EndedAt = takeout.Done, time.Duration(after(at).UnixNano())
+			it.Phase, it.Fence, it.GrantedAt = maintenance.Granted, fence, time.Duration(after(at).UnixNano())
+		case it.Phase == maintenance.Granted && !it.Cancelled:
+			it.Phase, it.EndedAt = maintenance.Done, time.Duration(after(at).UnixNano())
 		}
-		it.CalledOff = it.CalledOff || stays && it.Machine == machine
+		it.Cancelled = it.Cancelled || stays && it.Machine == machine
 	}
 	s.Files = append(s.Files, &Seen{At: after(at), Grants: Grants{Version: 1, Index: fence, Items: slices.Clone(s.items)}})
 }
@@ -115,14 +115,14 @@
 			s.grant(3, "r3", false)
 		}},
 		{"the last place in all", "W5: fence 3 of r3 took what r0", func(s *story) {
-			s.Limits.OutMost = 1
+			s.Limits.MaxOut = 1
 			s.ask("r0", "r1", "r5", "r3")
 			s.grant(1, "r1", false)
 			s.grant(2, "r5", false)
 			s.grant(3, "r3", false)
 		}},
 		{"the last place in its zone", "W5: fence 3 of r3 took what r0", func(s *story) {
-			s.Limits.OutByZone = 1
+			s.Limits.MaxOutPerZone = 1
 			s.ask("r0", "r1", "r5", "r3")
 			s.grant(1, "r1", false)
 			s.grant(2, "r5", false)
@@ -138,7 +138,7 @@
 		{"one that waits and is down", "", func(s *story) {
 			s.ask("r0", "r1", "r5", "r1")
 			s.items[3].Request = "again"
-			s.Limits.Calm, s.Limits.HoldersLeast = 0, 0
+			s.Limits.FailurePause, s.Limits.MinHolders = 0, 0
 			s.Outages = append(s.Outages, Outage{Machine: "r0", From: after(10), Dead: after(10), Warm: after(30)})
 			s.grant(1, "r1", false)
 			s.grant(8, "r5", false)
@@ -160,14 +160,14 @@
 		{"a failure of one that was told", "", func(s *story) {
 			s.ask("r3", "r0")
 			s.grant(8, "r3", true)
-			s.items[0].Phase, s.items[0].ToldAt = takeout.Told, time.Duration(after(9).UnixNano())
+			s.items[0].Phase, s.items[0].AcknowledgedAt = maintenance.Acknowledged, time.Duration(after(9).UnixNano())
 			s.fail("r3", 10)
 			s.grant(15, "r0", false)
 		}},
 		{"a part for one that failed while it was told, and is back", "", func(s *story) {
 			s.ask("r3")
 			s.grant(8, "r3", true)
-			s.items[0].Phase, s.items[0].ToldAt, s.items[0].Until = takeout.Told, time.Duration(after(9).UnixNano()), time.Duration(after(90).UnixNano())
+			s.items[0].Phase, s.items[0].AcknowledgedAt, s.items[0].Until = maintenance.Acknowledged, time.Duration(after(9).UnixNano()), time.Duration(after(90).UnixNano())
 			s.Files = append(s.Files, &Seen{Grants: Grants{Index: 2, Items: s.items}})
 			s.fail("r3", 10)
 			s.Parts = append(s.Parts, Part{after(14), 0, "r3", "q"})
@@ -186,10 +186,10 @@
 
 // refused has a query refused at a time by a co-ordinator that is told to go at 9, which the tools see at 11.
 func (s *story) refused(at float64) {
-	s.Machines = append(s.Machines, takeout.Machine{Name: "n0", Kind: takeout.Coordinator}, takeout.Machine{Name: "n1", Kind: takeout.Coordinator})
+	s.Machines = append(s.Machines, maintenance.Machine{Name: "n0", Kind: maintenance.Coordinator}, maintenance.Machine{Name: "n1", Kind: maintenance.Coordinator})
 	s.ask("n1")
 	s.grant(8, "n1", true)
-	s.items[0].Phase, s.items[0].ToldAt = takeout.Told, time.Duration(after(9).UnixNano())
+	s.items[0].Phase, s.items[0].AcknowledgedAt = maintenance.Acknowledged, time.Duration(after(9).UnixNano())
 	s.Files = append(s.Files, &Seen{Grants: Grants{Index: 2, Items: s.items}})
 	s.Ending[1] = []Span{{after(11), after(15), "swap"}}
 	s.Sent = append(s.Sent, Sent{ID: "q1-1", At: after(at), End: after(at), To: 1, Fate: NotTaken})
--- a/internal/fleet/harness/check_test.go
+++ b/internal/fleet/harness/check_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // sound is a history in which one machine goes out and comes back, and which each case spoils in one way.
@@ -15,21 +15,21 @@
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	agreedAt := func(s float64) time.Duration { return time.Duration(at(s).UnixNano()) }
 	h := &History{
-		Limits:    takeout.Limits{Cells: 3, Reach: 2, Shards: 3, HoldersLeast: 2, OutByZone: 1, OutMost: 2, Lease: 4 * time.Second},
+		Limits:    maintenance.Limits{Cells: 3, Reach: 2, Shards: 3, MinHolders: 2, MaxOutPerZone: 1, MaxOut: 2, Lease: 4 * time.Second},
 		Outages:   []Outage{{Machine: "r0", Fence: 5, From: at(3), Dead: at(4), Warm: at(8)}},
 		Parts:     []Part{{at(1.9), 0, "r0", "q0-1"}, {at(3.5), 0, "r1", "q0-2"}},
 		Sent:      []Sent{{ID: "q0-1", At: at(1), End: at(1.1), Fate: Answered, Status: 200, Finished: true}},
 		Disturbed: make([][]Span, 2), Down: make([][]Span, 2), Ending: make([][]Span, 2), Stopped: make([][]Span, 2),
 	}
 	for i := range 6 {
-		h.Machines = append(h.Machines, takeout.Machine{Name: fmt.Sprintf("r%d", i), Kind: takeout.Replica, Cell: i % 3, Zone: fmt.Sprint(i % 3)})
+		h.Machines = append(h.Machines, maintenance.Machine{Name: fmt.Sprintf("r%d", i), Kind: maintenance.Replica, Cell: i % 3, Zone: fmt.Sprint(i % 3)})
 	}
-	item := takeout.Item{Request: "a", Machine: "r0", Fence: 5, Phase: takeout.Granted, GrantedAt: agreedAt(0.5), Until: agreedAt(20)}
-	for i, p := range []takeout.Phase{takeout.Granted, takeout.Told, takeout.Out, takeout.Back, takeout.Done} {
-		if item.Phase = p; p == takeout.Told {
-			item.ToldAt = agreedAt(2)
+	item := maintenance.Item{Request: "a", Machine: "r0", Fence: 5, Phase: maintenance.Granted, GrantedAt: agreedAt(0.5), Until: agreedAt(20)}
+	for i, p := range []maintenance.Phase{maintenance.Granted, maintenance.Acknowledged, maintenance.Out, maintenance.Returned, maintenance.Done} {
+		if item.Phase = p; p == maintenance.Acknowledged {
+			item.AcknowledgedAt = agreedAt(2)
 		}
-		h.Files = append(h.Files, &Seen{Process: 0, At: at(float64(i)), Grants: Grants{Version: 1, Index: uint64(10 + i), Items: []takeout.Item{item}}})
+		h.Files = append(h.Files, &Seen{Process: 0, At: at(float64(i)), Grants: Grants{Version: 1, Index: uint64(10 + i), Items: []maintenance.Item{item}}})
 	}
 	return h
 }
@@ -40,24 +40,24 @@
 		t.Fatalf("a sound history: %+v", v)
 	}
 	base := time.Unix(1000, 0)
-	item := func(machine string, fence uint64, p takeout.Phase) takeout.Item {
-		return takeout.Item{Request: "a", Machine: machine, Fence: fence, Phase: p, GrantedAt: time.Duration(base.Add(time.Second).UnixNano())}
+	item := func(machine string, fence uint64, p maintenance.Phase) maintenance.Item {
+		return maintenance.Item{Request: "a", Machine: machine, Fence: fence, Phase: p, GrantedAt: time.Duration(base.Add(time.Second).UnixNano())}
 	}
 	for want, spoil := range map[string]func(h *History){
 		"told: r0 got a part":   func(h *History) { h.Parts = append(h.Parts, Part{base.Add(3 * time.Second), 1, "r0", "q1-1"}) },
-		"W4: fence 5 is of":     func(h *History) { h.Files[3].Items = append(h.Files[3].Items, item("r1", 5, takeout.Asked)) },
-		"W4: r0 has grants":     func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("r0", 6, takeout.Granted)) },
+		"W4: fence 5 is of":     func(h *History) { h.Files[3].Items = append(h.Files[3].Items, item("r1", 5, maintenance.Pending)) },
+		"W4: r0 has grants":     func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("r0", 6, maintenance.Granted)) },
 		"W4: fence 5 of r0 was": func(h *History) { h.Files = append(h.Files, &Seen{Grants: Grants{Index: 90, Items: h.Files[1].Items}}) },
 		"W4: fence 3 was granted": func(h *History) {
-			h.Files[0].Items = append(h.Files[0].Items, item("r3", 2, takeout.Done), item("r3", 3, takeout.Done))
+			h.Files[0].Items = append(h.Files[0].Items, item("r3", 2, maintenance.Done), item("r3", 3, maintenance.Done))
 			h.Files[0].Items[2].GrantedAt = 0
 		},
-		"W2: 2 are out in zone": func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("r3", 9, takeout.Told)) },
+		"W2: 2 are out in zone": func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("r3", 9, maintenance.Acknowledged)) },
 		"W2: 3 are out": func(h *History) {
-			h.Files[1].Items = append(h.Files[1].Items, item("r1", 8, takeout.Told), item("r2", 9, takeout.Told))
+			h.Files[1].Items = append(h.Files[1].Items, item("r1", 8, maintenance.Acknowledged), item("r2", 9, maintenance.Acknowledged))
 		},
 		"W1: fence 9 of r1": func(h *History) {
-			h.Files[1].Items = append(h.Files[1].Items, item("r4", 8, takeout.Out), item("r1", 9, takeout.Granted))
+			h.Files[1].Items = append(h.Files[1].Items, item("r4", 8, maintenance.Out), item("r1", 9, maintenance.Granted))
 		},
 		"W1: r0 went by fence 5": func(h *History) {
 			h.Outages = append(h.Outages, Outage{Machine: "r1", Fence: 0, From: base.Add(-9 * time.Second)}, Outage{Machine: "r3", Fence: 2, From: base})
@@ -67,7 +67,7 @@
 		"two answers":                  func(h *History) { h.Sent[0].Fate = Twice },
 		"process 0 took nothing":       func(h *History) { h.Sent[0].Fate = NotTaken },
 		"process 0: answered after":    func(h *History) { h.Sent[0].End = base.Add(5 * time.Second) },
-		"W4: fence 7 is of x, which n": func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("x", 7, takeout.Granted)) },
+		"W4: fence 7 is of x, which n": func(h *History) { h.Files[1].Items = append(h.Files[1].Items, item("x", 7, maintenance.Granted)) },
 	} {
 		h := sound()
 		spoil(h)
--- a/internal/fleet/harness/check_turns.go
+++ b/internal/fleet/harness/check_turns.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // waiter is one machine of one request, asked for at one time.
@@ -13,7 +13,7 @@
 	asked            time.Duration
 }
 
-func waiterOf(it takeout.Item) waiter { return waiter{it.Request, it.Machine, it.AskedAt} }
+func waiterOf(it maintenance.Item) waiter { return waiter{it.Request, it.Machine, it.RequestedAt} }
 
 // checkTurns: W5. Where a request was passed over so often that it reserves its turn, no later one takes what it needs.
 // Passings are counted here, from who waits in the file in which a grant is first seen; the order there is that of asking.
@@ -24,11 +24,11 @@
 	passed := map[waiter]int{} // surely
 	for _, g := range grants {
 		items := g.first.Items
-		place := slices.IndexFunc(items, func(it takeout.Item) bool { return it.Fence == g.Fence })
-		sure := []takeout.Item{}
-		if !h.unplanned(agreed(g.GrantedAt)) && h.maybe(items, place, g) < h.Limits.PassedMost {
+		place := slices.IndexFunc(items, func(it maintenance.Item) bool { return it.Fence == g.Fence })
+		sure := []maintenance.Item{}
+		if !h.unplanned(agreed(g.GrantedAt)) && h.maybe(items, place, g) < h.Limits.MaxPassedOver {
 			for _, it := range items[:place] {
-				if h.waits(it, items, g) && passed[waiterOf(it)] >= h.Limits.PassedMost {
+				if h.waits(it, items, g) && passed[waiterOf(it)] >= h.Limits.MaxPassedOver {
 					sure = append(sure, it)
 				}
 			}
@@ -37,7 +37,7 @@
 			v.Turns++
 			spares := false // one that may be the head, and of which it takes nothing
 			for i, it := range items {
-				if it.Phase == takeout.Asked && it.Request != g.Request && h.maybe(items, i, g) >= h.Limits.PassedMost && !h.takes(items, g, it) {
+				if it.Phase == maintenance.Pending && it.Request != g.Request && h.maybe(items, i, g) >= h.Limits.MaxPassedOver && !h.takes(items, g, it) {
 					spares = true
 				}
 			}
@@ -55,19 +55,19 @@
 }
 
 // waits tells of an item before a grant whether it surely waited when that was made.
-func (h *History) waits(it takeout.Item, items []takeout.Item, g *grant) bool {
+func (h *History) waits(it maintenance.Item, items []maintenance.Item, g *grant) bool {
 	m, ok := h.machine(it.Machine)
-	return ok && m.Kind == takeout.Replica && it.Phase == takeout.Asked && it.Request != g.Request && it.AskedAt < g.GrantedAt &&
-		!slices.ContainsFunc(items, func(o takeout.Item) bool {
-			return o.Machine == it.Machine && o.Fence > 0 && (away(o.Phase) || agreed(o.EndedAt).Add(h.Limits.Settle+newsTime).After(agreed(g.GrantedAt)))
+	return ok && m.Kind == maintenance.Replica && it.Phase == maintenance.Pending && it.Request != g.Request && it.RequestedAt < g.GrantedAt &&
+		!slices.ContainsFunc(items, func(o maintenance.Item) bool {
+			return o.Machine == it.Machine && o.Fence > 0 && (away(o.Phase) || agreed(o.EndedAt).Add(h.Limits.SettleTime+newsTime).After(agreed(g.GrantedAt)))
 		})
 }
 
 // maybe is how often the item at a place may have been passed over before a grant, at the most.
-func (h *History) maybe(items []takeout.Item, place int, g *grant) int {
+func (h *History) maybe(items []maintenance.Item, place int, g *grant) int {
 	n := 0
 	for _, o := range items[place+1:] {
-		if o.Fence > 0 && o.Fence < g.Fence && o.Request != items[place].Request && o.GrantedAt >= items[place].AskedAt {
+		if o.Fence > 0 && o.Fence < g.Fence && o.Request != items[place].Request && o.GrantedAt >= items[place].RequestedAt {
 			n++
 		}
 	}
@@ -83,7 +83,7 @@
 
 // takes tells whether a grant takes what a waiting replica needs, by what is in its file: a shard, the last place in all
 // or in its zone.
-func (h *History) takes(items []takeout.Item, g *grant, it takeout.Item) bool {
+func (h *History) takes(items []maintenance.Item, g *grant, it maintenance.Item) bool {
 	m, _ := h.machine(g.Machine)
 	o, _ := h.machine(it.Machine)
 	out, zone := 0, 0
@@ -96,6 +96,6 @@
 		}
 	}
 	apart := max(m.Cell-o.Cell, o.Cell-m.Cell)
-	shares := m.Kind == takeout.Replica && o.Kind == takeout.Replica && min(apart, h.Limits.Cells-apart) < h.Limits.Reach
-	return shares || out+2 > h.Limits.OutMost || m.Zone == o.Zone && zone+2 > h.Limits.OutByZone
+	shares := m.Kind == maintenance.Replica && o.Kind == maintenance.Replica && min(apart, h.Limits.Cells-apart) < h.Limits.Reach
+	return shares || out+2 > h.Limits.MaxOut || m.Zone == o.Zone && zone+2 > h.Limits.MaxOutPerZone
 }
--- a/internal/fleet/harness/cluster.go
+++ b/internal/fleet/harness/cluster.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/standin"
 )
 
@@ -58,7 +58,7 @@
 	tally  tallies
 	storm  *Storm // nil: none
 	queues *queues
-	limits takeout.Limits
+	limits maintenance.Limits
 	began  time.Time
 	rng    *rand.Rand
 
@@ -113,12 +113,12 @@
 	}
 	for i, r := range c.fleet.Replicas {
 		c.fleet.SetScript(i, c.script(r.Name))
-		h.Machines = append(h.Machines, takeout.Machine{Name: r.Name, Kind: takeout.Replica, Zone: zones[i%3], Cell: i % cells})
+		h.Machines = append(h.Machines, maintenance.Machine{Name: r.Name, Kind: maintenance.Replica, Zone: zones[i%3], Cell: i % cells})
 	}
 	var paths, serving []string
 	for i := range processes {
 		name := fmt.Sprintf("n%d", i)
-		h.Machines = append(h.Machines, takeout.Machine{Name: name, Kind: takeout.Coordinator, Zone: zones[i%3], Voter: i < voters})
+		h.Machines = append(h.Machines, maintenance.Machine{Name: name, Kind: maintenance.Coordinator, Zone: zones[i%3], Voter: i < voters})
 		for _, port := range []int{GossipPort, CouncilPort} {
 			if _, err := c.net.Relay(name, site.Relay(i, port), site.Bind(i, port), port == GossipPort); err != nil {
 				return nil, errors.Join(err, c.Close())
--- a/internal/fleet/harness/files.go
+++ b/internal/fleet/harness/files.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // lookEvery is how often the grants files are looked at. What is replaced twice in between is seen once.
@@ -20,12 +20,12 @@
 
 // Grants is a grants file, as far as the site's tools and the checks here read it.
 type Grants struct {
-	Version int            `json:"version"`
-	Leader  string         `json:"leader"`
-	CutOff  bool           `json:"cut_off"`
-	Index   uint64         `json:"index"`
-	May     []May          `json:"grants"`
-	Items   []takeout.Item `json:"items"`
+	Version int                `json:"version"`
+	Leader  string             `json:"leader"`
+	CutOff  bool               `json:"cut_off"`
+	Index   uint64             `json:"index"`
+	May     []May              `json:"grants"`
+	Items   []maintenance.Item `json:"items"`
 }
 
 // May is a machine that may be worked on, if the work begins in time.
@@ -164,13 +164,13 @@
 
 // grant is one fence's story, put together from all files.
 type grant struct {
-	takeout.Item                          // as first seen
-	first        *Seen                    // in which
-	told         time.Duration            // agreed; 0: never
-	phases       map[takeout.Phase]*Seen  // first seen in which file
-	latest       map[takeout.Phase]uint64 // and the highest index that has it
-	until        time.Duration            // the last one said while granted or told
-	ended        time.Duration            // agreed; 0: not seen
+	maintenance.Item                              // as first seen
+	first            *Seen                        // in which
+	told             time.Duration                // agreed; 0: never
+	phases           map[maintenance.Phase]*Seen  // first seen in which file
+	latest           map[maintenance.Phase]uint64 // and the highest index that has it
+	until            time.Duration                // the last one said while granted or told
+	ended            time.Duration                // agreed; 0: not seen
 }
 
 // grantsOf lists all grants that were ever seen, by fence.
@@ -183,20 +183,20 @@
 			}
 			g := by[it.Fence]
 			if g == nil {
-				g = &grant{Item: it, first: s, phases: map[takeout.Phase]*Seen{}, latest: map[takeout.Phase]uint64{}}
+				g = &grant{Item: it, first: s, phases: map[maintenance.Phase]*Seen{}, latest: map[maintenance.Phase]uint64{}}
 				by[it.Fence] = g
 			}
 			if g.phases[it.Phase] == nil {
 				g.phases[it.Phase] = s
 			}
 			g.latest[it.Phase] = max(g.latest[it.Phase], s.Index)
-			if it.ToldAt > 0 {
-				g.told = it.ToldAt
+			if it.AcknowledgedAt > 0 {
+				g.told = it.AcknowledgedAt
 			}
 			if it.EndedAt > 0 {
 				g.ended = it.EndedAt
 			}
-			if it.Phase == takeout.Granted || it.Phase == takeout.Told {
+			if it.Phase == maintenance.Granted || it.Phase == maintenance.Acknowledged {
 				g.until = max(g.until, it.Until)
 			}
 		}
--- a/internal/fleet/harness/fleet.go
+++ b/internal/fleet/harness/fleet.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Lines by which a process says in its log that it leads, or leads no more.
@@ -24,11 +24,11 @@
 )
 
 // siteLimits is what the site allows, small enough that a swap of everything takes well under a minute.
-func siteLimits() takeout.Limits {
-	return takeout.Limits{
-		Cells: cells, Reach: reach, Shards: shards, HoldersLeast: 2, OutByZone: 2, OutMost: 3, Headroom: 0.25,
+func siteLimits() maintenance.Limits {
+	return maintenance.Limits{
+		Cells: cells, Reach: reach, Shards: shards, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 3, Headroom: 0.25,
 		LoadAge: 10 * time.Second, ListAge: 10 * time.Second, WarmUp: warmUp, Lease: 4 * time.Second, Grace: 500 * time.Millisecond,
-		Settle: 2 * time.Second, Calm: 2 * time.Second, PassedMost: 4, VotersLeast: voters/2 + 2,
+		SettleTime: 2 * time.Second, FailurePause: 2 * time.Second, MaxPassedOver: 4, MinVoters: voters/2 + 2,
 	}
 }
 
@@ -55,9 +55,9 @@
 			"bind": c.site.Bind(i, GossipPort).String(), "advertise": c.site.Relay(i, GossipPort).String(), "join": join,
 		},
 		"keys_file": keys, "dir": filepath.Join(dir, "disk", "fleet"), "grants_file": c.grants(i), "drain_self": true,
-		"lease_ms": l.Lease.Milliseconds(), "grace_ms": l.Grace.Milliseconds(), "settle_ms": l.Settle.Milliseconds(),
-		"calm_ms": l.Calm.Milliseconds(), "load_age_ms": l.LoadAge.Milliseconds(), "list_age_ms": l.ListAge.Milliseconds(),
-		"out_by_zone": l.OutByZone, "out_most": l.OutMost, "headroom": l.Headroom, "passed_most": l.PassedMost,
+		"lease_ms": l.Lease.Milliseconds(), "grace_ms": l.Grace.Milliseconds(), "settle_ms": l.SettleTime.Milliseconds(),
+		"calm_ms": l.FailurePause.Milliseconds(), "load_age_ms": l.LoadAge.Milliseconds(), "list_age_ms": l.ListAge.Milliseconds(),
+		"out_by_zone": l.MaxOutPerZone, "out_most": l.MaxOut, "headroom": l.Headroom, "passed_most": l.MaxPassedOver,
 		"parts_per_replica": c.h.Bears, "work": c.asked(ask),
 	}
 	if n := c.opt.Terms.Sessions; n > 0 {
@@ -70,7 +70,7 @@
 		fleet["lanes"] = lanesSection(ask == DoMove)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
-		"version": 1, "placement": map[string]any{"holders_least": l.HoldersLeast}, "fleet": fleet,
+		"version": 1, "placement": map[string]any{"holders_least": l.MinHolders}, "fleet": fleet,
 	}, "", "  ")
 	if err != nil {
 		return err
--- a/internal/fleet/harness/kinds_later.go
+++ b/internal/fleet/harness/kinds_later.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // laterSeeds is the first seed of the later kinds, so that those before keep the schedules that they had.
@@ -46,13 +46,13 @@
 	switch s.Case {
 	case "load too high for a time":
 		// At 50 queries/s of 20 ms one part is out, a need of 2.8 of 12 replicas; at 300, six, a need of 16.7.
-		s.Terms = Terms{Only: takeout.Replica, LoadAge: 4 * time.Second, Answer: 20 * time.Millisecond, Bears: 0.45, Rate: 50}
+		s.Terms = Terms{Only: maintenance.Replica, LoadAge: 4 * time.Second, Answer: 20 * time.Millisecond, Bears: 0.45, Rate: 50}
 		add(ask, Step{After: "granted", At: sec(0, 2), Do: DoRate, Rate: 300}, Step{At: sec(14, 18), Do: DoRate, Rate: 50})
 	case "one passed over by many":
 		s.Terms = Terms{Turns: true, Holders: 3, PassedMost: 4}
 		add(ask)
 	case "failures under a long calm":
-		s.Terms = Terms{Only: takeout.Replica, Calm: 6 * time.Second}
+		s.Terms = Terms{Only: maintenance.Replica, Calm: 6 * time.Second}
 		add(ask, Step{After: "granted", At: sec(0, 1), Do: DoFail, Who: []string{"any"}}, Step{At: sec(4, 8), Do: DoFail, Who: []string{"any"}})
 	case "discovery silent to all":
 		s.Terms = Terms{Relays: true, ListAge: 5 * time.Second}
@@ -91,7 +91,7 @@
 		add(Step{Do: DoFull, Who: []string{pick("leader", "leader", "follower")}}, Step{At: sec(0, 0.5), Do: DoAsk, Who: []string{"full"}},
 			Step{At: sec(3, 7), Do: DoRoom, Who: []string{"full"}}, Step{At: sec(0, 3), Do: DoAsk, Who: all})
 	default: // a voter is replaced
-		s.Terms.Only = takeout.Replica
+		s.Terms.Only = maintenance.Replica
 		add(ask)
 		swap := Step{After: "granted", At: sec(0, 1), Do: DoVoter, Who: []string{pick("leader", "voter", "voter 2")}}
 		switch s.Case {
--- a/internal/fleet/harness/kinds_latest.go
+++ b/internal/fleet/harness/kinds_latest.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // latestSeeds is the first seed of the kinds that came after those of laterSeeds, which keep their schedules so.
@@ -25,7 +25,7 @@
 	}
 	pick := func(from ...string) []string { return []string{from[rng.IntN(len(from))]} }
 	add := func(st ...Step) { s.Steps = append(s.Steps, st...) }
-	s.Terms.Only = takeout.Replica
+	s.Terms.Only = maintenance.Replica
 	add(Step{Do: DoAsk, Who: everyone(processes)})
 	swap := Step{After: "granted", At: sec(0, 1), Do: DoVoter, Who: pick("leader", "voter", "voter 2")}
 	switch s.Case {
--- a/internal/fleet/harness/kinds_sessions.go
+++ b/internal/fleet/harness/kinds_sessions.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const (
@@ -42,7 +42,7 @@
 	heal := func(least, most float64) { add(Step{At: sec(least, most), Do: DoHeal}) }
 	list, replicas, clients := []string{listEnd}, []string{allEnd}, []string{clientsEnd}
 	source, target := []string{"source"}, []string{"target"}
-	s.Terms.Only = takeout.Coordinator
+	s.Terms.Only = maintenance.Coordinator
 	add(Step{Do: DoAsk, Who: all})
 	switch s.Case {
 	case "source stopped with answers in hand":
--- a/internal/fleet/harness/run.go
+++ b/internal/fleet/harness/run.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const (
@@ -26,7 +26,7 @@
 	Events   []string
 	Tally    Tally
 	Done     int
-	Ended    map[takeout.Phase]int
+	Ended    map[maintenance.Phase]int
 }
 
 // Failed tells whether a rule was broken.
@@ -80,14 +80,14 @@
 	c.h.Wrong, c.h.Sent = append(c.h.Wrong, wrong...), sent
 	r := &Result{
 		Verdict: c.h.Check(), Schedule: s, Took: time.Since(began), Events: slices.Clone(c.events), Tally: c.net.Links.Tally(),
-		Ended: map[takeout.Phase]int{},
+		Ended: map[maintenance.Phase]int{},
 	}
 	if last := c.files.Newest(); last != nil {
 		for _, it := range last.Items {
 			r.Ended[it.Phase]++
 		}
 	}
-	r.Done = r.Ended[takeout.Done]
+	r.Done = r.Ended[maintenance.Done]
 	return r, nil
 }
 
@@ -155,14 +155,14 @@
 		return len(c.wanted) == 0
 	}
 	for machine := range c.wanted {
-		if !slices.ContainsFunc(s.Items, func(it takeout.Item) bool {
-			return it.Machine == machine && (it.Phase == takeout.Done || it.Phase == takeout.Lapsed)
+		if !slices.ContainsFunc(s.Items, func(it maintenance.Item) bool {
+			return it.Machine == machine && (it.Phase == maintenance.Done || it.Phase == maintenance.Expired)
 		}) {
 			return false
 		}
 	}
-	return !slices.ContainsFunc(s.Items, func(it takeout.Item) bool {
-		return (away(it.Phase) || it.Phase == takeout.Asked) && c.wanted[it.Machine]
+	return !slices.ContainsFunc(s.Items, func(it maintenance.Item) bool {
+		return (away(it.Phase) || it.Phase == maintenance.Pending) && c.wanted[it.Machine]
 	})
 }
 
@@ -174,8 +174,8 @@
 	}
 	var out []string
 	for _, it := range s.Items {
-		if it.Phase != takeout.Done {
-			out = append(out, fmt.Sprintf("%s %s (%s)", it.Machine, it.Phase, it.Why))
+		if it.Phase != maintenance.Done {
+			out = append(out, fmt.Sprintf("%s %s (%s)", it.Machine, it.Phase, it.Reason))
 		}
 	}
 	return strings.Join(out, ", ")
--- a/internal/fleet/harness/sessions_test.go
+++ b/internal/fleet/harness/sessions_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // pinnedSchedule is a swap of all co-ordinators one after the other under the faults of a seeded schedule, with sessions.
 func pinnedSchedule(seed uint64, processes, sessions int) *Schedule {
 	s := NewSchedule(seed, processes)
-	s.Terms.Only, s.Terms.Sessions = takeout.Coordinator, sessions
+	s.Terms.Only, s.Terms.Sessions = maintenance.Coordinator, sessions
 	if s.Case == "herd" && sessions >= 2000 {
 		s.Terms.Sessions = herdMost
 	}
--- a/internal/fleet/harness/terms.go
+++ b/internal/fleet/harness/terms.go
@@ -4,27 +4,27 @@
 	"fmt"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Terms are what a schedule has otherwise than the rest; what is zero is as ever.
 type Terms struct {
-	Calm       time.Duration `json:"calm,omitempty"`
-	LoadAge    time.Duration `json:"load_age,omitempty"`
-	ListAge    time.Duration `json:"list_age,omitempty"`
-	Answer     time.Duration `json:"answer,omitempty"` // of a stand-in replica
-	Bears      float64       `json:"bears,omitempty"`  // parts out at once
-	Rate       float64       `json:"rate,omitempty"`   // queries/s at first
-	Holders    int           `json:"holders,omitempty"`
-	OutByZone  int           `json:"out_by_zone,omitempty"`
-	PassedMost int           `json:"passed_most,omitempty"`
-	Only       takeout.Kind  `json:"only,omitempty"`     // machines of this kind alone are swapped
-	Turns      bool          `json:"turns,omitempty"`    // a routine request for one replica and urgent ones for those that share its shards
-	Sessions   int           `json:"sessions,omitempty"` // pinned ones, with a client each
-	Both       int           `json:"both,omitempty"`     // one of so many of their clients asks at two co-ordinators; 0: none
-	Wait       time.Duration `json:"wait,omitempty"`     // of their clients for what may run twice
-	Storm      time.Duration `json:"storm,omitempty"`    // for which payers in lanes ask more than the fleet bears; 0: there are none
-	Relays     bool          `json:"relays,omitempty"`   // discovery and replicas have relays before them too
+	Calm       time.Duration    `json:"calm,omitempty"`
+	LoadAge    time.Duration    `json:"load_age,omitempty"`
+	ListAge    time.Duration    `json:"list_age,omitempty"`
+	Answer     time.Duration    `json:"answer,omitempty"` // of a stand-in replica
+	Bears      float64          `json:"bears,omitempty"`  // parts out at once
+	Rate       float64          `json:"rate,omitempty"`   // queries/s at first
+	Holders    int              `json:"holders,omitempty"`
+	OutByZone  int              `json:"out_by_zone,omitempty"`
+	PassedMost int              `json:"passed_most,omitempty"`
+	Only       maintenance.Kind `json:"only,omitempty"`     // machines of this kind alone are swapped
+	Turns      bool             `json:"turns,omitempty"`    // a routine request for one replica and urgent ones for those that share its shards
+	Sessions   int              `json:"sessions,omitempty"` // pinned ones, with a client each
+	Both       int              `json:"both,omitempty"`     // one of so many of their clients asks at two co-ordinators; 0: none
+	Wait       time.Duration    `json:"wait,omitempty"`     // of their clients for what may run twice
+	Storm      time.Duration    `json:"storm,omitempty"`    // for which payers in lanes ask more than the fleet bears; 0: there are none
+	Relays     bool             `json:"relays,omitempty"`   // discovery and replicas have relays before them too
 }
 
 func or[T comparable](x, otherwise T) T {
@@ -36,10 +36,10 @@
 }
 
 // limits are the site's by the terms.
-func (t *Terms) limits() takeout.Limits {
+func (t *Terms) limits() maintenance.Limits {
 	l := siteLimits()
-	l.Calm, l.LoadAge, l.ListAge = or(t.Calm, l.Calm), or(t.LoadAge, l.LoadAge), or(t.ListAge, l.ListAge)
-	l.HoldersLeast, l.OutByZone, l.PassedMost = or(t.Holders, l.HoldersLeast), or(t.OutByZone, l.OutByZone), or(t.PassedMost, l.PassedMost)
+	l.FailurePause, l.LoadAge, l.ListAge = or(t.Calm, l.FailurePause), or(t.LoadAge, l.LoadAge), or(t.ListAge, l.ListAge)
+	l.MinHolders, l.MaxOutPerZone, l.MaxPassedOver = or(t.Holders, l.MinHolders), or(t.OutByZone, l.MaxOutPerZone), or(t.PassedMost, l.MaxPassedOver)
 	return l
 }
 
@@ -57,11 +57,11 @@
 }
 
 // swaps tells whether machines of a kind are swapped.
-func (c *Cluster) swaps(k takeout.Kind) bool {
+func (c *Cluster) swaps(k maintenance.Kind) bool {
 	if only := c.opt.Terms.Only; only != "" && only != k {
 		return false
 	}
-	return k == takeout.Replica && c.opt.Replicas || k == takeout.Coordinator && c.opt.Also
+	return k == maintenance.Replica && c.opt.Replicas || k == maintenance.Coordinator && c.opt.Also
 }
 
 // wants sets down what is to be done in the end.
@@ -105,7 +105,7 @@
 			out = append(out, w)
 		}
 	default:
-		for _, k := range []takeout.Kind{takeout.Replica, takeout.Coordinator} {
+		for _, k := range []maintenance.Kind{maintenance.Replica, maintenance.Coordinator} {
 			if c.swaps(k) {
 				out = append(out, work(map[string]any{"kind": k}, "swap of all"))
 			}
--- a/internal/fleet/harness/tools.go
+++ b/internal/fleet/harness/tools.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/standin"
 )
 
@@ -33,7 +33,7 @@
 			continue
 		}
 		for _, it := range s.Items {
-			if it.Phase == takeout.Granted && c.place(it.Machine) < 0 && c.early(it) {
+			if it.Phase == maintenance.Granted && c.place(it.Machine) < 0 && c.early(it) {
 				c.work.Go(func() { c.takeOut(it.Machine, 0, 0) })
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // early tells whether a machine is to go before it is told.
-func (c *Cluster) early(it takeout.Item) bool {
+func (c *Cluster) early(it maintenance.Item) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending[DoEarly] == 0 || it.Fence <= c.handled[it.Machine] {
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -5,18 +5,18 @@
 
 	"birchcart/internal/exchange"
 	"birchcart/internal/fleet/drainctl"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/policy"
 )
 
-var statuses = map[policy.Readiness]takeout.Status{policy.Up: takeout.Up, policy.Draining: takeout.Terminating, policy.Removed: takeout.Gone}
+var statuses = map[policy.Readiness]maintenance.Status{policy.Up: maintenance.Up, policy.Draining: maintenance.Terminating, policy.Removed: maintenance.Gone}
 
 // machines is discovery's list as machines.
-func machines(list []exchange.Entry) []takeout.Machine {
-	out := make([]takeout.Machine, len(list))
+func machines(list []exchange.Entry) []maintenance.Machine {
+	out := make([]maintenance.Machine, len(list))
 	for i, e := range list {
-		m := takeout.Machine{Name: e.Name, Kind: takeout.Replica, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Status: statuses[e.State]}
+		m := maintenance.Machine{Name: e.Name, Kind: maintenance.Replica, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Status: statuses[e.State]}
 		if !e.Started.IsZero() {
 			m.Started = time.Duration(e.Started.UnixNano())
 		}
@@ -26,8 +26,8 @@
 }
 
 // A member that is suspected may be healthy or not: nothing is known of it.
-var states = map[member.State]takeout.Status{
-	member.Alive: takeout.Up, member.Suspect: takeout.Unknown, member.Unknown: takeout.Unknown, member.Dead: takeout.Gone, member.Left: takeout.Gone,
+var states = map[member.State]maintenance.Status{
+	member.Alive: maintenance.Up, member.Suspect: maintenance.Unknown, member.Unknown: maintenance.Unknown, member.Dead: maintenance.Gone, member.Left: maintenance.Gone,
 }
 
 // coordinators is the members' news as the leader takes it. Incarnations are times of start. Loads are those that came
--- a/internal/fleet/laid.go
+++ b/internal/fleet/laid.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/view"
 )
 
@@ -86,8 +86,8 @@
 	f := laidDrains{Version: LaidVersion, Drains: []laidLine{}}
 	n.copy.withLock(func() {
 		for _, name := range names {
-			if it, ok := n.copy.order.Item(name); ok {
-				f.Drains = append(f.Drains, laidLine{name, it.Until, n.copy.stateMachine.Epoch(), it.Start, it.Fence})
+			if it, ok := n.copy.order.ActiveItem(name); ok {
+				f.Drains = append(f.Drains, laidLine{name, it.Until, n.copy.stateMachine.Epoch(), it.StartedAt, it.Fence})
 			} else if i := slices.IndexFunc(n.keeping, func(k laidLine) bool { return k.Machine == name }); i >= 0 {
 				f.Drains = append(f.Drains, n.keeping[i]) // of an era before
 			}
@@ -153,7 +153,7 @@
 		back := false // one of an era before: the raft group of now can't say when its drain may go
 		n.copy.withLock(func() {
 			m, ok := n.copy.order.Machine(l.Machine)
-			back = max(l.Era, 1) >= n.copy.stateMachine.Epoch() || ok && m.Status == takeout.Up && m.Started > l.Start
+			back = max(l.Era, 1) >= n.copy.stateMachine.Epoch() || ok && m.Status == maintenance.Up && m.Started > l.Start
 		})
 		return n.caught && back || l.Until <= wall
 	})
--- a/internal/fleet/lanes_test.go
+++ b/internal/fleet/lanes_test.go
@@ -9,10 +9,10 @@
 
 	"birchcart/internal/config"
 	"birchcart/internal/fleet/laneconfig"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/operator"
 	"birchcart/internal/serve"
 	"birchcart/internal/settings"
@@ -20,7 +20,7 @@
 
 // What programs without lanes have saved is read, and what is saved while there are none is read by them.
 func TestStatesOfProgramsWithoutLanes(t *testing.T) {
-	older := statemachine.New(map[string]statemachine.Part{part: takeout.New(), sessionsPart: session.New()})
+	older := statemachine.New(map[string]statemachine.Part{part: maintenance.New(), sessionsPart: session.New()})
 	if err := older.Apply(3, tick(t, 5)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/takeout/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"fmt"
@@ -14,27 +14,27 @@
 	s.Tick(now)
 	switch kind {
 	case "limits":
-		return take(body, s.applyLimits)
+		return decodeAndApply(body, s.applyLimits)
 	case "asks":
-		return take(body, s.applyAsks)
+		return decodeAndApply(body, s.applyRequests)
 	case "observe":
-		return take(body, s.applyObserve)
+		return decodeAndApply(body, s.applyObserve)
 	case "grant":
-		return take(body, func(b GrantBody) error { return s.applyGrant(b, fence) })
+		return decodeAndApply(body, func(b GrantBody) error { return s.applyGrant(b, fence) })
 	case "told":
-		return take(body, s.applyTold)
+		return decodeAndApply(body, s.applyAcknowledge)
 	case "withdraw":
-		return take(body, s.applyWithdraw)
+		return decodeAndApply(body, s.applyWithdraw)
 	case "tick":
-		return take(body, func(TickBody) error { return nil })
+		return decodeAndApply(body, func(TickBody) error { return nil })
 	}
-	return fmt.Errorf("takeout: kind %q: %w", kind, statemachine.ErrUnknown)
+	return fmt.Errorf("maintenance: kind %q: %w", kind, statemachine.ErrUnknown)
 }
 
-func take[B any](body []byte, apply func(B) error) error {
+func decodeAndApply[B any](body []byte, apply func(B) error) error {
 	var b B
 	if err := statemachine.Strict(body, &b); err != nil {
-		return fmt.Errorf("takeout: body can not be read: %w", err)
+		return fmt.Errorf("maintenance: body can not be read: %w", err)
 	}
 	return apply(b)
 }
@@ -52,11 +52,11 @@
 		}
 		return nil
 	}
-	s.stale = s.stale || b.Limits != s.limits
+	s.needsInventory = s.needsInventory || b.Limits != s.limits
 	s.limits, s.revision = b.Limits, b.Revision
-	s.fresh = false
+	s.sumsValid = false
 	for _, e := range s.open {
-		e.Passed = min(e.Passed, s.limits.PassedMost)
+		e.PassedOver = min(e.PassedOver, s.limits.MaxPassedOver)
 	}
 	return nil
 }
@@ -74,9 +74,9 @@
 	for _, d := range []struct {
 		name string
 		d    time.Duration
-	}{{"warm_up", l.WarmUp}, {"grace", l.Grace}, {"settle", l.Settle}, {"calm", l.Calm}} {
-		if d.d < 0 || d.d > GrantMost {
-			return fmt.Errorf("limits: %s is %v, it has to be within 0 and %v", d.name, d.d, GrantMost)
+	}{{"warm_up", l.WarmUp}, {"grace", l.Grace}, {"settle", l.SettleTime}, {"calm", l.FailurePause}} {
+		if d.d < 0 || d.d > MaxGrantTime {
+			return fmt.Errorf("limits: %s is %v, it has to be within 0 and %v", d.name, d.d, MaxGrantTime)
 		}
 	}
 	switch {
@@ -84,11 +84,11 @@
 		return fmt.Errorf("limits: a ring of %d cells and %d shards", l.Cells, l.Shards)
 	case l.Reach < 1 || l.Reach > l.Cells:
 		return fmt.Errorf("limits: reach of %d in %d cells", l.Reach, l.Cells)
-	case l.HoldersLeast < 1:
-		return fmt.Errorf("limits: holders_least is %d", l.HoldersLeast)
-	case l.OutByZone < 0 || l.OutMost < 0 || l.VotersLeast < 0 || l.PassedMost < 1:
+	case l.MinHolders < 1:
+		return fmt.Errorf("limits: holders_least is %d", l.MinHolders)
+	case l.MaxOutPerZone < 0 || l.MaxOut < 0 || l.MinVoters < 0 || l.MaxPassedOver < 1:
 		return fmt.Errorf("limits: out_by_zone %d, out_most %d, voters_least %d, passed_most %d",
-			l.OutByZone, l.OutMost, l.VotersLeast, l.PassedMost)
+			l.MaxOutPerZone, l.MaxOut, l.MinVoters, l.MaxPassedOver)
 	case !(l.Headroom >= 0) || math.IsInf(l.Headroom, 0):
 		return fmt.Errorf("limits: headroom of %v", l.Headroom)
 	}
@@ -97,34 +97,34 @@
 
 // applyGrant lets a machine go, if all rules allow it as the state is now, whatever the leader believed.
 func (s *State) applyGrant(b GrantBody, fence func() uint64) error {
-	e := s.last[key{b.Request, b.Machine}]
-	if e == nil || e.Phase != Asked {
+	e := s.latest[key{b.Request, b.Machine}]
+	if e == nil || e.Phase != Pending {
 		return fmt.Errorf("W4: request %s does not ask for %s now", b.Request, b.Machine)
 	}
-	if b.Until <= s.now || b.Until > s.now+GrantMost {
-		return fmt.Errorf("W7: until %s, it is %s and %v is the most", clock(b.Until), clock(s.now), GrantMost)
+	if b.Until <= s.now || b.Until > s.now+MaxGrantTime {
+		return fmt.Errorf("W7: until %s, it is %s and %v is the most", formatTime(b.Until), formatTime(s.now), MaxGrantTime)
 	}
-	left, room, err := s.mayGo(s.now, e)
+	left, room, err := s.mayGrant(s.now, e)
 	if err != nil {
 		return err
 	}
-	s.pass(e)
+	s.countPassedOver(e)
 	m := s.machines[e.Machine]
-	e.Phase, e.Fence, e.GrantedAt, e.Until, e.Why = Granted, fence(), s.now, b.Until, ""
-	e.Left, e.Room, e.Revision, e.Start, e.Zone, e.Voter = left, room, s.revision, m.Started, m.Zone, m.Voter
+	e.Phase, e.Fence, e.GrantedAt, e.Until, e.Reason = Granted, fence(), s.now, b.Until, ""
+	e.HoldersLeft, e.SpareCapacity, e.Revision, e.StartedAt, e.Zone, e.Voter = left, room, s.revision, m.Started, m.Zone, m.Voter
 	if m.Kind == Replica {
-		e.Wanted = s.limits.HoldersLeast
+		e.MinHolders = s.limits.MinHolders
 	}
-	e.For = e.req.For
+	e.MaxOutage = e.req.MaxOutage
 	s.fence = max(s.fence, e.Fence)
 	m.live = e
-	m.unask(e)
-	s.fresh = false
+	m.removePending(e)
+	s.sumsValid = false
 	return nil
 }
 
-// granted finds the grant that a word is about: still granted, with that number.
-func (s *State) granted(name string, number uint64) (*machine, error) {
+// grantedMachine finds the grant that a word is about: still granted, with that number.
+func (s *State) grantedMachine(name string, number uint64) (*machine, error) {
 	m := s.machines[name]
 	if m == nil || m.live == nil || m.live.Fence != number {
 		return nil, fmt.Errorf("W4: %s has no live grant of number %d", name, number)
@@ -135,15 +135,15 @@
 	return m, nil
 }
 
-// applyTold: every co-ordinator of the inventory, gone or not, is accounted for, since one that only the leader has lost
+// applyAcknowledge: every co-ordinator of the inventory, gone or not, is accounted for, since one that only the leader has lost
 // may still reach the machine.
-func (s *State) applyTold(b ToldBody) error {
-	m, err := s.granted(b.Machine, b.Fence)
+func (s *State) applyAcknowledge(b AcknowledgeBody) error {
+	m, err := s.grantedMachine(b.Machine, b.Fence)
 	if err != nil {
 		return err
 	}
-	heard := make(map[string]bool, len(b.Said)+len(b.Silent))
-	for _, name := range b.Said {
+	heard := make(map[string]bool, len(b.Acknowledged)+len(b.Silent))
+	for _, name := range b.Acknowledged {
 		heard[name] = true
 	}
 	need := s.limits.Lease + s.limits.Grace
@@ -158,33 +158,33 @@
 			return fmt.Errorf("told: nothing is said of co-ordinator %s", c.Name)
 		}
 	}
-	m.live.Phase, m.live.ToldAt, m.live.Start = Told, s.now, m.Started
-	s.fresh = false
-	s.follow(m) // it may be down already: work is asked for on broken machines too
+	m.live.Phase, m.live.AcknowledgedAt, m.live.StartedAt = Acknowledged, s.now, m.Started
+	s.sumsValid = false
+	s.advanceItem(m) // it may be down already: work is requested on broken machines too
 	return nil
 }
 
 func (s *State) applyWithdraw(b WithdrawBody) error {
-	m, err := s.granted(b.Machine, b.Fence)
+	m, err := s.grantedMachine(b.Machine, b.Fence)
 	if err != nil {
 		return err
 	}
 	e := m.live
-	s.end(e, Withdrawn, clip(b.Why))
-	s.tidy()
+	s.endItem(e, Withdrawn, truncate(b.Reason))
+	s.dropClosed()
 	s.retry(e)
 	return nil
 }
 
-// end closes an item. A grant's machine settles. The caller tidies the open ones.
-func (s *State) end(e *entry, p Phase, why string) {
-	e.Phase, e.EndedAt, e.Why = p, s.now, why
+// endItem closes an item. A grant's machine settles. The caller tidies the open ones.
+func (s *State) endItem(e *entry, p Phase, why string) {
+	e.Phase, e.EndedAt, e.Reason = p, s.now, why
 	m := s.machines[e.Machine] // it stays while an item is open
-	m.unask(e)
+	m.removePending(e)
 	if m.live == e {
 		m.live = nil
 		if p != Done {
-			m.Settle = s.now + s.limits.Settle
+			m.Settle = s.now + s.limits.SettleTime
 		}
 	}
 	i := sort.Search(len(s.ended), func(i int) bool {
@@ -194,20 +194,20 @@
 	s.ended = append(s.ended, nil)
 	copy(s.ended[i+1:], s.ended[i:])
 	s.ended[i] = e
-	s.fresh = false
+	s.sumsValid = false
 }
 
-func (m *machine) unask(e *entry) {
-	for i, o := range m.asked {
+func (m *machine) removePending(e *entry) {
+	for i, o := range m.pending {
 		if o == e {
-			m.asked = append(m.asked[:i:i], m.asked[i+1:]...)
+			m.pending = append(m.pending[:i:i], m.pending[i+1:]...)
 			return
 		}
 	}
 }
 
-// tidy takes ended items out of the open ones.
-func (s *State) tidy() {
+// dropClosed takes ended items out of the open ones.
+func (s *State) dropClosed() {
 	keep := s.open[:0]
 	for _, e := range s.open {
 		if e.Phase.open() {
@@ -218,6 +218,6 @@
 	s.open = keep
 }
 
-func clip(s string) string {
-	return s[:min(len(s), NameMost)]
+func truncate(s string) string {
+	return s[:min(len(s), MaxNameLength)]
 }
--- a/internal/fleet/takeout/check.go
+++ b/internal/fleet/maintenance/check.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 // Check names the first of W1 to W7 that does not hold, with the evidence. W1, W3 and W6 are read from what each grant
 // wrote down of its moment: later failures may leave less, and are no fault of the plan.
 func (s *State) Check() error {
-	for _, check := range []func() error{s.checkGrants, s.checkPlaces, s.checkNumbers, s.checkTurns, s.checkTimes} {
+	for _, check := range []func() error{s.checkGrants, s.checkOutCounts, s.checkFences, s.checkPassedOver, s.checkTimes} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -22,11 +22,11 @@
 		for _, e := range list {
 			switch {
 			case e.Fence == 0:
-			case e.Left < e.Wanted:
+			case e.HoldersLeft < e.MinHolders:
 				return fmt.Errorf("W1: the grant %d of %s left %d holders to a shard, %d were wanted",
-					e.Fence, e.Machine, e.Left, e.Wanted)
-			case e.Room < 0:
-				return fmt.Errorf("W3: the grant %d of %s left %.2f under the load with headroom", e.Fence, e.Machine, -e.Room)
+					e.Fence, e.Machine, e.HoldersLeft, e.MinHolders)
+			case e.SpareCapacity < 0:
+				return fmt.Errorf("W3: the grant %d of %s left %.2f under the load with headroom", e.Fence, e.Machine, -e.SpareCapacity)
 			case e.GrantedAt > s.pauseFrom && e.GrantedAt < s.pauseUntil:
 				return fmt.Errorf("W6: the grant %d of %s at %v is in the pause from %v to %v: %s",
 					e.Fence, e.Machine, e.GrantedAt, s.pauseFrom, s.pauseUntil, s.pauseWhy)
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// checkPlaces is W2, for what was granted by the limits in force: lowered limits end no grant.
-func (s *State) checkPlaces() error {
+// checkOutCounts is W2, for what was granted by the limits in force: lowered limits end no grant.
+func (s *State) checkOutCounts() error {
 	zones, voters, all := map[string]int{}, 0, 0
 	for _, e := range s.open {
 		if !e.Phase.live() || e.Revision != s.revision {
@@ -48,21 +48,21 @@
 		if e.Voter {
 			voters++
 		}
-		if zones[e.Zone] > s.limits.OutByZone {
-			return fmt.Errorf("W2: %d are out in zone %q, %d are allowed", zones[e.Zone], e.Zone, s.limits.OutByZone)
+		if zones[e.Zone] > s.limits.MaxOutPerZone {
+			return fmt.Errorf("W2: %d are out in zone %q, %d are allowed", zones[e.Zone], e.Zone, s.limits.MaxOutPerZone)
 		}
 		if voters > 1 {
 			return fmt.Errorf("W2: %d voters are out at once, the last is %s", voters, e.Machine)
 		}
 	}
-	if all > s.limits.OutMost {
-		return fmt.Errorf("W2: %d are out in all, %d are allowed", all, s.limits.OutMost)
+	if all > s.limits.MaxOut {
+		return fmt.Errorf("W2: %d are out in all, %d are allowed", all, s.limits.MaxOut)
 	}
 	return nil
 }
 
-// checkNumbers is W4: one live grant for a machine, each number once, and numbers that grow with time.
-func (s *State) checkNumbers() error {
+// checkFences is W4: one live grant for a machine, each number once, and numbers that grow with time.
+func (s *State) checkFences() error {
 	live := map[string]uint64{}
 	var grants []*entry
 	for _, e := range s.open {
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// checkTurns is W5: nothing took what a request had reserved.
-func (s *State) checkTurns() error {
+// checkPassedOver is W5: nothing took what a request had reserved.
+func (s *State) checkPassedOver() error {
 	for _, e := range s.open {
-		if e.Passed > s.limits.PassedMost {
+		if e.PassedOver > s.limits.MaxPassedOver {
 			return fmt.Errorf("W5: %s of request %s was passed over %d times, %d are allowed",
-				e.Machine, e.Request, e.Passed, s.limits.PassedMost)
+				e.Machine, e.Request, e.PassedOver, s.limits.MaxPassedOver)
 		}
 	}
 	return nil
@@ -129,13 +129,13 @@
 // checkTimes is W7: nothing that was granted outlives its time.
 func (s *State) checkTimes() error {
 	for _, e := range s.open {
-		if (e.Phase == Granted || e.Phase == Told || e.Phase == Out) && e.Until <= s.now {
-			return fmt.Errorf("W7: %s is %s past its time, %s, at %s", e.Machine, e.Phase, clock(e.Until), clock(s.now))
+		if (e.Phase == Granted || e.Phase == Acknowledged || e.Phase == Out) && e.Until <= s.now {
+			return fmt.Errorf("W7: %s is %s past its time, %s, at %s", e.Machine, e.Phase, formatTime(e.Until), formatTime(s.now))
 		}
 	}
 	for i, e := range s.ended {
 		if i > 0 && s.ended[i-1].EndedAt > e.EndedAt || e.EndedAt > s.now {
-			return fmt.Errorf("W7: %s ended at %s, out of order at %s", e.Machine, clock(e.EndedAt), clock(s.now))
+			return fmt.Errorf("W7: %s ended at %s, out of order at %s", e.Machine, formatTime(e.EndedAt), formatTime(s.now))
 		}
 	}
 	return nil
--- a/internal/fleet/takeout/lies_test.go
+++ b/internal/fleet/maintenance/false_input_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"fmt"
@@ -12,10 +12,11 @@
 // never came back; a load of nothing. Whatever it says, at no moment more are out of the plan's making than W2 allows, no shard
 // is left by grants with fewer holders than W1 wants, no number comes twice, and each place is free again by its time (W7).
 func TestALyingLeaderCannotWidenThePlan(t *testing.T) {
+	// Long: one loop that draws a false report of each kind against one fleet, and judges all of them by one count.
 	rapid.Check(t, func(r *rapid.T) {
 		l := limits
-		l.PassedMost, l.Calm, l.OutMost, l.VotersLeast = 100, sec, 2, 1
-		p := start(t, l, Request{ID: "all", Prefix: "", Kind: Replica, Reason: "swap", For: 60 * sec}, Request{ID: "host", Kind: Coordinator, Reason: "swap", For: 60 * sec})
+		l.MaxPassedOver, l.FailurePause, l.MaxOut, l.MinVoters = 100, sec, 2, 1
+		p := start(t, l, Request{ID: "all", Prefix: "", Kind: Replica, Reason: "swap", MaxOutage: 60 * sec}, Request{ID: "host", Kind: Coordinator, Reason: "swap", MaxOutage: 60 * sec})
 		names := []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6", "r7", "c0", "c1", "c2"}
 		said := map[string]Machine{}
 		for i := range 8 {
@@ -29,12 +30,12 @@
 		for range rapid.IntRange(8, 40).Draw(r, "words") {
 			name := rapid.SampledFrom(names).Draw(r, "name")
 			m := said[name]
-			it, live := p.s.Item(name)
+			it, live := p.s.ActiveItem(name)
 			switch rapid.IntRange(0, 6).Draw(r, "kind") {
 			case 0, 1:
 				request := map[bool]string{true: "all", false: "host"}[m.Kind == Replica]
 				if p.do("grant", GrantBody{request, name, p.now + 100*sec}) == nil {
-					now, _ := p.s.Item(name)
+					now, _ := p.s.ActiveItem(name)
 					if numbers[now.Fence] {
 						r.Fatalf("number %d comes twice", now.Fence)
 					}
@@ -44,7 +45,7 @@
 				}
 			case 2:
 				if live {
-					if p.do("told", ToldBody{name, it.Fence, []string{"c0", "c1", "c2"}, nil}) == nil && it.Phase != Granted {
+					if p.do("told", AcknowledgeBody{name, it.Fence, []string{"c0", "c1", "c2"}, nil}) == nil && it.Phase != Granted {
 						r.Fatalf("%s was told as %s", name, it.Phase)
 					}
 				}
@@ -68,15 +69,15 @@
 				if zones[it.Zone]++; it.Voter {
 					voters++
 				}
-				if until := latest[it.Machine] + it.For; p.now > until {
+				if until := latest[it.Machine] + it.MaxOutage; p.now > until {
 					r.Fatalf("%s is %s at %v, %v after the last moment of its grant", it.Machine, it.Phase, p.now, p.now-until)
 				}
 			}
-			if all > l.OutMost || voters > 1 {
+			if all > l.MaxOut || voters > 1 {
 				r.Fatalf("%d are out, %d voters", all, voters)
 			}
 			for z, n := range zones {
-				if n > l.OutByZone {
+				if n > l.MaxOutPerZone {
 					r.Fatalf("%d are out in %s", n, z)
 				}
 			}
@@ -92,14 +93,14 @@
 	}
 	holders := map[int]int{}
 	for n, m := range said {
-		if _, out := p.s.Item(n); m.Kind == Replica && m.Status == Up && !out {
+		if _, out := p.s.ActiveItem(n); m.Kind == Replica && m.Status == Up && !out {
 			for k := range l.Reach {
 				holders[(m.Cell-k+l.Cells)%l.Cells]++
 			}
 		}
 	}
 	for k := range l.Reach {
-		if s := (said[name].Cell - k + l.Cells) % l.Cells; holders[s] < l.HoldersLeast {
+		if s := (said[name].Cell - k + l.Cells) % l.Cells; holders[s] < l.MinHolders {
 			r.Fatalf("the grant of %s left %d holders at %d", name, holders[s], s)
 		}
 	}
@@ -110,10 +111,10 @@
 func TestAFalseOutFreesNothing(t *testing.T) {
 	p := start(t, limits, names("a", "r1"), names("b", "r5")) // of one zone, with places for two
 	l := limits
-	l.OutByZone = 1
+	l.MaxOutPerZone = 1
 	p.must("limits", LimitsBody{2, l})
 	ms := append(p.s.Machines(), Machine{})[:len(p.s.Machines())]
-	p.must("observe", ObserveBody{Whole: true, Machines: ms, Load: 2, LoadKnown: true})
+	p.must("observe", ObserveBody{Complete: true, Machines: ms, Load: 2, LoadKnown: true})
 	p.grant("a", "r1")
 	p.told("r1")
 	p.see(cell(1).as(Gone))
@@ -123,7 +124,7 @@
 	p.phase("r1", Out)
 	p.no("W2", "b", "r5")
 	p.wait(301 * sec)
-	if it := p.phase("r1", Lapsed); it.Why == "" {
+	if it := p.phase("r1", Expired); it.Reason == "" {
 		t.Error("it ended without words")
 	}
 	p.no("W6", "b", "r5") // and it counts as a failure
@@ -131,6 +132,6 @@
 	p = start(t, limits, names("a", "r1"), names("b", "r5"))
 	p.grant("a", "r1")
 	p.see(cell(1).as(Gone))
-	p.phase("r1", Asked) // asked for anew, as its grant lapsed
+	p.phase("r1", Pending) // requested again, as its grant lapsed
 	p.no("W6", "b", "r5")
 }
--- a/internal/fleet/takeout/flap_test.go
+++ b/internal/fleet/maintenance/flapping_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"strings"
@@ -45,7 +45,7 @@
 	}
 	p.grant("a", "r0")
 	p.grant("a", "r5")
-	if n := len(p.s.machines["r5"].Fails); n != FlapFails {
+	if n := len(p.s.machines["r5"].Failures); n != FlapThreshold {
 		t.Fatalf("%d failures are remembered", n)
 	}
 }
@@ -59,7 +59,7 @@
 	p.told("r5")
 	p.see(cell(5).as(Gone))
 	p.wait(300 * sec)
-	p.phase("r5", Lapsed)
+	p.phase("r5", Expired)
 	if stop, why := p.s.Paused(p.now); stop {
 		t.Fatal(why)
 	}
@@ -84,7 +84,7 @@
 	p.wait(300 * sec) // up and warm since long, and not yet for 8 times the calm
 	p.no("W1: shard 0 would be left with 1 holders", "a", "r0")
 	p.no("W2: 1 voters would be left up", "a", "c1")
-	if _, err := p.s.MayGo(p.now, "r4"); err == nil {
+	if _, err := p.s.MayGrant(p.now, "r4"); err == nil {
 		t.Fatal("r4 shares a shard with r2")
 	}
 	p.must("observe", ObserveBody{Load: 5, LoadKnown: true}) // 6.25 with headroom; 7 are up and reliable
@@ -107,7 +107,7 @@
 	p.wait(10*sec - 1)
 	p.no("W1", "a", "r0")
 	p.now++
-	if _, err := p.s.MayGo(p.now, "r0"); err != nil {
+	if _, err := p.s.MayGrant(p.now, "r0"); err != nil {
 		t.Fatal(err)
 	}
 	p.crash(2, 0, cell(2))
@@ -185,7 +185,7 @@
 		crashes []Machine
 		holds   bool
 	}{{[]Machine{cell(1)}, true}, {[]Machine{cell(0), cell(2)}, false}} {
-		p := start(t, Limits{}.with(limits, func(l *Limits) { l.PassedMost, l.OutMost = 1, 1 }), names("a", "r1"), names("b", "r4", "r5"))
+		p := start(t, Limits{}.with(limits, func(l *Limits) { l.MaxPassedOver, l.MaxOut = 1, 1 }), names("a", "r1"), names("b", "r4", "r5"))
 		p.grant("b", "r4")
 		p.must("withdraw", WithdrawBody{"r4", 1, "test"})
 		p.crash(3, 10*sec, c.crashes...)
--- a/internal/fleet/takeout/phases_test.go
+++ b/internal/fleet/maintenance/phases_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import "testing"
 
@@ -17,11 +17,11 @@
 	p.wait(10*sec, up) // the same start: it has not been anywhere
 	p.phase("r0", Out)
 	p.wait(10*sec, up.since(p.now))
-	p.phase("r0", Back)
+	p.phase("r0", Returned)
 	started := p.s.machines["r0"].Started
 	p.now = started + 40*sec - 1
 	p.wait(0)
-	p.phase("r0", Back)
+	p.phase("r0", Returned)
 	p.wait(1)
 	p.phase("r0", Done)
 	if paused, why := p.s.Paused(p.now); paused {
@@ -34,7 +34,7 @@
 	p.grant("a", "r0")
 	p.told("r0")
 	p.wait(10*sec, cell(0).since(p.now+5*sec))
-	if it := p.phase("r0", Back); it.OutAt != p.now {
+	if it := p.phase("r0", Returned); it.OutAt != p.now {
 		t.Fatalf("%+v", it)
 	}
 }
@@ -47,7 +47,7 @@
 	p.wait(299*sec, Machine{Name: "r0-new", Kind: Replica, Zone: "z0", Status: Up, Started: p.now})
 	p.phase("r0", Out)
 	p.wait(sec)
-	p.phase("r0", Lapsed)
+	p.phase("r0", Expired)
 	if paused, why := p.s.Paused(p.now); !paused || why != "W6: paused until 1970-01-01T00:22:40Z, for 1m0s more: r0 is not back by its time" {
 		t.Fatal(why)
 	}
@@ -58,10 +58,10 @@
 	p.grant("a", "r0")
 	p.see(cell(0).as(Gone))
 	first := p.s.Items()[0]
-	if first.Phase != Lapsed || first.EndedAt != p.now {
+	if first.Phase != Expired || first.EndedAt != p.now {
 		t.Fatalf("%+v", first)
 	}
-	p.phase("r0", Asked)
+	p.phase("r0", Pending)
 	p.no("W6", "a", "r3")
 }
 
@@ -71,7 +71,7 @@
 	p.told("r0")
 	p.see(cell(0).as(Gone))
 	p.wait(sec, cell(0).since(p.now))
-	p.phase("r0", Back)
+	p.phase("r0", Returned)
 	p.wait(sec, cell(0).as(Gone))
 	p.phase("r0", Out)
 	p.no("W6", "a", "r3")
@@ -84,12 +84,12 @@
 	p.see(cell(0).as(Gone))
 	p.wait(299*sec, cell(0).since(p.now+299*sec))
 	p.wait(2 * sec)
-	p.phase("r0", Back)
+	p.phase("r0", Returned)
 	p.see(cell(0).as(Gone))
-	p.phase("r0", Lapsed)
+	p.phase("r0", Expired)
 }
 
-// A machine that is down is asked for, to be mended.
+// A machine that is down is requested, to be mended.
 func TestBrokenMachineIsMended(t *testing.T) {
 	p := start(t, limits, names("a", "r0"))
 	p.see(cell(0).as(Gone))
@@ -98,16 +98,16 @@
 	p.told("r0")
 	p.phase("r0", Out)
 	p.wait(sec, cell(0).since(p.now))
-	p.phase("r0", Back)
+	p.phase("r0", Returned)
 }
 
 func TestToldNeedsEachCoordinator(t *testing.T) {
 	p := start(t, limits, names("a", "r0"))
 	p.grant("a", "r0")
 	p.see(host(2).as(Gone)) // lost by the members, it may still reach r0
-	p.refused("nothing is said of co-ordinator c2", "told", ToldBody{"r0", 1, []string{"c0", "c1"}, nil})
+	p.refused("nothing is said of co-ordinator c2", "told", AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, nil})
 	p.refused("c2 is silent for 6.999999999s", "told",
-		ToldBody{"r0", 1, []string{"c0", "c1"}, []Silent{{"c2", 7*sec - 1}}})
+		AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, []Silent{{"c2", 7*sec - 1}}})
 	p.told("r0")
 }
 
@@ -119,7 +119,7 @@
 	p.ask() // all taken out of the file
 	p.phase("r0", Withdrawn)
 	p.phase("r6", Withdrawn)
-	if it := p.phase("r3", Told); !it.CalledOff {
+	if it := p.phase("r3", Acknowledged); !it.Cancelled {
 		t.Fatal("not marked")
 	}
 	p.see(cell(3).as(Gone))
@@ -131,11 +131,11 @@
 	p.wait(60 * sec)
 	p.phase("r3", Done)
 	p.ask(names("a", "r0"), names("b", "r3", "r6"))
-	p.phase("r0", Asked)
+	p.phase("r0", Pending)
 	p.phase("r3", Done) // its work is done
 
-	p.refused("revision 1, 3 is in force", "asks", AsksBody{Revision: 1})
-	p.refused("other requests of the same revision", "asks", AsksBody{Revision: 3})
+	p.refused("revision 1, 3 is in force", "asks", RequestsBody{Revision: 1})
+	p.refused("other requests of the same revision", "asks", RequestsBody{Revision: 3})
 	p.must("asks", p.asks)
 	p.asks.Revision++
 	p.asks.Requests[0].Reason = "other"
@@ -144,13 +144,13 @@
 
 func TestTriedAgainSoOften(t *testing.T) {
 	p := start(t, limits, names("a", "r0"))
-	for range AgainMost {
+	for range MaxAttempts {
 		p.grant("a", "r0")
 		p.must("withdraw", WithdrawBody{"r0", p.fence, "refused by c1"})
 		p.wait(10 * sec)
 	}
 	p.phase("r0", Withdrawn)
-	if n := len(p.s.Items()); n != AgainMost {
+	if n := len(p.s.Items()); n != MaxAttempts {
 		t.Fatalf("%d items", n)
 	}
 }
@@ -161,11 +161,11 @@
 	p := start(t, limits, r)
 	p.no("not before its earliest time", "a", "r0")
 	p.wait(20 * sec)
-	if _, err := p.s.MayGo(p.now, "r0"); err != nil {
+	if _, err := p.s.MayGrant(p.now, "r0"); err != nil {
 		t.Fatal(err)
 	}
 	p.wait(1)
-	p.phase("r0", Refused)
+	p.phase("r0", Rejected)
 	p.asks.Paused = true
 	p.ask(names("b", "r3"))
 	p.no("paused by the operators", "b", "r3")
@@ -173,21 +173,21 @@
 
 // A swap whose machines come back under new names ends; a name that comes later is matched.
 func TestMatchedLater(t *testing.T) {
-	p := start(t, limits, Request{ID: "all", Kind: Replica, Reason: "swap", For: 300 * sec}, names("n", "r8"))
+	p := start(t, limits, Request{ID: "all", Kind: Replica, Reason: "swap", MaxOutage: 300 * sec}, names("n", "r8"))
 	if n := len(p.s.Open()); n != 8 {
 		t.Fatalf("%d items", n)
 	}
 	p.wait(sec, Machine{Name: "r8", Kind: Replica, Cell: 1, Zone: "z1", Status: Up, Started: p.now + sec})
-	if it := p.phase("r8", Asked); it.Request != "n" || len(p.s.Open()) != 9 {
+	if it := p.phase("r8", Pending); it.Request != "n" || len(p.s.Open()) != 9 {
 		t.Fatalf("%+v", it)
 	}
 }
 
 func TestGoneIsForgotten(t *testing.T) {
 	p := start(t, limits, names("a", "r0"))
-	p.must("observe", ObserveBody{Whole: true, Machines: []Machine{cell(1)}, Load: 1, LoadKnown: true})
-	p.wait(ForgetGone)
-	if n := len(p.s.Machines()); n != 2 { // r1, and r0, which is asked for
+	p.must("observe", ObserveBody{Complete: true, Machines: []Machine{cell(1)}, Load: 1, LoadKnown: true})
+	p.wait(GoneRetention)
+	if n := len(p.s.Machines()); n != 2 { // r1, and r0, which is requested
 		t.Fatalf("%d machines", n)
 	}
 }
--- a/internal/fleet/takeout/renew.go
+++ b/internal/fleet/maintenance/renew.go
@@ -1,13 +1,13 @@
-package takeout
+package maintenance
 
 import "time"
 
 // Renew ends what a raft group that is set up anew can't vouch for. Its copy may be behind: what is granted in it may have
 // been told, gone and come back since, its drains lifted, and other machines may have been granted. So each live item
 // lapses: told is said only of what this raft group's own co-ordinators have laid. Tools that hold a grant of before may
-// still act on it, so its machine counts as out until the grant's end and Settle after it, and so does for Settle one that
-// is out already; that one counts as failed. One that was not told is asked for again. Until until, when all that was
-// granted by others has ended too, nothing is granted.
+// still act on it, so its machine counts as out until the grant's end and SettleTime after it, and so does for SettleTime one that
+// is out already; that one counts as failed. One that was not told is requested again. Until until, when all that was
+// grantedMachine by others has ended too, nothing is granted.
 func (s *State) Renew(until time.Duration) {
 	const why = "the raft group was set up anew"
 	failed := ""
@@ -18,18 +18,18 @@
 		}
 		m, settle, words := s.machines[e.Machine], s.now, why
 		switch {
-		case e.Phase == Granted || e.Phase == Told:
+		case e.Phase == Granted || e.Phase == Acknowledged:
 			settle = max(s.now, e.Until)
-		case e.Phase == Out && s.pauses(m):
+		case e.Phase == Out && s.wouldPause(m):
 			words += ": counts as failed"
 			failed = e.Machine + " was out when " + why
 		}
-		s.end(e, Lapsed, words)
-		m.Settle = settle + s.limits.Settle
+		s.endItem(e, Expired, words)
+		m.Settle = settle + s.limits.SettleTime
 		over = append(over, e)
 	}
 	if failed != "" {
-		s.failure(failed)
+		s.pauseAfterFailure(failed)
 	}
 	if until > s.now && until > s.pauseUntil {
 		if s.now >= s.pauseUntil {
@@ -37,9 +37,9 @@
 		}
 		s.pauseUntil, s.pauseWhy = until, why
 	}
-	s.tidy()
+	s.dropClosed()
 	for _, e := range over {
 		s.retry(e)
 	}
-	s.fresh = false
+	s.sumsValid = false
 }
--- a/internal/fleet/takeout/renew_test.go
+++ b/internal/fleet/maintenance/renew_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"strings"
@@ -7,10 +7,10 @@
 )
 
 // What is live when a raft group is set up anew lapses: what was not out may still go until its time, what was out failed, and
-// nothing is granted before what the old council may have granted is over. Only what was not told is asked for again.
+// nothing is granted before what the old council may have granted is over. Only what was not told is requested again.
 func TestRenew(t *testing.T) {
 	l := limits
-	l.OutMost, l.OutByZone, l.HoldersLeast = 3, 3, 1
+	l.MaxOut, l.MaxOutPerZone, l.MinHolders = 3, 3, 1
 	p := start(t, l, names("all", "r0", "r3", "r6"))
 	for _, m := range []string{"r0", "r3", "r6"} {
 		p.grant("all", m)
@@ -20,7 +20,7 @@
 	p.see(cell(3).as(Terminating))
 	until := map[string]time.Duration{}
 	for _, m := range []string{"r0", "r6"} {
-		it, _ := p.s.Item(m)
+		it, _ := p.s.ActiveItem(m)
 		until[m] = it.Until
 	}
 	p.s.Renew(p.now + 500*sec)
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	for _, m := range []string{"r0", "r3", "r6"} {
-		if it, live := p.s.Item(m); live {
+		if it, live := p.s.ActiveItem(m); live {
 			t.Errorf("%+v lives", it)
 		}
-		want := p.now + l.Settle
+		want := p.now + l.SettleTime
 		if until[m] > 0 {
-			want = until[m] + l.Settle
+			want = until[m] + l.SettleTime
 		}
 		if got := p.s.machines[m].Settle; got != want {
 			t.Errorf("%s counts until %v, not %v", m, got, want)
@@ -41,17 +41,17 @@
 	}
 	asked, why := "", ""
 	for _, it := range p.s.Items() {
-		if it.Phase == Asked {
+		if it.Phase == Pending {
 			asked += it.Machine
 		} else if it.Machine == "r3" {
-			why = it.Why
+			why = it.Reason
 		}
 	}
 	if asked != "r6" || !strings.Contains(why, "anew: counts as failed") {
 		t.Errorf("asked again: %s; r3: %s", asked, why)
 	}
 	for _, at := range []time.Duration{p.now, p.now + 500*sec - 1} {
-		if err := p.s.paused(at); err == nil {
+		if err := p.s.checkPaused(at); err == nil {
 			t.Errorf("not paused at %v", at)
 		}
 	}
--- a/internal/fleet/takeout/asks.go
+++ b/internal/fleet/maintenance/requests.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"bytes"
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// applyAsks puts what the operators ask for in force: items for what is new, an end, as far as it may be, to what is
-// no more asked for.
-func (s *State) applyAsks(b AsksBody) error {
-	if b.Revision < s.asks.Revision || b.Revision < 1 {
-		return fmt.Errorf("asks of revision %d, %d is in force", b.Revision, s.asks.Revision)
+// applyRequests puts what the operators ask for in force: items for what is new, an end, as far as it may be, to what is
+// no longer requested.
+func (s *State) applyRequests(b RequestsBody) error {
+	if b.Revision < s.requested.Revision || b.Revision < 1 {
+		return fmt.Errorf("asks of revision %d, %d is in force", b.Revision, s.requested.Revision)
 	}
-	if b.Revision == s.asks.Revision {
-		if !same(b, s.asks) {
+	if b.Revision == s.requested.Revision {
+		if !sameJSON(b, s.requested) {
 			return fmt.Errorf("other requests of the same revision %d", b.Revision)
 		}
 		return nil
 	}
-	if len(b.Requests) > RequestsMost {
-		return fmt.Errorf("%d requests, %d are allowed", len(b.Requests), RequestsMost)
+	if len(b.Requests) > MaxRequests {
+		return fmt.Errorf("%d requests, %d are allowed", len(b.Requests), MaxRequests)
 	}
 	next := make([]*request, len(b.Requests))
 	byID := make(map[string]*request, len(b.Requests))
@@ -32,37 +32,37 @@
 		if byID[r.ID] != nil {
 			return fmt.Errorf("request %s is there twice", r.ID)
 		}
-		next[i] = &request{Request: r, At: s.now}
+		next[i] = &request{Request: r, FirstSeenAt: s.now}
 		if old := s.byID[r.ID]; old != nil {
-			if !same(old.Request, r) {
-				return fmt.Errorf("request %s says something else than in revision %d", r.ID, s.asks.Revision)
+			if !sameJSON(old.Request, r) {
+				return fmt.Errorf("request %s says something else than in revision %d", r.ID, s.requested.Revision)
 			}
 			next[i] = old
 		}
 		byID[r.ID] = next[i]
 	}
-	s.asks, s.requests, s.byID = b, next, byID
+	s.requested, s.requests, s.byID = b, next, byID
 	for _, e := range s.open {
 		if req := byID[e.Request]; req != nil {
-			if e.CalledOff {
-				e.CalledOff, e.Why = false, ""
+			if e.Cancelled {
+				e.Cancelled, e.Reason = false, ""
 			}
 			e.req = req
 			continue
 		}
-		e.CalledOff = true
-		if e.Phase == Asked || e.Phase == Granted {
-			s.end(e, Withdrawn, "withdrawn by the operators")
+		e.Cancelled = true
+		if e.Phase == Pending || e.Phase == Granted {
+			s.endItem(e, Withdrawn, "withdrawn by the operators")
 		} else {
-			e.Why = "withdrawn by the operators after it was told: stays until it is done"
+			e.Reason = "withdrawn by the operators after it was told: stays until it is done"
 		}
 	}
-	s.tidy()
-	s.match()
+	s.dropClosed()
+	s.addMatchingItems()
 	return nil
 }
 
-func same(a, b any) bool {
+func sameJSON(a, b any) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
 	return errX == nil && errY == nil && bytes.Equal(x, y)
@@ -70,38 +70,38 @@
 
 func (r Request) valid() error {
 	switch {
-	case r.ID == "" || len(r.ID) > NameMost || len(r.Reason) > NameMost:
-		return fmt.Errorf("request %q: an id has 1 to %d bytes, a reason at most as many", clip(r.ID), NameMost)
+	case r.ID == "" || len(r.ID) > MaxNameLength || len(r.Reason) > MaxNameLength:
+		return fmt.Errorf("request %q: an id has 1 to %d bytes, a reason at most as many", truncate(r.ID), MaxNameLength)
 	case len(r.Names) == 0 && r.Kind == "" && r.Zone == "" && r.Prefix == "":
 		return fmt.Errorf("request %s names nothing", r.ID)
 	case len(r.Names) > 0 && (r.Kind != "" || r.Zone != "" || r.Prefix != ""):
 		return fmt.Errorf("request %s has names and a rule", r.ID)
 	case r.Kind != "" && r.Kind != Replica && r.Kind != Coordinator:
 		return fmt.Errorf("request %s: kind %q is not known", r.ID, r.Kind)
-	case r.For <= 0 || r.For > ForMost:
-		return fmt.Errorf("request %s: out for %v, it has to be over 0 and at most %v", r.ID, r.For, ForMost)
+	case r.MaxOutage <= 0 || r.MaxOutage > MaxOutage:
+		return fmt.Errorf("request %s: out for %v, it has to be over 0 and at most %v", r.ID, r.MaxOutage, MaxOutage)
 	case r.Earliest < 0 || r.Latest < 0 || r.Latest > 0 && r.Latest < r.Earliest:
-		return fmt.Errorf("request %s: from %s to %s", r.ID, clock(r.Earliest), clock(r.Latest))
+		return fmt.Errorf("request %s: from %s to %s", r.ID, formatTime(r.Earliest), formatTime(r.Latest))
 	case r.Priority != Routine && r.Priority != Urgent:
 		return fmt.Errorf("request %s: priority %d is not known", r.ID, r.Priority)
 	}
 	return nil
 }
 
-// rules says whether a request without names takes a machine in. It takes those that had been started when it was
+// matches says whether a request without names takes a machine in. It takes those that had been started when it was
 // first seen: a swap in which machines come back under new names would never end otherwise.
-func (r *request) rules(m *machine) bool {
+func (r *request) matches(m *machine) bool {
 	return (r.Kind == "" || r.Kind == m.Kind) && (r.Zone == "" || r.Zone == m.Zone) &&
-		strings.HasPrefix(m.Name, r.Prefix) && m.Started <= r.At
+		strings.HasPrefix(m.Name, r.Prefix) && m.Started <= r.FirstSeenAt
 }
 
-// match makes the items that are missing, requests in the order of the file, machines by name.
-func (s *State) match() {
+// addMatchingItems makes the items that are missing, requests in the order of the file, machines by name.
+func (s *State) addMatchingItems() {
 	for _, r := range s.requests {
 		if len(r.Names) == 0 {
 			for _, m := range s.list {
-				if r.rules(m) {
-					s.ask(r, m, false)
+				if r.matches(m) {
+					s.addItem(r, m, false)
 				}
 			}
 			continue
@@ -110,50 +110,50 @@
 		sort.Strings(names)
 		for _, name := range names {
 			if m := s.machines[name]; m != nil {
-				s.ask(r, m, false)
+				s.addItem(r, m, false)
 			}
 		}
 	}
 }
 
-// ask makes the item of a machine in a request, unless there is one. One that the operators withdrew, and now ask for
-// once more, is made anew; so is one whose grant ended before it was told, if it is to be tried again.
-func (s *State) ask(r *request, m *machine, again bool) {
+// addItem makes the item of a machine in a request, unless there is one. One that the operators withdrew, and now ask for
+// once more, is made anew; so is one whose grant ended before it was acknowledged, if it is to be retried.
+func (s *State) addItem(r *request, m *machine, again bool) {
 	k := key{r.ID, m.Name}
-	old := s.last[k]
-	if old != nil && !again && (old.Phase != Withdrawn || !old.CalledOff) || r.Latest > 0 && r.Latest < s.now {
+	old := s.latest[k]
+	if old != nil && !again && (old.Phase != Withdrawn || !old.Cancelled) || r.Latest > 0 && r.Latest < s.now {
 		return
 	}
-	if len(s.open)+len(s.ended) >= ItemsMost && !s.dropEnded() {
+	if len(s.open)+len(s.ended) >= MaxItems && !s.dropEnded() {
 		return
 	}
-	e := &entry{Item: Item{Request: r.ID, Machine: m.Name, Phase: Asked, AskedAt: s.now}, seq: s.seq, req: r}
+	e := &entry{Item: Item{Request: r.ID, Machine: m.Name, Phase: Pending, RequestedAt: s.now}, seq: s.seq, req: r}
 	if again {
-		e.Try = old.Try + 1
+		e.Attempt = old.Attempt + 1
 	}
 	s.seq++
-	s.last[k] = e
+	s.latest[k] = e
 	s.open = append(s.open, e)
-	m.asked = append(m.asked, e)
+	m.pending = append(m.pending, e)
 }
 
-// retry asks anew for the machine of a grant that ended before it was told, at the end of the order.
+// retry asks anew for the machine of a grant that ended before it was acknowledged, at the end of the order.
 func (s *State) retry(e *entry) {
 	r, m := s.byID[e.Request], s.machines[e.Machine]
-	if r != nil && m != nil && e.ToldAt == 0 && e.Try+1 < AgainMost && (e.Phase == Lapsed || e.Phase == Withdrawn) {
-		s.ask(r, m, true)
+	if r != nil && m != nil && e.AcknowledgedAt == 0 && e.Attempt+1 < MaxAttempts && (e.Phase == Expired || e.Phase == Withdrawn) {
+		s.addItem(r, m, true)
 	}
 }
 
-// dropEnded makes room for an item: the oldest ended one whose request is no more asked for, or that was tried again.
+// dropEnded makes room for an item: the oldest ended one whose request is no longer requested, or that was retried.
 func (s *State) dropEnded() bool {
 	for i, e := range s.ended {
 		k := key{e.Request, e.Machine}
-		if s.byID[e.Request] != nil && s.last[k] == e {
+		if s.byID[e.Request] != nil && s.latest[k] == e {
 			continue
 		}
-		if s.last[k] == e {
-			delete(s.last, k)
+		if s.latest[k] == e {
+			delete(s.latest, k)
 		}
 		s.ended = append(s.ended[:i], s.ended[i+1:]...)
 		return true
--- a/internal/fleet/takeout/rules_test.go
+++ b/internal/fleet/maintenance/rules_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 )
 
 func TestW1KeepsHolders(t *testing.T) {
-	all := Request{ID: "all", Kind: Replica, Reason: "swap", For: 300 * sec}
+	all := Request{ID: "all", Kind: Replica, Reason: "swap", MaxOutage: 300 * sec}
 	p := start(t, limits, all)
 	p.grant("all", "r0")
-	if it, _ := p.s.Item("r0"); it.Left != 2 || it.Wanted != 2 {
-		t.Fatalf("left %d of %d", it.Left, it.Wanted)
+	if it, _ := p.s.ActiveItem("r0"); it.HoldersLeft != 2 || it.MinHolders != 2 {
+		t.Fatalf("left %d of %d", it.HoldersLeft, it.MinHolders)
 	}
 	for _, near := range []string{"r1", "r2", "r6", "r7"} {
 		p.no("W1: shard", "all", near)
@@ -22,10 +22,10 @@
 	for name, m := range map[string]Machine{
 		"cold": cell(1).since(1000 * sec), "unknown": cell(1).as(Unknown), "gone": cell(1).as(Gone),
 		"terminating": cell(1).as(Terminating), "not of the ring": cell(1).in(9)} {
-		p := start(t, Limits{}.with(limits, func(l *Limits) { l.Calm = 0 }), all)
+		p := start(t, Limits{}.with(limits, func(l *Limits) { l.FailurePause = 0 }), all)
 		p.see(m)
 		p.now += sec
-		if _, err := p.s.MayGo(p.now, "r0"); err == nil {
+		if _, err := p.s.MayGrant(p.now, "r0"); err == nil {
 			t.Errorf("%s: r0 may go with r1 %s", name, name)
 		}
 		p.no("W1: shard", "all", "r0")
@@ -45,7 +45,7 @@
 	p.grant("a", "r0")
 	p.told("r0")
 	p.wait(100 * sec)
-	p.phase("r0", Lapsed)
+	p.phase("r0", Expired)
 	p.no("W1: shard", "a", "r1")
 	p.wait(9 * sec)
 	p.no("W1: shard", "a", "r1")
@@ -58,18 +58,18 @@
 	p.must("limits", LimitsBody{2, Limits{}.with(limits, func(l *Limits) { l.Shards = 7 })})
 	p.see()
 	p.no("W1: the limits changed", "a", "r0")
-	if !p.s.WantsWhole() {
+	if !p.s.NeedsCompleteInventory() {
 		t.Fatal("no whole inventory is wanted")
 	}
 	p.refused("1, 2 is in force", "limits", LimitsBody{1, limits})
 	p.refused("other limits", "limits", LimitsBody{2, limits})
-	p.must("observe", ObserveBody{Whole: true, Machines: p.s.Machines(), Load: 2, LoadKnown: true})
+	p.must("observe", ObserveBody{Complete: true, Machines: p.s.Machines(), Load: 2, LoadKnown: true})
 	p.grant("a", "r0")
 }
 
 func TestW2Places(t *testing.T) {
-	l := Limits{}.with(limits, func(l *Limits) { l.OutByZone, l.OutMost, l.HoldersLeast = 1, 2, 1 })
-	p := start(t, l, Request{ID: "all", Kind: Replica, Reason: "swap", For: 300 * sec})
+	l := Limits{}.with(limits, func(l *Limits) { l.MaxOutPerZone, l.MaxOut, l.MinHolders = 1, 2, 1 })
+	p := start(t, l, Request{ID: "all", Kind: Replica, Reason: "swap", MaxOutage: 300 * sec})
 	p.grant("all", "r0")
 	p.no(`W2: 1 are out in zone "z0"`, "all", "r4")
 	p.grant("all", "r3")
@@ -103,7 +103,7 @@
 	p = start(t, Limits{}.with(limits, func(l *Limits) { l.LoadAge = time.Hour }), names("a", "r0"))
 	p.now += 21 * sec
 	p.no("W3: the inventory is 21s old", "a", "r0")
-	p.refused("before what is known", "observe", ObserveBody{Load: 1, LoadKnown: true, Seen: 999 * sec})
+	p.refused("before what is known", "observe", ObserveBody{Load: 1, LoadKnown: true, ObservedAt: 999 * sec})
 }
 
 func TestW4OneGrantOneNumber(t *testing.T) {
@@ -111,35 +111,35 @@
 	p.grant("a", "r0")
 	p.refused("W4: r0 is granted by number 1", "grant", p.body("b", "r0"))
 	p.refused("W4: request a does not ask", "grant", p.body("a", "r0"))
-	p.refused("no live grant of number 2", "told", ToldBody{Machine: "r0", Fence: 2})
+	p.refused("no live grant of number 2", "told", AcknowledgeBody{Machine: "r0", Fence: 2})
 	p.told("r0")
 	p.refused("is told, not granted", "withdraw", WithdrawBody{"r0", 1, "late"})
 	p.wait(100 * sec)
-	p.phase("r0", Asked) // for b; the one of a has lapsed
+	p.phase("r0", Pending) // for b; the one of a has lapsed
 	p.refused("W4: request a does not ask", "grant", p.body("a", "r0"))
-	p.refused("no live grant", "told", ToldBody{Machine: "r0", Fence: 1})
+	p.refused("no live grant", "told", AcknowledgeBody{Machine: "r0", Fence: 1})
 	p.no("W4: an ended grant of r0 settles", "b", "r0")
 	p.wait(10 * sec)
 	p.grant("b", "r0")
-	if it, _ := p.s.Item("r0"); it.Fence != 2 {
+	if it, _ := p.s.ActiveItem("r0"); it.Fence != 2 {
 		t.Fatalf("number %d", it.Fence)
 	}
 	for _, name := range []string{"r5", "x"} {
-		if _, err := p.s.MayGo(p.now, name); err == nil {
+		if _, err := p.s.MayGrant(p.now, name); err == nil {
 			t.Fatalf("%s may go unasked", name)
 		}
 	}
 }
 
 func TestW5ReservesItsTurn(t *testing.T) {
-	l := Limits{}.with(limits, func(l *Limits) { l.HoldersLeast, l.OutMost, l.OutByZone = 2, 8, 8 })
+	l := Limits{}.with(limits, func(l *Limits) { l.MinHolders, l.MaxOut, l.MaxOutPerZone = 2, 8, 8 })
 	urgent := names("u", "r2", "r4")
 	urgent.Priority = Urgent
 	p := start(t, l, names("a", "r1"), names("b", "r0", "r6", "r7", "r3"), urgent)
 	p.grant("b", "r0") // shares shards with r1, as all but r4 to r6 do
 	p.grant("b", "r3")
-	if it := p.phase("r1", Asked); it.Passed != 2 {
-		t.Fatalf("passed %d times", it.Passed)
+	if it := p.phase("r1", Pending); it.PassedOver != 2 {
+		t.Fatalf("passed %d times", it.PassedOver)
 	}
 	for _, m := range []string{"r0", "r3"} {
 		p.told(m)
@@ -163,7 +163,7 @@
 
 // A neighbour that is out by the plan comes back: it does not cost the turn, or two neighbours in turn would keep one for ever.
 func TestW5KeepsItsTurnWhileANeighbourIsOut(t *testing.T) {
-	l := Limits{}.with(limits, func(l *Limits) { l.Reach, l.HoldersLeast, l.PassedMost, l.OutMost, l.OutByZone = 2, 1, 1, 8, 8 })
+	l := Limits{}.with(limits, func(l *Limits) { l.Reach, l.MinHolders, l.MaxPassedOver, l.MaxOut, l.MaxOutPerZone = 2, 1, 1, 8, 8 })
 	p := start(t, l, names("a", "r1"), names("b", "r0", "r2"))
 	p.grant("b", "r0")
 	p.told("r0")
@@ -173,11 +173,11 @@
 
 func TestW5ReservesPlaces(t *testing.T) {
 	for words, change := range map[string]func(*Limits){
-		"reserved the last place":             func(l *Limits) { l.OutMost = 2 },
-		"reserved the last place in its zone": func(l *Limits) { l.OutByZone = 1 },
+		"reserved the last place":             func(l *Limits) { l.MaxOut = 2 },
+		"reserved the last place in its zone": func(l *Limits) { l.MaxOutPerZone = 1 },
 		"reserved capacity":                   func(l *Limits) { l.Headroom = 2.3 }, // 6.6 of 8
 	} {
-		l := Limits{}.with(limits, func(l *Limits) { l.HoldersLeast, l.PassedMost, l.OutMost, l.OutByZone = 1, 1, 8, 8 })
+		l := Limits{}.with(limits, func(l *Limits) { l.MinHolders, l.MaxPassedOver, l.MaxOut, l.MaxOutPerZone = 1, 1, 8, 8 })
 		change(&l)
 		p := start(t, l, names("a", "r1"), names("b", "r3", "r5"))
 		p.grant("b", "r3")
@@ -195,7 +195,7 @@
 // With an urgent request for a neighbour at each step, and a leader that grants those first, a routine one still goes.
 func TestW5StreamOfUrgentOnes(t *testing.T) {
 	p := start(t, limits, names("a", "r1"))
-	for i := range 2 * limits.PassedMost {
+	for i := range 2 * limits.MaxPassedOver {
 		u := names(fmt.Sprint("u", i), fmt.Sprint("r", i%2*2))
 		u.Priority = Urgent
 		p.ask(names("a", "r1"), u)
@@ -216,7 +216,7 @@
 // What can not go, whatever ends, gives up its turn until it can.
 func TestW5GivesUpItsTurn(t *testing.T) {
 	for least, gone := range map[int][]Machine{1: {cell(1).as(Gone)}, 2: {cell(0).as(Gone), cell(2).as(Gone)}} {
-		l := Limits{}.with(limits, func(l *Limits) { l.HoldersLeast, l.PassedMost, l.OutMost, l.Calm = least, 1, 1, 0 })
+		l := Limits{}.with(limits, func(l *Limits) { l.MinHolders, l.MaxPassedOver, l.MaxOut, l.FailurePause = least, 1, 1, 0 })
 		p := start(t, l, names("a", "r1"), names("b", "r4", "r5"))
 		p.grant("b", "r4")
 		p.must("withdraw", WithdrawBody{"r4", 1, "test"})
@@ -229,11 +229,11 @@
 
 // Machines of one request do not pass each other: a swap of all goes on in the planner's order.
 func TestW5OneRequestDoesNotPassItself(t *testing.T) {
-	p := start(t, limits, Request{ID: "all", Kind: Replica, Reason: "swap", For: 300 * sec})
+	p := start(t, limits, Request{ID: "all", Kind: Replica, Reason: "swap", MaxOutage: 300 * sec})
 	p.grant("all", "r7")
 	p.grant("all", "r4")
-	if it := p.phase("r0", Asked); it.Passed != 0 {
-		t.Fatalf("passed %d times", it.Passed)
+	if it := p.phase("r0", Pending); it.PassedOver != 0 {
+		t.Fatalf("passed %d times", it.PassedOver)
 	}
 }
 
@@ -284,13 +284,13 @@
 func TestW7Until(t *testing.T) {
 	p := start(t, limits, names("a", "r0"))
 	p.refused("W7", "grant", GrantBody{"a", "r0", p.now})
-	p.refused("W7", "grant", GrantBody{"a", "r0", p.now + GrantMost + 1})
+	p.refused("W7", "grant", GrantBody{"a", "r0", p.now + MaxGrantTime + 1})
 	p.grant("a", "r0")
 	p.wait(100*sec - 1)
 	p.phase("r0", Granted)
 	p.now++
 	p.must("tick", TickBody{})
-	p.phase("r0", Asked) // lapsed before it was told: asked anew
+	p.phase("r0", Pending) // lapsed before it was acknowledged: asked anew
 	p.now += 30 * sec
 	p.no("W3: the inventory", "a", "r0")
 }
@@ -298,19 +298,19 @@
 // A whole that names a sum only is taken for the inventory of that sum and no other, and changes nothing else.
 func TestWholeBySum(t *testing.T) {
 	p := start(t, limits, names("a", "r1"))
-	sum := p.s.Sum()
+	sum := p.s.InventoryDigest()
 	l := limits
 	l.Headroom = 0.5
 	p.must("limits", LimitsBody{2, l})
 	p.no("no whole inventory", "a", "r1")
-	p.refused("sum", "observe", ObserveBody{Whole: true, Sum: "0" + sum[1:]})
+	p.refused("sum", "observe", ObserveBody{Complete: true, Sum: "0" + sum[1:]})
 	p.refused("sum", "observe", ObserveBody{Sum: sum})
-	p.refused("sum", "observe", ObserveBody{Whole: true, Sum: sum, Machines: []Machine{cell(1)}})
+	p.refused("sum", "observe", ObserveBody{Complete: true, Sum: sum, Machines: []Machine{cell(1)}})
 	p.see(cell(9))
-	p.refused("sum", "observe", ObserveBody{Whole: true, Sum: sum})
+	p.refused("sum", "observe", ObserveBody{Complete: true, Sum: sum})
 	p.no("no whole inventory", "a", "r1")
 	before := p.s.Machines()
-	p.must("observe", ObserveBody{Whole: true, Sum: p.s.Sum(), Load: 2, LoadKnown: true})
+	p.must("observe", ObserveBody{Complete: true, Sum: p.s.InventoryDigest(), Load: 2, LoadKnown: true})
 	if !reflect.DeepEqual(before, p.s.Machines()) {
 		t.Error("the inventory is another")
 	}
--- a/internal/fleet/takeout/site_test.go
+++ b/internal/fleet/maintenance/site_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"bytes"
@@ -15,14 +15,14 @@
 	s     *State
 	now   time.Duration
 	fence uint64
-	asks  AsksBody
+	asks  RequestsBody
 }
 
 const sec = time.Second
 
-var limits = Limits{Cells: 8, Reach: 3, Shards: 8, HoldersLeast: 2, OutByZone: 2, OutMost: 3, Headroom: 0.25,
-	LoadAge: 30 * sec, ListAge: 20 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec, Settle: 10 * sec, Calm: 60 * sec,
-	PassedMost: 2, VotersLeast: 2}
+var limits = Limits{Cells: 8, Reach: 3, Shards: 8, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 3, Headroom: 0.25,
+	LoadAge: 30 * sec, ListAge: 20 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec, SettleTime: 10 * sec, FailurePause: 60 * sec,
+	MaxPassedOver: 2, MinVoters: 2}
 
 func cell(i int) Machine {
 	return Machine{Name: fmt.Sprintf("r%d", i), Kind: Replica, Zone: fmt.Sprintf("z%d", i%4), Cell: i, Status: Up}
@@ -43,13 +43,13 @@
 	for i := range 3 {
 		ms = append(ms, host(i))
 	}
-	p.must("observe", ObserveBody{Whole: true, Machines: ms, Load: 2, LoadKnown: true})
+	p.must("observe", ObserveBody{Complete: true, Machines: ms, Load: 2, LoadKnown: true})
 	p.ask(rs...)
 	return p
 }
 
 func names(id string, ns ...string) Request {
-	return Request{ID: id, Names: ns, Reason: "disk", For: 300 * sec}
+	return Request{ID: id, Names: ns, Reason: "disk", MaxOutage: 300 * sec}
 }
 
 func (p *site) ask(rs ...Request) {
@@ -113,19 +113,19 @@
 	p.must("grant", p.body(request, machine))
 }
 
-// no: neither MayGo nor the command lets the machine go, for the same reason.
+// no: neither MayGrant nor the command lets the machine go, for the same reason.
 func (p *site) no(words, request, machine string) {
 	p.t.Helper()
 	p.refused(words, "grant", p.body(request, machine))
-	if _, err := p.s.MayGo(p.now, machine); err == nil || !strings.Contains(err.Error(), words) {
+	if _, err := p.s.MayGrant(p.now, machine); err == nil || !strings.Contains(err.Error(), words) {
 		p.t.Fatalf("MayGo %s: %v, want %q", machine, err, words)
 	}
 }
 
 func (p *site) told(machine string) {
 	p.t.Helper()
-	it, _ := p.s.Item(machine)
-	p.must("told", ToldBody{machine, it.Fence, []string{"c0", "c1"}, []Silent{{"c2", 7 * sec}}})
+	it, _ := p.s.ActiveItem(machine)
+	p.must("told", AcknowledgeBody{machine, it.Fence, []string{"c0", "c1"}, []Silent{{"c2", 7 * sec}}})
 }
 
 // phase wants the latest item of a machine.
@@ -138,7 +138,7 @@
 		}
 	}
 	if last.Phase != want {
-		p.t.Fatalf("%s is %s (%s), want %s", machine, last.Phase, last.Why, want)
+		p.t.Fatalf("%s is %s (%s), want %s", machine, last.Phase, last.Reason, want)
 	}
 	return last
 }
