--- a/internal/fleet/takeout/snapshot.go
+++ b/internal/fleet/maintenance/snapshot.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"encoding/json"
@@ -14,40 +14,40 @@
 // a state of version 1, would grant and pause otherwise than one that applied the same log.
 const Version = 2
 
-type saved struct {
-	V         int             `json:"v"`
-	Now       time.Duration   `json:"now"`
-	Limits    Limits          `json:"limits"`
-	Revision  int             `json:"revision"`
-	Stale     bool            `json:"stale,omitempty"`
-	Asks      AsksBody        `json:"asks"`
-	AskedAt   []time.Duration `json:"asked_at,omitempty"`
-	Machines  []machine       `json:"machines,omitempty"`
-	Items     []savedItem     `json:"items,omitempty"`
-	Fence     uint64          `json:"fence"`
-	Load      float64         `json:"load"`
-	LoadKnown bool            `json:"load_known"`
-	LoadAt    time.Duration   `json:"load_at"`
-	ListAt    time.Duration   `json:"list_at"`
-	Listed    bool            `json:"listed"`
-	PauseFrom time.Duration   `json:"pause_from"`
-	PauseTo   time.Duration   `json:"pause_to"`
-	PauseSpan time.Duration   `json:"pause_span"`
-	PauseWhy  string          `json:"pause_why,omitempty"`
+type savedState struct {
+	V              int             `json:"v"`
+	Now            time.Duration   `json:"now"`
+	Limits         Limits          `json:"limits"`
+	Revision       int             `json:"revision"`
+	NeedsInventory bool            `json:"stale,omitempty"`
+	Requests       RequestsBody    `json:"asks"`
+	RequestedAt    []time.Duration `json:"asked_at,omitempty"`
+	Machines       []machine       `json:"machines,omitempty"`
+	Items          []savedItem     `json:"items,omitempty"`
+	Fence          uint64          `json:"fence"`
+	Load           float64         `json:"load"`
+	LoadKnown      bool            `json:"load_known"`
+	LoadAt         time.Duration   `json:"load_at"`
+	ObservedAt     time.Duration   `json:"list_at"`
+	Observed       bool            `json:"listed"`
+	PauseFrom      time.Duration   `json:"pause_from"`
+	PauseTo        time.Duration   `json:"pause_to"`
+	PauseSpan      time.Duration   `json:"pause_span"`
+	PauseWhy       string          `json:"pause_why,omitempty"`
 }
 
 type savedItem struct {
 	Item
-	Off *request `json:"off,omitempty"` // the request, if it is no more asked for and the item is open
+	Cancelled *request `json:"off,omitempty"` // the request, if it is no longer requested and the item is open
 }
 
 // Save implements statemachine.Part: the same bytes for the same state.
 func (s *State) Save() ([]byte, error) {
-	v := saved{V: Version, Now: s.now, Limits: s.limits, Revision: s.revision, Stale: s.stale, Asks: s.asks,
-		Fence: s.fence, Load: s.load, LoadKnown: s.loadKnown, LoadAt: s.loadAt, ListAt: s.listAt, Listed: s.listed,
+	v := savedState{V: Version, Now: s.now, Limits: s.limits, Revision: s.revision, NeedsInventory: s.needsInventory, Requests: s.requested,
+		Fence: s.fence, Load: s.load, LoadKnown: s.loadKnown, LoadAt: s.loadAt, ObservedAt: s.observedAt, Observed: s.observed,
 		PauseFrom: s.pauseFrom, PauseTo: s.pauseUntil, PauseSpan: s.pauseSpan, PauseWhy: s.pauseWhy}
 	for _, r := range s.requests {
-		v.AskedAt = append(v.AskedAt, r.At)
+		v.RequestedAt = append(v.RequestedAt, r.FirstSeenAt)
 	}
 	for _, m := range s.list {
 		v.Machines = append(v.Machines, *m)
@@ -57,7 +57,7 @@
 	for _, e := range all {
 		it := savedItem{Item: e.Item}
 		if e.Phase.open() && s.byID[e.Request] == nil {
-			it.Off = e.req
+			it.Cancelled = e.req
 		}
 		v.Items = append(v.Items, it)
 	}
@@ -70,33 +70,33 @@
 		V int `json:"v"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return fmt.Errorf("takeout: saved state can not be read: %w", err)
+		return fmt.Errorf("maintenance: saved state can not be read: %w", err)
 	}
 	if head.V != Version {
-		return fmt.Errorf("takeout: saved state of version %d, this program reads %d: %w", head.V, Version, statemachine.ErrUnknown)
+		return fmt.Errorf("maintenance: saved state of version %d, this program reads %d: %w", head.V, Version, statemachine.ErrUnknown)
 	}
-	var v saved
+	var v savedState
 	if err := statemachine.Strict(raw, &v); err != nil {
-		return fmt.Errorf("takeout: saved state can not be read: %w", err)
+		return fmt.Errorf("maintenance: saved state can not be read: %w", err)
 	}
 	n := New()
 	if err := n.restore(v); err != nil {
-		return fmt.Errorf("takeout: saved state: %w", err)
+		return fmt.Errorf("maintenance: saved state: %w", err)
 	}
 	*s = *n
 	return nil
 }
 
-func (s *State) restore(v saved) error {
-	if len(v.AskedAt) != len(v.Asks.Requests) || len(v.Machines) > MachinesMost || len(v.Items) > ItemsMost {
+func (s *State) restore(v savedState) error {
+	if len(v.RequestedAt) != len(v.Requests.Requests) || len(v.Machines) > MaxMachines || len(v.Items) > MaxItems {
 		return errors.New("its lists do not fit")
 	}
-	s.now, s.limits, s.revision, s.stale, s.asks = v.Now, v.Limits, v.Revision, v.Stale, v.Asks
+	s.now, s.limits, s.revision, s.needsInventory, s.requested = v.Now, v.Limits, v.Revision, v.NeedsInventory, v.Requests
 	s.fence, s.load, s.loadKnown, s.loadAt = v.Fence, v.Load, v.LoadKnown, v.LoadAt
-	s.listAt, s.listed = v.ListAt, v.Listed
+	s.observedAt, s.observed = v.ObservedAt, v.Observed
 	s.pauseFrom, s.pauseUntil, s.pauseSpan, s.pauseWhy = v.PauseFrom, v.PauseTo, v.PauseSpan, v.PauseWhy
-	for i, r := range v.Asks.Requests {
-		n := &request{Request: r, At: v.AskedAt[i]}
+	for i, r := range v.Requests.Requests {
+		n := &request{Request: r, FirstSeenAt: v.RequestedAt[i]}
 		s.requests = append(s.requests, n)
 		s.byID[r.ID] = n
 	}
@@ -105,12 +105,12 @@
 		if s.machines[m.Name] != nil || i > 0 && v.Machines[i-1].Name > m.Name {
 			return fmt.Errorf("machine %s is out of order", m.Name)
 		}
-		if err := m.flap.valid(); err != nil {
+		if err := m.flapHistory.valid(); err != nil {
 			return fmt.Errorf("machine %s: %w", m.Name, err)
 		}
 		s.machines[m.Name] = m
 		s.list = append(s.list, m)
-		s.place(m)
+		s.addToCell(m)
 	}
 	for _, it := range v.Items {
 		if err := s.restoreItem(it); err != nil {
@@ -124,13 +124,13 @@
 func (s *State) restoreItem(it savedItem) error {
 	e := &entry{Item: it.Item, seq: s.seq, req: s.byID[it.Request]}
 	s.seq++
-	s.last[key{it.Request, it.Machine}] = e // the latest comes last
+	s.latest[key{it.Request, it.Machine}] = e // the latest comes last
 	if !e.Phase.open() {
 		s.ended = append(s.ended, e)
 		return nil
 	}
-	if it.Off != nil {
-		e.req = it.Off
+	if it.Cancelled != nil {
+		e.req = it.Cancelled
 	}
 	m := s.machines[it.Machine]
 	if m == nil || e.req == nil {
@@ -140,7 +140,7 @@
 	if e.Phase.live() {
 		m.live = e
 	} else {
-		m.asked = append(m.asked, e)
+		m.pending = append(m.pending, e)
 	}
 	return nil
 }
--- a/internal/fleet/migrate/order_test.go
+++ b/internal/fleet/migrate/order_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Ranks follow the order of work: who is granted leaves until its grant's end, the others by waves, who is not asked for stays, and who
 // is done stays again.
 func TestRanksFromTheOrderOfWork(t *testing.T) {
 	const sec = time.Second
-	s, now, fence := takeout.New(), 1000*sec, uint64(0)
+	s, now, fence := maintenance.New(), 1000*sec, uint64(0)
 	apply := func(kind string, body any) {
 		t.Helper()
 		now += sec
@@ -22,18 +22,18 @@
 			t.Fatal(err)
 		}
 	}
-	var machines []takeout.Machine
+	var machines []maintenance.Machine
 	for i := range 5 {
-		machines = append(machines, takeout.Machine{Name: fmt.Sprintf("c%d", i), Kind: takeout.Coordinator, Zone: fmt.Sprint("z", i%2),
-			Status: takeout.Up})
+		machines = append(machines, maintenance.Machine{Name: fmt.Sprintf("c%d", i), Kind: maintenance.Coordinator, Zone: fmt.Sprint("z", i%2),
+			Status: maintenance.Up})
 	}
-	see := func() { apply("observe", takeout.ObserveBody{Whole: true, Machines: machines, LoadKnown: true}) }
-	apply("limits", takeout.LimitsBody{Revision: 1, Limits: takeout.Limits{Cells: 1, Reach: 1, Shards: 1, HoldersLeast: 1, OutByZone: 1, OutMost: 1,
-		LoadAge: 60 * sec, ListAge: 60 * sec, Lease: 10 * sec, Grace: 10 * sec, Settle: 30 * sec, Calm: 30 * sec, PassedMost: 3, WarmUp: sec}})
+	see := func() { apply("observe", maintenance.ObserveBody{Complete: true, Machines: machines, LoadKnown: true}) }
+	apply("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 1, Reach: 1, Shards: 1, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
+		LoadAge: 60 * sec, ListAge: 60 * sec, Lease: 10 * sec, Grace: 10 * sec, SettleTime: 30 * sec, FailurePause: 30 * sec, MaxPassedOver: 3, WarmUp: sec}})
 	see()
-	apply("asks", takeout.AsksBody{Revision: 1, Requests: []takeout.Request{
-		{ID: "r", Names: []string{"c0", "c1", "c2"}, Reason: "disks", For: 600 * sec},
-		{ID: "later", Names: []string{"c3"}, Reason: "disks", For: 600 * sec, Earliest: now + 9000*sec},
+	apply("asks", maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{
+		{ID: "r", Names: []string{"c0", "c1", "c2"}, Reason: "disks", MaxOutage: 600 * sec},
+		{ID: "later", Names: []string{"c3"}, Reason: "disks", MaxOutage: 600 * sec, Earliest: now + 9000*sec},
 	}})
 	see()
 	want := func(words string) {
@@ -50,13 +50,13 @@
 		}
 	}
 	want("c0 z0 true 0 false; c1 z1 true 1 false; c2 z0 true 2 false; c3 z1 true 3 false; c4 z0 true -1 false; ")
-	apply("grant", takeout.GrantBody{Request: "r", Machine: "c0", Until: 2000 * sec})
+	apply("grant", maintenance.GrantBody{Request: "r", Machine: "c0", Until: 2000 * sec})
 	want("c0 z0 true 0 true; c1 z1 true 1 false; c2 z0 true 2 false; c3 z1 true 3 false; c4 z0 true -1 false; ")
-	apply("told", takeout.ToldBody{Machine: "c0", Fence: fence, Said: []string{"c0", "c1", "c2", "c3", "c4"}})
-	machines[0].Status = takeout.Gone
+	apply("told", maintenance.AcknowledgeBody{Machine: "c0", Fence: fence, Acknowledged: []string{"c0", "c1", "c2", "c3", "c4"}})
+	machines[0].Status = maintenance.Gone
 	see()
 	want("c0 z0 false 0 true; c1 z1 true 1 false; c2 z0 true 2 false; c3 z1 true 3 false; c4 z0 true -1 false; ")
-	machines[0].Status, machines[0].Started = takeout.Up, now
+	machines[0].Status, machines[0].Started = maintenance.Up, now
 	see()
 	now += 2 * sec
 	see()
--- a/internal/fleet/parts_test.go
+++ b/internal/fleet/parts_test.go
@@ -15,10 +15,10 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/raftgroup"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/operator"
 )
 
@@ -148,7 +148,7 @@
 	log.SetOutput(&said)
 	w := newWriter(filepath.Join(dir, "grants"), logrus.NewEntry(log))
 	for i := range 500 {
-		w.put(grantsFile{Version: GrantsVersion, Index: uint64(i), Items: []takeout.Item{{Machine: "r", Why: strings.Repeat("x", i)}}})
+		w.put(grantsFile{Version: GrantsVersion, Index: uint64(i), Items: []maintenance.Item{{Machine: "r", Reason: strings.Repeat("x", i)}}})
 	}
 	w.close()
 	var f grantsFile
@@ -168,11 +168,11 @@
 }
 
 func TestItemsOfTheFileAreBounded(t *testing.T) {
-	var all []takeout.Item
+	var all []maintenance.Item
 	for i := range ItemsMost + 100 {
-		all = append(all, takeout.Item{Machine: fmt.Sprint(i), EndedAt: time.Duration(i%2) * time.Hour})
+		all = append(all, maintenance.Item{Machine: fmt.Sprint(i), EndedAt: time.Duration(i%2) * time.Hour})
 	}
-	if out := shown(slices.Clone(all), time.Hour); len(out) != ItemsMost || slices.ContainsFunc(out[:100], func(it takeout.Item) bool { return it.EndedAt > 0 }) {
+	if out := shown(slices.Clone(all), time.Hour); len(out) != ItemsMost || slices.ContainsFunc(out[:100], func(it maintenance.Item) bool { return it.EndedAt > 0 }) {
 		t.Errorf("%d items, the first ended ones among them", len(out))
 	}
 	if out := shown(all, time.Hour+ItemsFor+1); len(out) != ItemsMost/2+50 {
--- a/internal/fleet/peerproto/check.go
+++ b/internal/fleet/peerproto/check.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"math"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/takeout"
 )
 
 func named(what, s string) error {
@@ -114,7 +114,7 @@
 	return named("the sender", a.From)
 }
 
-func checkRequest(r takeout.Request) error {
+func checkRequest(r maintenance.Request) error {
 	if len(r.Names) > NamesMost {
 		return fmt.Errorf("request %.40q has %d names, %d at most", r.ID, len(r.Names), NamesMost)
 	}
--- a/internal/fleet/peerproto/peerproto.go
+++ b/internal/fleet/peerproto/peerproto.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"birchcart/internal/fleet/compress"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/takeout"
 )
 
 // Version of all messages. One of another version is refused, whatever its body says.
@@ -137,9 +137,9 @@
 
 // Ask hands the leader what a follower read in its operators' file. The state machine's revisions settle which is newer.
 type Ask struct {
-	From   string             `json:"from"`
-	Limits takeout.LimitsBody `json:"limits"`
-	Asks   takeout.AsksBody   `json:"asks"`
+	From   string                   `json:"from"`
+	Limits maintenance.LimitsBody   `json:"limits"`
+	Asks   maintenance.RequestsBody `json:"asks"`
 }
 
 // Acts hands the leader what a co-ordinator wants agreed of its pinned sessions. No grows as that of polls does; the same
--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/takeout"
 )
 
 var good = []Message{
@@ -22,8 +22,8 @@
 	Word{No: 9, From: "c", Leader: "b", Index: 1},
 	Word{No: 9, From: "b", Leader: "b", Led: true, Index: 7, Snapshot: []byte("whole")},
 	Word{No: 9, From: "b", Leader: "b", Led: true, Index: 7, Packed: []byte("packed")},
-	Ask{From: "a", Limits: takeout.LimitsBody{Revision: 1}, Asks: takeout.AsksBody{Revision: 2,
-		Requests: []takeout.Request{{ID: "q", Names: []string{"r1"}, Reason: "disk"}}}},
+	Ask{From: "a", Limits: maintenance.LimitsBody{Revision: 1}, Asks: maintenance.RequestsBody{Revision: 2,
+		Requests: []maintenance.Request{{ID: "q", Names: []string{"r1"}, Reason: "disk"}}}},
 	Acts{From: "a", No: 3, Acts: []session.Act{{Kind: session.Hand, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
 }
 
@@ -73,13 +73,13 @@
 		{"524288 at most", Word{No: 1, From: "a", Led: true, Index: 2, Entries: []Entry{{1, make([]byte, EntriesMost)}, {2, make([]byte, 1)}}}},
 		{"1048576 at most", Word{No: 1, From: "a", Led: true, Index: 1, Entries: []Entry{{1, make([]byte, EntryMost+1)}}}},
 		{"16777216 at most", Word{No: 1, From: "a", Led: true, Index: 1, Snapshot: make([]byte, SnapshotMost+1)}},
-		{"requests, 1024", Ask{From: "a", Asks: takeout.AsksBody{Requests: make([]takeout.Request, RequestsMost+1)}}},
-		{"names, 16384", Ask{From: "a", Asks: takeout.AsksBody{Requests: []takeout.Request{{ID: "q", Names: make([]string, NamesMost+1)}}}}},
+		{"requests, 1024", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: make([]maintenance.Request, RequestsMost+1)}}},
+		{"names, 16384", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Names: make([]string, NamesMost+1)}}}}},
 		{"of 0 acts", Acts{From: "a", No: 1}},
 		{"of 10001 acts", Acts{From: "a", No: 1, Acts: make([]session.Act, session.ActsMost+1)}},
 		{"no number", Acts{From: "a", Acts: make([]session.Act, 1)}},
 		{"a state of 1025", Acts{From: "a", No: 1, Acts: []session.Act{{State: make([]byte, session.StateMost+1)}}}},
-		{"a reason has 1025", Ask{From: "a", Asks: takeout.AsksBody{Requests: []takeout.Request{{ID: "q", Reason: long}}}}},
+		{"a reason has 1025", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Reason: long}}}}},
 	} {
 		if _, err := Encode(c.m); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%T was to say %q, said %v", c.m, c.says, err)
--- a/internal/fleet/sessionctl/shares.go
+++ b/internal/fleet/sessionctl/shares.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/pool"
 	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/takeout"
 )
 
 // Shares of slots at a replica are even ones at rest: what its cap comes to for each co-ordinator of the inventory. Where
@@ -19,7 +19,7 @@
 	if l.Agreed < l.Book.Quiet() {
 		return nil
 	}
-	all := slices.DeleteFunc(l.coordinators(), func(m takeout.Machine) bool { return m.Status == takeout.Gone })
+	all := slices.DeleteFunc(l.coordinators(), func(m maintenance.Machine) bool { return m.Status == maintenance.Gone })
 	place, leaves := make(map[string]int, len(all)), map[string]bool{}
 	for i := range l.Sites {
 		leaves[l.Sites[i].Name] = l.Sites[i].Leaving
@@ -27,7 +27,7 @@
 	takes := make([]bool, len(all))
 	for i, m := range all {
 		place[m.Name] = i
-		takes[i] = m.Status == takeout.Up && l.Silent(m.Name) < have.Lease && !leaves[m.Name]
+		takes[i] = m.Status == maintenance.Up && l.Silent(m.Name) < have.Lease && !leaves[m.Name]
 	}
 	p := l.Book.Pool()
 	coming := map[string][]pool.Transfer{}
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/migrate"
 	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/takeout"
 )
 
 const (
@@ -32,7 +32,7 @@
 	Now    time.Duration // own monotonic
 	Agreed time.Duration // by which a command is proposed
 	Book   *session.Book
-	Order  *takeout.State
+	Order  *maintenance.State
 	// Want is what the operators' file says, without Caps and with the file's revision; Slots are those at each replica.
 	Want  session.Limits
 	Slots int
@@ -205,7 +205,7 @@
 	want := l.Want
 	want.Caps = map[string]int{}
 	for _, m := range l.Order.Machines() {
-		if m.Kind == takeout.Replica && m.Status != takeout.Gone {
+		if m.Kind == maintenance.Replica && m.Status != maintenance.Gone {
 			want.Caps[m.Name] = l.Slots
 		}
 	}
@@ -219,9 +219,9 @@
 }
 
 // coordinators of the agreed inventory, by name.
-func (l *Look) coordinators() (out []takeout.Machine) {
+func (l *Look) coordinators() (out []maintenance.Machine) {
 	for _, m := range l.Order.Machines() {
-		if m.Kind == takeout.Coordinator {
+		if m.Kind == maintenance.Coordinator {
 			out = append(out, m)
 		}
 	}
--- a/internal/fleet/sessionctl/steward_test.go
+++ b/internal/fleet/sessionctl/steward_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 // rig is an agreed log with an inventory, and a leader's steward over it.
@@ -24,7 +24,7 @@
 const begin = 100 * time.Hour
 
 func newRig(t *testing.T, coordinators ...string) *rig {
-	order, book := takeout.New(), session.New()
+	order, book := maintenance.New(), session.New()
 	r := &rig{T: t, s: New(), silent: map[string]time.Duration{}, l: statemachine.New(map[string]statemachine.Part{"takeout": order, "sessions": book})}
 	r.look = Look{
 		Agreed: begin, Book: book, Order: order, Slots: 30, Silent: func(name string) time.Duration { return r.silent[name] },
@@ -56,14 +56,14 @@
 
 func (r *rig) listOf(coordinators []string, replicas ...string) {
 	r.Helper()
-	var all []takeout.Machine
+	var all []maintenance.Machine
 	for _, name := range coordinators {
-		all = append(all, takeout.Machine{Name: name, Kind: takeout.Coordinator, Status: takeout.Up, Cell: -1})
+		all = append(all, maintenance.Machine{Name: name, Kind: maintenance.Coordinator, Status: maintenance.Up, Cell: -1})
 	}
 	for _, name := range replicas {
-		all = append(all, takeout.Machine{Name: name, Kind: takeout.Replica, Status: takeout.Up, Size: 1})
+		all = append(all, maintenance.Machine{Name: name, Kind: maintenance.Replica, Status: maintenance.Up, Size: 1})
 	}
-	if err := r.put("takeout", "observe", takeout.ObserveBody{Whole: true, Machines: all}); err != nil {
+	if err := r.put("takeout", "observe", maintenance.ObserveBody{Complete: true, Machines: all}); err != nil {
 		r.Fatal(err)
 	}
 }
@@ -206,8 +206,8 @@
 func TestReleaseWaitsForTheLongestLease(t *testing.T) {
 	r := newRig(t)
 	lease := func(revision int, d time.Duration) {
-		l := takeout.Limits{Cells: 2, Reach: 1, Shards: 1, HoldersLeast: 1, OutMost: 1, OutByZone: 1, PassedMost: 1, LoadAge: 1, ListAge: 1, Lease: d}
-		if err := r.put("takeout", "limits", takeout.LimitsBody{Revision: revision, Limits: l}); err != nil {
+		l := maintenance.Limits{Cells: 2, Reach: 1, Shards: 1, MinHolders: 1, MaxOut: 1, MaxOutPerZone: 1, MaxPassedOver: 1, LoadAge: 1, ListAge: 1, Lease: d}
+		if err := r.put("takeout", "limits", maintenance.LimitsBody{Revision: revision, Limits: l}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -12,12 +12,12 @@
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/exchange"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/migrate"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/sessionctl"
 	"birchcart/internal/fleet/sessiongate"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/fleet/view"
 	"birchcart/internal/operator"
 	"birchcart/internal/placement"
@@ -203,7 +203,7 @@
 		p.refreshPlan(now, at)
 		out = p.steward.Step(sessionctl.Look{
 			Now: now, Agreed: at, Book: n.copy.book, Order: n.copy.order, Want: p.limits(), Slots: p.section.Pool, Silent: n.lead.Silent, Done: done,
-			Sites: p.sites, PerSlot: p.perSlot(), Paused: n.copy.order.Asks().Paused,
+			Sites: p.sites, PerSlot: p.perSlot(), Paused: n.copy.order.Requests().Paused,
 		})
 	})
 	for _, o := range out {
@@ -308,14 +308,14 @@
 		return 0, false
 	}
 	n.copy.withLock(func() {
-		it, ok := n.copy.order.Item(n.name)
+		it, ok := n.copy.order.ActiveItem(n.name)
 		limits, _ := n.copy.order.Limits()
 		switch {
-		case !ok || it.Fence != p.leaves || it.Phase != takeout.Told: // it stays, or is gone for others already
+		case !ok || it.Fence != p.leaves || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
 			p.leaves = 0
 			p.pins.Stay()
 			n.log.Info("this co-ordinator goes for work no more, and takes new sessions again")
-		case n.copy.book.Owned(n.name) == 0 || n.agreedNow >= it.Until-limits.Settle-leaveBefore:
+		case n.copy.book.Owned(n.name) == 0 || n.agreedNow >= it.Until-limits.SettleTime-leaveBefore:
 			fence, goes, p.leaves = p.leaves, true, 0
 		}
 	})
--- a/internal/fleet/shedding.go
+++ b/internal/fleet/shedding.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"birchcart/internal/fleet/loadshed"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/operator"
 	"birchcart/internal/serve"
 )
@@ -68,16 +68,16 @@
 		return c.last
 	}
 	c.at = now
-	var agreed []takeout.Machine
+	var agreed []maintenance.Machine
 	c.n.copy.withLock(func() { agreed = c.n.copy.order.Machines() })
 	c.last = crewOf(c.n.name, agreed, c.n.member.Members())
 	return c.last
 }
 
-func crewOf(self string, agreed []takeout.Machine, heard []member.Member) (out loadshed.Crew) {
+func crewOf(self string, agreed []maintenance.Machine, heard []member.Member) (out loadshed.Crew) {
 	out.Names = []string{self}
 	for _, m := range agreed {
-		if m.Kind == takeout.Coordinator && m.Status != takeout.Gone {
+		if m.Kind == maintenance.Coordinator && m.Status != maintenance.Gone {
 			out.Names = append(out.Names, m.Name)
 			out.Agreed++
 		}
--- a/internal/fleet/shedding_test.go
+++ b/internal/fleet/shedding_test.go
@@ -5,15 +5,15 @@
 	"testing"
 
 	"birchcart/internal/fleet/loadshed"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
-	"birchcart/internal/fleet/takeout"
 )
 
 // Who is agreed to be there counts as there, heard of or not; words and asks go to who is heard of.
 func TestCrew(t *testing.T) {
-	c := crewOf("a", []takeout.Machine{
-		{Name: "r1", Kind: takeout.Replica, Status: takeout.Up}, {Name: "a", Kind: takeout.Coordinator, Status: takeout.Up},
-		{Name: "b", Kind: takeout.Coordinator, Status: takeout.Unknown}, {Name: "c", Kind: takeout.Coordinator, Status: takeout.Gone},
+	c := crewOf("a", []maintenance.Machine{
+		{Name: "r1", Kind: maintenance.Replica, Status: maintenance.Up}, {Name: "a", Kind: maintenance.Coordinator, Status: maintenance.Up},
+		{Name: "b", Kind: maintenance.Coordinator, Status: maintenance.Unknown}, {Name: "c", Kind: maintenance.Coordinator, Status: maintenance.Gone},
 	}, []member.Member{{Name: "a", State: member.Alive}, {Name: "b", State: member.Dead}, {Name: "d", State: member.Suspect}, {Name: "e", State: member.Alive}})
 	if c.Agreed != 2 || !slices.Equal(c.Names, []string{"a", "b", "d", "e"}) || !slices.Equal(c.Live, []string{"e"}) {
 		t.Errorf("%+v", c)
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -14,11 +14,11 @@
 	"birchcart/internal/fleet/compress"
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/laneconfig"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/raftgroup"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 )
 
 // name of 64 bytes that resembles no other.
@@ -52,21 +52,21 @@
 		}
 	}
 	for range statemachine.MaxRetainedIDs {
-		do("tick", takeout.TickBody{})
+		do("tick", maintenance.TickBody{})
 	}
-	do("limits", takeout.LimitsBody{Revision: 1, Limits: takeout.Limits{Cells: 5000, Reach: 2, Shards: 5000, HoldersLeast: 1, OutByZone: 1, OutMost: 1,
-		LoadAge: time.Second, ListAge: time.Second, Lease: time.Second, PassedMost: 1}})
+	do("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 5000, Reach: 2, Shards: 5000, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
+		LoadAge: time.Second, ListAge: time.Second, Lease: time.Second, MaxPassedOver: 1}})
 	for range 10 {
-		var ms []takeout.Machine
-		for range takeout.MachinesMost / 10 {
-			ms = append(ms, takeout.Machine{Name: unlike(rnd), Kind: takeout.Replica, Zone: unlike(rnd)[:16], Cell: rnd.IntN(5000), Size: rnd.Float64(),
-				Status: takeout.Up, Started: time.Duration(rnd.Int64N(int64(time.Hour)))})
+		var ms []maintenance.Machine
+		for range maintenance.MaxMachines / 10 {
+			ms = append(ms, maintenance.Machine{Name: unlike(rnd), Kind: maintenance.Replica, Zone: unlike(rnd)[:16], Cell: rnd.IntN(5000), Size: rnd.Float64(),
+				Status: maintenance.Up, Started: time.Duration(rnd.Int64N(int64(time.Hour)))})
 		}
-		do("observe", takeout.ObserveBody{Machines: ms})
+		do("observe", maintenance.ObserveBody{Machines: ms})
 	}
-	var asks takeout.AsksBody
-	for asks.Revision = 1; len(asks.Requests) < takeout.RequestsMost; {
-		r := takeout.Request{ID: unlike(rnd), Kind: takeout.Replica, Reason: unlike(rnd), For: time.Hour}
+	var asks maintenance.RequestsBody
+	for asks.Revision = 1; len(asks.Requests) < maintenance.MaxRequests; {
+		r := maintenance.Request{ID: unlike(rnd), Kind: maintenance.Replica, Reason: unlike(rnd), MaxOutage: time.Hour}
 		if len(asks.Requests) > 1 { // two take in all machines
 			r.Kind, r.Names = "", []string{unlike(rnd)}
 		}
@@ -113,7 +113,7 @@
 	if raw, err = json.Marshal(all); err == nil {
 		err = c.order.Load(raw)
 	}
-	if err != nil || len(items) != takeout.ItemsMost {
+	if err != nil || len(items) != maintenance.MaxItems {
 		t.Fatalf("%d items: %v", len(items), err)
 	}
 	return c
@@ -215,9 +215,9 @@
 		}
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	asks := takeout.AsksBody{Revision: 1}
-	request := func(names int) takeout.Request {
-		r := takeout.Request{ID: unlike(rnd), Reason: "disk", For: time.Hour}
+	asks := maintenance.RequestsBody{Revision: 1}
+	request := func(names int) maintenance.Request {
+		r := maintenance.Request{ID: unlike(rnd), Reason: "disk", MaxOutage: time.Hour}
 		for range names {
 			r.Names = append(r.Names, unlike(rnd))
 		}
@@ -230,7 +230,7 @@
 		}
 		return statemachine.Command{V: 1, ID: "1-1", Part: part, Kind: "asks", At: time.Hour, Body: b}.Encode()
 	}
-	asks.Requests = []takeout.Request{request(10_000), request(1)}
+	asks.Requests = []maintenance.Request{request(10_000), request(1)}
 	asks.Requests[1].Names = asks.Requests[0].Names // asked for twice
 	raw, err := encode()
 	if err != nil {
@@ -249,8 +249,8 @@
 		t.Fatal(err)
 	}
 	to := newCopy()
-	if err := to.take(m.(peerproto.Word)); err != nil || len(to.order.Asks().Requests) != 2 || len(to.order.Asks().Requests[1].Names) != 10_000 {
-		t.Fatalf("%v, %d requests", err, len(to.order.Asks().Requests))
+	if err := to.take(m.(peerproto.Word)); err != nil || len(to.order.Requests().Requests) != 2 || len(to.order.Requests().Requests[1].Names) != 10_000 {
+		t.Fatalf("%v, %d requests", err, len(to.order.Requests().Requests))
 	}
 	t.Logf("an entry that asks for 10,000 machines twice has %d bytes", len(raw))
 	asks.Requests = append(asks.Requests, request(10_000), request(10_000))
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"birchcart/internal/fleet/drainctl"
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/statemachine"
-	"birchcart/internal/fleet/takeout"
 	"birchcart/internal/fleet/view"
 )
 
@@ -21,7 +21,7 @@
 	ever   bool
 	cut    bool
 	leader string
-	items  []takeout.Item
+	items  []maintenance.Item
 	grants []view.Grant
 }
 
@@ -65,7 +65,7 @@
 		}
 		f.Index, f.Now = n.index, l.Now()
 		_, limits = n.copy.order.Limits()
-		asks = n.copy.order.Asks().Revision
+		asks = n.copy.order.Requests().Revision
 		n.lines.compare(n)
 	})
 	n.toView, n.toLead = n.toView[:0], n.toLead[:0]
@@ -254,13 +254,13 @@
 		f.Grants[i] = line(g, reasons[g.Request])
 	}
 	if f.Items == nil {
-		f.Items = []takeout.Item{}
+		f.Items = []maintenance.Item{}
 	}
 	n.writer.put(f)
 }
 
 // sameAsks compares by what is written, as the state machine does; no requests are no requests.
-func sameAsks(a, b takeout.AsksBody) bool {
+func sameAsks(a, b maintenance.RequestsBody) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
 	return errX == nil && errY == nil && slices.Equal(x, y) ||
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -5,7 +5,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // LineEvery is the least time between lines about messages, and between those about a file that differs from what was
@@ -41,7 +41,7 @@
 	if revision == 0 || own.Limits.Revision != revision || l.differs == revision {
 		return
 	}
-	asks := n.copy.order.Asks()
+	asks := n.copy.order.Requests()
 	if asks.Revision != revision {
 		return
 	}
@@ -84,7 +84,7 @@
 	up, all := 0, 0
 	for _, m := range n.member.Members() {
 		all++
-		if states[m.State] == takeout.Up {
+		if states[m.State] == maintenance.Up {
 			up++
 		}
 	}
--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // evidence is kept beside the deciding, from what goes out and what the agreed state says, so that Check does not
@@ -58,12 +58,12 @@
 }
 
 func (v *View) grantOf(name string) int {
-	return slices.IndexFunc(v.live, func(it takeout.Item) bool { return it.Machine == name })
+	return slices.IndexFunc(v.live, func(it maintenance.Item) bool { return it.Machine == name })
 }
 
 // saw looks at a drain that is said as laid.
 func (v *View) saw(now time.Duration, l lay) {
-	if v.kinds[l.machine].Kind == takeout.Coordinator {
+	if v.kinds[l.machine].Kind == maintenance.Coordinator {
 		return
 	}
 	if since, ok := v.seen.since[l.machine]; !ok || now-since < v.limits.Grace {
--- a/internal/fleet/view/drains.go
+++ b/internal/fleet/view/drains.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // lay is what became of one live grant here.
@@ -42,7 +42,7 @@
 		return
 	}
 	v.lays = slices.DeleteFunc(v.lays, func(l lay) bool {
-		return !slices.ContainsFunc(v.live, func(it takeout.Item) bool { return it.Fence == l.fence && it.Machine == l.machine })
+		return !slices.ContainsFunc(v.live, func(it maintenance.Item) bool { return it.Fence == l.fence && it.Machine == l.machine })
 	})
 	for _, it := range v.live {
 		if i := v.laid(it.Fence); i >= 0 {
@@ -73,7 +73,7 @@
 	for _, it := range v.live {
 		m := v.kinds[it.Machine]
 		if i := v.laid(it.Fence); i >= 0 {
-			if l := &v.lays[i]; l.refused != "" && it.Phase != takeout.Granted && v.leavesNone(m) == "" {
+			if l := &v.lays[i]; l.refused != "" && it.Phase != maintenance.Granted && v.leavesNone(m) == "" {
 				*l = lay{machine: l.machine, fence: l.fence, until: l.until, from: now, drain: true}
 			}
 			continue
@@ -81,7 +81,7 @@
 		if v.cut && now >= v.end(it.Until) {
 			continue
 		}
-		l := lay{machine: it.Machine, fence: it.Fence, until: it.Until, from: now, drain: m.Kind != takeout.Coordinator}
+		l := lay{machine: it.Machine, fence: it.Fence, until: it.Until, from: now, drain: m.Kind != maintenance.Coordinator}
 		if l.drain {
 			if l.refused = v.leavesNone(m); l.refused != "" {
 				l.drain = false
@@ -95,7 +95,7 @@
 
 // leavesNone says which shard would be left without any holder that is up in the own list if the machine were drained
 // as well, or nothing. One that the own list does not have counts as up, one that it has as not up takes nothing away.
-func (v *View) leavesNone(m takeout.Machine) string {
+func (v *View) leavesNone(m maintenance.Machine) string {
 	drained := func(name string) bool {
 		return slices.ContainsFunc(v.lays, func(l lay) bool { return l.drain && l.machine == name }) ||
 			slices.ContainsFunc(v.old, func(o old) bool { return o.machine == name })
@@ -104,13 +104,13 @@
 	cell := m.Cell
 	for _, o := range v.own {
 		switch {
-		case o.Kind == takeout.Coordinator:
+		case o.Kind == maintenance.Coordinator:
 		case o.Name == m.Name:
-			if o.Status != takeout.Up {
+			if o.Status != maintenance.Up {
 				return ""
 			}
 			cell = o.Cell
-		case o.Status == takeout.Up && !drained(o.Name):
+		case o.Status == maintenance.Up && !drained(o.Name):
 			up[o.Cell]++
 		}
 	}
--- a/internal/fleet/view/era.go
+++ b/internal/fleet/view/era.go
@@ -24,7 +24,7 @@
 			}
 			o := old{machine: l.machine, ends: v.end(l.until)}
 			if i := v.grantOf(l.machine); i >= 0 {
-				o.start = v.live[i].Start
+				o.start = v.live[i].StartedAt
 			}
 			v.old = append(v.old, o)
 		}
--- a/internal/fleet/view/era_test.go
+++ b/internal/fleet/view/era_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // backed is a state in which one machine is up by a newer start.
@@ -13,7 +13,7 @@
 	name string
 }
 
-func (b *backed) Machine(name string) (takeout.Machine, bool) {
+func (b *backed) Machine(name string) (maintenance.Machine, bool) {
 	m, ok := b.agreed.Machine(name)
 	if name == b.name {
 		m.Started = 5000 * s
@@ -25,12 +25,12 @@
 // that it does not know of stay until their end by the own clock, or until the machine has come back; nothing is said of them.
 func TestANewEraKeepsTheDrainsOfBefore(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Told), r.item("r3", 8, takeout.Granted), r.item("a", 9, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("a", 9, maintenance.Granted))
 	r.pending = append(r.pending, Answered{Poll: r.v.polls.no, Term: 50})
 	r.run(3 * s)
 	r.want("drains", r.drains, "[r1 r3]")
 	ends := r.now + 5100*s - r.at
-	anew := &agreed{items: []takeout.Item{r.item("r3", 300, takeout.Granted), r.item("r2", 301, takeout.Granted)}}
+	anew := &agreed{items: []maintenance.Item{r.item("r3", 300, maintenance.Granted), r.item("r2", 301, maintenance.Granted)}}
 	r.pending = []Input{
 		Applied{State: anew, Index: 1, Now: 4000 * s, Era: 5}, Answered{Poll: r.v.polls.no, Term: 3},
 		Applied{State: &r.state, Index: 99, Now: r.at, Era: 4}, // of before
@@ -52,7 +52,7 @@
 	r.want("past the end", r.drains, "[r3]")
 
 	r = begin(t)
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
 	r.pending = append(r.pending, Applied{State: &backed{name: "r1"}, Index: 1, Now: 4000 * s, Era: 5})
 	r.step(100 * time.Millisecond)
--- a/internal/fleet/view/lease_test.go
+++ b/internal/fleet/view/lease_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 func TestTheLeaseRunsFromTheSendingLessTheDrift(t *testing.T) {
@@ -43,7 +43,7 @@
 
 func TestCutOffKeepsWhatItLaidUntilTheGrantsEnd(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
 	r.want("for the file", len(r.grants), 1)
 	r.want("to begin before", r.grants[0].Before, 5080*s)
@@ -51,11 +51,11 @@
 	r.run(12 * s)
 	r.want("cut off", r.v.CutOff(r.now), true)
 	r.want("for the file while cut off", r.grants, "[]")
-	r.applied(r.item("r1", 7, takeout.Told), r.item("r3", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted))
 	r.want("kept, nothing new", r.drains, "[r1]")
-	later := r.item("r1", 7, takeout.Out)
+	later := r.item("r1", 7, maintenance.Out)
 	later.Until += 20 * s
-	r.applied(later, r.item("r3", 8, takeout.Granted))
+	r.applied(later, r.item("r3", 8, maintenance.Granted))
 	known := r.at
 	for r.at < 5120*s+900*time.Millisecond {
 		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, Now: known}) // which moves no time
@@ -68,7 +68,7 @@
 	r.run(6 * s)
 	r.want("laid again once answered, while the grants live", r.drains, "[r1 r3]")
 	r = begin(t)
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(78 * s)
 	r.want("for the file", len(r.grants), 1)
 	r.run(2 * s)
@@ -77,7 +77,7 @@
 
 func TestAStoppedProcessIsCutOffUntilAnswered(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted))
 	r.run(s)
 	r.deaf, r.pending = true, nil
 	r.step(100 * time.Millisecond)
@@ -85,7 +85,7 @@
 	before := r.polls[len(r.polls)-1].No
 	// What was sent before the stop is answered in the first Step after it, together with a new grant.
 	r.pending = []Input{Answered{Poll: before}}
-	r.applied(r.item("r1", 7, takeout.Granted), r.item("r3", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted))
 	r.step(30 * s)
 	woke := r.now
 	r.want("cut off on waking", r.v.CutOff(r.now), true)
@@ -147,7 +147,7 @@
 
 func TestAHaltedPartEndsAndServesOn(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Told), r.item("a", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("a", 8, maintenance.Granted))
 	r.run(3 * s)
 	n := len(r.polls)
 	r.pending = []Input{Halted{fmt.Errorf("version 9")}, Halted{fmt.Errorf("again")}}
@@ -160,9 +160,9 @@
 	r.want("past the end", r.drains, "[]")
 
 	r = begin(t)
-	var many []takeout.Item
+	var many []maintenance.Item
 	for i := range peerproto.LaidMost + 9 {
-		many = append(many, r.item("b", uint64(i+1), takeout.Granted))
+		many = append(many, r.item("b", uint64(i+1), maintenance.Granted))
 	}
 	r.applied(many...)
 	r.run(s)
@@ -174,24 +174,24 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	r := begin(t)
 	var fence uint64
-	items := map[string]takeout.Item{}
+	items := map[string]maintenance.Item{}
 	for range 300 {
 		if rng.IntN(4) == 0 {
 			name := []string{"a", "b", "r0", "r1", "r2", "r3"}[rng.IntN(6)]
 			it := items[name]
 			switch it.Phase {
-			case takeout.Granted:
-				it.Phase = []takeout.Phase{takeout.Told, takeout.Withdrawn}[rng.IntN(2)]
-			case takeout.Told:
-				it.Phase = []takeout.Phase{takeout.Out, takeout.Lapsed}[rng.IntN(2)]
-			case takeout.Out:
-				it.Phase = takeout.Back
+			case maintenance.Granted:
+				it.Phase = []maintenance.Phase{maintenance.Acknowledged, maintenance.Withdrawn}[rng.IntN(2)]
+			case maintenance.Acknowledged:
+				it.Phase = []maintenance.Phase{maintenance.Out, maintenance.Expired}[rng.IntN(2)]
+			case maintenance.Out:
+				it.Phase = maintenance.Returned
 			default:
 				fence++
-				it = takeout.Item{Machine: name, Fence: fence, Phase: takeout.Granted, Until: r.at + 20*s}
+				it = maintenance.Item{Machine: name, Fence: fence, Phase: maintenance.Granted, Until: r.at + 20*s}
 			}
 			items[name] = it
-			var all []takeout.Item
+			var all []maintenance.Item
 			for _, n := range []string{"a", "b", "r0", "r1", "r2", "r3"} {
 				all = append(all, items[n])
 			}
@@ -199,7 +199,7 @@
 		}
 		if rng.IntN(10) == 0 {
 			own := slices.Clone(list)
-			own[rng.IntN(4)].Status = takeout.Gone
+			own[rng.IntN(4)].Status = maintenance.Gone
 			r.pending = append(r.pending, Listed{own})
 		}
 		if rng.IntN(20) == 0 {
@@ -230,7 +230,7 @@
 	unlisted := func() {
 		r.pending = append(r.pending, Answered{Poll: r.polls[len(r.polls)-1].No, Leader: "b", Unlisted: true})
 	}
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	for range 30 {
 		unlisted()
 		r.run(100 * time.Millisecond)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/takeout"
 )
 
 // Times and bounds of a view.
@@ -48,11 +48,11 @@
 // Laid is what a co-ordinator says of one live grant.
 type Laid = peerproto.Laid
 
-// State is what a view reads of the agreed order of work; *takeout.State is one.
+// State is what a view reads of the agreed order of work; *maintenance.State is one.
 type State interface {
-	Items() []takeout.Item
-	Machine(name string) (takeout.Machine, bool)
-	Limits() (takeout.Limits, int)
+	Items() []maintenance.Item
+	Machine(name string) (maintenance.Machine, bool)
+	Limits() (maintenance.Limits, int)
 }
 
 // Input is news for a Step.
@@ -76,7 +76,7 @@
 		Era   uint64        // of the log; one lower than seen before counts for nothing
 	}
 	// Listed is the own list of replicas, whole, whenever it changed.
-	Listed struct{ Own []takeout.Machine }
+	Listed struct{ Own []maintenance.Machine }
 	// Hurry says that something agreed is waited for here, or no more: polls come as soon as they may meanwhile.
 	Hurry struct{ On bool }
 	// Halted says that the own copy of the state machine can't go on. Nothing is polled or granted any more.
@@ -111,7 +111,7 @@
 // Grant is a told item, and the agreed time before which the work must have begun to count as begun within the grant:
 // Until less Settle, so that what a slow clock starts late still counts.
 type Grant struct {
-	takeout.Item
+	maintenance.Item
 	Before time.Duration
 }
 
@@ -140,16 +140,16 @@
 	era      uint64
 	agreed   time.Duration // its time, and when that was first seen by the own clock
 	agreedAt time.Duration
-	live     []takeout.Item
-	kinds    map[string]takeout.Machine // of the live items
-	limits   takeout.Limits
+	live     []maintenance.Item
+	kinds    map[string]maintenance.Machine // of the live items
+	limits   maintenance.Limits
 	newest   uint64 // highest fence seen
 	caught   bool   // an answer was whole, with a state applied
 	before   uint64 // highest fence seen up to then: grants of before this process, for which it does not leave
 	left     uint64 // fence it left by
 
 	listed bool
-	own    []takeout.Machine
+	own    []maintenance.Machine
 
 	lays   []lay // by fence
 	old    []old // drains of grants of an era before, by name
@@ -161,7 +161,7 @@
 // New makes a view of the co-ordinator of that name. The lease is that of the limits in force when it starts; Applied
 // limits replace it.
 func New(name string, lease time.Duration) *View {
-	return &View{name: name, lease: lease, cut: true, kinds: map[string]takeout.Machine{},
+	return &View{name: name, lease: lease, cut: true, kinds: map[string]maintenance.Machine{},
 		seen: evidence{since: map[string]time.Duration{}, fence: map[string]uint64{}}}
 }
 
@@ -254,8 +254,8 @@
 }
 
 // live says that a grant in that phase lets its machine be away, so that nothing new goes there.
-func live(p takeout.Phase) bool {
-	return p == takeout.Granted || p == takeout.Told || p == takeout.Out
+func live(p maintenance.Phase) bool {
+	return p == maintenance.Granted || p == maintenance.Acknowledged || p == maintenance.Out
 }
 
 func (v *View) apply(now time.Duration, a Applied) {
@@ -279,13 +279,13 @@
 		v.live = append(v.live, it)
 		m, ok := a.State.Machine(it.Machine)
 		if !ok {
-			m = takeout.Machine{Name: it.Machine, Kind: takeout.Replica, Cell: -1}
+			m = maintenance.Machine{Name: it.Machine, Kind: maintenance.Replica, Cell: -1}
 		}
 		v.kinds[it.Machine] = m
 	}
 	v.old = slices.DeleteFunc(v.old, func(o old) bool {
 		m, ok := a.State.Machine(o.machine)
-		return ok && m.Status == takeout.Up && m.Started > o.start
+		return ok && m.Status == maintenance.Up && m.Started > o.start
 	})
 	if !v.caught {
 		v.before = v.newest
@@ -298,7 +298,7 @@
 	var told []Grant
 	agreed := v.agreed + longer(now-v.agreedAt)
 	for _, it := range v.live {
-		if before := it.Until - v.limits.Settle; !v.cut && it.Phase == takeout.Told && agreed < before {
+		if before := it.Until - v.limits.SettleTime; !v.cut && it.Phase == maintenance.Acknowledged && agreed < before {
 			told = append(told, Grant{it, before})
 		}
 	}
@@ -312,7 +312,7 @@
 // before was for the process before it.
 func (v *View) putLeave() {
 	for _, it := range v.live {
-		if v.cut || it.Machine != v.name || it.Phase != takeout.Told || v.kinds[it.Machine].Kind != takeout.Coordinator ||
+		if v.cut || it.Machine != v.name || it.Phase != maintenance.Acknowledged || v.kinds[it.Machine].Kind != maintenance.Coordinator ||
 			it.Fence <= v.before || it.Fence <= v.left {
 			continue
 		}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -7,34 +7,34 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const s = time.Second
 
 // agreed is a state set by hand: four replicas of cells 0 to 3, each shard held by two, and co-ordinators a and b.
-type agreed struct{ items []takeout.Item }
+type agreed struct{ items []maintenance.Item }
 
-func (g *agreed) Items() []takeout.Item { return g.items }
+func (g *agreed) Items() []maintenance.Item { return g.items }
 
-func (g *agreed) Limits() (takeout.Limits, int) {
-	return takeout.Limits{Cells: 4, Reach: 2, Shards: 8, Lease: 10 * s, Grace: 2 * s, Settle: 20 * s}, 1
+func (g *agreed) Limits() (maintenance.Limits, int) {
+	return maintenance.Limits{Cells: 4, Reach: 2, Shards: 8, Lease: 10 * s, Grace: 2 * s, SettleTime: 20 * s}, 1
 }
 
-func (g *agreed) Machine(name string) (takeout.Machine, bool) {
+func (g *agreed) Machine(name string) (maintenance.Machine, bool) {
 	if name == "a" || name == "b" {
-		return takeout.Machine{Name: name, Kind: takeout.Coordinator, Status: takeout.Up}, true
+		return maintenance.Machine{Name: name, Kind: maintenance.Coordinator, Status: maintenance.Up}, true
 	}
-	i := slices.IndexFunc(list, func(m takeout.Machine) bool { return m.Name == name })
+	i := slices.IndexFunc(list, func(m maintenance.Machine) bool { return m.Name == name })
 	if i < 0 {
-		return takeout.Machine{}, false
+		return maintenance.Machine{}, false
 	}
 	return list[i], true
 }
 
-var list = []takeout.Machine{
-	{Name: "r0", Kind: takeout.Replica, Cell: 0, Status: takeout.Up}, {Name: "r1", Kind: takeout.Replica, Cell: 1, Status: takeout.Up},
-	{Name: "r2", Kind: takeout.Replica, Cell: 2, Status: takeout.Up}, {Name: "r3", Kind: takeout.Replica, Cell: 3, Status: takeout.Up},
+var list = []maintenance.Machine{
+	{Name: "r0", Kind: maintenance.Replica, Cell: 0, Status: maintenance.Up}, {Name: "r1", Kind: maintenance.Replica, Cell: 1, Status: maintenance.Up},
+	{Name: "r2", Kind: maintenance.Replica, Cell: 2, Status: maintenance.Up}, {Name: "r3", Kind: maintenance.Replica, Cell: 3, Status: maintenance.Up},
 }
 
 // rig steps a view every tick and answers its polls.
@@ -65,7 +65,7 @@
 	return r
 }
 
-func (r *rig) applied(items ...takeout.Item) {
+func (r *rig) applied(items ...maintenance.Item) {
 	r.state.items = items
 	r.index++
 	r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, Now: r.at})
@@ -115,13 +115,13 @@
 	}
 }
 
-func (r *rig) item(name string, fence uint64, p takeout.Phase) takeout.Item {
-	return takeout.Item{Machine: name, Fence: fence, Phase: p, Until: 5100 * s}
+func (r *rig) item(name string, fence uint64, p maintenance.Phase) maintenance.Item {
+	return maintenance.Item{Machine: name, Fence: fence, Phase: p, Until: 5100 * s}
 }
 
 func TestADrainIsLaidAtOnceSaidAGraceLaterAndLiftedAtItsEnd(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted))
 	r.step(100 * time.Millisecond)
 	r.want("laid at once", r.drains, "[r1]")
 	r.want("for the file before it is told", r.grants, "[]")
@@ -135,10 +135,10 @@
 	r.want("said", r.laid(), "[{r1 7 false }]")
 	// The Grace counts from the Step after the one that laid it, and what is new is said at once.
 	r.want("time until said", r.now-laid, 2100*time.Millisecond)
-	r.applied(r.item("r1", 7, takeout.Out))
+	r.applied(r.item("r1", 7, maintenance.Out))
 	r.run(s)
 	r.want("while out", r.drains, "[r1]")
-	r.applied(r.item("r1", 7, takeout.Back))
+	r.applied(r.item("r1", 7, maintenance.Returned))
 	r.run(s)
 	r.want("once back", r.drains, "[]")
 	r.want("said once back", r.laid(), "[]")
@@ -146,16 +146,16 @@
 
 func TestAMachineGrantedAgainBeginsItsGraceAnew(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted))
 	r.run(5 * s)
-	r.applied(r.item("r1", 7, takeout.Withdrawn))
+	r.applied(r.item("r1", 7, maintenance.Withdrawn))
 	r.run(s)
-	r.applied(r.item("r1", 7, takeout.Withdrawn), r.item("r1", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Withdrawn), r.item("r1", 8, maintenance.Granted))
 	r.run(1500 * time.Millisecond)
 	r.want("said of the new grant", r.laid(), "[]")
 	r.run(2 * s)
 	r.want("said of the new grant", r.laid(), "[{r1 8 false }]")
-	r.applied(r.item("r1", 9, takeout.Granted)) // and no word of its end in between
+	r.applied(r.item("r1", 9, maintenance.Granted)) // and no word of its end in between
 	r.run(1500 * time.Millisecond)
 	r.want("said of the next grant", r.laid(), "[]")
 }
@@ -163,11 +163,11 @@
 // A voter gets what was agreed before its poll is answered: cut off, it lifts what has ended and lays nothing new.
 func TestAGrantAfterItsOwnIsNotLaidWhileCutOff(t *testing.T) {
 	r := begin(t)
-	r.applied(r.item("r1", 7, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted))
 	r.run(5 * s)
 	r.deaf = true
 	r.run(20 * s)
-	r.applied(r.item("r1", 7, takeout.Done), r.item("r1", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Done), r.item("r1", 8, maintenance.Granted))
 	r.run(s)
 	r.want("cut off", r.drains, "[]")
 	r.want("wrong", r.v.Check(), "<nil>")
@@ -178,25 +178,25 @@
 
 func TestNarrowingNeverToNothing(t *testing.T) {
 	r := begin(t)
-	r.pending = []Input{Listed{slices.Concat(list[:2], []takeout.Machine{{Name: "r2", Cell: 2, Status: takeout.Gone}}, list[3:])}}
-	r.applied(r.item("r1", 7, takeout.Granted), r.item("r3", 8, takeout.Granted), r.item("r2", 9, takeout.Granted))
+	r.pending = []Input{Listed{slices.Concat(list[:2], []maintenance.Machine{{Name: "r2", Cell: 2, Status: maintenance.Gone}}, list[3:])}}
+	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
 	// Shards of cells 1 and 2 have only r1; those of 2 and 3 only r3; r2 is not up and takes nothing away.
 	r.want("laid", r.drains, "[r2]")
 	r.want("said", strings.Contains(r.laid(), "{r1 7 true shard 1 would be left") && strings.Contains(r.laid(), "{r3 8 true shard 2"), true)
-	r.applied(r.item("r1", 7, takeout.Told), r.item("r3", 8, takeout.Granted), r.item("r2", 9, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
 	r.want("one told without its word, while it can't be", r.drains, "[r2]")
-	r.applied(r.item("r1", 7, takeout.Granted), r.item("r3", 8, takeout.Granted), r.item("r2", 9, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.pending = append(r.pending, Listed{list})
 	r.run(5 * s)
 	r.want("a refusal holds for its fence", r.drains, "[r2]")
-	r.applied(r.item("r1", 7, takeout.Told), r.item("r3", 8, takeout.Granted), r.item("r2", 9, takeout.Done))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Done))
 	r.run(5 * s)
 	r.want("one told without its word is drained once it can be", r.drains, "[r1]")
 
 	r = begin(t)
-	r.applied(r.item("r1", 7, takeout.Granted), r.item("r2", 8, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
 	r.want("two neighbours in one word", r.drains, "[r1]")
 	r.pending = []Input{Listed{list[:2]}}
@@ -204,15 +204,15 @@
 	r.want("a laid one is not lifted for want of holders", r.drains, "[r1]")
 
 	r = begin(t)
-	gone := func(m takeout.Machine) takeout.Machine { m.Status = takeout.Gone; return m }
-	r.pending = []Input{Listed{[]takeout.Machine{gone(list[0]), gone(list[1]), {Name: "b", Kind: takeout.Coordinator, Cell: 1,
-		Status: takeout.Up}, list[2], list[3]}}}
-	r.applied(r.item("r0", 7, takeout.Granted), r.item("r2", 8, takeout.Granted))
+	gone := func(m maintenance.Machine) maintenance.Machine { m.Status = maintenance.Gone; return m }
+	r.pending = []Input{Listed{[]maintenance.Machine{gone(list[0]), gone(list[1]), {Name: "b", Kind: maintenance.Coordinator, Cell: 1,
+		Status: maintenance.Up}, list[2], list[3]}}}
+	r.applied(r.item("r0", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
 	r.want("one that is gone takes nothing away, a co-ordinator holds nothing", r.drains, "[r0]")
 
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s}
-	r.applied(r.item("r1", 7, takeout.Granted))
+	r.applied(r.item("r1", 7, maintenance.Granted))
 	r.run(5 * s)
 	r.want("laid and said without an own list", fmt.Sprint(r.drains, r.laid()), "[][]")
 }
@@ -220,41 +220,41 @@
 func TestACoordinatorLeavesOnceByItsOwnGrant(t *testing.T) {
 	r := begin(t)
 	r.run(s)
-	r.applied(r.item("a", 7, takeout.Granted), r.item("b", 8, takeout.Told))
+	r.applied(r.item("a", 7, maintenance.Granted), r.item("b", 8, maintenance.Acknowledged))
 	r.run(2 * s)
 	r.want("granted only", r.leaves, "[]")
 	r.want("said with nothing laid", fmt.Sprint(r.drains, r.laid()), "[][{a 7 false } {b 8 false }]")
-	r.applied(r.item("a", 7, takeout.Told))
+	r.applied(r.item("a", 7, maintenance.Acknowledged))
 	r.run(3 * s)
-	r.applied(r.item("a", 7, takeout.Told))
+	r.applied(r.item("a", 7, maintenance.Acknowledged))
 	r.run(3 * s)
 	r.want("told", r.leaves, "[7]")
-	r.applied(r.item("a", 7, takeout.Done), r.item("a", 9, takeout.Told))
+	r.applied(r.item("a", 7, maintenance.Done), r.item("a", 9, maintenance.Acknowledged))
 	r.run(s)
 	r.want("the next one", r.leaves, "[7 9]")
 
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true}
-	r.applied(r.item("a", 7, takeout.Told))
+	r.applied(r.item("a", 7, maintenance.Acknowledged))
 	r.step(0)
 	r.pending = []Input{Answered{Poll: 1, More: true}}
-	r.applied(r.item("a", 9, takeout.Told))
+	r.applied(r.item("a", 9, maintenance.Acknowledged))
 	r.step(100 * time.Millisecond)
 	r.deaf = false
 	r.run(5 * s)
 	r.want("grants of before this process", r.leaves, "[]")
-	r.applied(r.item("a", 10, takeout.Told))
+	r.applied(r.item("a", 10, maintenance.Acknowledged))
 	r.run(s)
 	r.want("one of after its start", r.leaves, "[10]")
 
 	r = begin(t)
 	r.run(s)
 	r.v.name = "r1"
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(s)
 	r.want("by a replica's grant", r.leaves, "[]")
 	r.deaf, r.pending, r.v.name = true, nil, "a"
 	r.run(11 * s)
-	r.applied(r.item("a", 8, takeout.Told))
+	r.applied(r.item("a", 8, maintenance.Acknowledged))
 	r.run(s)
 	r.want("while cut off", r.leaves, "[]")
 }
@@ -273,7 +273,7 @@
 
 func TestARestartedProcessLaysWhatItsDiskSays(t *testing.T) {
 	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{Listed{list}}}
-	r.applied(r.item("r1", 7, takeout.Told))
+	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.step(0)
 	r.want("before any answer", r.drains, "[r1]")
 	r.run(102 * s)
--- a/internal/fleet/waveplan/bound.go
+++ b/internal/fleet/waveplan/bound.go
@@ -61,9 +61,9 @@
 	}
 	over(ring, 0, together/least, "the ring")
 	for z, n := range zones {
-		over(n, f.busy[z], f.lim.OutByZone, "zone %q", f.zones[z])
+		over(n, f.busy[z], f.lim.MaxOutPerZone, "zone %q", f.zones[z])
 	}
-	over(len(f.asks), f.out, f.lim.OutMost, "places in all")
+	over(len(f.asks), f.out, f.lim.MaxOut, "places in all")
 	over(voters, f.voter, 1, "voters")
 	if f.lack && f.room > 0 {
 		if n := int(math.Ceil((size+min(cold, f.room))/f.room - slip)); n > best {
--- a/internal/fleet/waveplan/order_test.go
+++ b/internal/fleet/waveplan/order_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 const sec = time.Second
@@ -16,10 +16,10 @@
 // site is an agreed state with its machines, and tools that act at once on what is told.
 type site struct {
 	t        *testing.T
-	s        *takeout.State
+	s        *maintenance.State
 	now      time.Duration
 	fence    uint64
-	machines []takeout.Machine
+	machines []maintenance.Machine
 	back     []time.Duration // by machine: when it comes back, 0 while it is not away
 	load     float64
 }
@@ -36,31 +36,31 @@
 }
 
 func (s *site) observe() {
-	s.apply("observe", takeout.ObserveBody{Whole: true, Machines: s.machines, Load: s.load, LoadKnown: true})
+	s.apply("observe", maintenance.ObserveBody{Complete: true, Machines: s.machines, Load: s.load, LoadKnown: true})
 }
 
-func newSite(t *testing.T, replicas, coordinators int, l takeout.Limits, requests ...takeout.Request) *site {
-	s := &site{t: t, s: takeout.New(), now: 1000 * sec, load: 0.4 * float64(replicas)}
+func newSite(t *testing.T, replicas, coordinators int, l maintenance.Limits, requests ...maintenance.Request) *site {
+	s := &site{t: t, s: maintenance.New(), now: 1000 * sec, load: 0.4 * float64(replicas)}
 	s.back = make([]time.Duration, replicas+coordinators)
 	for i := range replicas {
-		s.machines = append(s.machines, takeout.Machine{Name: fmt.Sprintf("r%03d", i), Kind: takeout.Replica, Zone: fmt.Sprint("z", i%4),
-			Cell: i % l.Cells, Status: takeout.Up})
+		s.machines = append(s.machines, maintenance.Machine{Name: fmt.Sprintf("r%03d", i), Kind: maintenance.Replica, Zone: fmt.Sprint("z", i%4),
+			Cell: i % l.Cells, Status: maintenance.Up})
 	}
 	for i := range coordinators {
-		s.machines = append(s.machines, takeout.Machine{Name: fmt.Sprintf("c%03d", i), Kind: takeout.Coordinator, Zone: fmt.Sprint("z", i%4),
-			Status: takeout.Up, Voter: i < 5})
+		s.machines = append(s.machines, maintenance.Machine{Name: fmt.Sprintf("c%03d", i), Kind: maintenance.Coordinator, Zone: fmt.Sprint("z", i%4),
+			Status: maintenance.Up, Voter: i < 5})
 	}
-	s.apply("limits", takeout.LimitsBody{Revision: 1, Limits: l})
+	s.apply("limits", maintenance.LimitsBody{Revision: 1, Limits: l})
 	s.observe()
-	s.apply("asks", takeout.AsksBody{Revision: 1, Requests: requests})
+	s.apply("asks", maintenance.RequestsBody{Revision: 1, Requests: requests})
 	s.observe()
 	return s
 }
 
-func limits(cells int) takeout.Limits {
-	return takeout.Limits{Cells: cells, Reach: 3, Shards: cells, HoldersLeast: 2, OutByZone: cells, OutMost: 2 * cells,
+func limits(cells int) maintenance.Limits {
+	return maintenance.Limits{Cells: cells, Reach: 3, Shards: cells, MinHolders: 2, MaxOutPerZone: cells, MaxOut: 2 * cells,
 		Headroom: 0.25, LoadAge: 30 * sec, ListAge: 30 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec,
-		Settle: 10 * sec, Calm: 60 * sec, PassedMost: 8, VotersLeast: 3}
+		SettleTime: 10 * sec, FailurePause: 60 * sec, MaxPassedOver: 8, MinVoters: 3}
 }
 
 // swap lets all go, as Order says and MayGo allows, each away for about a minute, and tells how long it took.
@@ -69,14 +69,14 @@
 	for changed := true; s.now < began+3*time.Hour; s.now += sec {
 		for i := range s.machines {
 			m := &s.machines[i]
-			it, live := s.s.Item(m.Name)
+			it, live := s.s.ActiveItem(m.Name)
 			switch {
-			case live && it.Phase == takeout.Told && m.Status == takeout.Up:
-				m.Status, changed = takeout.Gone, true
+			case live && it.Phase == maintenance.Acknowledged && m.Status == maintenance.Up:
+				m.Status, changed = maintenance.Gone, true
 				s.back[i] = s.now + time.Duration((1+jitter*(2*rng.Float64()-1))*float64(60*sec))
-			case m.Status == takeout.Gone && s.now >= s.back[i]:
-				m.Status, m.Started, changed = takeout.Up, s.now, true
-			case live && it.Phase == takeout.Back && s.now >= m.Started+40*sec:
+			case m.Status == maintenance.Gone && s.now >= s.back[i]:
+				m.Status, m.Started, changed = maintenance.Up, s.now, true
+			case live && it.Phase == maintenance.Returned && s.now >= m.Started+40*sec:
 				changed = true
 			}
 		}
@@ -92,24 +92,24 @@
 			s.t.Fatal("two orders of one state")
 		}
 		for _, it := range order {
-			if _, err := s.s.MayGo(s.now, it.Machine); err != nil {
+			if _, err := s.s.MayGrant(s.now, it.Machine); err != nil {
 				continue
 			}
-			s.apply("grant", takeout.GrantBody{Request: it.Request, Machine: it.Machine, Until: s.now + 10*time.Minute})
+			s.apply("grant", maintenance.GrantBody{Request: it.Request, Machine: it.Machine, Until: s.now + 10*time.Minute})
 			var said []string
 			for _, m := range s.machines {
-				if m.Kind == takeout.Coordinator {
+				if m.Kind == maintenance.Coordinator {
 					said = append(said, m.Name)
 				}
 			}
-			s.apply("told", takeout.ToldBody{Machine: it.Machine, Fence: s.fence, Said: said})
+			s.apply("told", maintenance.AcknowledgeBody{Machine: it.Machine, Fence: s.fence, Acknowledged: said})
 		}
 		open := s.s.Open()
 		if busy = 0; len(open) == 0 {
 			return s.now - began, most
 		}
 		for _, it := range open {
-			if it.Phase != takeout.Asked {
+			if it.Phase != maintenance.Pending {
 				busy++
 			}
 		}
@@ -122,13 +122,13 @@
 // number of times that one is away and cold.
 func TestSwapTakesLittleMoreThanTheBound(t *testing.T) {
 	for _, jitter := range []float64{0, 0.1} {
-		all := takeout.Request{ID: "swap", Kind: takeout.Replica, Reason: "new hardware", For: 10 * time.Minute}
+		all := maintenance.Request{ID: "swap", Kind: maintenance.Replica, Reason: "new hardware", MaxOutage: 10 * time.Minute}
 		s := newSite(t, 200, 7, limits(200), all)
 		plan := Plan(FromState(s.s, s.now))
 		took, most := s.swap(jitter)
 		done := 0
 		for _, it := range s.s.Items() {
-			if it.Phase == takeout.Done {
+			if it.Phase == maintenance.Done {
 				done++
 			}
 		}
@@ -143,16 +143,16 @@
 
 func TestOrderFollowsTheState(t *testing.T) {
 	l := limits(12)
-	l.OutMost = 3
-	work := takeout.Request{ID: "work", Kind: takeout.Replica, Reason: "work", For: time.Minute}
-	soon := takeout.Request{ID: "soon", Names: []string{"r004", "r005"}, Reason: "disk", For: time.Minute, Priority: takeout.Urgent}
-	later := takeout.Request{ID: "later", Names: []string{"c003"}, Reason: "later", For: time.Minute, Earliest: 2000 * sec}
+	l.MaxOut = 3
+	work := maintenance.Request{ID: "work", Kind: maintenance.Replica, Reason: "work", MaxOutage: time.Minute}
+	soon := maintenance.Request{ID: "soon", Names: []string{"r004", "r005"}, Reason: "disk", MaxOutage: time.Minute, Priority: maintenance.Urgent}
+	later := maintenance.Request{ID: "later", Names: []string{"c003"}, Reason: "later", MaxOutage: time.Minute, Earliest: 2000 * sec}
 	s := newSite(t, 12, 5, l, work, soon, later)
 	order := Order(s.s, s.now)
 	if len(order) != 12 || order[0].Machine != "r004" || order[0].Request != "soon" {
 		t.Fatalf("%+v", order)
 	}
-	s.apply("grant", takeout.GrantBody{Request: "soon", Machine: "r004", Until: s.now + time.Minute})
+	s.apply("grant", maintenance.GrantBody{Request: "soon", Machine: "r004", Until: s.now + time.Minute})
 	p := FromState(s.s, s.now)
 	if plan := Plan(p); len(plan.Waves[0]) != 2 || legal(p, true, plan.Waves[0]) != "" {
 		t.Errorf("beside one that is out already: %v", plan.Waves)
@@ -171,7 +171,7 @@
 	if len(Order(s.s, s.now)) == 0 {
 		t.Error("nothing goes after the calm")
 	}
-	s.apply("asks", takeout.AsksBody{Revision: 2, Paused: true, Requests: []takeout.Request{work}})
+	s.apply("asks", maintenance.RequestsBody{Revision: 2, Paused: true, Requests: []maintenance.Request{work}})
 	if Order(s.s, s.now) != nil {
 		t.Error("an order while paused")
 	}
--- a/internal/fleet/waveplan/plan.go
+++ b/internal/fleet/waveplan/plan.go
@@ -126,7 +126,7 @@
 func (s *search) look(i, w int) {
 	was, c := s.can[i*s.waves+w], &s.asks[i]
 	own, size := c.takes(w)
-	is := s.all[w] < s.lim.OutMost && s.zoned[c.zone*s.waves+w] < s.lim.OutByZone && !(c.voter && s.votes[w] > 0) &&
+	is := s.all[w] < s.lim.MaxOut && s.zoned[c.zone*s.waves+w] < s.lim.MaxOutPerZone && !(c.voter && s.votes[w] > 0) &&
 		(!s.lack || !c.replica || s.sizes[w]+size <= s.room+slip)
 	for k := 0; is && k < len(c.shards); k++ {
 		sh := c.shards[k]
@@ -163,11 +163,11 @@
 	}
 	full := func(n, most int) bool { return n == most || n-by == most }
 	switch {
-	case full(s.all[w], s.lim.OutMost) || c.voter || s.lack && max(before, s.sizes[w])+s.big > s.room:
+	case full(s.all[w], s.lim.MaxOut) || c.voter || s.lack && max(before, s.sizes[w])+s.big > s.room:
 		for k := range s.asks {
 			s.look(k, w)
 		}
-	case full(s.zoned[c.zone*s.waves+w], s.lim.OutByZone):
+	case full(s.zoned[c.zone*s.waves+w], s.lim.MaxOutPerZone):
 		for _, k := range s.zone[c.zone] {
 			s.look(k, w)
 		}
--- a/internal/fleet/waveplan/plan_test.go
+++ b/internal/fleet/waveplan/plan_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // legal says what is wrong with machines being away together, the first wave beside those that are away already. It
@@ -39,7 +39,7 @@
 		return ""
 	}
 	for z, n := range places {
-		if n > l.OutByZone && holds(func(m Machine) bool { return m.Zone == z }) {
+		if n > l.MaxOutPerZone && holds(func(m Machine) bool { return m.Zone == z }) {
 			return fmt.Sprint("zone ", z)
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 	takesSize := holds(func(m Machine) bool { return m.Replica })
 	short := takesSize && p.LoadKnown && size+1e-6 < p.Load*(1+l.Headroom)
-	if out > l.OutMost || member && (voters > 1 || up-gone < l.VotersLeast) || short {
+	if out > l.MaxOut || member && (voters > 1 || up-gone < l.MinVoters) || short {
 		return "all, voters or size"
 	}
 	for s := range l.Shards {
@@ -69,7 +69,7 @@
 				}
 			}
 		}
-		if concerned && left < l.HoldersLeast {
+		if concerned && left < l.MinHolders {
 			return fmt.Sprintf("shard %d has %d left", s, left)
 		}
 	}
@@ -107,8 +107,8 @@
 
 func randomProblem(rng *rand.Rand) Problem {
 	cells := 2 + rng.IntN(6)
-	l := takeout.Limits{Cells: cells, Reach: 1 + rng.IntN(min(3, cells)), Shards: max(1, cells-rng.IntN(2)),
-		HoldersLeast: 1 + rng.IntN(2), OutByZone: 1 + rng.IntN(4), OutMost: 1 + rng.IntN(6), Headroom: 0.25, VotersLeast: 2}
+	l := maintenance.Limits{Cells: cells, Reach: 1 + rng.IntN(min(3, cells)), Shards: max(1, cells-rng.IntN(2)),
+		MinHolders: 1 + rng.IntN(2), MaxOutPerZone: 1 + rng.IntN(4), MaxOut: 1 + rng.IntN(6), Headroom: 0.25, MinVoters: 2}
 	p := Problem{Limits: l, LoadKnown: rng.IntN(2) > 0}
 	for i := range cells * (1 + rng.IntN(3)) {
 		m := Machine{Name: fmt.Sprint("r", i), Zone: fmt.Sprint("z", rng.IntN(3)), Replica: true, Cell: i % cells, Serves: rng.IntN(9) > 0,
@@ -180,8 +180,8 @@
 // swap is a site of replicas, one a cell, and co-ordinators over four zones, of which all replicas, and with all set the
 // co-ordinators too, are to go.
 func swap(replicas, coordinators, reach, least, byZone, most int, all bool) Problem {
-	p := Problem{Limits: takeout.Limits{Cells: replicas, Reach: reach, Shards: replicas, HoldersLeast: least,
-		OutByZone: byZone, OutMost: most, Headroom: 0.25, VotersLeast: 3}, Load: 0.5 * float64(replicas), LoadKnown: true}
+	p := Problem{Limits: maintenance.Limits{Cells: replicas, Reach: reach, Shards: replicas, MinHolders: least,
+		MaxOutPerZone: byZone, MaxOut: most, Headroom: 0.25, MinVoters: 3}, Load: 0.5 * float64(replicas), LoadKnown: true}
 	for i := range replicas {
 		m := Machine{Name: fmt.Sprintf("r%03d", i), Zone: fmt.Sprint("z", i%4), Replica: true, Cell: i, Serves: true}
 		p.Machines, p.Asks = append(p.Machines, m), append(p.Asks, Ask{m.Name, Routine})
--- a/internal/fleet/waveplan/problem.go
+++ b/internal/fleet/waveplan/problem.go
@@ -1,6 +1,6 @@
 // Package waveplan plans in which order machines go out for work. Machines that may be away together go in one wave; beside
 // the plan stands a number of waves that no plan can go below. It is pure: no clock, goroutine, I/O or random number, and
-// the same problem gives the same plan. A plan is only a proposal: the rules of takeout are checked again when a
+// the same problem gives the same plan. A plan is only a proposal: the rules of package maintenance are checked again when a
 // grant is applied, and nothing here can loosen them.
 package waveplan
 
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"birchcart/internal/fleet/takeout"
+	"birchcart/internal/fleet/maintenance"
 )
 
 // Most asked machines are planned at once, by rank; the rest is counted in Result.Rest and planned as those are done.
@@ -48,7 +48,7 @@
 
 // Problem is what a plan is made for.
 type Problem struct {
-	Limits    takeout.Limits
+	Limits    maintenance.Limits
 	Machines  []Machine
 	Asks      []Ask   // in the order of asking
 	Load      float64 // in mean replicas kept busy
@@ -90,7 +90,7 @@
 
 // fleet is the problem in numbers: what each shard, zone and the whole can spare.
 type fleet struct {
-	lim   takeout.Limits
+	lim   maintenance.Limits
 	reach int
 	spare []int       // by shard: serving holders beyond those that must stay
 	away  []int       // by shard: of these, how many do not serve in the first wave
@@ -129,7 +129,7 @@
 	shards := max(0, min(l.Shards, l.Cells)) // shard s has the holders of s mod Cells
 	f.spare, f.away = make([]int, shards), make([]int, shards)
 	for s := range f.spare {
-		f.spare[s] = -l.HoldersLeast
+		f.spare[s] = -l.MinHolders
 	}
 	for _, m := range p.Machines {
 		if !slices.Contains(f.zones, m.Zone) {
@@ -214,7 +214,7 @@
 	for _, s := range c.shards {
 		if f.spare[s] < c.own {
 			return fmt.Sprintf("W1: shard %d would be left with %d holders up and warm, %d wanted",
-				s, f.spare[s]+l.HoldersLeast-c.own, l.HoldersLeast)
+				s, f.spare[s]+l.MinHolders-c.own, l.MinHolders)
 		}
 	}
 	left := votersUp
@@ -222,10 +222,10 @@
 		left--
 	}
 	switch {
-	case l.OutMost < 1 || l.OutByZone < 1:
+	case l.MaxOut < 1 || l.MaxOutPerZone < 1:
 		return "W2: none may be out"
-	case m.Voter && left < l.VotersLeast:
-		return fmt.Sprintf("W2: %d voters would be left up, %d wanted", left, l.VotersLeast)
+	case m.Voter && left < l.MinVoters:
+		return fmt.Sprintf("W2: %d voters would be left up, %d wanted", left, l.MinVoters)
 	case f.lack && m.Replica && c.size > f.room+slip:
 		return fmt.Sprintf("W3: %.2f of the size may be away, this is %.2f", f.room, c.size)
 	}
