--- a/internal/fleet/drainctl/told_test.go
+++ b/internal/fleet/drainctl/acknowledge_test.go
@@ -16,10 +16,10 @@
 func TestSilenceCountsFromTheLastPollAndTheElection(t *testing.T) {
 	r := begin(t)
 	r.silent = "c"
-	r.want("lease, grace and a hundredth", over(limits), 7070*time.Millisecond)
+	r.want("lease, grace and a hundredth", silenceLimit(limits), 7070*time.Millisecond)
 	r.run(2 * s)
 	r.in = append(r.in, Elected{Term: 1}) // said twice
-	heard := r.l.heard["c"].at
+	heard := r.l.pollers["c"].lastPollAt
 	r.ask(1, "r1")
 	r.until("r1", maintenance.Acknowledged)
 	if gone := r.now - heard; gone <= 7070*time.Millisecond || gone > 8*s {
@@ -34,7 +34,7 @@
 	}
 	// One that polls and is in no inventory counts as well.
 	r.silent = ""
-	r.in = append(r.in, Polled{From: "new", No: 1})
+	r.in = append(r.in, Polled{From: "new", Sequence: 1})
 	r.ask(3, "r1", "r5", "r7")
 	r.run(3 * s)
 	r.want("not laid by the new one", r.phases("r7"), "[granted]")
@@ -52,7 +52,7 @@
 	r.refuses = ""
 	r.in = append(r.in, Deposed{}, Elected{Term: 2}) // the next leader waits too
 	r.until("r1", maintenance.Granted)
-	if took := r.now - at; took < HoldLeast-s || took > HoldLeast+3*s {
+	if took := r.now - at; took < InitialGrantBackoff-s || took > InitialGrantBackoff+3*s {
 		t.Errorf("granted again after %v", took)
 	}
 	r.until("r1", maintenance.Acknowledged)
@@ -64,7 +64,7 @@
 	r.ask(1, "r1")
 	r.until("r1", maintenance.Granted)
 	took := r.until("r1", maintenance.Withdrawn)
-	if want := over(limits) + TellSlack; took < want || took > want+s {
+	if want := silenceLimit(limits) + AcknowledgeSlack; took < want || took > want+s {
 		t.Errorf("withdrawn after %v, want %v", took, want)
 	}
 	r.want("why", strings.HasSuffix(r.logs[len(r.logs)-1], "not laid in time by b"), true)
@@ -87,7 +87,7 @@
 	r.ask(2, "r2")
 	other := limits
 	other.MaxOut = 1
-	r.in = append(r.in, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: other}})
+	r.in = append(r.in, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: other}})
 	r.run(3 * s)
 	r.want("asked", fmt.Sprint(r.phases("r1"), r.phases("r2")), "[told] []")
 	r.ask(2, "r2")
@@ -99,14 +99,14 @@
 	r.want("a mistake is said once in a while", strings.Count(strings.Join(r.logs, "\n"), "asks of revision 3"), 1)
 	r.want("refused", r.refused, "[]")
 	bad := maintenance.LimitsBody{Revision: 2}
-	r.in = append(r.in, Asks{Limits: bad}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}})
+	r.in = append(r.in, MaintenanceFile{Limits: bad}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}})
 	r.run(30 * s)
 	r.want("limits that can't be are tried once in a while", len(r.refused), 1)
 	r.l.order = func(*maintenance.State, time.Duration) []maintenance.Item {
 		t.Error("planned though paused")
 		return nil
 	}
-	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: 4, Paused: true, Requests: append(r.state.Requests().Requests,
+	r.in = append(r.in, MaintenanceFile{Requests: maintenance.RequestsBody{Revision: 4, Paused: true, Requests: append(r.state.Requests().Requests,
 		maintenance.Request{ID: "p", Names: []string{"r7"}, Reason: "x", MaxOutage: s})}})
 	r.step(100 * time.Millisecond)
 	r.run(5 * s)
@@ -128,15 +128,15 @@
 	r := begin(t)
 	r.silent = "c"
 	x, y := peerproto.Laid{Machine: "r1", Fence: 1}, peerproto.Laid{Machine: "r2", Fence: 2}
-	r.in = append(r.in, Polled{From: "c", No: 1 << 50, Laid: []peerproto.Laid{y}}, Polled{From: "c", No: 1 << 49, Laid: []peerproto.Laid{x, y}})
+	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 50, Drains: []peerproto.Laid{y}}, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.Laid{x, y}})
 	r.step(100 * time.Millisecond)
-	r.want("what both say", r.l.heard["c"].laid, []peerproto.Laid{y})
-	r.run(LateMost)
-	r.in = append(r.in, Polled{From: "c", No: 1 << 49, Laid: []peerproto.Laid{x}})
+	r.want("what both say", r.l.pollers["c"].drains, []peerproto.Laid{y})
+	r.run(MaxReorderDelay)
+	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.Laid{x}})
 	r.step(100 * time.Millisecond)
-	r.want("a process whose clock went back", r.l.heard["c"].laid, []peerproto.Laid{x})
-	for i := range HeardMost + 5 {
-		r.in = append(r.in, Polled{From: fmt.Sprint(i), No: 1})
+	r.want("a process whose clock went back", r.l.pollers["c"].drains, []peerproto.Laid{x})
+	for i := range MaxPollers + 5 {
+		r.in = append(r.in, Polled{From: fmt.Sprint(i), Sequence: 1})
 	}
 	r.step(100 * time.Millisecond) // Check counts them
 }
@@ -164,10 +164,10 @@
 	asks := r.state.Requests()
 	asks.Revision, asks.Requests = 4, append(asks.Requests, maintenance.Request{ID: "v", Names: []string{"r4"}, Reason: "x", MaxOutage: s},
 		maintenance.Request{ID: "u", Names: []string{"r8"}, Reason: "x", MaxOutage: s, Priority: maintenance.Urgent})
-	r.in = append(r.in, Asks{Asks: asks})
+	r.in = append(r.in, MaintenanceFile{Requests: asks})
 	r.run(s)
 	var got []string
-	for _, it := range ByAsking(r.state, 0) {
+	for _, it := range ByRequestTime(r.state, 0) {
 		got = append(got, it.Machine)
 	}
 	r.want("reserved, urgent, by asking", got, "[r2 r0 r8 r4]")
@@ -224,7 +224,7 @@
 	for i := range uint64(3600) {
 		wall, now = wall+s, now+s+s/100
 		l.Step(now, wall, []Input{Applied{State: state, Index: i, Now: l.time}})
-		l.know(l.time)
+		l.advanceAgreedTime(l.time)
 	}
 	if ahead := l.time - wall; ahead < 0 || ahead > s {
 		t.Errorf("after an hour agreed time is %v ahead", ahead)
@@ -234,7 +234,7 @@
 	for i := range uint64(1200) {
 		wall, now = wall+s, now+s+s/100
 		l.Step(now, wall, []Input{Applied{State: state, Index: 3601 + i, Now: l.time}})
-		l.know(l.time) // as proposing does
+		l.advanceAgreedTime(l.time) // as proposing does
 		if i == 9 && l.time <= first {
 			t.Errorf("agreed time stands at %v", l.time)
 		}
@@ -247,16 +247,16 @@
 // Only whom the inventory has counts for a leader that follows: replicas, strangers and one that only polled do not.
 func TestCountsAreOfTheInventory(t *testing.T) {
 	r := begin(t)
-	r.in = append(r.in, Polled{From: "d", No: 1})
+	r.in = append(r.in, Polled{From: "d", Sequence: 1})
 	r.step(100 * time.Millisecond)
 	var got []string
 	for _, name := range []string{"a", "b", "d", "r1", "x"} {
-		if Counts(r.state, name) {
+		if MustAcknowledge(r.state, name) {
 			got = append(got, name)
 		}
 	}
 	r.want("counted", got, "[a b]")
 	r.members = append(r.members, Member{Name: "d", Status: maintenance.Up})
 	r.run(2 * s)
-	r.want("once it was observed", Counts(r.state, "d"), true)
+	r.want("once it was observed", MustAcknowledge(r.state, "d"), true)
 }
--- a/internal/fleet/drainctl/clock_test.go
+++ b/internal/fleet/drainctl/clock_test.go
@@ -71,7 +71,7 @@
 		for _, silent := range []string{"", "e"} { // five clocks are known, or four
 			r := five(t)
 			r.silent = silent
-			r.run(ClockAge + 2*s)
+			r.run(MaxClockAge + 2*s)
 			r.clocks = clocks
 			r.run(ClockWait + s)
 			r.ask(1, "r1")
@@ -122,7 +122,7 @@
 	r = &rig{t: t, l: New(nil), state: maintenance.New(), now: 1000 * s, unheard: true,
 		members: []Member{{Name: "a", Status: maintenance.Up, Voter: true}, {Name: "b", Status: maintenance.Gone, Voter: true}}}
 	r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
-	r.in = []Input{Elected{Term: 1, Own: "a"}, Members{r.members}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
+	r.in = []Input{Elected{Term: 1, Own: "a"}, Membership{r.members}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 	r.step(100 * time.Millisecond)
 	r.want("proposals of one alone", len(r.all), 1)
 }
@@ -133,10 +133,10 @@
 	for _, behind := range []time.Duration{-hour, hour} {
 		r := five(t)
 		r.unheard = true
-		r.run(ClockAge + 2*s)
+		r.run(MaxClockAge + 2*s)
 		r.behind = behind
 		r.ask(1, "r1")
-		r.in = append(r.in, Polled{From: "b", No: 1 << 60, Wall: 5000*s + r.now})
+		r.in = append(r.in, Polled{From: "b", Sequence: 1 << 60, Wall: 5000*s + r.now})
 		before, was := len(r.all), r.stateMachine.Now()
 		r.run(20 * s)
 		if behind < 0 {
@@ -156,7 +156,7 @@
 		r := &rig{t: t, l: New(nil), state: maintenance.New(), now: 1000 * s}
 		if first {
 			r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
-			r.in = []Input{Elected{Term: 1, Own: "a"}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
+			r.in = []Input{Elected{Term: 1, Own: "a"}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 			for i := range 16 {
 				r.list = append(r.list, maintenance.Machine{Name: fmt.Sprintf("r%d", i), Cell: i, Kind: maintenance.Replica, Status: maintenance.Up})
 			}
@@ -225,13 +225,13 @@
 func TestOldClocksDoNotCount(t *testing.T) {
 	r := five(t)
 	r.unheard = true
-	r.run(ClockAge + 2*s)
-	if _, others := r.l.ahead(5000*s + r.now); others != 0 {
+	r.run(MaxClockAge + 2*s)
+	if _, others := r.l.clockLead(5000*s + r.now); others != 0 {
 		t.Errorf("%d clocks are known", others)
 	}
-	r.in = append(r.in, Polled{From: "b", No: 1 << 60}) // which does not tell
+	r.in = append(r.in, Polled{From: "b", Sequence: 1 << 60}) // which does not tell
 	r.step(100 * time.Millisecond)
-	if _, others := r.l.ahead(5000*s + r.now); others != 0 {
+	if _, others := r.l.clockLead(5000*s + r.now); others != 0 {
 		t.Errorf("%d clocks are known, none was told", others)
 	}
 }
--- a/internal/fleet/drainctl/lead_test.go
+++ b/internal/fleet/drainctl/controller_test.go
@@ -23,7 +23,7 @@
 // co-ordinators that poll once a second and lay what is granted.
 type rig struct {
 	t            *testing.T
-	l            *Lead
+	l            *Controller
 	state        *maintenance.State
 	stateMachine *statemachine.Machine
 	now          time.Duration
@@ -55,7 +55,7 @@
 	for _, n := range []string{"a", "b", "c"} {
 		r.members = append(r.members, Member{Name: n, Status: maintenance.Up, Voter: true, Load: 0.5, LoadKnown: true})
 	}
-	r.in = []Input{Elected{Term: 1}, Asks{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
+	r.in = []Input{Elected{Term: 1}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 	r.run(2 * s)
 	return r
 }
@@ -65,7 +65,7 @@
 	for _, n := range names {
 		rs = append(rs, maintenance.Request{ID: "q" + n, Names: []string{n}, Reason: "disk", MaxOutage: 100 * s})
 	}
-	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: revision, Requests: rs}})
+	r.in = append(r.in, MaintenanceFile{Requests: maintenance.RequestsBody{Revision: revision, Requests: rs}})
 }
 
 func (r *rig) run(d time.Duration) {
@@ -81,11 +81,11 @@
 	in := append(r.in, Applied{State: r.state, Index: r.index, Now: r.stateMachine.Now()})
 	r.in = nil
 	if r.now%s == 0 {
-		in = append(in, Members{r.members})
+		in = append(in, Membership{r.members})
 		if r.old > 0 {
-			in = append(in, Listed{List: r.list, Age: r.now - r.old})
+			in = append(in, ReplicaList{Replicas: r.list, Age: r.now - r.old})
 		} else {
-			in = append(in, Listed{List: r.list})
+			in = append(in, ReplicaList{Replicas: r.list})
 		}
 		for _, m := range r.members {
 			if m.Name != r.silent && !r.unheard {
@@ -98,8 +98,8 @@
 		switch o := o.(type) {
 		case Log:
 			r.logs = append(r.logs, o.Text)
-		case HandOver:
-			r.hands = append(r.hands, o.Why)
+		case TransferLeadership:
+			r.hands = append(r.hands, o.Reason)
 		case Propose:
 			r.all = append(r.all, o)
 			if o.Command.Kind == "grant" && !slices.ContainsFunc(r.all[:len(r.all)-1], func(p Propose) bool { return p.Command.ID == o.Command.ID }) {
@@ -117,7 +117,7 @@
 				r.refused = append(r.refused, err.Error())
 			}
 			if !r.mute {
-				r.in = append(r.in, Ended{o.Command.ID, err})
+				r.in = append(r.in, ProposalResult{o.Command.ID, err})
 			}
 		}
 	}
@@ -130,14 +130,14 @@
 }
 
 func (r *rig) poll(name string) Polled {
-	p := Polled{From: name, No: uint64(r.now), Wall: 5000*s + r.now + r.clocks[name]}
+	p := Polled{From: name, Sequence: uint64(r.now), Wall: 5000*s + r.now + r.clocks[name]}
 	for _, it := range r.state.Open() {
 		if it.Fence > 0 {
 			fence := it.Fence
 			if name == r.lazy {
 				fence += 1000
 			}
-			p.Laid = append(p.Laid, peerproto.Laid{Machine: it.Machine, Fence: fence, Refused: name == r.refuses, Why: "alone"})
+			p.Drains = append(p.Drains, peerproto.Laid{Machine: it.Machine, Fence: fence, Refused: name == r.refuses, Why: "alone"})
 		}
 	}
 	return p
@@ -190,7 +190,7 @@
 	r.run(s)
 	r.want("with a shard in common, and with none", fmt.Sprint(r.phases("r2"), r.phases("r5")), "[asked] [told]")
 	it, _ := r.state.ActiveItem("r1")
-	r.want("time to go", it.Until-it.GrantedAt, over(limits)+TellSlack+GoWithin+limits.SettleTime)
+	r.want("time to go", it.Until-it.GrantedAt, silenceLimit(limits)+AcknowledgeSlack+StartWithin+limits.SettleTime)
 	r.list[1].Status = maintenance.Gone
 	r.list[5].Status = maintenance.Terminating
 	r.until("r1", maintenance.Out)
@@ -214,7 +214,7 @@
 	r := begin(t)
 	at := maintenance.Request{ID: "later", Names: []string{"r1"}, Reason: "disk", MaxOutage: 100 * s, Earliest: 5000*s + r.now + 3600*s}
 	now := maintenance.Request{ID: "now", Names: []string{"r1"}, Reason: "fan", MaxOutage: 100 * s}
-	r.in = append(r.in, Asks{Asks: maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{at, now}}})
+	r.in = append(r.in, MaintenanceFile{Requests: maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{at, now}}})
 	r.until("r1", maintenance.Granted)
 	if it, _ := r.state.ActiveItem("r1"); it.Request != "now" {
 		t.Errorf("granted to %s", it.Request)
@@ -227,7 +227,7 @@
 	n := len(r.all)
 	r.ask(1, "r1")
 	r.run(8 * s)
-	r.want("proposed", len(r.all)-n, RepeatMost)
+	r.want("proposed", len(r.all)-n, MaxProposalAttempts)
 	r.want("the same", fmt.Sprint(r.all[n+1], r.all[n+2]), fmt.Sprint(r.all[n], r.all[n]))
 	r.run(2 * s)
 	r.want("then anew", r.all[n+3].Command.ID != r.all[n].Command.ID, true)
@@ -238,7 +238,7 @@
 	for i := range 20 {
 		r.l.propose(fmt.Sprint(i), "tick", nil, func() bool { return false })
 	}
-	r.want("waiting at most", len(r.l.waiting), ProposeMost)
+	r.want("waiting at most", len(r.l.pending), MaxPendingProposals)
 
 	r = begin(t)
 	r.ask(1, "r0", "r10", "r11", "r12", "r14", "r2", "r4", "r6", "a", "b")
@@ -248,14 +248,14 @@
 	r.deaf = true
 	r.run(2 * s)
 	var grants []string
-	for _, w := range r.l.waiting {
-		if strings.HasPrefix(w.what, "grant ") {
-			grants = append(grants, w.what[6:])
+	for _, w := range r.l.pending {
+		if strings.HasPrefix(w.subject, "grant ") {
+			grants = append(grants, w.subject[6:])
 		}
 	}
 	r.want("waiting, none with a shard in common", grants, "[r0 r10 r12 r14]")
 	r.deaf = false
-	r.in = append(r.in, Ended{r.l.waiting[0].command.ID, errors.New("no")})
+	r.in = append(r.in, ProposalResult{r.l.pending[0].command.ID, errors.New("no")})
 	n = len(r.all)
 	r.run(s)
 	for _, p := range r.all[n:] {
@@ -271,7 +271,7 @@
 	}
 	r.deaf = true
 	r.run(2 * s)
-	r.want("of co-ordinators", r.l.count("grant "), 1)
+	r.want("of co-ordinators", r.l.countPending("grant "), 1)
 }
 
 func TestADeposedLeaderProposesNothing(t *testing.T) {
--- a/internal/fleet/drainctl/lies_test.go
+++ b/internal/fleet/drainctl/false_input_test.go
@@ -9,14 +9,14 @@
 )
 
 // A co-ordinator that says it laid what it did not, for all numbers that may come and for machines that it names wrongly, speaks
-// for itself only: the grant is told no sooner than the others have laid it, and not by a number of another machine.
+// for itself only: the grant is acknowledged no sooner than the others have laid it, and not by a number of another machine.
 func TestALiarSpeaksForItselfOnly(t *testing.T) {
 	r := begin(t)
 	r.lazy, r.silent = "b", "a" // b says nothing laid of this grant; a's polls are made here
 	lie := func(machine string) {
-		p := Polled{From: "a", No: uint64(r.now) + 1, Wall: 5000*s + r.now}
+		p := Polled{From: "a", Sequence: uint64(r.now) + 1, Wall: 5000*s + r.now}
 		for fence := range uint64(64) {
-			p.Laid = append(p.Laid, peerproto.Laid{Machine: machine, Fence: fence + 1})
+			p.Drains = append(p.Drains, peerproto.Laid{Machine: machine, Fence: fence + 1})
 		}
 		r.in = append(r.in, p)
 	}
--- a/internal/fleet/drainctl/observe_test.go
+++ b/internal/fleet/drainctl/observe_test.go
@@ -27,7 +27,7 @@
 	for i := range 20 {
 		flap := slices.Clone(r.list)
 		flap[4].Status = []maintenance.Status{maintenance.Terminating, maintenance.Up}[i%2]
-		r.in = append(r.in, Listed{List: flap})
+		r.in = append(r.in, ReplicaList{Replicas: flap})
 		r.step(100 * time.Millisecond)
 	}
 	if n := len(r.all) - 3; n < 2 || n > 5 {
@@ -35,14 +35,15 @@
 	}
 
 	l := New(nil)
-	for _, in := range [][]Input{{Elected{Term: 1}, Applied{State: r.state, Index: 1, Now: 1}, Members{r.members}}, {Elected{Term: 2}}} {
+	for _, in := range [][]Input{{Elected{Term: 1}, Applied{State: r.state, Index: 1, Now: 1}, Membership{r.members}}, {Elected{Term: 2}}} {
 		r.want("without both lists", len(l.Step(0, 9000*s, in)), 1)
-		l.known, l.members = false, nil
-		l.take(Listed{List: r.list})
+		l.membersKnown, l.members = false, nil
+		l.handle(ReplicaList{Replicas: r.list})
 	}
 }
 
 func TestLoadAndList(t *testing.T) {
+	// Long: one sequence of loads and lists, each step judged against the one before.
 	for _, c := range []struct {
 		what   string
 		change func(*rig)
@@ -67,7 +68,7 @@
 		r := begin(t)
 		c.change(r)
 		r.run(2 * s)
-		load, known := r.l.load(limits.LoadAge)
+		load, known := r.l.fleetLoad(limits.LoadAge)
 		r.want(c.what, fmt.Sprint(load, " ", known), c.want)
 	}
 	r := begin(t)
@@ -99,7 +100,10 @@
 
 	r = begin(t)
 	calls := 0
-	r.l.order = func(s *maintenance.State, now time.Duration) []maintenance.Item { calls++; return ByAsking(s, now) }
+	r.l.order = func(s *maintenance.State, now time.Duration) []maintenance.Item {
+		calls++
+		return ByRequestTime(s, now)
+	}
 	r.ask(1, "r1", "r2")
 	r.run(60 * s)
 	if calls > 200 {
@@ -124,11 +128,11 @@
 		}
 		wide := limits
 		wide.Headroom = 0.2 // other limits want the whole inventory once more
-		r.in = append(r.in, Asks{Limits: maintenance.LimitsBody{Revision: 2, Limits: wide}})
+		r.in = append(r.in, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 2, Limits: wide}})
 		r.ask(1, "r1")
 		before := len(r.all)
 		agreed := func() bool {
-			return !r.state.NeedsCompleteInventory() && len(r.state.Machines()) == maintenance.MaxMachines && len(r.l.differs(r.l.seen())) == 0
+			return !r.state.NeedsCompleteInventory() && len(r.state.Machines()) == maintenance.MaxMachines && len(r.l.changedMachines(r.l.mergedInventory())) == 0
 		}
 		for range 400 {
 			if r.step(100 * time.Millisecond); agreed() {
@@ -145,7 +149,7 @@
 		for i := range r.list {
 			r.list[i].Zone = "other"
 		}
-		r.in = append(r.in, Listed{List: r.list})
+		r.in = append(r.in, ReplicaList{Replicas: r.list})
 		looks := len(slices.DeleteFunc(r.kinds(), func(k string) bool { return k != "observe" }))
 		for range 400 {
 			if r.step(100 * time.Millisecond); agreed() {
@@ -154,10 +158,10 @@
 		}
 		parts := len(slices.DeleteFunc(r.kinds(), func(k string) bool { return k != "observe" })) - looks
 		if !agreed() || parts < 2 {
-			t.Errorf("names of %d: %d machines differ after %d observations", length, len(r.l.differs(r.l.seen())), parts)
+			t.Errorf("names of %d: %d machines differ after %d observations", length, len(r.l.changedMachines(r.l.mergedInventory())), parts)
 		}
 		for _, p := range r.all[before:] {
-			if raw, err := p.Command.Encode(); err != nil || len(p.Command.Body) > PartMost+4096 || len(raw) > peerproto.EntriesMost {
+			if raw, err := p.Command.Encode(); err != nil || len(p.Command.Body) > MaxObservationSize+4096 || len(raw) > peerproto.EntriesMost {
 				t.Errorf("names of %d: %s of %d bytes, %d in the log: %v", length, p.Command.Kind, len(p.Command.Body), len(raw), err)
 			}
 		}
--- a/internal/fleet/fleetsim/leader.go
+++ b/internal/fleet/fleetsim/leader.go
@@ -28,11 +28,11 @@
 		in = append(in, n.members())
 	}
 	if len(in) > 0 && n.stuck == 0 { // discovery confirms its list, as long as its news arrives
-		in = append(in, drainctl.Listed{List: n.w.lists.at(n.list)})
+		in = append(in, drainctl.ReplicaList{Replicas: n.w.lists.at(n.list)})
 	}
 	if n.asks != nil && n.asks != n.askedOf {
 		n.askedOf = n.asks
-		in = append(in, drainctl.Asks{Limits: n.asks.Limits, Asks: n.asks.Asks})
+		in = append(in, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Asks})
 	}
 	n.stepLead(in...)
 }
@@ -53,7 +53,7 @@
 	if n.w.Loose.AnyClock {
 		p.Wall = 0
 	}
-	return drainctl.Polled{From: p.From, No: p.No, Index: p.Index, Laid: p.Laid, Wall: p.Wall}
+	return drainctl.Polled{From: p.From, Sequence: p.No, Index: p.Index, Drains: p.Laid, Wall: p.Wall}
 }
 
 // gossipLag is how old the members' news is, and deadAfter how long a silent one takes to be counted as gone.
@@ -63,7 +63,7 @@
 )
 
 // members is the gossip's news at this co-ordinator: whom nobody reaches is gone after a while.
-func (n *node) members() drainctl.Members {
+func (n *node) members() drainctl.Membership {
 	out := make([]drainctl.Member, 0, len(n.w.nodes))
 	load := n.w.loadOfOne()
 	for _, o := range n.w.nodes {
@@ -77,7 +77,7 @@
 		}
 		out = append(out, m)
 	}
-	return drainctl.Members{List: out}
+	return drainctl.Membership{Members: out}
 }
 
 // loadOfOne: clients go to the co-ordinators whose processes are there.
@@ -106,7 +106,7 @@
 
 func (n *node) stepLead(in ...drainctl.Input) {
 	for _, o := range n.lead.Step(n.mono(), n.wall(), in) {
-		if _, ok := o.(drainctl.HandOver); ok {
+		if _, ok := o.(drainctl.TransferLeadership); ok {
 			inc := n.inc
 			n.w.After(0, func() {
 				if n.inc == inc && n.runs() {
@@ -163,7 +163,7 @@
 	for i := from + 1; i <= n.applied; i++ {
 		if id, ok := n.proposed[i]; ok {
 			delete(n.proposed, i)
-			in = append(in, drainctl.Ended{ID: id, Err: n.w.results[i]})
+			in = append(in, drainctl.ProposalResult{ID: id, Err: n.w.results[i]})
 		}
 	}
 	return in
--- a/internal/fleet/fleetsim/node.go
+++ b/internal/fleet/fleetsim/node.go
@@ -57,7 +57,7 @@
 	snapAt  int
 
 	view    *view.View
-	lead    *drainctl.Lead
+	lead    *drainctl.Controller
 	leads   bool // the pure leader's step runs
 	leader  int  // whom it polls, -1: any voter
 	waiting []pending
--- a/internal/fleet/fleetsim/polls.go
+++ b/internal/fleet/fleetsim/polls.go
@@ -43,7 +43,7 @@
 		ask := *n.asks
 		n.w.send(n.id, to, func(o *node) {
 			if o.leads {
-				o.stepLead(drainctl.Asks{Limits: ask.Limits, Asks: ask.Asks})
+				o.stepLead(drainctl.MaintenanceFile{Limits: ask.Limits, Requests: ask.Asks})
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 
 func (n *node) answer(p pending) {
 	w := peerproto.Word{No: p.poll.No, From: n.name, Leader: n.name, Term: n.v.term, Led: true, Since: p.poll.Index, Index: uint64(n.applied)}
-	w.Unlisted = !drainctl.Counts(n.book.out, p.poll.From)
+	w.Unlisted = !drainctl.MustAcknowledge(n.book.out, p.poll.From)
 	state := n.snap
 	if since := int(p.poll.Index); since >= n.v.base {
 		for i := since + 1; i <= n.applied; i++ {
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -135,7 +135,7 @@
 	p.refused = false
 	p.mu.Unlock()
 	if refused {
-		p.after = now + drainctl.MistakeEvery
+		p.after = now + drainctl.ConfigErrorInterval
 	}
 	if own == nil || way || now < p.after {
 		return
@@ -147,17 +147,17 @@
 		differs = force != nil && force.Revision == own.Revision && force.Sum != own.Sum
 	})
 	if differs {
-		p.after = now + drainctl.MistakeEvery
+		p.after = now + drainctl.ConfigErrorInterval
 		n.log.WithField("revision", own.Revision).Warn("the file's lanes differ from those agreed under the same revision: give them a higher one")
 	}
 	if !takes {
 		return
 	}
 	p.no++
-	p.after = now + drainctl.RepeatAfter
+	p.after = now + drainctl.ProposalTimeout
 	raw, err := laneCommand(fmt.Sprintf("l-%d-%d", n.term, p.no), at, *own)
 	if err != nil {
-		p.after = now + drainctl.MistakeEvery
+		p.after = now + drainctl.ConfigErrorInterval
 		n.log.WithError(err).Error("the section of lanes can't be proposed")
 		return
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -86,7 +86,7 @@
 	writer   *writer
 	start    time.Time
 
-	ended    chan drainctl.Ended
+	ended    chan drainctl.ProposalResult
 	verified chan verified
 	closed   chan struct{} // the seat was given up
 	looks    chan looked
@@ -107,7 +107,7 @@
 
 	// What follows belongs to run.
 	view      *view.View
-	lead      *drainctl.Lead
+	lead      *drainctl.Controller
 	toView    []view.Input
 	toLead    []drainctl.Input
 	term      uint64 // in which this one leads; 0: it does not
@@ -344,7 +344,7 @@
 	case s.Leading:
 		n.term = s.Term
 		n.log.WithField("term", s.Term).Info("leads the raft group")
-		n.toLead = append(n.toLead, drainctl.Elected{Term: s.Term, Own: n.name}, drainctl.Asks{Limits: n.asks.Limits, Asks: n.asks.Asks})
+		n.toLead = append(n.toLead, drainctl.Elected{Term: s.Term, Own: n.name}, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Asks})
 		n.fedAt, n.listFed = 0, time.Time{} // list and members are told at once
 		clear(n.loads)
 	default:
--- a/internal/fleet/polls.go
+++ b/internal/fleet/polls.go
@@ -51,7 +51,7 @@
 		}
 	case peerproto.Ask:
 		if n.term != 0 {
-			n.toLead = append(n.toLead, drainctl.Asks{Limits: m.Limits, Asks: m.Asks})
+			n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: m.Limits, Requests: m.Asks})
 		}
 	}
 	return true
@@ -69,7 +69,7 @@
 		if era < own {
 			p.Laid = nil // of grants that ended with their era
 		}
-		n.toLead = append(n.toLead, drainctl.Polled{From: p.From, No: p.No, Index: p.Index, Laid: p.Laid, Wall: p.Wall})
+		n.toLead = append(n.toLead, drainctl.Polled{From: p.From, Sequence: p.No, Index: p.Index, Drains: p.Laid, Wall: p.Wall})
 		before, heard := n.loads[p.From]
 		n.loads[p.From] = loadReport{p.Load, p.LoadKnown, at, era}
 		if n.sessions != nil {
@@ -119,7 +119,7 @@
 	listed := map[string]bool{}
 	n.copy.withLock(func() {
 		for from := range v.polls {
-			listed[from] = drainctl.Counts(n.copy.order, from) && !(n.sessions != nil && n.sessions.steward.Releasing(from))
+			listed[from] = drainctl.MustAcknowledge(n.copy.order, from) && !(n.sessions != nil && n.sessions.steward.Releasing(from))
 		}
 	})
 	own := n.copy.era()
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -52,7 +52,7 @@
 func (r *renewed) Save() ([]byte, error) {
 	limits, _ := r.order.Limits()
 	now := time.Duration(time.Now().UnixNano())
-	until := max(now, time.Duration(r.stopped.UnixNano())+drainctl.Longest(limits)+limits.SettleTime)
+	until := max(now, time.Duration(r.stopped.UnixNano())+drainctl.MaxGrantDuration(limits)+limits.SettleTime)
 	if err := r.stateMachine.Renew(now, until); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -202,7 +202,7 @@
 	n.copy.withLock(func() {
 		p.refreshPlan(now, at)
 		out = p.steward.Step(sessionctl.Look{
-			Now: now, Agreed: at, Book: n.copy.book, Order: n.copy.order, Want: p.limits(), Slots: p.section.Pool, Silent: n.lead.Silent, Done: done,
+			Now: now, Agreed: at, Book: n.copy.book, Order: n.copy.order, Want: p.limits(), Slots: p.section.Pool, Silent: n.lead.SilentFor, Done: done,
 			Sites: p.sites, PerSlot: p.perSlot(), Paused: n.copy.order.Requests().Paused,
 		})
 	})
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -208,7 +208,7 @@
 	for what, sizes := range map[string][2]int{
 		"commands into the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "the raft group's into a word": {raftgroup.MaxCommandSize, peerproto.EntryMost},
 		"entries into the gossip": {peerproto.EntryMost/3*4 + heads, member.LargeMost}, "states into the gossip": {peerproto.PackedMost/3*4 + heads, member.LargeMost},
-		"a follower's file into the gossip": {peerproto.PollMost, member.LargeMost}, "observations into a word": {drainctl.PartMost + heads, peerproto.EntriesMost},
+		"a follower's file into the gossip": {peerproto.PollMost, member.LargeMost}, "observations into a word": {drainctl.MaxObservationSize + heads, peerproto.EntriesMost},
 	} {
 		if sizes[0] > sizes[1] {
 			t.Errorf("%s: %d bytes may be made, %d are taken", what, sizes[0], sizes[1])
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -23,7 +23,7 @@
 	n.name, n.file, n.start, n.news = s.Config.Name, s.Operator, time.Now(), true
 	n.version, n.dir = serve.Version(), s.Operator.Fleet.Dir
 	n.copy, n.mail = newCopy(), newMail()
-	n.ended, n.verified, n.closed = make(chan drainctl.Ended, ProposingMost), make(chan verified, 1), make(chan struct{}, 1)
+	n.ended, n.verified, n.closed = make(chan drainctl.ProposalResult, ProposingMost), make(chan verified, 1), make(chan struct{}, 1)
 	n.known = make(chan struct{})
 	n.wake, n.laid = make(chan struct{}, 1), make(chan struct{}, 1) // one set is laid at a time
 	n.looks, n.saved = make(chan looked, 1), make(chan error, 1)
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -45,7 +45,7 @@
 		if l.Index() != n.index || l.Epoch() != n.era || !n.stepped {
 			n.index, n.era, n.stepped = l.Index(), l.Epoch(), true
 			n.toView = append(n.toView, view.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Era: n.era})
-			n.toLead = append(n.toLead, drainctl.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Era: n.era})
+			n.toLead = append(n.toLead, drainctl.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Epoch: n.era})
 			f.Items = n.copy.order.Items()
 		}
 		if a := n.answer; a != nil {
@@ -78,7 +78,7 @@
 		switch o := o.(type) {
 		case drainctl.Propose:
 			n.propose(o.Command)
-		case drainctl.HandOver:
+		case drainctl.TransferLeadership:
 			go n.handOver()
 		case drainctl.Log:
 			n.log.Info(o.Text)
@@ -125,7 +125,7 @@
 	}
 	n.asks = peerproto.Ask{From: n.name, Limits: Limits(n.file, &n.s.Config.Policy), Asks: Asks(n.file)}
 	n.askedAt, n.lines.differs = 0, 0
-	n.toLead = append(n.toLead, drainctl.Asks{Limits: n.asks.Limits, Asks: n.asks.Asks})
+	n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Asks})
 }
 
 // sample measures the own load and tells it by gossip.
@@ -151,13 +151,13 @@
 	n.fedAt = now
 	n.loads[n.name] = n.own
 	maps.DeleteFunc(n.loads, func(_ string, l loadReport) bool { return now-l.at > LoadFor })
-	n.toLead = append(n.toLead, drainctl.Members{List: coordinators(n.member.Members(), n.loads, n.voters, now)})
+	n.toLead = append(n.toLead, drainctl.Membership{Members: coordinators(n.member.Members(), n.loads, n.voters, now)})
 	n.mu.Lock()
 	list, known := n.list, n.list != nil && !n.stale
 	n.mu.Unlock()
 	if heard := n.s.Heard(); known && heard.After(n.listFed) {
 		n.listFed = heard
-		n.toLead = append(n.toLead, drainctl.Listed{List: machines(list), Age: max(time.Since(heard), 0)})
+		n.toLead = append(n.toLead, drainctl.ReplicaList{Replicas: machines(list), Age: max(time.Since(heard), 0)})
 	}
 }
 
@@ -210,7 +210,7 @@
 	raw, err := c.Encode()
 	if err != nil {
 		n.log.WithError(err).Error("a proposal can't be written")
-		n.toLead = append(n.toLead, drainctl.Ended{ID: c.ID, Err: err})
+		n.toLead = append(n.toLead, drainctl.ProposalResult{ID: c.ID, Err: err})
 		return
 	}
 	n.proposing++
@@ -222,9 +222,9 @@
 		if errors.Is(err, statemachine.ErrDuplicate) {
 			err = nil
 		}
-		e := drainctl.Ended{}
+		e := drainctl.ProposalResult{}
 		if err, known := outcome(err); known {
-			e = drainctl.Ended{ID: c.ID, Err: err}
+			e = drainctl.ProposalResult{ID: c.ID, Err: err}
 		}
 		n.ended <- e
 	}()
