--- a/internal/fleet/answers_test.go
+++ b/internal/fleet/answers_test.go
@@ -34,7 +34,7 @@
 	names := make([]string, 300)
 	for i := range names {
 		names[i] = string(rune('a'+i/26)) + string(rune('a'+i%26))
-		if !poll(names[i], peerproto.Poll{No: 1}) {
+		if !poll(names[i], peerproto.Poll{Sequence: 1}) {
 			t.Fatal("the first poll of one waits for a tick")
 		}
 	}
@@ -43,24 +43,24 @@
 	}
 	rounds := 0
 	for i := range 3 * len(names) { // each polls three times more, spread over its second
-		now += view.PollEvery / time.Duration(len(names))
-		if poll(names[i%len(names)], peerproto.Poll{No: uint64(2 + i/len(names))}) {
+		now += view.PollInterval / time.Duration(len(names))
+		if poll(names[i%len(names)], peerproto.Poll{Sequence: uint64(2 + i/len(names))}) {
 			t.Fatalf("poll %d with nothing new wants a step", i)
 		}
 		if answer(0) {
 			rounds++
 		}
 	}
-	if most := int(3 * view.PollEvery / VerifyRest); rounds > most || rounds < most-2 {
+	if most := int(3 * view.PollInterval / VerifyRest); rounds > most || rounds < most-2 {
 		t.Errorf("%d rounds in 3 s at rest, %d wanted", rounds, most)
 	}
 	press := func(what string, agreed uint64, say func() bool) {
 		t.Helper()
 		now += VerifyRest
-		poll("aa", peerproto.Poll{No: 20})
+		poll("aa", peerproto.Poll{Sequence: 20})
 		answer(0)
 		now += VerifyEvery
-		poll("aa", peerproto.Poll{No: 21})
+		poll("aa", peerproto.Poll{Sequence: 21})
 		if answer(0) {
 			t.Fatal("a poll at rest is answered before others could join it")
 		}
@@ -69,17 +69,17 @@
 		}
 	}
 	press("one that laid a drain", 0, func() bool {
-		return poll("ab", peerproto.Poll{No: 9, Laid: []peerproto.Laid{{Machine: "r", Fence: 1}}})
+		return poll("ab", peerproto.Poll{Sequence: 9, Drains: []peerproto.DrainStatus{{Machine: "r", Fence: 1}}})
 	})
 	press("an entry that was agreed", 3, func() bool { return true })
 	for _, name := range names {
-		poll(name, peerproto.Poll{No: 30})
+		poll(name, peerproto.Poll{Sequence: 30})
 	}
-	press("one that was silent", 0, func() bool { now += 2*view.PollEvery + 1; return poll("ac", peerproto.Poll{No: 31}) })
-	if err := n.copy.take(peerproto.Word{Index: 5, Entries: []peerproto.Entry{{Index: 5, Raw: tick(t, 5)}}}); err != nil {
+	press("one that was silent", 0, func() bool { now += 2*view.PollInterval + 1; return poll("ac", peerproto.Poll{Sequence: 31}) })
+	if err := n.copy.take(peerproto.Reply{Index: 5, Entries: []peerproto.Entry{{Index: 5, Raw: tick(t, 5)}}}); err != nil {
 		t.Fatal(err)
 	}
-	if !poll("ad", peerproto.Poll{No: 40, Index: 4}) || poll("ad", peerproto.Poll{No: 41, Index: 5}) {
+	if !poll("ad", peerproto.Poll{Sequence: 40, Index: 4}) || poll("ad", peerproto.Poll{Sequence: 41, Index: 5}) {
 		t.Error("one that lacks an entry should not wait, one that has all should")
 	}
 }
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -58,21 +58,21 @@
 
 // take applies what a word of the leader brought, if this copy is not the raft group's to apply to. It says why the
 // copy can't go on from it: entries that follow on what is missing here, a snapshot that can't be read.
-func (c *copied) take(w peerproto.Word) error {
+func (c *copied) take(w peerproto.Reply) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.stateMachine
 	if c.seat != nil || l.Halted() != nil {
 		return nil
 	}
-	era := max(w.Era, 1)
+	era := max(w.Epoch, 1)
 	if era < l.Epoch() {
 		return fmt.Errorf("words of era %d, this copy is of %d", era, l.Epoch())
 	}
 	if era == l.Epoch() && w.Index <= l.Index() {
 		w.Snapshot, w.Packed = nil, nil // nothing new
 	}
-	state, err := w.State()
+	state, err := w.DecodeSnapshot()
 	if err != nil {
 		return err
 	}
@@ -82,8 +82,8 @@
 	if len(state) > 0 {
 		return l.Load(state)
 	}
-	if len(w.Entries) > 0 && w.Since > l.Index() {
-		return fmt.Errorf("entries follow on %d, this copy stands at %d", w.Since, l.Index())
+	if len(w.Entries) > 0 && w.After > l.Index() {
+		return fmt.Errorf("entries follow on %d, this copy stands at %d", w.After, l.Index())
 	}
 	for _, e := range w.Entries {
 		if e.Index <= l.Index() {
--- a/internal/fleet/drainctl/acknowledge.go
+++ b/internal/fleet/drainctl/acknowledge.go
@@ -16,7 +16,7 @@
 	lastPollAt time.Duration // own time at which a poll of its last came
 	sequence   uint64
 	sequenceAt time.Duration // own time at which that number came
-	drains     []peerproto.Laid
+	drains     []peerproto.DrainStatus
 	peerClock
 }
 
@@ -39,7 +39,7 @@
 	}
 	drains := slices.Clone(p.Drains)
 	if p.Sequence != 0 && p.Sequence < h.sequence && c.now-h.sequenceAt < MaxReorderDelay {
-		drains = slices.DeleteFunc(drains, func(x peerproto.Laid) bool { return !slices.Contains(h.drains, x) })
+		drains = slices.DeleteFunc(drains, func(x peerproto.DrainStatus) bool { return !slices.Contains(h.drains, x) })
 	} else {
 		h.sequence, h.sequenceAt = p.Sequence, c.now
 		h.peerClock = peerClock{offset: p.Wall - c.now, at: c.now, set: p.Wall > 0}
@@ -107,19 +107,19 @@
 	var missing []string
 	for _, name := range acknowledgers {
 		silent := c.silence(name)
-		var says *peerproto.Laid
+		var says *peerproto.DrainStatus
 		if h := c.pollers[name]; h != nil {
-			if i := slices.IndexFunc(h.drains, func(x peerproto.Laid) bool { return x.Fence == it.Fence && x.Machine == it.Machine }); i >= 0 {
+			if i := slices.IndexFunc(h.drains, func(x peerproto.DrainStatus) bool { return x.Fence == it.Fence && x.Machine == it.Machine }); i >= 0 {
 				says = &h.drains[i]
 			}
 		}
 		switch {
-		case says != nil && !says.Refused:
+		case says != nil && !says.Rejected:
 			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > silenceLimit(limits):
 			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent})
 		case says != nil:
-			c.withdraw(it, fmt.Sprintf("%s refuses: %s", name, says.Why))
+			c.withdraw(it, fmt.Sprintf("%s refuses: %s", name, says.Reason))
 			return
 		default:
 			missing = append(missing, name)
--- a/internal/fleet/drainctl/acknowledge_test.go
+++ b/internal/fleet/drainctl/acknowledge_test.go
@@ -127,14 +127,14 @@
 func TestALatePollTakesBackNoSilenceAndGivesNoWord(t *testing.T) {
 	r := begin(t)
 	r.silent = "c"
-	x, y := peerproto.Laid{Machine: "r1", Fence: 1}, peerproto.Laid{Machine: "r2", Fence: 2}
-	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 50, Drains: []peerproto.Laid{y}}, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.Laid{x, y}})
+	x, y := peerproto.DrainStatus{Machine: "r1", Fence: 1}, peerproto.DrainStatus{Machine: "r2", Fence: 2}
+	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 50, Drains: []peerproto.DrainStatus{y}}, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.DrainStatus{x, y}})
 	r.step(100 * time.Millisecond)
-	r.want("what both say", r.l.pollers["c"].drains, []peerproto.Laid{y})
+	r.want("what both say", r.l.pollers["c"].drains, []peerproto.DrainStatus{y})
 	r.run(MaxReorderDelay)
-	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.Laid{x}})
+	r.in = append(r.in, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.DrainStatus{x}})
 	r.step(100 * time.Millisecond)
-	r.want("a process whose clock went back", r.l.pollers["c"].drains, []peerproto.Laid{x})
+	r.want("a process whose clock went back", r.l.pollers["c"].drains, []peerproto.DrainStatus{x})
 	for i := range MaxPollers + 5 {
 		r.in = append(r.in, Polled{From: fmt.Sprint(i), Sequence: 1})
 	}
--- a/internal/fleet/drainctl/controller.go
+++ b/internal/fleet/drainctl/controller.go
@@ -101,7 +101,7 @@
 		From     string
 		Sequence uint64
 		Index    uint64
-		Drains   []peerproto.Laid
+		Drains   []peerproto.DrainStatus
 		Wall     time.Duration
 	}
 	// Membership is the gossip membership, whole and with the own name, as they are now.
--- a/internal/fleet/drainctl/controller_test.go
+++ b/internal/fleet/drainctl/controller_test.go
@@ -137,7 +137,7 @@
 			if name == r.lazy {
 				fence += 1000
 			}
-			p.Drains = append(p.Drains, peerproto.Laid{Machine: it.Machine, Fence: fence, Refused: name == r.refuses, Why: "alone"})
+			p.Drains = append(p.Drains, peerproto.DrainStatus{Machine: it.Machine, Fence: fence, Rejected: name == r.refuses, Reason: "alone"})
 		}
 	}
 	return p
--- a/internal/fleet/drainctl/false_input_test.go
+++ b/internal/fleet/drainctl/false_input_test.go
@@ -16,7 +16,7 @@
 	lie := func(machine string) {
 		p := Polled{From: "a", Sequence: uint64(r.now) + 1, Wall: 5000*s + r.now}
 		for fence := range uint64(64) {
-			p.Drains = append(p.Drains, peerproto.Laid{Machine: machine, Fence: fence + 1})
+			p.Drains = append(p.Drains, peerproto.DrainStatus{Machine: machine, Fence: fence + 1})
 		}
 		r.in = append(r.in, p)
 	}
--- a/internal/fleet/drainctl/observe_test.go
+++ b/internal/fleet/drainctl/observe_test.go
@@ -161,7 +161,7 @@
 			t.Errorf("names of %d: %d machines differ after %d observations", length, len(r.l.changedMachines(r.l.mergedInventory())), parts)
 		}
 		for _, p := range r.all[before:] {
-			if raw, err := p.Command.Encode(); err != nil || len(p.Command.Body) > MaxObservationSize+4096 || len(raw) > peerproto.EntriesMost {
+			if raw, err := p.Command.Encode(); err != nil || len(p.Command.Body) > MaxObservationSize+4096 || len(raw) > peerproto.MaxEntriesSize {
 				t.Errorf("names of %d: %s of %d bytes, %d in the log: %v", length, p.Command.Kind, len(p.Command.Body), len(raw), err)
 			}
 		}
--- a/internal/fleet/fleetsim/actions.go
+++ b/internal/fleet/fleetsim/actions.go
@@ -47,9 +47,9 @@
 	n := &s.nodes[i]
 	sent := make(map[uint64]time.Duration, len(n.sent)+1)
 	maps.Copy(sent, n.sent)
-	sent[p.No] = s.now
-	n.sent, n.polled = sent, p.No
-	w := smallWord{From: i, To: n.knows, No: p.No, Laid: p.Laid}
+	sent[p.Sequence] = s.now
+	n.sent, n.polled = sent, p.Sequence
+	w := smallWord{From: i, To: n.knows, No: p.Sequence, Laid: p.Drains}
 	if n.leads {
 		w.To = i
 	} else if n.fails++; n.fails > 2 { // no word of whom it knows: another
@@ -83,7 +83,7 @@
 			laid[fence] = by &^ (1 << w.From)
 		}
 		for _, l := range w.Laid {
-			if !l.Refused {
+			if !l.Rejected {
 				laid[l.Fence] |= 1 << w.From
 			}
 		}
@@ -94,10 +94,10 @@
 	sent, ok := n.sent[w.No]
 	n.fails = 0
 	n.applied = max(n.applied, w.Index)
-	s.step(w.To, s.applied(w.To), view.Answered{Poll: w.No, Leader: fmt.Sprintf("c%d", w.From), Term: w.Term})
+	s.step(w.To, s.applied(w.To), view.PollAnswered{Sequence: w.No, Leader: fmt.Sprintf("c%d", w.From), Term: w.Term})
 	if ok {
 		lease := s.limits.Lease
-		s.tell(history.Event{Kind: history.Leased, By: fmt.Sprintf("c%d", w.To), Until: sent + lease - lease/view.Drift})
+		s.tell(history.Event{Kind: history.Leased, By: fmt.Sprintf("c%d", w.To), Until: sent + lease - lease/view.MaxDriftDivisor})
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	s.observe()
 	for i := range s.nodes {
-		s.step(i, s.applied(i), view.Listed{Own: list})
+		s.step(i, s.applied(i), view.ReplicaList{Replicas: list})
 	}
 }
 
@@ -179,7 +179,7 @@
 		switch silent := s.silent(s.leader, i); {
 		case n.laid[item.Fence]&(1<<i) != 0 || i == s.leader && s.nodes[i].drains[item.Machine]:
 			body.Acknowledged = append(body.Acknowledged, name)
-		case silent > need+need/view.Drift, s.off == "told":
+		case silent > need+need/view.MaxDriftDivisor, s.off == "told":
 			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent + 1})
 		default:
 			return false
@@ -320,7 +320,7 @@
 		for i := range s.nodes {
 			goes := false
 			for _, g := range s.nodes[i].file {
-				if g.Machine == name && g.Fence > r.acted && clockwork.Epoch+s.now < g.Before {
+				if g.Machine == name && g.Fence > r.acted && clockwork.Epoch+s.now < g.StartBefore {
 					goes = true
 					add(always(func(s *small) {
 						s.rooms[j].status, s.rooms[j].acted = maintenance.Gone, g.Fence
--- a/internal/fleet/fleetsim/canon.go
+++ b/internal/fleet/fleetsim/canon.go
@@ -40,7 +40,7 @@
 
 // modes are by type and field; a field that is not named counts whole.
 var modes = map[string]mode{
-	"view.View.out": none, "view.View.index": none, "view.polls.no": none, // see canon.poll and small.digest
+	"view.View.out": none, "view.View.index": none, "view.pollState.sequence": none, // see canon.poll and small.digest
 	"statemachine.Machine.parts": none, "statemachine.Machine.index": none, "statemachine.Machine.ids": none, "statemachine.Machine.seen": none,
 	"maintenance.State.byID": none, "maintenance.State.machines": none, "maintenance.State.cells": none, "maintenance.State.latest": none,
 	"maintenance.State.sums": none, "maintenance.State.sumsValid": none, "maintenance.State.pauseWhy": none, "maintenance.request.FirstSeenAt": none,
@@ -67,7 +67,7 @@
 		}},
 	},
 	"maintenance.flapHistory": {{[]string{"UpAt"}, func(_ *canon, v reflect.Value) bool { return !v.FieldByName("Flapping").Bool() }}},
-	"view.View": {{[]string{"first"}, func(_ *canon, v reflect.Value) bool {
+	"view.View": {{[]string{"firstStepAt"}, func(_ *canon, v reflect.Value) bool {
 		return v.FieldByName("polls").FieldByName("answered").Bool()
 	}}},
 	"history.standing": {
@@ -182,11 +182,11 @@
 	case reflect.Struct:
 		t := v.Type()
 		switch t.String() {
-		case "view.polls":
-			c.poll = v.FieldByName("no").Uint()
-		case "view.sent":
-			c.word(c.poll - v.FieldByName("no").Uint())
-			c.time(time.Duration(v.FieldByName("at").Int()), whole)
+		case "view.pollState":
+			c.poll = v.FieldByName("sequence").Uint()
+		case "view.sentPoll":
+			c.word(c.poll - v.FieldByName("sequence").Uint())
+			c.time(time.Duration(v.FieldByName("sentAt").Int()), whole)
 			return
 		}
 		var gone uint
--- a/internal/fleet/fleetsim/canon_names_test.go
+++ b/internal/fleet/fleetsim/canon_names_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	for _, typ := range []string{"view.polls", "view.sent"} { // told apart in canon.value
+	for _, typ := range []string{"view.pollState", "view.sentPoll"} { // told apart in canon.value
 		if !names.Types[typ] {
 			t.Errorf("canon.value: there is no type %s", typ)
 		}
--- a/internal/fleet/fleetsim/disk.go
+++ b/internal/fleet/fleetsim/disk.go
@@ -79,8 +79,8 @@
 }
 
 // sayable says whether a drain may be said as laid: not if a restart would lose it.
-func (n *node) sayable(l view.Laid) bool {
-	if l.Refused || !n.drains[l.Machine] {
+func (n *node) sayable(l view.DrainStatus) bool {
+	if l.Rejected || !n.drains[l.Machine] {
 		return true
 	}
 	if line, ok := n.onDisk[l.Machine]; n.w.Loose.Unkept || ok && line.fence == l.Fence {
--- a/internal/fleet/fleetsim/leader.go
+++ b/internal/fleet/fleetsim/leader.go
@@ -53,7 +53,7 @@
 	if n.w.Loose.AnyClock {
 		p.Wall = 0
 	}
-	return drainctl.Polled{From: p.From, Sequence: p.No, Index: p.Index, Drains: p.Laid, Wall: p.Wall}
+	return drainctl.Polled{From: p.From, Sequence: p.Sequence, Index: p.Index, Drains: p.Drains, Wall: p.Wall}
 }
 
 // gossipLag is how old the members' news is, and deadAfter how long a silent one takes to be counted as gone.
--- a/internal/fleet/fleetsim/machines.go
+++ b/internal/fleet/fleetsim/machines.go
@@ -67,7 +67,7 @@
 		return
 	}
 	n.list = version
-	n.stepView(view.Listed{Own: n.w.lists.at(n.list)})
+	n.stepView(view.ReplicaList{Replicas: n.w.lists.at(n.list)})
 	n.sending()
 }
 
@@ -100,7 +100,7 @@
 	for _, g := range n.grants {
 		if m := w.toolMachine(g.Item); m != nil && m.way != wayDeaf {
 			m.acted = g.Fence
-			left := g.Before - w.toolWall() // it keeps to the time in the file, but for the slow one
+			left := g.StartBefore - w.toolWall() // it keeps to the time in the file, but for the slow one
 			wait := time.Duration(w.rng.Int64N(int64(3 * time.Second)))
 			if m.way == waySlow {
 				wait = max(0, left) + time.Duration(w.rng.Int64N(int64(60*time.Second)))
--- a/internal/fleet/fleetsim/node.go
+++ b/internal/fleet/fleetsim/node.go
@@ -89,7 +89,7 @@
 	n.up, n.stalled, n.held, n.started = true, false, nil, n.w.Now
 	n.leader, n.waiting, n.owed, n.flush, n.leads, n.proposed, n.toldView, n.askedOf = -1, nil, nil, false, false, nil, 0, nil
 	n.view = view.New(n.name, n.w.s.Limits.Lease)
-	n.view.NumberFrom(uint64(n.w.Now) + 1) // as by the start's time in nanoseconds
+	n.view.FirstSequence(uint64(n.w.Now) + 1) // as by the start's time in nanoseconds
 	n.lead = drainctl.New(n.w.order)
 	n.drains, n.grants = map[string]bool{}, nil
 	n.booted()
@@ -115,7 +115,7 @@
 	}
 	n.w.tell(history.Event{Kind: history.Serving, By: n.name, On: true, Lost: n.clock.offset > n.w.s.Offset})
 	n.sending()
-	n.stepView(view.Listed{Own: n.w.lists.at(n.list)})
+	n.stepView(view.ReplicaList{Replicas: n.w.lists.at(n.list)})
 	if n.applied > 0 {
 		n.toldView = n.applied + 1
 		n.stepView(n.appliedInput())
@@ -160,7 +160,7 @@
 func (n *node) turn() {
 	n.keepAgain()
 	if n.w.rng.IntN(turnsToList) == 0 {
-		n.stepView(view.Listed{Own: n.w.lists.at(n.list)})
+		n.stepView(view.ReplicaList{Replicas: n.w.lists.at(n.list)})
 	} else {
 		n.stepView()
 	}
@@ -172,7 +172,7 @@
 const turnsToList = 8
 
 func (n *node) appliedInput() view.Applied {
-	return view.Applied{State: n.book.out, Index: uint64(n.applied), Now: n.book.led.Now()}
+	return view.Applied{State: n.book.out, Index: uint64(n.applied), AgreedTime: n.book.led.Now()}
 }
 
 // apply brings a voter's copy as far as its log is committed.
@@ -224,7 +224,7 @@
 	rest := n.owed[:0]
 	for _, o := range n.owed {
 		if o.index <= n.applied || o.more {
-			in = append(in, view.Answered{Poll: o.no, Leader: o.leader, Term: o.term, More: o.more, Unlisted: o.unlisted})
+			in = append(in, view.PollAnswered{Sequence: o.no, Leader: o.leader, Term: o.term, Truncated: o.more, NotInInventory: o.unlisted})
 		} else {
 			rest = append(rest, o)
 		}
@@ -290,7 +290,7 @@
 			n.sending()
 		case view.Poll:
 			n.poll(o)
-		case view.Leave:
+		case view.MayLeave:
 			n.leave(o.Fence)
 		case view.Grants:
 			n.grants = o.Items
@@ -300,11 +300,11 @@
 		n.w.fail(fmt.Errorf("view of %s: %w", n.name, err))
 	}
 	for _, i := range in {
-		if a, ok := i.(view.Answered); ok && !a.More && !a.Unlisted {
+		if a, ok := i.(view.PollAnswered); ok && !a.Truncated && !a.NotInInventory {
 			if !n.view.CutOff(now) { // else its lease was over when it was read, and nothing was laid
 				n.caughtUp()
 			}
-			n.w.leased(n, a.Poll)
+			n.w.leased(n, a.Sequence)
 		}
 	}
 }
--- a/internal/fleet/fleetsim/pinned/co.go
+++ b/internal/fleet/fleetsim/pinned/co.go
@@ -96,7 +96,7 @@
 		c.copy = w.reload(c.copy)
 	}
 	c.view = view.New(c.name, w.limits.Lease)
-	c.view.NumberFrom(uint64(w.Now) + 1)
+	c.view.FirstSequence(uint64(w.Now) + 1)
 	c.keeper = sessionowner.New(c.name, sessionowner.Options{})
 	if w.Now > 0 {
 		w.tell(history.Event{Kind: history.Ended, By: int32(c.id)})
@@ -189,7 +189,7 @@
 	if c.view.CutOff(now) || !c.w.Loose.Fresh && c.inc > 1 && now-c.bornAt < GraceLeast {
 		return sessionowner.Lease{}
 	}
-	return sessionowner.Lease{Until: now - c.view.Age(now) + lease - lease/view.Drift, Sure: true}
+	return sessionowner.Lease{Until: now - c.view.Age(now) + lease - lease/view.MaxDriftDivisor, Sure: true}
 }
 
 // step is a turn of the keeper.
--- a/internal/fleet/fleetsim/pinned/leader.go
+++ b/internal/fleet/fleetsim/pinned/leader.go
@@ -193,7 +193,7 @@
 			if free <= 0 {
 				break
 			}
-			if _, leaving := w.leaving[i]; leaving || !o.up || c.silence(l, o.name) > 2*view.PollEvery+time.Second {
+			if _, leaving := w.leaving[i]; leaving || !o.up || c.silence(l, o.name) > 2*view.PollInterval+time.Second {
 				continue
 			}
 			if n := min(free, share-book.Pool().Held(o.name, r.name)); n > 0 {
--- a/internal/fleet/fleetsim/pinned/polls.go
+++ b/internal/fleet/fleetsim/pinned/polls.go
@@ -30,7 +30,7 @@
 func (c *co) viewed(in []view.Input) {
 	for _, o := range c.view.Step(c.mono(), in) {
 		if p, ok := o.(view.Poll); ok {
-			from, no, since := c.id, p.No, c.copy.index
+			from, no, since := c.id, p.Sequence, c.copy.index
 			if c.asked { // the one before had no answer
 				c.hint = -1
 			}
@@ -133,8 +133,8 @@
 		c.fetch()
 	}
 	if a.no > 0 {
-		c.viewed([]view.Input{view.Answered{Poll: a.no, Leader: w.cos[a.leader].name, Term: a.term, More: a.more || c.copy.index < a.upTo,
-			Unlisted: a.unlisted}})
+		c.viewed([]view.Input{view.PollAnswered{Sequence: a.no, Leader: w.cos[a.leader].name, Term: a.term, Truncated: a.more || c.copy.index < a.upTo,
+			NotInInventory: a.unlisted}})
 		c.step(c.lease())
 	}
 	if a.more {
--- a/internal/fleet/fleetsim/polls.go
+++ b/internal/fleet/fleetsim/polls.go
@@ -31,13 +31,13 @@
 		to = n.w.voters[n.w.rng.IntN(len(n.w.voters))]
 	}
 	n.leader = -1 // until it answers
-	word := peerproto.Poll{From: n.name, No: p.No, Index: p.Index, Load: n.w.loadOfOne(), LoadKnown: true, Wall: n.wall()}
-	for _, l := range p.Laid {
+	word := peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Load: n.w.loadOfOne(), LoadKnown: true, Wall: n.wall()}
+	for _, l := range p.Drains {
 		if n.sayable(l) {
-			word.Laid = append(word.Laid, peerproto.Laid(l))
+			word.Drains = append(word.Drains, peerproto.DrainStatus(l))
 		}
 	}
-	n.w.polls[pollKey{n.id, p.No}] = n.w.Now
+	n.w.polls[pollKey{n.id, p.Sequence}] = n.w.Now
 	n.w.send(n.id, to, func(o *node) { o.onPoll(n.id, word) })
 	if n.asks != nil && n.asks.Asks.Revision > n.book.out.Requests().Revision {
 		ask := *n.asks
@@ -53,7 +53,7 @@
 	switch {
 	case n.v == nil:
 	case !n.v.leads:
-		w := peerproto.Word{No: p.No, From: n.name}
+		w := peerproto.Reply{Sequence: p.Sequence, From: n.name}
 		if n.v.leader >= 0 {
 			w.Leader = n.w.nodes[n.v.leader].name
 		}
@@ -107,8 +107,8 @@
 }
 
 func (n *node) answer(p pending) {
-	w := peerproto.Word{No: p.poll.No, From: n.name, Leader: n.name, Term: n.v.term, Led: true, Since: p.poll.Index, Index: uint64(n.applied)}
-	w.Unlisted = !drainctl.MustAcknowledge(n.book.out, p.poll.From)
+	w := peerproto.Reply{Sequence: p.poll.Sequence, From: n.name, Leader: n.name, Term: n.v.term, FromLeader: true, After: p.poll.Index, Index: uint64(n.applied)}
+	w.NotInInventory = !drainctl.MustAcknowledge(n.book.out, p.poll.From)
 	state := n.snap
 	if since := int(p.poll.Index); since >= n.v.base {
 		for i := since + 1; i <= n.applied; i++ {
@@ -117,28 +117,28 @@
 			}
 		}
 		if len(w.Entries) > entriesMost {
-			w.Entries, w.More = w.Entries[:entriesMost], true
+			w.Entries, w.Truncated = w.Entries[:entriesMost], true
 		}
 	} else {
 		w.Snapshot, w.Index = state, uint64(n.snapAt)
-		w.More = n.snapAt < n.applied
+		w.Truncated = n.snapAt < n.applied
 	}
 	n.w.send(n.id, p.from, func(o *node) { o.onWord(w) })
 }
 
-func (n *node) onWord(w peerproto.Word) {
+func (n *node) onWord(w peerproto.Reply) {
 	n.leader = -1
 	if o := n.w.byName[w.Leader]; o != nil {
 		n.leader = o.id
 	}
-	if !w.Led {
+	if !w.FromLeader {
 		return
 	}
-	n.owed = append(n.owed, owed{w.No, w.Leader, w.Term, w.More, int(w.Index), w.Unlisted})
+	n.owed = append(n.owed, owed{w.Sequence, w.Leader, w.Term, w.Truncated, int(w.Index), w.NotInInventory})
 	if len(n.owed) > heldMost {
 		n.owed = n.owed[1:]
 	}
-	if n.v == nil && int(w.Since) <= n.applied {
+	if n.v == nil && int(w.After) <= n.applied {
 		n.follow(w)
 	} else {
 		n.changed()
@@ -146,7 +146,7 @@
 }
 
 // follow brings the copy of a co-ordinator without a vote on.
-func (n *node) follow(w peerproto.Word) {
+func (n *node) follow(w peerproto.Reply) {
 	if w.Snapshot != nil {
 		n.load(w.Snapshot, int(w.Index))
 		return
@@ -156,7 +156,7 @@
 		if int(e.Index) > n.applied && !n.applyOne(int(e.Index), e.Raw) {
 			return
 		}
-		if w.More {
+		if w.Truncated {
 			upTo = int(e.Index)
 		}
 	}
--- a/internal/fleet/fleetsim/small.go
+++ b/internal/fleet/fleetsim/small.go
@@ -90,7 +90,7 @@
 type smallWord struct {
 	From, To int
 	No       uint64
-	Laid     []view.Laid
+	Laid     []view.DrainStatus
 	Answer   bool
 	Index    int
 	Term     uint64
@@ -168,8 +168,8 @@
 	*n = smallNode{view: view.New(fmt.Sprintf("c%d", i), s.limits.Lease), applied: old.applied, knows: old.knows, list: s.list,
 		sent: map[uint64]time.Duration{}, laid: map[uint64]uint8{}, drains: map[string]bool{}}
 	n.polled = uint64(s.now)
-	n.view.NumberFrom(n.polled)
-	s.step(i, s.applied(i), view.Listed{Own: s.list})
+	n.view.FirstSequence(n.polled)
+	s.step(i, s.applied(i), view.ReplicaList{Replicas: s.list})
 	s.tell(history.Event{Kind: history.Serving, By: fmt.Sprintf("c%d", i), On: true})
 	for j := range s.rooms {
 		s.tell(history.Event{Kind: history.Sends, By: fmt.Sprintf("c%d", i), Name: fmt.Sprintf("r%d", j), On: true})
@@ -283,5 +283,5 @@
 
 func (s *small) applied(i int) view.Applied {
 	b := s.books[s.nodes[i].applied]
-	return view.Applied{State: b.out, Index: uint64(s.nodes[i].applied), Now: b.led.Now()}
+	return view.Applied{State: b.out, Index: uint64(s.nodes[i].applied), AgreedTime: b.led.Now()}
 }
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -52,7 +52,7 @@
 func line(g view.Grant, reason string) grantLine {
 	return grantLine{
 		Machine: g.Machine, Fence: g.Fence, Request: g.Request, Reason: reason,
-		StartBefore: time.Unix(0, int64(g.Before)).UTC(), Until: time.Unix(0, int64(g.Until)).UTC(),
+		StartBefore: time.Unix(0, int64(g.StartBefore)).UTC(), Until: time.Unix(0, int64(g.Until)).UTC(),
 	}
 }
 
--- a/internal/fleet/laid.go
+++ b/internal/fleet/laid.go
@@ -106,9 +106,9 @@
 }
 
 // sayable leaves out of what may be said as laid what would be lost by a restart: the disk does not have it yet.
-func (n *Node) sayable(laid []view.Laid) []view.Laid {
-	return slices.DeleteFunc(laid, func(l view.Laid) bool {
-		lost := !l.Refused && slices.Contains(n.drains, l.Machine) && !slices.ContainsFunc(n.onDisk, func(k laidLine) bool {
+func (n *Node) sayable(laid []view.DrainStatus) []view.DrainStatus {
+	return slices.DeleteFunc(laid, func(l view.DrainStatus) bool {
+		lost := !l.Rejected && slices.Contains(n.drains, l.Machine) && !slices.ContainsFunc(n.onDisk, func(k laidLine) bool {
 			return k.Machine == l.Machine && k.fence == l.Fence
 		})
 		n.unkept = n.unkept || lost
--- a/internal/fleet/lanes_test.go
+++ b/internal/fleet/lanes_test.go
@@ -26,7 +26,7 @@
 	}
 	raw, err := older.Save()
 	c := newCopy()
-	if err != nil || c.take(peerproto.Word{Index: 3, Snapshot: raw}) != nil || c.stateMachine.Index() != 3 {
+	if err != nil || c.take(peerproto.Reply{Index: 3, Snapshot: raw}) != nil || c.stateMachine.Index() != 3 {
 		t.Fatal(err, c.stateMachine.Index())
 	}
 	if same, err := c.stateMachine.Save(); err != nil || !bytes.Equal(raw, same) || older.Load(same) != nil {
--- a/internal/fleet/loadshed/letters.go
+++ b/internal/fleet/loadshed/letters.go
@@ -17,7 +17,7 @@
 	// letterVersion of letters; another one is left out.
 	letterVersion = 1
 	// LetterMost bytes of one: it goes in one packet.
-	LetterMost = member.SmallMost - 2 - member.NameMost
+	LetterMost = member.MaxPacketMessage - 2 - member.MaxNameLength
 	// LettersMost wait for the next step; further ones are dropped. Twice as many: older news after a stall; half: a stall of
 	// two seconds at 300 co-ordinators loses some, which come again.
 	LettersMost = 256
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -380,7 +380,7 @@
 }
 
 func TestNamesFitALetter(t *testing.T) {
-	if LetterMost+2+member.NameMost > member.SmallMost || LetterMost < 1000 {
+	if LetterMost+2+member.MaxNameLength > member.MaxPacketMessage || LetterMost < 1000 {
 		t.Error(LetterMost)
 	}
 }
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -10,7 +10,7 @@
 	"birchcart/internal/fleet/sourceaddr"
 )
 
-// delegate is what the engine calls. It calls with its own locks held: nothing here waits or calls back.
+// delegate is what memberlist calls. It calls with its own locks held: nothing here waits or calls back.
 type delegate struct{ m *Members }
 
 // The first byte of a message between members.
@@ -27,97 +27,97 @@
 	}
 	switch b[0] {
 	case kindRecords:
-		d.records(b[1:])
+		d.mergeRecords(b[1:])
 	case kindMessage:
-		d.m.inbox.put(b[1:])
+		d.m.inbox.enqueue(b[1:])
 	default:
 		d.m.log.Debugf("a message of a kind that this program does not know: %d", b[0])
 	}
 }
 
-func (d *delegate) records(b []byte) {
-	if err := d.m.news.take(b, time.Now()); err != nil {
+func (d *delegate) mergeRecords(b []byte) {
+	if err := d.m.table.merge(b, time.Now()); err != nil {
 		d.m.log.Debug(err)
 	}
 }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	if b := d.m.news.some(limit-overhead, time.Now()); b != nil {
+	if b := d.m.table.broadcast(limit-overhead, time.Now()); b != nil {
 		return [][]byte{b}
 	}
 	return nil
 }
 
-func (d *delegate) LocalState(bool) []byte { return d.m.news.all(time.Now()) }
+func (d *delegate) LocalState(bool) []byte { return d.m.table.allRecords(time.Now()) }
 
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	if len(b) > 0 && b[0] == kindRecords {
-		d.records(b[1:])
+		d.mergeRecords(b[1:])
 	}
 }
 
-func (d *delegate) NotifyJoin(n *memberlist.Node)        { d.m.news.engine(n, true) }
-func (d *delegate) NotifyUpdate(n *memberlist.Node)      { d.m.news.engine(n, true) }
-func (d *delegate) NotifyLeave(n *memberlist.Node)       { d.m.news.engine(n, false) }
-func (d *delegate) NotifyAlive(n *memberlist.Node) error { return d.m.news.room(n.Name) }
+func (d *delegate) NotifyJoin(n *memberlist.Node)        { d.m.table.setState(n, true) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node)      { d.m.table.setState(n, true) }
+func (d *delegate) NotifyLeave(n *memberlist.Node)       { d.m.table.setState(n, false) }
+func (d *delegate) NotifyAlive(n *memberlist.Node) error { return d.m.table.checkCapacity(n.Name) }
 
-// AckPayload tells the own record in the answer to a probe: news at first hand for a few bytes.
+// AckPayload sends the own record in the answer to a probe: a record at first hand for a few bytes.
 func (d *delegate) AckPayload() []byte {
-	d.m.news.mu.Lock()
-	defer d.m.news.mu.Unlock()
-	return d.m.news.own(nil, time.Now())
+	d.m.table.mu.Lock()
+	defer d.m.table.mu.Unlock()
+	return d.m.table.appendOwn(nil, time.Now())
 }
 
 func (d *delegate) NotifyPingComplete(_ *memberlist.Node, _ time.Duration, payload []byte) {
-	d.records(payload)
+	d.mergeRecords(payload)
 }
 
-// counted counts the bytes on the sockets, and dials from the address that the member listens at.
-type counted struct {
+// countingTransport counts the bytes on the sockets, and dials from the address that the member listens at.
+type countingTransport struct {
 	memberlist.NodeAwareTransport
-	bytes atomic.Int64
-	sent  atomic.Int64 // packets
-	from  net.IP       // where it listens; nil if that is no address
+	bytes  atomic.Int64
+	sent   atomic.Int64 // packets
+	source net.IP       // where it listens; nil if that is no address
 }
 
-// head is what IP and UDP add to a packet, in bytes.
-const head = 28
+// packetOverhead is what IP and UDP add to a packet, in bytes.
+const packetOverhead = 28
 
-func (c *counted) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (c *countingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	c.sent.Add(1)
-	c.bytes.Add(int64(len(b) + head))
+	c.bytes.Add(int64(len(b) + packetOverhead))
 	return c.NodeAwareTransport.WriteToAddress(b, a)
 }
 
-func (c *counted) WriteTo(b []byte, addr string) (time.Time, error) {
+func (c *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	c.sent.Add(1)
-	c.bytes.Add(int64(len(b) + head))
+	c.bytes.Add(int64(len(b) + packetOverhead))
 	return c.NodeAwareTransport.WriteTo(b, addr)
 }
 
-func (c *counted) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
-	// The engine's own dial leaves the source to the kernel.
-	conn, err := sourceaddr.Dial(c.from, a.Addr, wait)
+func (c *countingTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
+	// memberlist's own dial leaves the source to the kernel.
+	conn, err := sourceaddr.Dial(c.source, a.Addr, wait)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, c: c}, nil
+	return &countingConn{Conn: conn, transport: c}, nil
 }
 
-// countedConn counts both ways at the side that dialled.
-type countedConn struct {
+// countingConn counts both ways at the side that dialled.
+type countingConn struct {
 	net.Conn
-	c *counted
+	transport *countingTransport
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.bytes.Add(int64(n))
+	c.transport.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.bytes.Add(int64(n))
+	c.transport.bytes.Add(int64(n))
 	return n, err
 }
--- a/internal/fleet/member/pace_test.go
+++ b/internal/fleet/member/heartbeat_test.go
@@ -11,9 +11,9 @@
 func TestAgesUnderClocksOnePerCentOff(t *testing.T) {
 	for _, paces := range [][]float64{{1.01, 1.01, 1.01, 1.01}, {0.99, 0.99, 0.99, 0.99}, {0.99, 1.01, 0.99, 1.01}, {1.01, 0.99, 1.01, 0.99}} {
 		t.Run(fmt.Sprint(paces), func(t *testing.T) {
-			var all []*news
+			var all []*memberTable
 			for i := range paces {
-				n := &news{}
+				n := &memberTable{}
 				n.init(Options{Name: fmt.Sprint("n", i), Incarnation: 7})
 				all = append(all, n)
 			}
@@ -26,18 +26,18 @@
 				made := 1000*time.Second + hour*40*time.Second
 				first.mu.Lock()
 				first.loadAt = clock(0, made-2*time.Second)
-				first.make(clock(0, made))
+				first.makeRecord(clock(0, made))
 				first.mu.Unlock()
 				at := made
 				for i := 1; i < len(all); i++ {
 					at += time.Duration(2+i*int(hour%3+1)) * time.Second
-					b := all[i-1].all(clock(i-1, at))
-					if err := all[i].take(b[1:], clock(i, at)); err != nil {
+					b := all[i-1].allRecords(clock(i-1, at))
+					if err := all[i].merge(b[1:], clock(i, at)); err != nil {
 						t.Fatal(err)
 					}
-					h := all[i].by["n0"]
-					h.engine, h.up = true, true
-					m := all[i].line(h, clock(i, at+time.Second))
+					h := all[i].members["n0"]
+					h.inMemberlist, h.alive = true, true
+					m := all[i].member(h, clock(i, at+time.Second))
 					want, slack := at+time.Second-made, 2*time.Millisecond*time.Duration(i)
 					if off := m.Age - want; off > want/100+slack || -off > want/100+slack {
 						t.Errorf("at n%d, %v after it was made, it is told as %v old", i, want, m.Age)
@@ -45,11 +45,11 @@
 					if off := m.LoadAge - want - 2*time.Second; off > want/100+slack+20*time.Millisecond || -off > want/100+slack+20*time.Millisecond {
 						t.Errorf("at n%d its load of %v ago is told as %v old", i, want+2*time.Second, m.LoadAge)
 					}
-					if m.State != Alive && want < SilentBeats*BeatLeast {
+					if m.State != Alive && want < SuspectHeartbeats*MinHeartbeatInterval {
 						t.Errorf("n0 is %v at n%d, %v after its beat", m.State, i, want)
 					}
 					for j := 1; j < i; j++ { // only what is made passes on
-						all[j].by["n0"].up = true
+						all[j].members["n0"].alive = true
 					}
 				}
 			}
--- a/internal/fleet/member/keys.go
+++ b/internal/fleet/member/keys.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// KeysMost is the most keys in the file: the one in use and those of a rotation under way.
-const KeysMost = 8
+// MaxKeys is the maximum number of keys in the file: the one in use and those of a rotation under way.
+const MaxKeys = 8
 
 // parseKeys reads base64 keys of 16, 24 or 32 bytes, one a line; the first is used for sending, all for reading. Empty lines
 // and those that begin with # are left out. Errors never say what the file holds.
@@ -38,8 +38,8 @@
 		}
 		keys = append(keys, key)
 	}
-	if len(keys) == 0 || len(keys) > KeysMost {
-		return nil, fmt.Errorf("member: the keyring %s has %d keys, 1 to %d are wanted", path, len(keys), KeysMost)
+	if len(keys) == 0 || len(keys) > MaxKeys {
+		return nil, fmt.Errorf("member: the keyring %s has %d keys, 1 to %d are wanted", path, len(keys), MaxKeys)
 	}
 	return keys, nil
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain waits for the engine's last probes, which end by their own limit some seconds after a member closed.
+// TestMain waits for memberlist's last probes, which end by their own limit some seconds after a member closed.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	var left error
@@ -139,12 +139,12 @@
 func views(all []*Members) string {
 	own := map[string]string{}
 	for _, m := range all {
-		own[m.o.Name] = m.Addr()
+		own[m.options.Name] = m.Addr()
 	}
 	var b strings.Builder
 	for _, m := range all {
 		known := m.Members()
-		fmt.Fprintf(&b, "%s at %s knows %d:", m.o.Name, m.Addr(), len(known))
+		fmt.Fprintf(&b, "%s at %s knows %d:", m.options.Name, m.Addr(), len(known))
 		for _, x := range known {
 			if x.State != Alive || own[x.Name] != x.Addr {
 				fmt.Fprintf(&b, " %s at %s is %s for %v;", x.Name, x.Addr, x.State, x.Age.Round(time.Second))
@@ -196,7 +196,7 @@
 	whole(t, all)
 	slow := all[3].Addr()
 	held.to.Store(&slow)
-	for i := 0; i < LaneMost; i++ {
+	for i := 0; i < MaxQueuedMessages; i++ {
 		if err := all[0].Send("c03", make([]byte, 50_000)); err != nil {
 			t.Fatal(err)
 		}
@@ -205,7 +205,7 @@
 		t.Errorf("a full lane: %v", err)
 	}
 	// All of these come while the first to c03 is still on its way.
-	for _, n := range []int{10, SmallMost - 5, SmallMost, 300_000} {
+	for _, n := range []int{10, MaxPacketMessage - 5, MaxPacketMessage, 300_000} {
 		want := fmt.Sprintf("c00 to c01: %d", n)
 		until(t, want, patience, func() bool {
 			if err := all[0].Send("c01", make([]byte, n)); err != nil && !errors.Is(err, ErrFull) {
@@ -232,7 +232,7 @@
 	if err := all[0].Send("nobody", nil); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
-	if err := all[0].Send("c01", make([]byte, LargeMost+1)); !errors.Is(err, ErrLarge) {
+	if err := all[0].Send("c01", make([]byte, MaxMessageSize+1)); !errors.Is(err, ErrTooLarge) {
 		t.Error(err)
 	}
 }
@@ -252,7 +252,7 @@
 	return h.NodeAwareTransport.DialAddressTimeout(a, wait)
 }
 
-// The engine tells of a new member only a few times, and by chance or loss none of them may come to one of the others. That
+// memberlist announces a new member only a few times, and by chance or loss none of them may come to one of the others. That
 // one hears the new member's records soon and then asks for it, long before whole states are exchanged.
 func TestMissedNewMember(t *testing.T) {
 	t.Parallel()
@@ -260,7 +260,7 @@
 	var by [4]*lossy
 	keys := keyFile(t, 1)
 	lose := func(i int, o *Options) {
-		o.stateEvery = time.Hour
+		o.pushPullInterval = time.Hour
 		o.Transport = func(n memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 			by[i] = &lossy{NodeAwareTransport: n, to: &deaf}
 			return by[i]
@@ -348,67 +348,67 @@
 }
 
 func TestRecordCodec(t *testing.T) {
-	a := told{Record: Record{Load: 1.5, Pressure: 0.25, Voter: true, Version: "v1"}, name: "n", zone: "z", incarnation: 1 << 60,
-		seq: 300, leaving: true, age: 1500 * time.Millisecond, loadAge: time.Hour}
+	a := wireRecord{Record: Record{Load: 1.5, Pressure: 0.25, Voter: true, Version: "v1"}, name: "n", zone: "z", incarnation: 1 << 60,
+		sequence: 300, leaving: true, age: 1500 * time.Millisecond, loadAge: time.Hour}
 	b := a.append(nil)
-	got, rest, err := takeRecord(append(b, 9))
+	got, rest, err := parseRecord(append(b, 9))
 	if err != nil || got != a || len(rest) != 1 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for n := range b {
-		if _, _, err := takeRecord(b[:n]); err == nil {
+		if _, _, err := parseRecord(b[:n]); err == nil {
 			t.Errorf("cut to %d bytes: taken", n)
 		}
 	}
 	b[0] = 2
-	if _, _, err := takeRecord(b); err == nil || !strings.Contains(err.Error(), "version 2") {
+	if _, _, err := parseRecord(b); err == nil || !strings.Contains(err.Error(), "version 2") {
 		t.Error(err)
 	}
 	young := a
 	young.age, young.loadAge = -3*time.Millisecond, -3*time.Millisecond
-	if got, _, err := takeRecord(young.append(nil)); err != nil || got.age != 0 || got.loadAge != 0 {
+	if got, _, err := parseRecord(young.append(nil)); err != nil || got.age != 0 || got.loadAge != 0 {
 		t.Errorf("made after the clock was read: %+v, %v", got, err)
 	}
 	a.Load = -1
-	if _, _, err := takeRecord(a.append(nil)); err == nil {
+	if _, _, err := parseRecord(a.append(nil)); err == nil {
 		t.Error("a load below 0 was taken")
 	}
 }
 
 func TestNewsBoundedAndAging(t *testing.T) {
-	var n news
+	var n memberTable
 	n.init(Options{Name: "self"})
 	now := time.Now()
-	// The engine may ask for the own record at once, and one without a time would pass for a day old.
-	if own, _, err := takeRecord(n.all(now)[1:]); err != nil || own.seq == 0 || own.age > patience {
+	// memberlist may ask for the own record at once, and one without a time would pass for a day old.
+	if own, _, err := parseRecord(n.allRecords(now)[1:]); err != nil || own.sequence == 0 || own.age > patience {
 		t.Errorf("the first of all: %+v, %v", own, err)
 	}
-	for i := range 2 * Most {
-		a := told{name: fmt.Sprintf("n%05d", i), incarnation: 2, seq: 5, age: time.Minute}
-		if err := n.take(a.append(nil), now); err != nil {
+	for i := range 2 * MaxMembers {
+		a := wireRecord{name: fmt.Sprintf("n%05d", i), incarnation: 2, sequence: 5, age: time.Minute}
+		if err := n.merge(a.append(nil), now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(n.by) != Most-1 {
-		t.Errorf("%d remembered", len(n.by))
+	if len(n.members) != MaxMembers-1 {
+		t.Errorf("%d remembered", len(n.members))
 	}
 	const name = "n02047"
-	n.engine(&memberlist.Node{Name: name}, true)
-	if m := n.line(n.by[name], now.Add(10*time.Second)); m.Age != 70*time.Second || m.LoadAge != 70*time.Second || m.State != Alive {
+	n.setState(&memberlist.Node{Name: name}, true)
+	if m := n.member(n.members[name], now.Add(10*time.Second)); m.Age != 70*time.Second || m.LoadAge != 70*time.Second || m.State != Alive {
 		t.Errorf("%+v", m)
 	}
-	if m := n.line(n.by[name], now.Add(time.Hour)); m.State != Suspect {
+	if m := n.member(n.members[name], now.Add(time.Hour)); m.State != Suspect {
 		t.Errorf("silent: %+v", m)
 	}
-	for _, old := range []told{{name: name, incarnation: 2, seq: 5}, {name: name, incarnation: 1, seq: 9}} {
+	for _, old := range []wireRecord{{name: name, incarnation: 2, sequence: 5}, {name: name, incarnation: 1, sequence: 9}} {
 		old.Load = 3
-		if err := n.take(old.append(nil), now); err != nil || n.by[name].Load != 0 {
+		if err := n.merge(old.append(nil), now); err != nil || n.members[name].Load != 0 {
 			t.Errorf("an older word was taken: %+v", old)
 		}
 	}
-	n.engine(&memberlist.Node{Name: name}, false)
-	n.beat(now.Add(2 * ForgetDead))
-	if _, ok := n.by[name]; ok {
+	n.setState(&memberlist.Node{Name: name}, false)
+	n.heartbeat(now.Add(2 * DeadRetention))
+	if _, ok := n.members[name]; ok {
 		t.Error("the long dead were kept")
 	}
 }
@@ -453,7 +453,7 @@
 	}
 	defer ln.Close()
 	m := fleet(t, 1, keyFile(t, 1), func(_ int, o *Options) { o.Bind = "127.0.0.2:0" })[0]
-	out, err := m.count.DialAddressTimeout(memberlist.Address{Addr: ln.Addr().String()}, time.Second)
+	out, err := m.traffic.DialAddressTimeout(memberlist.Address{Addr: ln.Addr().String()}, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/member/sockets.go
+++ b/internal/fleet/member/sockets.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// datagramMost is the most bytes that UDP carries in one packet: the room to read one, as its size is not known before.
-	datagramMost = 1 << 16
+	// maxDatagramSize is the maximum number of bytes that UDP carries in one packet: the room to read one, as its size is not known before.
+	maxDatagramSize = 1 << 16
 	// kernelBuffer is asked of the kernel for packets that wait to be read. Twice as much: more that is old after a stall;
 	// half: a stall of half the length loses some of what 300 send.
 	kernelBuffer = 2 << 20
@@ -24,7 +24,7 @@
 	acceptPause = 100 * time.Millisecond
 )
 
-// sockets listen for the engine, by UDP and TCP at one address. The engine's own take 64 KB of new memory for each packet,
+// sockets listen for memberlist, by UDP and TCP at one address. memberlist's own take 64 KB of new memory for each packet,
 // however short: 20 MB a second at a leader that 300 poll, for its collector to take back. These read into one buffer and copy
 // what came.
 type sockets struct {
@@ -53,16 +53,16 @@
 	for size := kernelBuffer; size > 0 && udp.SetReadBuffer(size) != nil; size /= 2 {
 	}
 	s := &sockets{tcp: tcp, udp: udp, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), log: log, stop: make(chan struct{})}
-	s.done.Go(s.read)
-	s.done.Go(s.accept)
+	s.done.Go(s.readPackets)
+	s.done.Go(s.acceptStreams)
 	return s, nil
 }
 
 func (s *sockets) port() int { return s.tcp.Addr().(*net.TCPAddr).Port }
 
-// read hands the packets on, each in memory of its own, since the engine decrypts in place and keeps them.
-func (s *sockets) read() {
-	buffer := make([]byte, datagramMost)
+// readPackets hands the packets on, each in memory of its own, since memberlist decrypts in place and keeps them.
+func (s *sockets) readPackets() {
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := s.udp.ReadFromUDPAddrPort(buffer)
 		at := time.Now()
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *sockets) accept() {
+func (s *sockets) acceptStreams() {
 	for {
 		conn, err := s.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// FinalAdvertiseAddr is what others are told: an address of the file, that which was bound, or, bound to all, the machine's
+// FinalAdvertiseAddr is what others get: an address of the file, that which was bound, or, bound to all, the machine's
 // private one.
 func (s *sockets) FinalAdvertiseAddr(host string, port int) (net.IP, int, error) {
 	bound := s.tcp.Addr().(*net.TCPAddr)
--- a/internal/fleet/member/sockets_test.go
+++ b/internal/fleet/member/sockets_test.go
@@ -13,6 +13,7 @@
 // A packet costs about its own size in memory, keeps what came when the next is read, and a closed pair ends at once with
 // packets and streams that nobody took.
 func TestPacketsCostTheirSize(t *testing.T) {
+	// Long: one measurement of allocations, with its set-up.
 	quiet := log.New(io.Discard, "", 0)
 	from, err := listen("127.0.0.1", 0, quiet)
 	if err != nil {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -111,7 +111,7 @@
 	toView    []view.Input
 	toLead    []drainctl.Input
 	term      uint64 // in which this one leads; 0: it does not
-	asks      peerproto.Ask
+	asks      peerproto.FileReport
 	voters    map[string]bool
 	names     []string // of the voters, sorted
 	turn      int      // of the voter that is asked next while no leader is known
@@ -121,7 +121,7 @@
 	sentTo    string
 	namedAt   uint64 // number of the newest poll that was sent on to whom a word named
 	silent    int    // polls in a row without a word of the leader
-	answer    *view.Answered
+	answer    *view.PollAnswered
 	answerAt  uint64  // index that the copy must reach before the answer counts as whole
 	waiting   waiting // not yet answered
 	states    handed
@@ -344,7 +344,7 @@
 	case s.Leading:
 		n.term = s.Term
 		n.log.WithField("term", s.Term).Info("leads the raft group")
-		n.toLead = append(n.toLead, drainctl.Elected{Term: s.Term, Own: n.name}, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Asks})
+		n.toLead = append(n.toLead, drainctl.Elected{Term: s.Term, Own: n.name}, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Requests})
 		n.fedAt, n.listFed = 0, time.Time{} // list and members are told at once
 		clear(n.loads)
 	default:
--- a/internal/fleet/parts_test.go
+++ b/internal/fleet/parts_test.go
@@ -58,15 +58,15 @@
 		return peerproto.Entry{Index: index, Raw: tick(t, time.Duration(index))}
 	}
 	for _, step := range []struct {
-		w     peerproto.Word
+		w     peerproto.Reply
 		index uint64
 		wrong bool
 	}{
-		{peerproto.Word{Since: 0, Index: 5, Entries: []peerproto.Entry{entry(3), entry(5)}}, 5, false},
-		{peerproto.Word{Since: 3, Index: 7, Entries: []peerproto.Entry{entry(5), entry(7)}}, 7, false}, // of a poll before
-		{peerproto.Word{Since: 9, Index: 11, Entries: []peerproto.Entry{entry(11)}}, 7, true},
-		{peerproto.Word{Since: 7, Index: 9}, 7, false},
-		{peerproto.Word{Index: 20, Snapshot: []byte("torn")}, 7, true},
+		{peerproto.Reply{After: 0, Index: 5, Entries: []peerproto.Entry{entry(3), entry(5)}}, 5, false},
+		{peerproto.Reply{After: 3, Index: 7, Entries: []peerproto.Entry{entry(5), entry(7)}}, 7, false}, // of a poll before
+		{peerproto.Reply{After: 9, Index: 11, Entries: []peerproto.Entry{entry(11)}}, 7, true},
+		{peerproto.Reply{After: 7, Index: 9}, 7, false},
+		{peerproto.Reply{Index: 20, Snapshot: []byte("torn")}, 7, true},
 	} {
 		if err := c.take(step.w); (err != nil) != step.wrong || c.stateMachine.Index() != step.index {
 			t.Errorf("%+v: %v, stands at %d", step.w, err, c.stateMachine.Index())
@@ -77,13 +77,13 @@
 		t.Fatal(err)
 	}
 	d := newCopy()
-	if err := d.take(peerproto.Word{Index: 7, Snapshot: snapshot}); err != nil || d.stateMachine.Digest() != c.stateMachine.Digest() {
+	if err := d.take(peerproto.Reply{Index: 7, Snapshot: snapshot}); err != nil || d.stateMachine.Digest() != c.stateMachine.Digest() {
 		t.Errorf("%v, another state", err)
 	}
-	if err := d.take(peerproto.Word{Since: 7, Index: 8, Entries: []peerproto.Entry{{Index: 8, Raw: []byte(`{"v":9}`)}}}); err != nil {
+	if err := d.take(peerproto.Reply{After: 7, Index: 8, Entries: []peerproto.Entry{{Index: 8, Raw: []byte(`{"v":9}`)}}}); err != nil {
 		t.Error(err)
 	}
-	if err := d.take(peerproto.Word{Since: 7, Index: 9, Entries: []peerproto.Entry{entry(9)}}); err != nil || d.stateMachine.Halted() == nil || d.stateMachine.Index() != 7 {
+	if err := d.take(peerproto.Reply{After: 7, Index: 9, Entries: []peerproto.Entry{entry(9)}}); err != nil || d.stateMachine.Halted() == nil || d.stateMachine.Index() != 7 {
 		t.Errorf("%v, halted %v at %d", err, d.stateMachine.Halted(), d.stateMachine.Index())
 	}
 }
@@ -95,7 +95,7 @@
 		return peerproto.Entry{Index: index, Raw: tick(t, time.Duration(index))}
 	}
 	for to, index := range map[*copied]uint64{c: 9, behind: 4} {
-		if err := to.take(peerproto.Word{Index: index, Entries: []peerproto.Entry{entry(index)}}); err != nil {
+		if err := to.take(peerproto.Reply{Index: index, Entries: []peerproto.Entry{entry(index)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -104,17 +104,17 @@
 		t.Fatal(err)
 	}
 	era := behind.era()
-	if err := c.take(peerproto.Word{Index: 10, Era: era, Entries: []peerproto.Entry{entry(10)}}); err == nil || c.stateMachine.Index() != 9 {
+	if err := c.take(peerproto.Reply{Index: 10, Epoch: era, Entries: []peerproto.Entry{entry(10)}}); err == nil || c.stateMachine.Index() != 9 {
 		t.Errorf("entries of a newer era were taken: %v", err)
 	}
-	if err := c.take(peerproto.Word{Index: 4, Era: era, Snapshot: snapshot}); err != nil || c.stateMachine.Index() != 4 || c.era() != era {
+	if err := c.take(peerproto.Reply{Index: 4, Epoch: era, Snapshot: snapshot}); err != nil || c.stateMachine.Index() != 4 || c.era() != era {
 		t.Errorf("%v: stands at %d of era %d", err, c.stateMachine.Index(), c.era())
 	}
 	old, err := newCopy().stateMachine.Save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range []peerproto.Word{{Index: 12, Entries: []peerproto.Entry{entry(12)}}, {Index: 12, Snapshot: old}} {
+	for _, w := range []peerproto.Reply{{Index: 12, Entries: []peerproto.Entry{entry(12)}}, {Index: 12, Snapshot: old}} {
 		if err := c.take(w); err == nil || c.stateMachine.Index() != 4 || c.era() != era {
 			t.Errorf("a word of an older era was taken: %v", err)
 		}
@@ -253,23 +253,23 @@
 // more: it leads until another has its seat. It asks so once for each poll: two that name each other keep nobody busy.
 func TestALeaderThatIsToVoteNoMoreIsFound(t *testing.T) {
 	n := &Node{name: "e", names: []string{"a", "b", "e"}, silent: 9, leader: "gone"}
-	n.sent = peerproto.Poll{No: 7}
+	n.sent = peerproto.Poll{Sequence: 7}
 	if n.sentTo = n.whom(); n.sentTo != "b" || n.leader != "" {
 		t.Fatalf("asks %q, leader %q", n.sentTo, n.leader)
 	}
-	for _, no := range []peerproto.Word{{No: 6, Leader: "old"}, {No: 7}, {No: 7, Leader: "b"}, {No: 7, Leader: "e"}} {
+	for _, no := range []peerproto.Reply{{Sequence: 6, Leader: "old"}, {Sequence: 7}, {Sequence: 7, Leader: "b"}, {Sequence: 7, Leader: "e"}} {
 		if n.named(no) {
 			t.Errorf("%+v is followed", no)
 		}
 	}
-	if !n.named(peerproto.Word{No: 7, Leader: "old"}) || n.leader != "old" {
+	if !n.named(peerproto.Reply{Sequence: 7, Leader: "old"}) || n.leader != "old" {
 		t.Errorf("the leader that was named is not asked: %q", n.leader)
 	}
 	n.sentTo = "old"
-	if n.named(peerproto.Word{No: 7, Leader: "a"}) {
+	if n.named(peerproto.Reply{Sequence: 7, Leader: "a"}) {
 		t.Error("a poll is sent on a second time")
 	}
-	if n.sent.No = 8; !n.named(peerproto.Word{No: 8, Leader: "a"}) {
+	if n.sent.Sequence = 8; !n.named(peerproto.Reply{Sequence: 8, Leader: "a"}) {
 		t.Error("the next poll is not sent on")
 	}
 	for range 4 {
--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -15,16 +15,16 @@
 )
 
 var good = []Message{
-	Poll{From: "a", No: math.MaxUint64, Index: 3, Laid: []Laid{{"r1", 4, false, ""}, {"r2", 5, true, "alone"}}, Load: 1.5, LoadKnown: true, Wall: 1 << 60,
-		Pinned: &Pinned{Owned: 3, Open: 2, Queries: 9, Memory: 1 << 20, Idle: []session.ID{session.IDOf(0, nil)}}},
-	Word{No: 9, From: "b", Leader: "b", Term: 2, Led: true, Since: 3, Index: 9, Entries: []Entry{{5, []byte{0, 255}}, {9, []byte("x")}}},
-	Poll{From: "a", No: 9, Pinned: &Pinned{Owned: 1, Unsafe: []Open{{session.IDOf(1, []byte("k")), time.Second}}}},
-	Word{No: 9, From: "c", Leader: "b", Index: 1},
-	Word{No: 9, From: "b", Leader: "b", Led: true, Index: 7, Snapshot: []byte("whole")},
-	Word{No: 9, From: "b", Leader: "b", Led: true, Index: 7, Packed: []byte("packed")},
-	Ask{From: "a", Limits: maintenance.LimitsBody{Revision: 1}, Asks: maintenance.RequestsBody{Revision: 2,
+	Poll{From: "a", Sequence: math.MaxUint64, Index: 3, Drains: []DrainStatus{{"r1", 4, false, ""}, {"r2", 5, true, "alone"}}, Load: 1.5, LoadKnown: true, Wall: 1 << 60,
+		Sessions: &SessionLoad{Owned: 3, Open: 2, Queries: 9, Memory: 1 << 20, Idle: []session.ID{session.IDOf(0, nil)}}},
+	Reply{Sequence: 9, From: "b", Leader: "b", Term: 2, FromLeader: true, After: 3, Index: 9, Entries: []Entry{{5, []byte{0, 255}}, {9, []byte("x")}}},
+	Poll{From: "a", Sequence: 9, Sessions: &SessionLoad{Owned: 1, Unsafe: []UnsafeQuery{{session.IDOf(1, []byte("k")), time.Second}}}},
+	Reply{Sequence: 9, From: "c", Leader: "b", Index: 1},
+	Reply{Sequence: 9, From: "b", Leader: "b", FromLeader: true, Index: 7, Snapshot: []byte("whole")},
+	Reply{Sequence: 9, From: "b", Leader: "b", FromLeader: true, Index: 7, Packed: []byte("packed")},
+	FileReport{From: "a", Limits: maintenance.LimitsBody{Revision: 1}, Requests: maintenance.RequestsBody{Revision: 2,
 		Requests: []maintenance.Request{{ID: "q", Names: []string{"r1"}, Reason: "disk"}}}},
-	Acts{From: "a", No: 3, Acts: []session.Act{{Kind: session.Hand, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
+	SessionActions{From: "a", Sequence: 3, Actions: []session.Act{{Kind: session.Hand, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
 }
 
 func TestWhatIsEncodedIsReadBack(t *testing.T) {
@@ -41,59 +41,60 @@
 }
 
 func TestBoundsAreKeptByBothSides(t *testing.T) {
-	long := strings.Repeat("x", NameMost+1)
+	// Long: one table with a row for each bound.
+	long := strings.Repeat("x", MaxNameLength+1)
 	for _, c := range []struct {
 		says string
 		m    Message
 	}{
 		{"no number", Poll{From: "a"}},
-		{"the sender has no name", Poll{No: 1}},
-		{"1024 at most", Poll{No: 1, From: long}},
-		{"drains, 4096", Poll{No: 1, From: "a", Laid: make([]Laid, LaidMost+1)}},
-		{"no fence", Poll{No: 1, From: "a", Laid: []Laid{{Machine: "r"}}}},
-		{"a load of -1", Poll{No: 1, From: "a", Load: -1}},
-		{"a load of NaN", Poll{No: 1, From: "a", Load: math.NaN()}},
-		{"open -1 of 0", Poll{From: "a", No: 1, Pinned: &Pinned{Open: -1}}},
-		{"1025 idle", Poll{From: "a", No: 1, Pinned: &Pinned{Idle: make([]session.ID, IdleMost+1)}}},
-		{"257 unsafe queries, 256", Poll{From: "a", No: 1, Pinned: &Pinned{Unsafe: make([]Open, UnsafeMost+1)}}},
-		{"open for 0s", Poll{From: "a", No: 1, Pinned: &Pinned{Unsafe: make([]Open, 1)}}},
-		{"open for 24h0m0.000000001s", Poll{From: "a", No: 1, Pinned: &Pinned{Unsafe: []Open{{Left: OpenMost + 1}}}}},
-		{"a clock at -1ns", Poll{No: 1, From: "a", Wall: -1}},
-		{"answers no poll", Word{From: "a"}},
-		{"more than one of entries", Word{No: 1, From: "a", Led: true, Index: 1, Entries: []Entry{{1, nil}}, Snapshot: []byte{1}}},
-		{"more than one of entries", Word{No: 1, From: "a", Led: true, Index: 1, Entries: []Entry{{1, nil}}, Packed: []byte{1}}},
-		{"more than one of entries", Word{No: 1, From: "a", Led: true, Index: 1, Snapshot: []byte{1}, Packed: []byte{1}}},
-		{"does not lead", Word{No: 1, From: "a", Index: 1, Packed: []byte{1}}},
-		{"5242880 at most", Word{No: 1, From: "a", Led: true, Index: 1, Packed: make([]byte, PackedMost+1)}},
-		{"does not lead", Word{No: 1, From: "a", Index: 1, Entries: []Entry{{1, nil}}}},
-		{"entry 3 does not lie after 3", Word{No: 1, From: "a", Led: true, Since: 3, Index: 3, Entries: []Entry{{3, nil}}}},
-		{"entry 2 does not lie after 2", Word{No: 1, From: "a", Led: true, Index: 3, Entries: []Entry{{2, nil}, {2, nil}}}},
-		{"up to 1", Word{No: 1, From: "a", Led: true, Index: 1, Entries: []Entry{{2, nil}}}},
-		{"entries, 4096", Word{No: 1, From: "a", Led: true, Entries: make([]Entry, EntryCount+1)}},
-		{"524288 at most", Word{No: 1, From: "a", Led: true, Index: 2, Entries: []Entry{{1, make([]byte, EntriesMost)}, {2, make([]byte, 1)}}}},
-		{"1048576 at most", Word{No: 1, From: "a", Led: true, Index: 1, Entries: []Entry{{1, make([]byte, EntryMost+1)}}}},
-		{"16777216 at most", Word{No: 1, From: "a", Led: true, Index: 1, Snapshot: make([]byte, SnapshotMost+1)}},
-		{"requests, 1024", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: make([]maintenance.Request, RequestsMost+1)}}},
-		{"names, 16384", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Names: make([]string, NamesMost+1)}}}}},
-		{"of 0 acts", Acts{From: "a", No: 1}},
-		{"of 10001 acts", Acts{From: "a", No: 1, Acts: make([]session.Act, session.ActsMost+1)}},
-		{"no number", Acts{From: "a", Acts: make([]session.Act, 1)}},
-		{"a state of 1025", Acts{From: "a", No: 1, Acts: []session.Act{{State: make([]byte, session.StateMost+1)}}}},
-		{"a reason has 1025", Ask{From: "a", Asks: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Reason: long}}}}},
+		{"the sender has no name", Poll{Sequence: 1}},
+		{"1024 at most", Poll{Sequence: 1, From: long}},
+		{"drains, 4096", Poll{Sequence: 1, From: "a", Drains: make([]DrainStatus, MaxDrains+1)}},
+		{"no fence", Poll{Sequence: 1, From: "a", Drains: []DrainStatus{{Machine: "r"}}}},
+		{"a load of -1", Poll{Sequence: 1, From: "a", Load: -1}},
+		{"a load of NaN", Poll{Sequence: 1, From: "a", Load: math.NaN()}},
+		{"open -1 of 0", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Open: -1}}},
+		{"1025 idle", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Idle: make([]session.ID, MaxIdleSessions+1)}}},
+		{"257 unsafe queries, 256", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: make([]UnsafeQuery, MaxUnsafeQueries+1)}}},
+		{"open for 0s", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: make([]UnsafeQuery, 1)}}},
+		{"open for 24h0m0.000000001s", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: []UnsafeQuery{{TimeLeft: MaxOpenTime + 1}}}}},
+		{"a clock at -1ns", Poll{Sequence: 1, From: "a", Wall: -1}},
+		{"answers no poll", Reply{From: "a"}},
+		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{1, nil}}, Snapshot: []byte{1}}},
+		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{1, nil}}, Packed: []byte{1}}},
+		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Snapshot: []byte{1}, Packed: []byte{1}}},
+		{"does not lead", Reply{Sequence: 1, From: "a", Index: 1, Packed: []byte{1}}},
+		{"5242880 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Packed: make([]byte, MaxCompressedSize+1)}},
+		{"does not lead", Reply{Sequence: 1, From: "a", Index: 1, Entries: []Entry{{1, nil}}}},
+		{"entry 3 does not lie after 3", Reply{Sequence: 1, From: "a", FromLeader: true, After: 3, Index: 3, Entries: []Entry{{3, nil}}}},
+		{"entry 2 does not lie after 2", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 3, Entries: []Entry{{2, nil}, {2, nil}}}},
+		{"up to 1", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{2, nil}}}},
+		{"entries, 4096", Reply{Sequence: 1, From: "a", FromLeader: true, Entries: make([]Entry, MaxEntries+1)}},
+		{"524288 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 2, Entries: []Entry{{1, make([]byte, MaxEntriesSize)}, {2, make([]byte, 1)}}}},
+		{"1048576 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{1, make([]byte, MaxEntrySize+1)}}}},
+		{"16777216 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Snapshot: make([]byte, MaxSnapshotSize+1)}},
+		{"requests, 1024", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: make([]maintenance.Request, MaxRequests+1)}}},
+		{"names, 16384", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Names: make([]string, MaxNames+1)}}}}},
+		{"of 0 acts", SessionActions{From: "a", Sequence: 1}},
+		{"of 10001 acts", SessionActions{From: "a", Sequence: 1, Actions: make([]session.Act, session.ActsMost+1)}},
+		{"no number", SessionActions{From: "a", Actions: make([]session.Act, 1)}},
+		{"a state of 1025", SessionActions{From: "a", Sequence: 1, Actions: []session.Act{{State: make([]byte, session.StateMost+1)}}}},
+		{"a reason has 1025", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Reason: long}}}}},
 	} {
 		if _, err := Encode(c.m); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%T was to say %q, said %v", c.m, c.says, err)
 		}
 	}
 	for raw, says := range map[string]string{
-		"":                                      "0 bytes",
-		"\x01":                                  "1 bytes",
-		"\x01z{}":                               "unknown kind",
-		"\x01p{":                                "could not be read",
-		"\x01p" + `{"from":"a","no":1}x`:        "1 bytes too many",
-		"\x01p" + `{"from":"a"}`:                "no number",
-		"\x01p" + `{"from":"a","no":1,"b":1}`:   "unknown field",
-		"\x01p" + strings.Repeat(" ", PollMost): "at most",
+		"":                                    "0 bytes",
+		"\x01":                                "1 bytes",
+		"\x01z{}":                             "unknown kind",
+		"\x01p{":                              "could not be read",
+		"\x01p" + `{"from":"a","no":1}x`:      "1 bytes too many",
+		"\x01p" + `{"from":"a"}`:              "no number",
+		"\x01p" + `{"from":"a","no":1,"b":1}`: "unknown field",
+		"\x01p" + strings.Repeat(" ", MaxPollSize): "at most",
 	} {
 		if _, err := Decode([]byte(raw)); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%.30q was to say %q, said %v", raw, says, err)
@@ -109,36 +110,36 @@
 func TestAWordIsCutShortInOrder(t *testing.T) {
 	var all []Entry
 	for i := range 10 {
-		all = append(all, Entry{uint64(i + 1), make([]byte, EntriesMost/4)})
+		all = append(all, Entry{uint64(i + 1), make([]byte, MaxEntriesSize/4)})
 	}
-	w := Word{No: 1, From: "a", Led: true, Index: 10}
+	w := Reply{Sequence: 1, From: "a", FromLeader: true, Index: 10}
 	var got []uint64
 	for rounds := 0; len(got) < 10 && rounds < 4; rounds++ {
-		if err := w.Fill(all[len(got):]); err != nil {
+		if err := w.SetEntries(all[len(got):]); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Encode(w); err != nil || w.More != (len(got)+len(w.Entries) < 10) {
-			t.Fatalf("%d entries after %d, more %v, %v", len(w.Entries), len(got), w.More, err)
+		if _, err := Encode(w); err != nil || w.Truncated != (len(got)+len(w.Entries) < 10) {
+			t.Fatalf("%d entries after %d, more %v, %v", len(w.Entries), len(got), w.Truncated, err)
 		}
 		for _, e := range w.Entries {
 			got = append(got, e.Index)
 		}
-		w.Since = got[len(got)-1]
+		w.After = got[len(got)-1]
 	}
 	if fmt.Sprint(got) != "[1 2 3 4 5 6 7 8 9 10]" {
 		t.Error(got)
 	}
-	if err := w.Fill(make([]Entry, EntryCount+1)); err != nil || len(w.Entries) != EntryCount || !w.More {
-		t.Errorf("%d entries in a word, more %v, %v", len(w.Entries), w.More, err)
+	if err := w.SetEntries(make([]Entry, MaxEntries+1)); err != nil || len(w.Entries) != MaxEntries || !w.Truncated {
+		t.Errorf("%d entries in a word, more %v, %v", len(w.Entries), w.Truncated, err)
 	}
-	w = Word{No: 1, From: "a", Led: true, Index: 2}
-	if err := w.Fill([]Entry{{1, make([]byte, EntryMost)}, {2, nil}}); err != nil || len(w.Entries) != 1 || !w.More {
+	w = Reply{Sequence: 1, From: "a", FromLeader: true, Index: 2}
+	if err := w.SetEntries([]Entry{{1, make([]byte, MaxEntrySize)}, {2, nil}}); err != nil || len(w.Entries) != 1 || !w.Truncated {
 		t.Errorf("%d entries beside a large one: %v", len(w.Entries), err)
 	}
 	if _, err := Encode(w); err != nil {
 		t.Error(err)
 	}
-	if w.Fill([]Entry{{1, make([]byte, EntryMost+1)}}) == nil {
+	if w.SetEntries([]Entry{{1, make([]byte, MaxEntrySize+1)}}) == nil {
 		t.Error("an entry that can't be sent was taken")
 	}
 }
--- a/internal/fleet/polls.go
+++ b/internal/fleet/polls.go
@@ -41,17 +41,17 @@
 	switch m := m.(type) {
 	case peerproto.Poll:
 		return m.From == l.from && n.poll(l.at, m)
-	case peerproto.Word:
+	case peerproto.Reply:
 		if m.From == l.from {
 			n.word(m)
 		}
-	case peerproto.Acts:
+	case peerproto.SessionActions:
 		if n.term != 0 && m.From == l.from && n.sessions != nil {
 			n.sessions.wanted = append(n.sessions.wanted, m)
 		}
-	case peerproto.Ask:
+	case peerproto.FileReport:
 		if n.term != 0 {
-			n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: m.Limits, Requests: m.Asks})
+			n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: m.Limits, Requests: m.Requests})
 		}
 	}
 	return true
@@ -60,23 +60,23 @@
 // poll takes one. The leader answers once it knows that it still leads; another voter names who does. One that says nothing
 // new and lacks nothing waits for the step that comes anyway.
 func (n *Node) poll(at time.Duration, p peerproto.Poll) (soon bool) {
-	era, own := max(p.Era, 1), n.copy.era()
+	era, own := max(p.Epoch, 1), n.copy.era()
 	if era > own {
 		n.outlive(p.From, era)
 		return true
 	}
 	if n.term != 0 {
 		if era < own {
-			p.Laid = nil // of grants that ended with their era
+			p.Drains = nil // of grants that ended with their era
 		}
-		n.toLead = append(n.toLead, drainctl.Polled{From: p.From, Sequence: p.No, Index: p.Index, Drains: p.Laid, Wall: p.Wall})
+		n.toLead = append(n.toLead, drainctl.Polled{From: p.From, Sequence: p.Sequence, Index: p.Index, Drains: p.Drains, Wall: p.Wall})
 		before, heard := n.loads[p.From]
 		n.loads[p.From] = loadReport{p.Load, p.LoadKnown, at, era}
 		if n.sessions != nil {
 			n.sessions.hear(p)
 		}
-		soon = era < own || p.Index < n.agreedIndex() || len(p.Laid) > 0 || !heard || at-before.at > 2*view.PollEvery
-		n.waiting.put(p.From, polled{p.No, p.Index, era}, soon)
+		soon = era < own || p.Index < n.agreedIndex() || len(p.Drains) > 0 || !heard || at-before.at > 2*view.PollInterval
+		n.waiting.put(p.From, polled{p.Sequence, p.Index, era}, soon)
 		return soon
 	}
 	if n.raftGroup == nil {
@@ -86,7 +86,7 @@
 	if leader == n.name {
 		leader = "" // elected, but not yet sure of all that was agreed; or about to step down
 	}
-	n.send(p.From, peerproto.Word{No: p.No, From: n.name, Leader: leader, Index: n.raftGroup.Applied(), Era: eraSent(own)})
+	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.Applied(), Epoch: eraSent(own)})
 	return false
 }
 
@@ -124,22 +124,22 @@
 	})
 	own := n.copy.era()
 	for from, p := range v.polls {
-		w := peerproto.Word{No: p.no, From: n.name, Leader: n.name, Term: n.term, Led: true, Since: p.index, Index: p.index, Era: eraSent(own),
-			Unlisted: !listed[from]}
+		w := peerproto.Reply{Sequence: p.no, From: n.name, Leader: n.name, Term: n.term, FromLeader: true, After: p.index, Index: p.index, Epoch: eraSent(own),
+			NotInInventory: !listed[from]}
 		if err := n.bring(&w, p, own); err != nil {
 			n.lines.limited(n, n.now(), "what was agreed can't be handed to "+from+", which stays cut off: "+err.Error())
 			continue
 		}
-		w.More = w.Index < n.raftGroup.Applied()
+		w.Truncated = w.Index < n.raftGroup.Applied()
 		n.answerTo(from, w)
 	}
 }
 
 // bring puts what was agreed after a poll's index into its answer: entries, or the state for who is too far behind or of an
 // era before.
-func (n *Node) bring(w *peerproto.Word, p polled, own uint64) error {
+func (n *Node) bring(w *peerproto.Reply, p polled, own uint64) error {
 	if p.era == own {
-		entries, snapshot, at := n.raftGroup.Since(p.index, peerproto.EntriesMost)
+		entries, snapshot, at := n.raftGroup.Since(p.index, peerproto.MaxEntriesSize)
 		if len(snapshot) > 0 {
 			return n.states.into(w, snapshot, at, own)
 		}
@@ -147,7 +147,7 @@
 		for i, e := range entries {
 			all[i] = peerproto.Entry{Index: e.Index, Raw: e.Raw}
 		}
-		if w.Fill(all) == nil {
+		if w.SetEntries(all) == nil {
 			if w.Index = at; len(w.Entries) > 0 {
 				w.Index = w.Entries[len(w.Entries)-1].Index
 			}
@@ -170,21 +170,21 @@
 // handed keeps the newest state as it goes out, for all that are behind alike.
 type handed struct {
 	at, era uint64
-	word    peerproto.Word
+	word    peerproto.Reply
 	err     error
 }
 
 // into puts a state into a word.
-func (s *handed) into(w *peerproto.Word, raw []byte, at, era uint64) error {
+func (s *handed) into(w *peerproto.Reply, raw []byte, at, era uint64) error {
 	if s.at != at || s.era != era {
 		*s = handed{at: at, era: era}
-		s.err = s.word.Whole(raw)
+		s.err = s.word.SetSnapshot(raw)
 	}
-	w.Since, w.Index, w.Snapshot, w.Packed = 0, at, s.word.Snapshot, s.word.Packed
+	w.After, w.Index, w.Snapshot, w.Packed = 0, at, s.word.Snapshot, s.word.Packed
 	return s.err
 }
 
-func (n *Node) answerTo(from string, w peerproto.Word) {
+func (n *Node) answerTo(from string, w peerproto.Reply) {
 	if from == n.name {
 		n.word(w)
 	} else {
@@ -205,45 +205,45 @@
 }
 
 // word takes the answer to a poll.
-func (n *Node) word(w peerproto.Word) {
-	if w.No > n.sent.No || w.No <= n.answered {
+func (n *Node) word(w peerproto.Reply) {
+	if w.Sequence > n.sent.Sequence || w.Sequence <= n.answered {
 		return // no poll of this process, or one whose answer was overtaken
 	}
-	switch era, own := max(w.Era, 1), n.copy.era(); {
+	switch era, own := max(w.Epoch, 1), n.copy.era(); {
 	case era < own:
 		return // a raft group of before
 	case era > own && n.raftGroup != nil:
 		n.outlive(w.From, era)
 		return
 	}
-	if !w.Led {
+	if !w.FromLeader {
 		if n.named(w) {
 			n.askOf(n.leader, n.sent)
 		}
 		return
 	}
-	n.silent, n.leader, n.answered = 0, w.From, w.No
+	n.silent, n.leader, n.answered = 0, w.From, w.Sequence
 	if err := n.copy.take(w); err != nil {
 		n.lines.limited(n, n.now(), "what the leader sent can't be taken: "+err.Error())
 		return
 	}
-	n.answer, n.answerAt = &view.Answered{Poll: w.No, Leader: w.From, Term: w.Term, More: w.More, Unlisted: w.Unlisted}, w.Index
+	n.answer, n.answerAt = &view.PollAnswered{Sequence: w.Sequence, Leader: w.From, Term: w.Term, Truncated: w.Truncated, NotInInventory: w.NotInInventory}, w.Index
 }
 
 // pollNow sends what the view wants asked.
 func (n *Node) pollNow(p view.Poll) {
 	n.silent++
-	n.ask(peerproto.Poll{From: n.name, No: p.No, Index: p.Index, Era: eraSent(n.era), Laid: n.sayable(p.Laid), Load: n.own.load, LoadKnown: n.own.known,
-		Pinned: n.sessions.room()})
+	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.sayable(p.Drains), Load: n.own.load, LoadKnown: n.own.known,
+		Sessions: n.sessions.room()})
 }
 
 // named says whether a word that is not the leader's names one who is to be asked at once: once for each poll, since two may
 // name each other, and whoever it names, since one that is to vote no more may lead still.
-func (n *Node) named(w peerproto.Word) bool {
-	if w.No != n.sent.No || w.No == n.namedAt || w.Leader == "" || w.Leader == n.name || w.Leader == n.sentTo {
+func (n *Node) named(w peerproto.Reply) bool {
+	if w.Sequence != n.sent.Sequence || w.Sequence == n.namedAt || w.Leader == "" || w.Leader == n.name || w.Leader == n.sentTo {
 		return false
 	}
-	n.leader, n.namedAt = w.Leader, w.No
+	n.leader, n.namedAt = w.Leader, w.Sequence
 	return true
 }
 
@@ -298,7 +298,7 @@
 
 // hand gives the leader what the own file says, while what was agreed is older.
 func (n *Node) hand(now time.Duration, limits, asks int) {
-	if n.asks.Limits.Revision <= limits && n.asks.Asks.Revision <= asks {
+	if n.asks.Limits.Revision <= limits && n.asks.Requests.Revision <= asks {
 		return
 	}
 	if n.term != 0 || n.leader == "" || n.leader == n.name || n.askedAt > 0 && now < n.askedAt+AskEvery {
--- a/internal/fleet/sessiongate/pins.go
+++ b/internal/fleet/sessiongate/pins.go
@@ -71,7 +71,7 @@
 	checked time.Duration        // run's alone, as the next
 	idledAt time.Duration
 	askedAt time.Duration // when the keeper was last asked what is unsafe and open
-	opened  []sessionowner.Open
+	opened  []sessionowner.UnsafeQuery
 	look    func() // steps the keeper with what is given; one for all steps, as it costs memory
 	given   []sessionowner.Input
 	words   []sessionowner.Output
@@ -97,7 +97,7 @@
 	news   bool
 	sums   sessionowner.Sums
 	idle   []session.ID // while it leaves
-	unsafe []peerproto.Open
+	unsafe []peerproto.UnsafeQuery
 	openAt time.Duration // own time as of which they are
 	leaves bool
 	busy   bool // something waits for what is to be agreed
@@ -191,13 +191,13 @@
 }
 
 // Unsafe are the sessions with an open unsafe query, those that may be so for longest first, and for how long from now.
-func (p *Pins) Unsafe() []peerproto.Open {
+func (p *Pins) Unsafe() []peerproto.UnsafeQuery {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	gone := p.now() - p.openAt
-	var out []peerproto.Open
+	var out []peerproto.UnsafeQuery
 	for _, o := range p.unsafe {
-		if o.Left -= gone; o.Left > 0 {
+		if o.TimeLeft -= gone; o.TimeLeft > 0 {
 			out = append(out, o)
 		}
 	}
--- a/internal/fleet/sessiongate/pins_test.go
+++ b/internal/fleet/sessiongate/pins_test.go
@@ -246,7 +246,7 @@
 	r.p.askedAt = -time.Hour
 	r.p.step()
 	open := r.p.Unsafe()
-	if len(open) != 1 || open[0].ID != session.IDOf(-1, []byte("k")) || open[0].Left > time.Minute || open[0].Left < 50*time.Second {
+	if len(open) != 1 || open[0].ID != session.IDOf(-1, []byte("k")) || open[0].TimeLeft > time.Minute || open[0].TimeLeft < 50*time.Second {
 		t.Fatalf("%+v", open)
 	}
 	r.p.Over(r.released[0], exchange.Over{Served: true, Ran: true})
--- a/internal/fleet/sessiongate/run.go
+++ b/internal/fleet/sessiongate/run.go
@@ -78,12 +78,12 @@
 			p.o.Log.WithError(err).Error("a rule of the pinned sessions does not hold")
 		}
 	}
-	var unsafe []peerproto.Open
+	var unsafe []peerproto.UnsafeQuery
 	asked := now >= p.askedAt+IdleEvery
 	if asked {
-		p.askedAt, p.opened = now, p.keeper.Unsafe(p.opened[:0], peerproto.UnsafeMost)
+		p.askedAt, p.opened = now, p.keeper.Unsafe(p.opened[:0], peerproto.MaxUnsafeQueries)
 		for _, o := range p.opened {
-			unsafe = append(unsafe, peerproto.Open(o))
+			unsafe = append(unsafe, peerproto.UnsafeQuery(o))
 		}
 	}
 	var idle []session.ID
@@ -91,7 +91,7 @@
 		p.idledAt = now
 		p.keeper.Idle(func(id session.ID, _ time.Duration) bool {
 			idle = append(idle, id)
-			return len(idle) < peerproto.IdleMost
+			return len(idle) < peerproto.MaxIdleSessions
 		})
 	}
 	p.mu.Lock()
--- a/internal/fleet/sessionowner/again_test.go
+++ b/internal/fleet/sessionowner/again_test.go
@@ -188,12 +188,12 @@
 	r.agree()
 	r.now += ms
 	r.step()
-	want := []Open{{id(3), 3*sec - ms}, {id(2), 2*sec - ms}, {id(1), sec - ms}}
+	want := []UnsafeQuery{{id(3), 3*sec - ms}, {id(2), 2*sec - ms}, {id(1), sec - ms}}
 	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, want) || !slices.Equal(r.k.Unsafe(nil, 2), want[:2]) {
 		t.Fatalf("%v, want %v", got, want)
 	}
 	r.step(Ended{Token: 2, Outcome: Done, Told: true}, Ended{Token: 1, Outcome: MayHaveRun, Told: true, Until: r.now + 9*sec})
-	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, []Open{{id(1), 9 * sec}, {id(3), 3*sec - ms}}) {
+	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, []UnsafeQuery{{id(1), 9 * sec}, {id(3), 3*sec - ms}}) {
 		t.Fatalf("after two ends: %v", got)
 	}
 }
--- a/internal/fleet/sessionowner/keeper.go
+++ b/internal/fleet/sessionowner/keeper.go
@@ -103,15 +103,15 @@
 	}
 }
 
-// Open is a session with an open unsafe query, and how long that may be so still.
-type Open struct {
-	ID   session.ID
-	Left time.Duration
+// UnsafeQuery is a session with an open unsafe query, and how long that may be so still.
+type UnsafeQuery struct {
+	ID       session.ID
+	TimeLeft time.Duration
 }
 
 // Unsafe appends the sessions here with an open unsafe query that may be open for longest, most of them: neither can it be ended, nor its
 // session handed before.
-func (k *Keeper) Unsafe(to []Open, most int) []Open {
+func (k *Keeper) Unsafe(to []UnsafeQuery, most int) []UnsafeQuery {
 	first := len(to)
 	for _, q := range k.unsafe {
 		due := q.due
@@ -119,11 +119,11 @@
 			due = max(due, q.key)
 		}
 		if q.epoch == q.s.epoch && due > k.now {
-			to = append(to, Open{q.s.id, due - k.now})
+			to = append(to, UnsafeQuery{q.s.id, due - k.now})
 		}
 	}
-	slices.SortFunc(to[first:], func(a, b Open) int {
-		return cmp.Or(cmp.Compare(b.Left, a.Left), bytes.Compare(a.ID[:], b.ID[:]))
+	slices.SortFunc(to[first:], func(a, b UnsafeQuery) int {
+		return cmp.Or(cmp.Compare(b.TimeLeft, a.TimeLeft), bytes.Compare(a.ID[:], b.ID[:]))
 	})
 	return to[:min(len(to), first+most)]
 }
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -64,11 +64,11 @@
 	sitesBy  time.Duration         // own time by which they are made anew
 	foretold string                // the newest forecast in the log
 	toldAt   time.Duration
-	wanted   []peerproto.Acts // to be proposed by this leader
-	way      atomic.Int64     // proposals under way
-	leaves   uint64           // the grant by which this one may go, once it has no session; 0: none
-	looked   bool             // at what a process before this one had
-	after    time.Duration    // own time until which parts of that one may run at replicas
+	wanted   []peerproto.SessionActions // to be proposed by this leader
+	way      atomic.Int64               // proposals under way
+	leaves   uint64                     // the grant by which this one may go, once it has no session; 0: none
+	looked   bool                       // at what a process before this one had
+	after    time.Duration              // own time until which parts of that one may run at replicas
 
 	mu   sync.Mutex
 	acts []session.Act     // of the own keeper, to be handed on
@@ -150,10 +150,10 @@
 
 // hurry tells the view whether something agreed is waited for here: acts without an end, or a session that moves from or
 // to this co-ordinator. It runs in a look.
-func (p *sessions) hurry() view.Hurry {
+func (p *sessions) hurry() view.PollUrgently {
 	limits, _ := p.n.copy.order.Limits()
 	p.steward.Lease(p.n.now(), limits.Lease) // it may have to lead with the next step
-	return view.Hurry{On: p.pins.Waits() || p.n.copy.book.MovesOf(p.n.name)}
+	return view.PollUrgently{On: p.pins.Waits() || p.n.copy.book.MovesOf(p.n.name)}
 }
 
 // step hands on what the keeper wants agreed, and proposes as the leader.
@@ -166,7 +166,7 @@
 	p.mu.Unlock()
 	if len(acts) > 0 && n.leader != "" {
 		p.no++
-		m := peerproto.Acts{From: n.name, No: p.no, Acts: acts[:fits(acts)]}
+		m := peerproto.SessionActions{From: n.name, Sequence: p.no, Actions: acts[:fits(acts)]}
 		if n.term != 0 {
 			p.wanted = append(p.wanted, m)
 		} else if n.leader != n.name {
@@ -180,7 +180,7 @@
 	}
 	for _, m := range p.wanted {
 		sum := sha256.Sum256([]byte(m.From))
-		p.propose(at, fmt.Sprintf("a-%s-%d", hex.EncodeToString(sum[:8]), m.No), session.KindActs, session.ActsBody{From: m.From, Acts: m.Acts}, 0)
+		p.propose(at, fmt.Sprintf("a-%s-%d", hex.EncodeToString(sum[:8]), m.Sequence), session.KindActs, session.ActsBody{From: m.From, Acts: m.Actions}, 0)
 	}
 	p.wanted = nil
 	if p.term != n.term {
@@ -245,13 +245,13 @@
 }
 
 // room is what this co-ordinator tells of its sessions.
-func (p *sessions) room() *peerproto.Pinned {
+func (p *sessions) room() *peerproto.SessionLoad {
 	if p == nil {
 		return nil
 	}
 	s := p.pins.Sums()
 	owned := p.owned()
-	return &peerproto.Pinned{
+	return &peerproto.SessionLoad{
 		Owned: owned, Open: s.Open + s.Waiting, Queries: queriesMost,
 		Memory: max(0, int64(p.section.Most)*operator.SessionMemory-int64(owned)*operator.SessionMemory), Idle: p.pins.Idle(), Unsafe: p.pins.Unsafe(),
 	}
@@ -259,13 +259,13 @@
 
 // hear takes what another one told of its sessions, with a poll.
 func (p *sessions) hear(from peerproto.Poll) {
-	if x := from.Pinned; x != nil {
+	if x := from.Sessions; x != nil {
 		p.rooms[from.From] = migrate.Room{Sessions: p.section.Most, Told: x.Owned, Open: x.Open, Queries: x.Queries, Memory: 2 * x.Memory}
 		p.idle[from.From] = x.Idle
 		at, _ := p.n.lead.Time()
 		var open []migrate.Unsafe
 		for _, o := range x.Unsafe { // its way, and what the leader's time is behind by, are far below a deadline
-			open = append(open, migrate.Unsafe{ID: o.ID, Due: at + o.Left})
+			open = append(open, migrate.Unsafe{ID: o.ID, Due: at + o.TimeLeft})
 		}
 		p.unsafe[from.From] = open
 	}
--- a/internal/fleet/sessions_lease.go
+++ b/internal/fleet/sessions_lease.go
@@ -36,5 +36,5 @@
 	if n.view.CutOff(now) || n.halted {
 		return 0
 	}
-	return n.view.SureUntil()
+	return n.view.LeaseUntil()
 }
--- a/internal/fleet/sessions_propose.go
+++ b/internal/fleet/sessions_propose.go
@@ -67,7 +67,7 @@
 		if bytes += actBytes; a.Fence+a.Seq > 0 || a.Why != "" {
 			bytes += actBytes + len(a.Why) + len(a.State)*4/3
 		}
-		if i == session.ActsMost || bytes > peerproto.EntryMost && i > 0 {
+		if i == session.ActsMost || bytes > peerproto.MaxEntrySize && i > 0 {
 			return i
 		}
 	}
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessions_test.go
@@ -96,8 +96,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(body) > peerproto.EntryMost || n < 500 {
-		t.Errorf("%d hands in %d bytes, %d at most", n, len(body), peerproto.EntryMost)
+	if len(body) > peerproto.MaxEntrySize || n < 500 {
+		t.Errorf("%d hands in %d bytes, %d at most", n, len(body), peerproto.MaxEntrySize)
 	}
 	if fits(many[:1]) != 1 || fits(nil) != 0 {
 		t.Error("one, or none")
@@ -121,11 +121,11 @@
 	if err := n.copy.book.Apply(0, nil, session.KindActs, raw); err != nil {
 		t.Fatal(err)
 	}
-	forecast := func(open ...peerproto.Open) (migrate.Forecast, int) {
+	forecast := func(open ...peerproto.UnsafeQuery) (migrate.Forecast, int) {
 		for _, name := range []string{"a", "c"} {
-			m := peerproto.Poll{From: name, No: 1, Pinned: &peerproto.Pinned{Queries: 9, Memory: 1 << 20}}
+			m := peerproto.Poll{From: name, Sequence: 1, Sessions: &peerproto.SessionLoad{Queries: 9, Memory: 1 << 20}}
 			if name == "a" {
-				m.Pinned.Owned, m.Pinned.Unsafe = 1, open
+				m.Sessions.Owned, m.Sessions.Unsafe = 1, open
 			}
 			raw, err := peerproto.Encode(m)
 			if err != nil {
@@ -143,11 +143,11 @@
 		v := migrate.View{Book: n.copy.book, Coordinators: p.sites}
 		return migrate.Foresee(0, v, 0), len(migrate.New(migrate.Options{}).Step(0, v).Body.Offers)
 	}
-	f, offers := forecast(peerproto.Open{ID: id, Left: time.Minute + 1})
+	f, offers := forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Minute + 1})
 	if f.Meets || len(f.Unsure) != 1 || f.Unsure[0] != id || offers != 0 {
 		t.Errorf("beyond the deadline: %+v, %d offers", f, offers)
 	}
-	if f, offers = forecast(peerproto.Open{ID: id, Left: time.Second}); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
+	if f, offers = forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Second}); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
 		t.Errorf("open for as long as an offer: %+v, %d offers", f, offers)
 	}
 	if f, offers = forecast(); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -89,7 +89,7 @@
 		if err == nil {
 			err = c.stateMachine.Apply(index, raw)
 		}
-		if err != nil || len(raw) > peerproto.EntryMost {
+		if err != nil || len(raw) > peerproto.MaxEntrySize {
 			t.Fatalf("%d bytes, %v", len(raw), err)
 		}
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := peerproto.Word{No: 9, From: "a", Leader: "a", Term: 7, Led: true}
+	w := peerproto.Reply{Sequence: 9, From: "a", Leader: "a", Term: 7, FromLeader: true}
 	var s handed
 	if err := s.into(&w, raw, c.stateMachine.Index(), 1); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("a state of %d bytes, packed %d, in a message of %d", len(raw), len(w.Packed), len(sent))
-	if most := member.LargeMost - 1024; len(sent) > most || len(raw) < 10<<20 {
+	if most := member.MaxMessageSize - 1024; len(sent) > most || len(raw) < 10<<20 {
 		t.Errorf("%d bytes of a state of %d, %d at most", len(sent), len(raw), most)
 	}
 	m, err := peerproto.Decode(sent)
@@ -148,13 +148,13 @@
 		t.Fatal(err)
 	}
 	to := newCopy()
-	if err := to.take(m.(peerproto.Word)); err != nil {
+	if err := to.take(m.(peerproto.Reply)); err != nil {
 		t.Fatal(err)
 	}
 	if came, err := to.stateMachine.Save(); err != nil || !bytes.Equal(came, raw) {
 		t.Fatalf("another state came: %v", err)
 	}
-	torn := m.(peerproto.Word)
+	torn := m.(peerproto.Reply)
 	torn.Packed, torn.Index = torn.Packed[:len(torn.Packed)/2], torn.Index+1
 	if err := to.take(torn); err == nil || to.stateMachine.Index() != c.stateMachine.Index() {
 		t.Errorf("a torn state was taken: %v", err)
@@ -163,10 +163,10 @@
 	if err := s.into(&w, []byte("small"), c.stateMachine.Index()+1, 1); err != nil || string(w.Snapshot) != "small" || w.Packed != nil {
 		t.Errorf("%v, %d bytes packed", err, len(w.Packed))
 	}
-	if err := s.into(&w, make([]byte, peerproto.StateMost+1), c.stateMachine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
+	if err := s.into(&w, make([]byte, peerproto.MaxStateSize+1), c.stateMachine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Error(err)
 	}
-	noise := make([]byte, peerproto.PackedMost+1<<20)
+	noise := make([]byte, peerproto.MaxCompressedSize+1<<20)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for i := range noise {
 		noise[i] = byte(rnd.Uint32())
@@ -180,8 +180,8 @@
 // one who does it knowingly has to forge the gossip's message too, for which he needs its key.
 func TestNobodySpeaksForAnother(t *testing.T) {
 	n := &Node{copy: newCopy(), term: 7, loads: map[string]loadReport{}, waiting: waiting{by: map[string]polled{}}}
-	n.sent.No = 1
-	for _, m := range []peerproto.Message{peerproto.Poll{From: "b", No: 1, Laid: []peerproto.Laid{{Machine: "r1", Fence: 1}}}, peerproto.Word{From: "b", No: 1, Leader: "b", Term: 9, Led: true}} {
+	n.sent.Sequence = 1
+	for _, m := range []peerproto.Message{peerproto.Poll{From: "b", Sequence: 1, Drains: []peerproto.DrainStatus{{Machine: "r1", Fence: 1}}}, peerproto.Reply{From: "b", Sequence: 1, Leader: "b", Term: 9, FromLeader: true}} {
 		raw, err := peerproto.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -206,9 +206,9 @@
 func TestSizesMeet(t *testing.T) {
 	const heads = 4 << 10 // of a message, around what it brings in base 64
 	for what, sizes := range map[string][2]int{
-		"commands into the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "the raft group's into a word": {raftgroup.MaxCommandSize, peerproto.EntryMost},
-		"entries into the gossip": {peerproto.EntryMost/3*4 + heads, member.LargeMost}, "states into the gossip": {peerproto.PackedMost/3*4 + heads, member.LargeMost},
-		"a follower's file into the gossip": {peerproto.PollMost, member.LargeMost}, "observations into a word": {drainctl.MaxObservationSize + heads, peerproto.EntriesMost},
+		"commands into the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "the raft group's into a word": {raftgroup.MaxCommandSize, peerproto.MaxEntrySize},
+		"entries into the gossip": {peerproto.MaxEntrySize/3*4 + heads, member.MaxMessageSize}, "states into the gossip": {peerproto.MaxCompressedSize/3*4 + heads, member.MaxMessageSize},
+		"a follower's file into the gossip": {peerproto.MaxPollSize, member.MaxMessageSize}, "observations into a word": {drainctl.MaxObservationSize + heads, peerproto.MaxEntriesSize},
 	} {
 		if sizes[0] > sizes[1] {
 			t.Errorf("%s: %d bytes may be made, %d are taken", what, sizes[0], sizes[1])
@@ -236,12 +236,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := peerproto.Word{No: 1, From: "a", Led: true, Index: 5}
-	if err := w.Fill([]peerproto.Entry{{Index: 4, Raw: raw}, {Index: 5, Raw: raw}}); err != nil || len(w.Entries) != 1 || !w.More {
+	w := peerproto.Reply{Sequence: 1, From: "a", FromLeader: true, Index: 5}
+	if err := w.SetEntries([]peerproto.Entry{{Index: 4, Raw: raw}, {Index: 5, Raw: raw}}); err != nil || len(w.Entries) != 1 || !w.Truncated {
 		t.Fatalf("%v, %d entries", err, len(w.Entries))
 	}
 	sent, err := peerproto.Encode(w)
-	if err != nil || len(sent) > member.LargeMost {
+	if err != nil || len(sent) > member.MaxMessageSize {
 		t.Fatalf("%d bytes: %v", len(sent), err)
 	}
 	m, err := peerproto.Decode(sent)
@@ -249,7 +249,7 @@
 		t.Fatal(err)
 	}
 	to := newCopy()
-	if err := to.take(m.(peerproto.Word)); err != nil || len(to.order.Requests().Requests) != 2 || len(to.order.Requests().Requests[1].Names) != 10_000 {
+	if err := to.take(m.(peerproto.Reply)); err != nil || len(to.order.Requests().Requests) != 2 || len(to.order.Requests().Requests[1].Names) != 10_000 {
 		t.Fatalf("%v, %d requests", err, len(to.order.Requests().Requests))
 	}
 	t.Logf("an entry that asks for 10,000 machines twice has %d bytes", len(raw))
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -35,7 +35,7 @@
 	}
 	slices.Sort(n.names)
 	n.view = view.New(n.name, ms(f.Lease))
-	n.view.NumberFrom(uint64(n.start.UnixNano()))
+	n.view.FirstSequence(uint64(n.start.UnixNano()))
 	n.lead = drainctl.New(waveplan.Order)
 }
 
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -44,14 +44,14 @@
 		}
 		if l.Index() != n.index || l.Epoch() != n.era || !n.stepped {
 			n.index, n.era, n.stepped = l.Index(), l.Epoch(), true
-			n.toView = append(n.toView, view.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Era: n.era})
+			n.toView = append(n.toView, view.Applied{State: n.copy.order, Index: n.index, AgreedTime: l.Now(), Epoch: n.era})
 			n.toLead = append(n.toLead, drainctl.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Epoch: n.era})
 			f.Items = n.copy.order.Items()
 		}
 		if a := n.answer; a != nil {
-			a.More = a.More || n.index < n.answerAt
-			n.toView, n.answer, whole = append(n.toView, *a), nil, !a.More
-			unlisted = a.Unlisted
+			a.Truncated = a.Truncated || n.index < n.answerAt
+			n.toView, n.answer, whole = append(n.toView, *a), nil, !a.Truncated
+			unlisted = a.NotInInventory
 		}
 		if n.sessions != nil {
 			n.toView = append(n.toView, n.sessions.hurry())
@@ -110,7 +110,7 @@
 	}
 	n.news = false
 	if n.list != nil {
-		n.toView = append(n.toView, view.Listed{Own: machines(n.list)})
+		n.toView = append(n.toView, view.ReplicaList{Replicas: machines(n.list)})
 		n.hasList = true
 		if n.sessions != nil {
 			n.sessions.listed(n.list)
@@ -123,9 +123,9 @@
 	if n.lanes != nil {
 		n.lanes.reload(n.file)
 	}
-	n.asks = peerproto.Ask{From: n.name, Limits: Limits(n.file, &n.s.Config.Policy), Asks: Asks(n.file)}
+	n.asks = peerproto.FileReport{From: n.name, Limits: Limits(n.file, &n.s.Config.Policy), Requests: Asks(n.file)}
 	n.askedAt, n.lines.differs = 0, 0
-	n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Asks})
+	n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Requests})
 }
 
 // sample measures the own load and tells it by gossip.
@@ -170,7 +170,7 @@
 		n.pollNow(o)
 	case view.Grants:
 		n.grants = slices.Clone(o.Items)
-	case view.Leave:
+	case view.MayLeave:
 		n.mayLeave(o.Fence)
 	case view.Log:
 		n.log.Info(o.Text)
@@ -246,7 +246,7 @@
 	w.ever, w.cut, w.leader, w.grants = true, cut, n.leader, n.grants
 	f.Version, f.Name, f.Leader, f.CutOff, f.Items = GrantsVersion, n.name, n.leader, cut, w.items
 	reasons := map[string]string{}
-	for _, r := range n.asks.Asks.Requests {
+	for _, r := range n.asks.Requests.Requests {
 		reasons[r.ID] = r.Reason
 	}
 	f.Grants = make([]grantLine, len(n.grants))
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -46,7 +46,7 @@
 		return
 	}
 	l.differs = revision
-	if own.Limits.Limits != limits || !sameAsks(own.Asks, asks) {
+	if own.Limits.Limits != limits || !sameAsks(own.Requests, asks) {
 		n.log.WithField("revision", revision).Warn("the operators' file differs from what was agreed under its revision; give it a higher one")
 	}
 }
--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -23,69 +23,69 @@
 	}
 }
 
-// goesOut notes under which grants the drains are.
-func (v *View) goesOut(names []string) {
+// recordGrants notes under which grants the drains are.
+func (v *View) recordGrants(names []string) {
 	for _, n := range names {
-		if i := v.grantOf(n); i >= 0 {
-			v.seen.fence[n] = v.live[i].Fence
+		if i := v.liveGrantIndex(n); i >= 0 {
+			v.evidence.fence[n] = v.live[i].Fence
 		}
 	}
 }
 
-// changed looks at a new set of drains that goes out.
-func (v *View) changed(now time.Duration, names []string) {
-	for _, n := range v.drains {
+// checkChange looks at a new set of drains that goes out.
+func (v *View) checkChange(now time.Duration, names []string) {
+	for _, n := range v.sentDrains {
 		if slices.Contains(names, n) {
 			continue
 		}
-		delete(v.seen.since, n)
-		if i := v.grantOf(n); i >= 0 && v.live[i].Fence == v.seen.fence[n] && !(v.CutOff(now) && now >= v.end(v.live[i].Until)) {
-			v.seen.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
+		delete(v.evidence.since, n)
+		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.evidence.fence[n] && !(v.CutOff(now) && now >= v.endOf(v.live[i].Until)) {
+			v.evidence.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
 		}
 	}
 	for _, n := range names {
-		if slices.Contains(v.drains, n) {
+		if slices.Contains(v.sentDrains, n) {
 			continue
 		}
-		v.seen.since[n] = now
-		if v.grantOf(n) < 0 {
-			v.seen.fail("V3: %s was drained at %v without a live grant", n, now)
+		v.evidence.since[n] = now
+		if v.liveGrantIndex(n) < 0 {
+			v.evidence.fail("V3: %s was drained at %v without a live grant", n, now)
 		}
 		if v.CutOff(now) && v.polls.answered {
-			v.seen.fail("V4: %s was drained at %v while cut off", n, now)
+			v.evidence.fail("V4: %s was drained at %v while cut off", n, now)
 		}
 	}
 }
 
-func (v *View) grantOf(name string) int {
+func (v *View) liveGrantIndex(name string) int {
 	return slices.IndexFunc(v.live, func(it maintenance.Item) bool { return it.Machine == name })
 }
 
-// saw looks at a drain that is said as laid.
-func (v *View) saw(now time.Duration, l lay) {
-	if v.kinds[l.machine].Kind == maintenance.Coordinator {
+// checkReported looks at a drain that is reported as applied.
+func (v *View) checkReported(now time.Duration, l drain) {
+	if v.machines[l.machine].Kind == maintenance.Coordinator {
 		return
 	}
-	if since, ok := v.seen.since[l.machine]; !ok || now-since < v.limits.Grace {
-		v.seen.fail("V2: the drain of %s was said as laid at %v; laid %t at %v, Grace %v",
+	if since, ok := v.evidence.since[l.machine]; !ok || now-since < v.limits.Grace {
+		v.evidence.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
 			l.machine, now, ok, since, v.limits.Grace)
 	}
 }
 
 // Check names what does not hold, or ever did not:
 // V1 a drain was lifted while its grant lives (cut off: before the grant's end by the own clock and the drift),
-// V2 one was said as laid before a Grace had passed since it went out, V3 a machine was drained without a live grant,
+// V2 one was reported as applied before a Grace had passed since it went out, V3 a machine was drained without a live grant,
 // V4 one was newly drained while cut off (but by a process never answered yet), V5 what is remembered is over its bound
 // or out of order.
 func (v *View) Check() error {
-	if v.seen.wrong != nil {
-		return v.seen.wrong
+	if v.evidence.wrong != nil {
+		return v.evidence.wrong
 	}
-	if len(v.polls.sent) > SentMost {
-		return fmt.Errorf("V5: %d polls are remembered, %d at most", len(v.polls.sent), SentMost)
+	if len(v.polls.sent) > MaxSentPolls {
+		return fmt.Errorf("V5: %d polls are remembered, %d at most", len(v.polls.sent), MaxSentPolls)
 	}
-	if !slices.IsSortedFunc(v.lays, byFence) {
-		return errors.New("V5: what is laid is out of order")
+	if !slices.IsSortedFunc(v.drains, byFence) {
+		return errors.New("V5: what is applied is out of order")
 	}
 	return nil
 }
--- a/internal/fleet/view/era_test.go
+++ b/internal/fleet/view/epoch_test.go
@@ -26,14 +26,14 @@
 func TestANewEraKeepsTheDrainsOfBefore(t *testing.T) {
 	r := begin(t)
 	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("a", 9, maintenance.Granted))
-	r.pending = append(r.pending, Answered{Poll: r.v.polls.no, Term: 50})
+	r.pending = append(r.pending, PollAnswered{Sequence: r.v.polls.sequence, Term: 50})
 	r.run(3 * s)
 	r.want("drains", r.drains, "[r1 r3]")
 	ends := r.now + 5100*s - r.at
 	anew := &agreed{items: []maintenance.Item{r.item("r3", 300, maintenance.Granted), r.item("r2", 301, maintenance.Granted)}}
 	r.pending = []Input{
-		Applied{State: anew, Index: 1, Now: 4000 * s, Era: 5}, Answered{Poll: r.v.polls.no, Term: 3},
-		Applied{State: &r.state, Index: 99, Now: r.at, Era: 4}, // of before
+		Applied{State: anew, Index: 1, AgreedTime: 4000 * s, Epoch: 5}, PollAnswered{Sequence: r.v.polls.sequence, Term: 3},
+		Applied{State: &r.state, Index: 99, AgreedTime: r.at, Epoch: 4}, // of before
 	}
 	r.step(100 * time.Millisecond)
 	r.want("drains in the new era, none that leaves no holder", r.drains, "[r1 r3]")
@@ -43,7 +43,7 @@
 	r.want("said", r.laid(), "[{r3 300 false } {r2 301 true shard 1 would be left without a holder up in the own list}]")
 	r.want("a lower term counts", r.v.Age(r.now) < 2*s, true)
 	anew.items = anew.items[:1]
-	r.pending = append(r.pending, Applied{State: anew, Index: 2, Now: 4001 * s, Era: 5})
+	r.pending = append(r.pending, Applied{State: anew, Index: 2, AgreedTime: 4001 * s, Epoch: 5})
 	for r.now < ends-s {
 		r.step(100 * time.Millisecond)
 	}
@@ -54,7 +54,7 @@
 	r = begin(t)
 	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
-	r.pending = append(r.pending, Applied{State: &backed{name: "r1"}, Index: 1, Now: 4000 * s, Era: 5})
+	r.pending = append(r.pending, Applied{State: &backed{name: "r1"}, Index: 1, AgreedTime: 4000 * s, Epoch: 5})
 	r.step(100 * time.Millisecond)
 	r.want("one that came back", r.drains, "[]")
 }
--- a/internal/fleet/view/lease_test.go
+++ b/internal/fleet/view/lease_test.go
@@ -27,16 +27,16 @@
 	r.want("age", r.v.Age(r.now), r.now-sent)
 	// Answers that are late, repeated or of no poll of ours change only what their own poll's sending allows.
 	r.run(3 * s)
-	r.pending = []Input{Answered{Poll: r.polls[n-2].No}, Answered{Poll: 999}}
+	r.pending = []Input{PollAnswered{Sequence: r.polls[n-2].Sequence}, PollAnswered{Sequence: 999}}
 	r.step(100 * time.Millisecond)
 	r.want("cut off after a repeated answer", r.v.CutOff(r.now), true)
-	r.pending = []Input{Answered{Poll: r.polls[n].No, Term: 3}}
+	r.pending = []Input{PollAnswered{Sequence: r.polls[n].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
 	r.want("a late answer lengthens by its own poll", r.v.Age(r.now), r.now-r.pollsAt[n])
-	r.pending = []Input{Answered{Poll: r.polls[n+2].No, Term: 3}}
+	r.pending = []Input{PollAnswered{Sequence: r.polls[n+2].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
 	age := r.now - r.pollsAt[n+2]
-	r.pending = []Input{Answered{Poll: r.polls[n+1].No, Term: 3}, Answered{Poll: r.polls[len(r.polls)-1].No, Term: 2}}
+	r.pending = []Input{PollAnswered{Sequence: r.polls[n+1].Sequence, Term: 3}, PollAnswered{Sequence: r.polls[len(r.polls)-1].Sequence, Term: 2}}
 	r.step(0)
 	r.want("an older answer, or an older leader's, changes nothing", r.v.Age(r.now), age)
 }
@@ -46,7 +46,7 @@
 	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
 	r.want("for the file", len(r.grants), 1)
-	r.want("to begin before", r.grants[0].Before, 5080*s)
+	r.want("to begin before", r.grants[0].StartBefore, 5080*s)
 	r.deaf = true
 	r.run(12 * s)
 	r.want("cut off", r.v.CutOff(r.now), true)
@@ -58,7 +58,7 @@
 	r.applied(later, r.item("r3", 8, maintenance.Granted))
 	known := r.at
 	for r.at < 5120*s+900*time.Millisecond {
-		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, Now: known}) // which moves no time
+		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: known}) // which moves no time
 		r.run(100 * time.Millisecond)
 		r.want("kept until a hundredth past the end", r.drains, "[r1]")
 	}
@@ -82,9 +82,9 @@
 	r.deaf, r.pending = true, nil
 	r.step(100 * time.Millisecond)
 	r.want("before the stop", r.v.CutOff(r.now), false)
-	before := r.polls[len(r.polls)-1].No
+	before := r.polls[len(r.polls)-1].Sequence
 	// What was sent before the stop is answered in the first Step after it, together with a new grant.
-	r.pending = []Input{Answered{Poll: before}}
+	r.pending = []Input{PollAnswered{Sequence: before}}
 	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted))
 	r.step(30 * s)
 	woke := r.now
@@ -94,7 +94,7 @@
 	r.deaf = false
 	r.run(10 * s)
 	r.want("after an answer", r.drains, "[r1 r3]")
-	i := slices.IndexFunc(r.polls, func(p Poll) bool { return len(p.Laid) > 0 })
+	i := slices.IndexFunc(r.polls, func(p Poll) bool { return len(p.Drains) > 0 })
 	r.want("a whole Grace after waking", r.pollsAt[i]-woke >= 2*s, true)
 	r.step(30 * s)
 	r.want("what was said before a stop", r.laid(), "[{r1 7 false } {r3 8 false }]")
@@ -108,7 +108,7 @@
 		r.step(100 * time.Millisecond)
 	}
 	n := len(r.polls)
-	r.pending = []Input{Answered{Poll: r.polls[n-1].No, More: true}}
+	r.pending = []Input{PollAnswered{Sequence: r.polls[n-1].Sequence, Truncated: true}}
 	r.step(100 * time.Millisecond)
 	r.want("at once after an answer that was cut short", len(r.polls), n+1)
 	r.deaf, r.pending = true, nil
@@ -116,33 +116,33 @@
 	var gaps []string
 	for i := n + 1; i < len(r.polls); i++ {
 		gaps = append(gaps, (r.pollsAt[i] - r.pollsAt[i-1]).String())
-		r.want("numbers", r.polls[i].No, r.polls[i-1].No+1)
+		r.want("numbers", r.polls[i].Sequence, r.polls[i-1].Sequence+1)
 	}
 	r.want("unanswered, a quarter of the lease at most", gaps[:5], "[1s 1s 2s 2.5s 2.5s]")
-	r.pending = []Input{Answered{Poll: r.v.polls.no, More: true}}
+	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence, Truncated: true}}
 	n = len(r.polls)
 	for range 100 {
 		r.step(10 * time.Millisecond)
-		r.pending = append(r.pending, Answered{Poll: r.v.polls.no, More: true})
+		r.pending = append(r.pending, PollAnswered{Sequence: r.v.polls.sequence, Truncated: true})
 	}
 	r.want("in a second of answers cut short", len(r.polls)-n, 20)
-	r.pending = []Input{Answered{Poll: r.v.polls.no}}
+	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.step(100 * time.Millisecond)
 	r.run(5 * s)
 	n = len(r.polls)
-	r.pending = []Input{Answered{Poll: r.v.polls.no}}
+	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.run(1100 * time.Millisecond)
 	r.want("after one that came late, at once and a second later", len(r.polls)-n, 2)
 	r.run(200 * s)
-	if len(r.v.polls.sent) != SentMost {
+	if len(r.v.polls.sent) != MaxSentPolls {
 		t.Errorf("%d sendings are remembered", len(r.v.polls.sent))
 	}
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, deaf: true}
 	r.run(5 * s)
 	r.want("in 5 s of a process never answered, ten of them in the first", len(r.polls), 10+3)
 	v := New("a", 10*s)
-	v.NumberFrom(1000)
-	r.want("first number", v.Step(0, nil)[1].(Poll).No, 1001)
+	v.FirstSequence(1000)
+	r.want("first number", v.Step(0, nil)[1].(Poll).Sequence, 1001)
 }
 
 func TestAHaltedPartEndsAndServesOn(t *testing.T) {
@@ -161,12 +161,12 @@
 
 	r = begin(t)
 	var many []maintenance.Item
-	for i := range peerproto.LaidMost + 9 {
+	for i := range peerproto.MaxDrains + 9 {
 		many = append(many, r.item("b", uint64(i+1), maintenance.Granted))
 	}
 	r.applied(many...)
 	r.run(s)
-	r.want("told of in one poll", len(r.polls[len(r.polls)-1].Laid), peerproto.LaidMost)
+	r.want("told of in one poll", len(r.polls[len(r.polls)-1].Drains), peerproto.MaxDrains)
 }
 
 // play is a seeded life of a view: grants come and go, answers are lost, late and repeated, the process stalls.
@@ -200,12 +200,12 @@
 		if rng.IntN(10) == 0 {
 			own := slices.Clone(list)
 			own[rng.IntN(4)].Status = maintenance.Gone
-			r.pending = append(r.pending, Listed{own})
+			r.pending = append(r.pending, ReplicaList{own})
 		}
 		if rng.IntN(20) == 0 {
 			r.deaf = !r.deaf
 		}
-		r.pending = append(r.pending, Answered{Poll: uint64(rng.IntN(int(r.polls[len(r.polls)-1].No) + 2)), Term: uint64(rng.IntN(3))})
+		r.pending = append(r.pending, PollAnswered{Sequence: uint64(rng.IntN(int(r.polls[len(r.polls)-1].Sequence) + 2)), Term: uint64(rng.IntN(3))})
 		r.step([]time.Duration{10 * time.Millisecond, 200 * time.Millisecond, s, 15 * s}[min(rng.IntN(40)/12, 3)])
 	}
 	return r.out
@@ -225,10 +225,10 @@
 // A co-ordinator that the inventory does not have yet is told what was agreed and lays it, and holds no lease: the next
 // leader would not wait for it. One that had a lease keeps what its older answers gave.
 func TestOneThatIsNotListedHoldsNoLease(t *testing.T) {
-	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{Listed{list}}}
+	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{ReplicaList{list}}}
 	r.step(0)
 	unlisted := func() {
-		r.pending = append(r.pending, Answered{Poll: r.polls[len(r.polls)-1].No, Leader: "b", Unlisted: true})
+		r.pending = append(r.pending, PollAnswered{Sequence: r.polls[len(r.polls)-1].Sequence, Leader: "b", NotInInventory: true})
 	}
 	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	for range 30 {
@@ -259,25 +259,25 @@
 	polls := func(now time.Duration, in ...Input) (no uint64) {
 		for _, o := range v.Step(now, in) {
 			if p, ok := o.(Poll); ok {
-				no = p.No
+				no = p.Sequence
 			}
 		}
 		return no
 	}
 	first := polls(0)
 	at := 2 * time.Second // past the start
-	second := polls(at, Answered{Poll: first, Leader: "l"})
-	if second == 0 || polls(at+PollSoonest, Answered{Poll: second, Leader: "l"}) != 0 {
+	second := polls(at, PollAnswered{Sequence: first, Leader: "l"})
+	if second == 0 || polls(at+MinPollInterval, PollAnswered{Sequence: second, Leader: "l"}) != 0 {
 		t.Fatal("no second poll, or a third without need")
 	}
-	third := polls(at+2*PollSoonest, Hurry{On: true})
-	if third == 0 || polls(at+3*PollSoonest) != 0 {
+	third := polls(at+2*MinPollInterval, PollUrgently{On: true})
+	if third == 0 || polls(at+3*MinPollInterval) != 0 {
 		t.Fatal("no poll in a hurry, or one while that is not answered")
 	}
-	if lost := polls(at + 2*PollSoonest + HurryAgain); lost == 0 {
+	if lost := polls(at + 2*MinPollInterval + UrgentPollTimeout); lost == 0 {
 		t.Error("nothing after a lost one")
 	}
-	if until := v.SureUntil(); until != at+10*time.Second-100*time.Millisecond || v.CutOff(until-1) || !v.CutOff(until) {
+	if until := v.LeaseUntil(); until != at+10*time.Second-100*time.Millisecond || v.CutOff(until-1) || !v.CutOff(until) {
 		t.Errorf("sure until %v", until)
 	}
 }
--- a/internal/fleet/view/polls.go
+++ b/internal/fleet/view/polls.go
@@ -7,107 +7,107 @@
 	"birchcart/internal/fleet/peerproto"
 )
 
-// polls are the numbered questions to the raft group and what came of them.
-type polls struct {
-	no         uint64 // of the newest
-	sent       []sent // the newest SentMost
-	at         time.Duration
-	next       time.Duration // the next is due then
+// pollState are the numbered questions to the raft group and what came of them.
+type pollState struct {
+	sequence   uint64     // of the newest
+	sent       []sentPoll // the newest MaxSentPolls
+	lastAt     time.Duration
+	nextAt     time.Duration // the next is due then
 	unanswered int
-	more       bool // the newest answer was cut short
-	hurry      bool // something agreed is waited for
+	truncated  bool // the newest answer was truncated
+	urgent     bool // something agreed is waited for
 
 	answered   bool
 	answeredAt time.Duration // when that one was sent
 	term       uint64
-	said       []Laid // with the newest
+	reported   []DrainStatus // with the newest
 }
 
-type sent struct {
-	no uint64
-	at time.Duration
+type sentPoll struct {
+	sequence uint64
+	sentAt   time.Duration
 }
 
-// answer takes note of an answer and says whether it counts: only one to a poll that this process sent, that is newer
+// handleAnswer takes note of an answer and says whether it counts: only one to a poll that this process sent, that is newer
 // than the newest answered (older ones are not remembered any more), and of no leader before the last one heard of.
-func (p *polls) answer(a Answered) bool {
+func (p *pollState) handleAnswer(a PollAnswered) bool {
 	if a.Term != 0 && a.Term < p.term {
 		return false
 	}
-	i := slices.IndexFunc(p.sent, func(s sent) bool { return s.no == a.Poll })
+	i := slices.IndexFunc(p.sent, func(s sentPoll) bool { return s.sequence == a.Sequence })
 	if i < 0 {
 		return false
 	}
-	p.more = a.More
+	p.truncated = a.Truncated
 	if !p.answered {
-		p.next = p.at + PollEvery
+		p.nextAt = p.lastAt + PollInterval
 	}
-	// One cut short leaves this copy without grants that may be told already, and for one that is not in the inventory
+	// A truncated one leaves this copy without grants that may be acknowledged already, and for one that is not in the inventory
 	// the next leader would not wait: no lease upon either.
-	if !a.More && !a.Unlisted {
-		p.answered, p.answeredAt = true, p.sent[i].at
+	if !a.Truncated && !a.NotInInventory {
+		p.answered, p.answeredAt = true, p.sent[i].sentAt
 	}
 	p.term = max(p.term, a.Term)
 	p.sent = slices.Delete(p.sent, 0, i+1)
 	p.unanswered = len(p.sent)
-	p.next = min(p.next, p.at+PollEvery)
+	p.nextAt = min(p.nextAt, p.lastAt+PollInterval)
 	return true
 }
 
-// wait until the next poll, the newest being the n-th in a row without an answer.
-func (v *View) wait(n int) time.Duration {
-	most := max(min(PollMost, v.lease/4), PollEvery)
-	d := PollEvery
+// pollDelay until the next poll, the newest being the n-th in a row without an answer.
+func (v *View) pollDelay(n int) time.Duration {
+	most := max(min(MaxPollInterval, v.lease/4), PollInterval)
+	d := PollInterval
 	for ; n > 2 && d < most; n-- {
 		d *= 2
 	}
 	return min(d, most)
 }
 
-// putPoll polls when it is time: once a second, less often while unanswered, and soon if an answer was cut short or
+// emitPoll polls when it is time: once a second, less often while unanswered, and soon if an answer was truncated or
 // there is something new to say.
-func (v *View) putPoll(now time.Duration) {
+func (v *View) emitPoll(now time.Duration) {
 	if v.halted {
 		return
 	}
 	p := &v.polls
-	laid := v.tell(now)
-	due := now >= p.next
-	if p.unanswered == 0 && (p.more || p.hurry) || !slices.Equal(laid, p.said) {
-		due = due || now >= p.at+PollSoonest
+	statuses := v.drainStatuses(now)
+	due := now >= p.nextAt
+	if p.unanswered == 0 && (p.truncated || p.urgent) || !slices.Equal(statuses, p.reported) {
+		due = due || now >= p.lastAt+MinPollInterval
 	}
-	due = due || p.hurry && now >= p.at+HurryAgain
+	due = due || p.urgent && now >= p.lastAt+UrgentPollTimeout
 	if !due {
 		return
 	}
-	p.no++
-	p.sent = append(p.sent, sent{p.no, now})
-	if len(p.sent) > SentMost {
-		p.sent = slices.Delete(p.sent, 0, len(p.sent)-SentMost)
+	p.sequence++
+	p.sent = append(p.sent, sentPoll{p.sequence, now})
+	if len(p.sent) > MaxSentPolls {
+		p.sent = slices.Delete(p.sent, 0, len(p.sent)-MaxSentPolls)
 	}
 	p.unanswered++
-	p.at, p.said = now, laid
-	p.next = now + v.wait(p.unanswered)
-	if !p.answered && now-v.first < StartFor {
-		p.next, p.unanswered = now+PollStart, 1 // those of the start make no later one slower
+	p.lastAt, p.reported = now, statuses
+	p.nextAt = now + v.pollDelay(p.unanswered)
+	if !p.answered && now-v.firstStepAt < StartPeriod {
+		p.nextAt, p.unanswered = now+StartPollInterval, 1 // those of the start make no later one slower
 	}
-	v.out = append(v.out, Poll{p.no, v.index, slices.Clone(laid)})
+	v.out = append(v.out, Poll{p.sequence, v.index, slices.Clone(statuses)})
 }
 
-// tell is what may be said of the live grants now: those laid for a Grace, and those refused.
-func (v *View) tell(now time.Duration) []Laid {
-	var laid []Laid
-	for _, l := range v.lays {
-		if len(laid) == peerproto.LaidMost {
+// drainStatuses is what may be said of the live grants now: those applied for a Grace, and those rejected.
+func (v *View) drainStatuses(now time.Duration) []DrainStatus {
+	var statuses []DrainStatus
+	for _, l := range v.drains {
+		if len(statuses) == peerproto.MaxDrains {
 			break
 		}
 		switch {
-		case l.refused != "":
-			laid = append(laid, Laid{Machine: l.machine, Fence: l.fence, Refused: true, Why: l.refused})
-		case !l.drain || now-l.from >= v.limits.Grace:
-			laid = append(laid, Laid{Machine: l.machine, Fence: l.fence})
-			v.saw(now, l)
+		case l.rejectedReason != "":
+			statuses = append(statuses, DrainStatus{Machine: l.machine, Fence: l.fence, Rejected: true, Reason: l.rejectedReason})
+		case !l.applied || now-l.graceFrom >= v.limits.Grace:
+			statuses = append(statuses, DrainStatus{Machine: l.machine, Fence: l.fence})
+			v.checkReported(now, l)
 		}
 	}
-	return laid
+	return statuses
 }
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -58,7 +58,7 @@
 
 func begin(t *testing.T) *rig {
 	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s}
-	r.pending = []Input{Listed{list}}
+	r.pending = []Input{ReplicaList{list}}
 	r.step(0)
 	r.applied()
 	r.step(100 * time.Millisecond)
@@ -68,7 +68,7 @@
 func (r *rig) applied(items ...maintenance.Item) {
 	r.state.items = items
 	r.index++
-	r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, Now: r.at})
+	r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: r.at})
 }
 
 func (r *rig) step(d time.Duration) {
@@ -81,13 +81,13 @@
 		case Poll:
 			r.polls, r.pollsAt = append(r.polls, o), append(r.pollsAt, r.now)
 			if !r.deaf {
-				r.pending = append(r.pending, Answered{Poll: o.No, Leader: "b"})
+				r.pending = append(r.pending, PollAnswered{Sequence: o.Sequence, Leader: "b"})
 			}
 		case Drains:
 			r.drains = o.Names
 		case Grants:
 			r.grants = o.Items
-		case Leave:
+		case MayLeave:
 			r.leaves = append(r.leaves, o.Fence)
 		case Log:
 			r.logs = append(r.logs, o.Text)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (r *rig) laid() string { return fmt.Sprint(r.polls[len(r.polls)-1].Laid) }
+func (r *rig) laid() string { return fmt.Sprint(r.polls[len(r.polls)-1].Drains) }
 
 func (r *rig) want(what string, got, want any) {
 	r.t.Helper()
@@ -125,7 +125,7 @@
 	r.step(100 * time.Millisecond)
 	r.want("laid at once", r.drains, "[r1]")
 	r.want("for the file before it is told", r.grants, "[]")
-	r.pending = []Input{Applied{State: &agreed{}, Index: r.index - 1, Now: r.at}} // out of order
+	r.pending = []Input{Applied{State: &agreed{}, Index: r.index - 1, AgreedTime: r.at}} // out of order
 	laid := r.now
 	r.run(1900 * time.Millisecond)
 	r.want("said too early", r.laid(), "[]")
@@ -133,7 +133,7 @@
 		r.run(100 * time.Millisecond)
 	}
 	r.want("said", r.laid(), "[{r1 7 false }]")
-	// The Grace counts from the Step after the one that laid it, and what is new is said at once.
+	// The Grace counts from the Step after the one that applied it, and what is new is said at once.
 	r.want("time until said", r.now-laid, 2100*time.Millisecond)
 	r.applied(r.item("r1", 7, maintenance.Out))
 	r.run(s)
@@ -178,7 +178,7 @@
 
 func TestNarrowingNeverToNothing(t *testing.T) {
 	r := begin(t)
-	r.pending = []Input{Listed{slices.Concat(list[:2], []maintenance.Machine{{Name: "r2", Cell: 2, Status: maintenance.Gone}}, list[3:])}}
+	r.pending = []Input{ReplicaList{slices.Concat(list[:2], []maintenance.Machine{{Name: "r2", Cell: 2, Status: maintenance.Gone}}, list[3:])}}
 	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
 	// Shards of cells 1 and 2 have only r1; those of 2 and 3 only r3; r2 is not up and takes nothing away.
@@ -188,7 +188,7 @@
 	r.run(s)
 	r.want("one told without its word, while it can't be", r.drains, "[r2]")
 	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
-	r.pending = append(r.pending, Listed{list})
+	r.pending = append(r.pending, ReplicaList{list})
 	r.run(5 * s)
 	r.want("a refusal holds for its fence", r.drains, "[r2]")
 	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Done))
@@ -199,13 +199,13 @@
 	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
 	r.want("two neighbours in one word", r.drains, "[r1]")
-	r.pending = []Input{Listed{list[:2]}}
+	r.pending = []Input{ReplicaList{list[:2]}}
 	r.run(3 * s)
 	r.want("a laid one is not lifted for want of holders", r.drains, "[r1]")
 
 	r = begin(t)
 	gone := func(m maintenance.Machine) maintenance.Machine { m.Status = maintenance.Gone; return m }
-	r.pending = []Input{Listed{[]maintenance.Machine{gone(list[0]), gone(list[1]), {Name: "b", Kind: maintenance.Coordinator, Cell: 1,
+	r.pending = []Input{ReplicaList{[]maintenance.Machine{gone(list[0]), gone(list[1]), {Name: "b", Kind: maintenance.Coordinator, Cell: 1,
 		Status: maintenance.Up}, list[2], list[3]}}}
 	r.applied(r.item("r0", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
@@ -236,7 +236,7 @@
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true}
 	r.applied(r.item("a", 7, maintenance.Acknowledged))
 	r.step(0)
-	r.pending = []Input{Answered{Poll: 1, More: true}}
+	r.pending = []Input{PollAnswered{Sequence: 1, Truncated: true}}
 	r.applied(r.item("a", 9, maintenance.Acknowledged))
 	r.step(100 * time.Millisecond)
 	r.deaf = false
@@ -262,17 +262,17 @@
 func TestAnAnswerCutShortGivesNoLease(t *testing.T) {
 	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true}
 	r.step(0)
-	r.pending = []Input{Answered{Poll: 1, More: true}}
+	r.pending = []Input{PollAnswered{Sequence: 1, Truncated: true}}
 	r.step(100 * time.Millisecond)
 	r.want("cut off", r.v.CutOff(r.now), true)
 	r.want("polls, the next one at once", len(r.polls), 2)
-	r.pending = []Input{Answered{Poll: 2}}
+	r.pending = []Input{PollAnswered{Sequence: 2}}
 	r.step(100 * time.Millisecond)
 	r.want("cut off once it has all", r.v.CutOff(r.now), false)
 }
 
 func TestARestartedProcessLaysWhatItsDiskSays(t *testing.T) {
-	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{Listed{list}}}
+	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{ReplicaList{list}}}
 	r.applied(r.item("r1", 7, maintenance.Acknowledged))
 	r.step(0)
 	r.want("before any answer", r.drains, "[r1]")
--- a/internal/fleet/whole_test.go
+++ b/internal/fleet/whole_test.go
@@ -25,11 +25,11 @@
 	p := &savedPart{Book: session.New()}
 	n := &Node{copy: &copied{stateMachine: statemachine.New(map[string]statemachine.Part{sessionsPart: p})}}
 	for i := range 3 {
-		w := peerproto.Word{}
+		w := peerproto.Reply{}
 		if err := n.bring(&w, polled{era: 1}, 2); err != nil {
 			t.Fatal(err)
 		}
-		if state, err := w.State(); err != nil || len(state) == 0 {
+		if state, err := w.DecodeSnapshot(); err != nil || len(state) == 0 {
 			t.Fatalf("word %d has no state: %v", i, err)
 		}
 	}
