--- a/internal/fleet/drainctl/clock.go
+++ b/internal/fleet/drainctl/clock.go
@@ -64,7 +64,7 @@
 	return all
 }
 
-// ahead is by how much the own wall's clock is ahead of the most known: of all clocks, the own among them, more than
+// clockLead is by how much the own wall's clock is ahead of the most known: of all clocks, the own among them, more than
 // half are behind it by so much or more; of two, the other is. Negative: behind them. others are the clocks of others that
 // are known.
 func (c *Controller) clockLead(wall time.Duration) (by time.Duration, others int) {
--- a/internal/fleet/drainctl/controller.go
+++ b/internal/fleet/drainctl/controller.go
@@ -299,7 +299,7 @@
 	}
 }
 
-// know takes an agreed time that was applied or proposed.
+// advanceAgreedTime takes an agreed time that was applied or proposed.
 func (c *Controller) advanceAgreedTime(agreed time.Duration) {
 	if agreed > c.base {
 		c.base, c.baseAt = agreed, c.now
--- a/internal/fleet/drainctl/grant.go
+++ b/internal/fleet/drainctl/grant.go
@@ -38,7 +38,7 @@
 	return it.RequestedAt + InitialGrantBackoff<<min(it.Attempt-1, 8)
 }
 
-// until is by when a machine granted now has to be gone: the time until all have acknowledged, the tools' time, and SettleTime, which the
+// grantDeadline is by when a machine granted now has to be gone: the time until all have acknowledged, the tools' time, and SettleTime, which the
 // tools are asked to leave.
 func (c *Controller) grantDeadline(limits maintenance.Limits) time.Duration {
 	return c.time + MaxGrantDuration(limits)
@@ -81,7 +81,7 @@
 	c.lastSearch = grantSearch{c.index, c.now, true}
 }
 
-// near says that a grant whose end is not known is of the same machine, of one that shares a shard with it, or, like it,
+// conflictsWithPending says that a grant whose end is not known is of the same machine, of one that shares a shard with it, or, like it,
 // of a co-ordinator.
 func (c *Controller) conflictsWithPending(limits maintenance.Limits, name string) bool {
 	m, _ := c.state.Machine(name)
--- a/internal/fleet/drainctl/propose.go
+++ b/internal/fleet/drainctl/propose.go
@@ -46,7 +46,7 @@
 	return slices.ContainsFunc(c.pending, func(p pendingProposal) bool { return p.subject == what })
 }
 
-// count is how many are waited for that are about what begins so.
+// countPending is how many are waited for that are about what begins so.
 func (c *Controller) countPending(prefix string) (n int) {
 	for _, p := range c.pending {
 		if strings.HasPrefix(p.subject, prefix) {
--- a/internal/fleet/fleetsim/pinned/canon.go
+++ b/internal/fleet/fleetsim/pinned/canon.go
@@ -38,13 +38,13 @@
 )
 
 var fields = map[string]counts{
-	"sessionowner.Keeper.o": none, "sessionowner.Keeper.now": none, "sessionowner.Keeper.out": none, "sessionowner.Keeper.limits": none, "sessionowner.Keeper.timers": none,
-	"sessionowner.Keeper.no": none, "sessionowner.Keeper.freeSessions": none, "sessionowner.Keeper.freeQueries": none, "sessionowner.Keeper.sums": none,
-	"sessionowner.Keeper.seen": none, "sessionowner.Keeper.index": rank, "sessionowner.Keeper.sites": name, "sessionowner.Keeper.phases": none,
-	"sessionowner.query.no": rank, "sessionowner.query.place": sign, "sessionowner.query.s": name, "sessionowner.query.prev": name, "sessionowner.query.next": name,
-	"sessionowner.query.began": none, "sessionowner.list.head": name, "sessionowner.list.tail": name, "sessionowner.ring.head": name, "sessionowner.ring.tail": name,
-	"sessionowner.sess.used": none, "sessionowner.sess.prev": name, "sessionowner.sess.next": name, "sessionowner.sess.at": name, "sessionowner.sess.prevSlot": name,
-	"sessionowner.sess.nextSlot": name, "sessionowner.slot.head": name, "sessionowner.slot.tail": name,
+	"sessionowner.Owner.options": none, "sessionowner.Owner.now": none, "sessionowner.Owner.out": none, "sessionowner.Owner.limits": none, "sessionowner.Owner.timers": none,
+	"sessionowner.Owner.arrivals": none, "sessionowner.Owner.freeSessions": none, "sessionowner.Owner.freeQueries": none, "sessionowner.Owner.stats": none,
+	"sessionowner.Owner.evidence": none, "sessionowner.Owner.index": rank, "sessionowner.Owner.slotList": name, "sessionowner.Owner.phaseCounts": none,
+	"sessionowner.query.arrival": rank, "sessionowner.query.heapIndex": sign, "sessionowner.query.session": name, "sessionowner.query.prev": name, "sessionowner.query.next": name,
+	"sessionowner.query.startedAt": none, "sessionowner.queryList.head": name, "sessionowner.queryList.tail": name, "sessionowner.sessionList.head": name, "sessionowner.sessionList.tail": name,
+	"sessionowner.sessionEntry.lastUsed": none, "sessionowner.sessionEntry.prev": name, "sessionowner.sessionEntry.next": name, "sessionowner.sessionEntry.blockedAt": name, "sessionowner.sessionEntry.prevSlot": name,
+	"sessionowner.sessionEntry.nextSlot": name, "sessionowner.slot.head": name, "sessionowner.slot.tail": name,
 	"session.Book.limits": none, "session.Book.limitsAt": none, "session.Book.offers": none, "session.Book.next": none, "session.Book.refused": none,
 	"session.Book.refusal": none, "session.ended.why": none, "session.name.known": none, "session.Book.now": ahead,
 	"pool.Pool.next": none, "pool.Pool.now": ahead,
@@ -55,7 +55,7 @@
 }
 
 // groups are fields that are ranked among each other, in all of the state; the others each among its own in one keeper or checker.
-var groups = map[string]string{"sessionowner.Keeper.index": "index", "pinned.smallNode.applied": "index", "pinned.smallWord.index": "index",
+var groups = map[string]string{"sessionowner.Owner.index": "index", "pinned.smallNode.applied": "index", "pinned.smallWord.index": "index",
 	"history.session.last": "order", "history.session.lastHard": "order", "history.request.order": "order"}
 
 // fieldPlan is how a field of a struct counts.
@@ -187,7 +187,7 @@
 	switch v = v.Elem(); v.Type().String() {
 	case "sessionowner.query":
 		c.word(v.FieldByName("token").Uint())
-	case "sessionowner.sess":
+	case "sessionowner.sessionEntry":
 		c.value(v.FieldByName("id"), whole, "")
 	case "sessionowner.slot":
 		c.text(v.FieldByName("name").String())
@@ -233,8 +233,8 @@
 		c.value(v.Elem(), whole, "")
 	case reflect.Struct:
 		t := v.Type()
-		if t == reflect.TypeFor[sessionowner.Keeper]() { // its clock against the agreed one
-			c.word(uint64(v.FieldByName("agreed").Int() - v.FieldByName("agreedAt").Int()))
+		if t == reflect.TypeFor[sessionowner.Owner]() { // its clock against the agreed one
+			c.word(uint64(v.FieldByName("agreedTime").Int() - v.FieldByName("agreedAt").Int()))
 		}
 		for _, f := range planOf(t) {
 			c.value(v.Field(f.at), f.how, f.group)
--- a/internal/fleet/fleetsim/pinned/canon_names_test.go
+++ b/internal/fleet/fleetsim/pinned/canon_names_test.go
@@ -7,7 +7,7 @@
 	"birchcart/internal/fleet/fleetsim/canontest"
 )
 
-// TestCanonNamesExist fails for a type or field that the canonical form names and that is not there, as after a rename.
+// TestCanonNamesExist fails for a field that the canonical form or the copier names and that is not there, as after a rename.
 func TestCanonNamesExist(t *testing.T) {
 	names := canontest.Reachable(reflect.TypeFor[small]())
 	for field := range fields {
@@ -15,6 +15,11 @@
 			t.Errorf("fields: there is no field %s", field)
 		}
 	}
+	for field := range apart {
+		if !names.Fields[field] {
+			t.Errorf("apart: there is no field %s", field)
+		}
+	}
 	for field := range groups {
 		if !names.Fields[field] {
 			t.Errorf("groups: there is no field %s", field)
--- a/internal/fleet/fleetsim/pinned/client.go
+++ b/internal/fleet/fleetsim/pinned/client.go
@@ -77,9 +77,9 @@
 	case 0, 1:
 		q.effect = sessionowner.Keyed
 	case 2, 3:
-		q.effect = sessionowner.Unsafe
+		q.effect = sessionowner.NonIdempotent
 	}
-	if q.effect != sessionowner.Safe {
+	if q.effect != sessionowner.Idempotent {
 		q.id = completed.IDOf(fmt.Sprint(q.n))
 	}
 	first := w.rng.IntN(len(w.replicas))
@@ -125,7 +125,7 @@
 	w.tell(history.Event{Kind: history.Got, Request: rq.id, Outcome: outcome, Why: why})
 	switch {
 	case q.again && outcome != history.Refused: // that nothing of it ran is the checker's to see
-		if outcome == history.Failed && why == sessionowner.Repeated.String() {
+		if outcome == history.Failed && why == sessionowner.Duplicate.String() {
 			w.Figures.Repeated++
 			if rq.to.id != q.at {
 				w.Figures.Elsewhere++
@@ -134,13 +134,13 @@
 		return
 	case outcome == history.Served:
 		w.done(q, true)
-		if w.s.Repeat && q.effect == sessionowner.Unsafe {
+		if w.s.Repeat && q.effect == sessionowner.NonIdempotent {
 			copied := *q
 			copied.again, copied.at, copied.until = true, rq.to.id, w.Now+repeatWithin+2*QueryMost
 			w.After(clockwork.Between(w.rng, 0, repeatWithin), func() { cl.send(&copied) })
 		}
 		return
-	case outcome == history.Failed, outcome == history.Broken && why != down && q.effect == sessionowner.Unsafe:
+	case outcome == history.Failed, outcome == history.Broken && why != down && q.effect == sessionowner.NonIdempotent:
 		q.errs++
 		w.errs(cl.n)
 		w.done(q, false)
--- a/internal/fleet/fleetsim/pinned/co.go
+++ b/internal/fleet/fleetsim/pinned/co.go
@@ -25,7 +25,7 @@
 	held        []held
 	copy        *agreed
 	view        *view.View
-	keeper      *sessionowner.Keeper
+	keeper      *sessionowner.Owner
 	bornAt      time.Duration // own
 	hint        int           // who leads, -1: not known
 	asked       bool          // a poll is not answered yet
@@ -189,7 +189,7 @@
 	if c.view.CutOff(now) || !c.w.Loose.Fresh && c.inc > 1 && now-c.bornAt < GraceLeast {
 		return sessionowner.Lease{}
 	}
-	return sessionowner.Lease{Until: now - c.view.Age(now) + lease - lease/view.MaxDriftDivisor, Sure: true}
+	return sessionowner.Lease{Until: now - c.view.Age(now) + lease - lease/view.MaxDriftDivisor, Valid: true}
 }
 
 // step is a turn of the keeper.
@@ -201,18 +201,18 @@
 		switch o := o.(type) {
 		case sessionowner.Run:
 			c.begin(o)
-		case sessionowner.Refuse:
-			c.answer(o.Token, history.Refused, o.Why.String(), o.After, o.Owner)
+		case sessionowner.Reject:
+			c.answer(o.Token, history.Refused, o.Reason.String(), o.RetryAfter, o.Owner)
 		case sessionowner.Fail:
-			c.answer(o.Token, history.Failed, o.Why.String(), 0, "")
-		case sessionowner.Recall:
-			c.answer(o.Token, history.Refused, o.Why.String(), o.After, o.Owner)
+			c.answer(o.Token, history.Failed, o.Reason.String(), 0, "")
+		case sessionowner.Cancel:
+			c.answer(o.Token, history.Refused, o.Reason.String(), o.RetryAfter, o.Owner)
 			if run := c.open[o.Token]; run != nil {
 				for _, cancel := range run.cancels {
 					c.w.After(c.w.link(), cancel)
 				}
 			}
-		case sessionowner.Act:
+		case sessionowner.Propose:
 			if len(c.acts) == 0 {
 				c.later(time.Millisecond, c.flush)
 			}
@@ -232,8 +232,8 @@
 	c.conns[rq.id] = rq
 	c.deliver(c.inc, func() {
 		c.w.tell(history.Event{Kind: history.Arrived, Request: rq.id})
-		c.step(sessionowner.Arrived{Token: rq.id, Session: rq.cl.id, Client: uint64(rq.cl.n), Effect: rq.q.effect, Due: c.mono() + rq.due - c.w.Now,
-			Window: 3 * QueryMost, Needs: rq.q.needs, ID: rq.q.id})
+		c.step(sessionowner.Arrived{Token: rq.id, Session: rq.cl.id, Client: uint64(rq.cl.n), Effect: rq.q.effect, Deadline: c.mono() + rq.due - c.w.Now,
+			Window: 3 * QueryMost, Replicas: rq.q.needs, ID: rq.q.id})
 	})
 }
 
@@ -242,7 +242,7 @@
 		c.deliver(c.inc, func() {
 			delete(c.conns, rq.id)
 			c.gone = rq.id
-			c.step(sessionowner.Left{Token: rq.id})
+			c.step(sessionowner.ClientGone{Token: rq.id})
 		})
 	}
 }
@@ -250,7 +250,7 @@
 func (c *co) begin(r sessionowner.Run) {
 	rq := c.conns[r.Token]
 	if rq == nil && r.Token == c.gone { // its turn came in the step that learns of it, by time: it ends without having run
-		c.later(0, func() { c.step(sessionowner.Ended{Token: r.Token, Outcome: sessionowner.NotRun, Told: true}) })
+		c.later(0, func() { c.step(sessionowner.QueryEnded{Token: r.Token, Outcome: sessionowner.NotRun, Responded: true}) })
 		return
 	}
 	if rq == nil {
@@ -281,7 +281,7 @@
 	} else {
 		c.w.tell(history.Event{Kind: history.GivenUp, Request: id, By: int32(c.id)})
 	}
-	c.step(sessionowner.Ended{Token: id, Outcome: outcome})
+	c.step(sessionowner.QueryEnded{Token: id, Outcome: outcome})
 }
 
 func (c *co) answer(token uint64, outcome history.Outcome, why string, after time.Duration, owner string) {
--- a/internal/fleet/fleetsim/pinned/copy.go
+++ b/internal/fleet/fleetsim/pinned/copy.go
@@ -12,7 +12,7 @@
 // book changes no more once it stands in the list.
 
 // apart are the fields that a copy begins without: what is kept for its next use, or until the next call.
-var apart = map[string]bool{"sessionowner.Keeper.out": true, "sessionowner.Keeper.freeSessions": true, "sessionowner.Keeper.freeQueries": true, "pinned.small.line": true}
+var apart = map[string]bool{"sessionowner.Owner.out": true, "sessionowner.Owner.freeSessions": true, "sessionowner.Owner.freeQueries": true}
 
 // shared are the types that a copy points to as the original does.
 var shared = map[string]bool{"session.Book": true, "reflect.rtype": true}
--- a/internal/fleet/fleetsim/pinned/faults.go
+++ b/internal/fleet/fleetsim/pinned/faults.go
@@ -154,7 +154,7 @@
 			w.elect() // it hands over before it goes
 		}
 		if c.up {
-			c.deliver(c.inc, func() { c.step(sessionowner.Leaving{}) })
+			c.deliver(c.inc, func() { c.step(sessionowner.Draining{}) })
 		}
 	}
 	for _, i := range waves[0] {
--- a/internal/fleet/fleetsim/pinned/figures.go
+++ b/internal/fleet/fleetsim/pinned/figures.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for id := range c.quiescing {
-		if c.keeper.Phase(id) != sessionowner.Pinned {
+		if c.keeper.Phase(id) != sessionowner.Active {
 			continue
 		}
 		delete(c.quiescing, id)
--- a/internal/fleet/fleetsim/pinned/moves.go
+++ b/internal/fleet/fleetsim/pinned/moves.go
@@ -127,7 +127,7 @@
 			if _, open := s.asked[q.request]; open {
 				delete(s.asked, q.request)
 				s.tell(history.Event{Kind: history.Got, Request: q.request, Outcome: history.Broken})
-				q.over = q.effect == sessionowner.Unsafe && s.off != OffAgain
+				q.over = q.effect == sessionowner.NonIdempotent && s.off != OffAgain
 			}
 			delete(s.tokens, q.request)
 		}
@@ -136,7 +136,7 @@
 	*n = smallNode{keeper: sessionowner.New(smallName(i), sessionowner.Options{}), applied: n.applied, born: s.now, started: true}
 	s.words = slices.DeleteFunc(slices.Clone(s.words), func(w smallWord) bool { return w.answer && w.node == i })
 	book := s.books[n.applied]
-	s.step(i, sessionowner.Applied{Book: book, Index: uint64(n.applied), Agreed: book.Now()})
+	s.step(i, sessionowner.Applied{State: book, Index: uint64(n.applied), AgreedTime: book.Now()})
 }
 
 func (s *small) queryMoves(at int, add func(string, func(), string, ...any)) {
@@ -172,7 +172,7 @@
 	s.tell(history.Event{Kind: history.Sent, Request: q.request, Session: int32(q.session), Query: int32(at), Effect: history.Effect(q.effect),
 		By: int32(to), Due: q.due})
 	s.tell(history.Event{Kind: history.Arrived, Request: q.request})
-	s.step(to, sessionowner.Arrived{Token: q.request, Session: smallID(q.session), Effect: q.effect, Due: q.due, Window: time.Minute, Needs: []string{"r"}})
+	s.step(to, sessionowner.Arrived{Token: q.request, Session: smallID(q.session), Effect: q.effect, Deadline: q.due, Window: time.Minute, Replicas: []string{"r"}})
 }
 
 // ends is the end of a part at the replica.
@@ -199,7 +199,7 @@
 	} else {
 		s.tell(history.Event{Kind: history.GivenUp, Request: token, By: int32(q.at)})
 	}
-	s.step(q.at, sessionowner.Ended{Token: token, Outcome: q.outcome})
+	s.step(q.at, sessionowner.QueryEnded{Token: token, Outcome: q.outcome})
 	delete(s.tokens, token)
 	q.request = 0
 }
--- a/internal/fleet/fleetsim/pinned/polls.go
+++ b/internal/fleet/fleetsim/pinned/polls.go
@@ -168,7 +168,7 @@
 	if !c.w.s.Shared {
 		agreed = c.copy.led.Now()
 	}
-	c.step(sessionowner.Applied{Book: book, Index: uint64(c.copy.index), Agreed: agreed}, c.lease())
+	c.step(sessionowner.Applied{State: book, Index: uint64(c.copy.index), AgreedTime: agreed}, c.lease())
 	for r := range book.Flights {
 		if r.Owner == c.name || r.To == c.name || r.Source == c.name {
 			c.hot()
--- a/internal/fleet/fleetsim/pinned/shared.go
+++ b/internal/fleet/fleetsim/pinned/shared.go
@@ -26,7 +26,7 @@
 }
 
 // reader is what the keeper reads.
-func (c *co) reader() sessionowner.Reader {
+func (c *co) reader() sessionowner.AgreedState {
 	if c.w.s.Shared {
 		return past{c}
 	}
--- a/internal/fleet/fleetsim/pinned/small.go
+++ b/internal/fleet/fleetsim/pinned/small.go
@@ -46,7 +46,7 @@
 var Offs = []Off{OffLease, OffSending, OffReleasing, OffSilence, OffGrace, OffFresh, OffAsk, OffEpoch, OffFreed, OffEnded, OffAgain, OffLeader}
 
 type smallNode struct {
-	keeper       *sessionowner.Keeper
+	keeper       *sessionowner.Owner
 	applied      int
 	until, born  time.Duration
 	sure, asleep bool
@@ -138,12 +138,12 @@
 		s.nodes[i] = smallNode{keeper: sessionowner.New(smallName(i), sessionowner.Options{})}
 		s.answered(smallWord{answer: true, node: i, sent: s.now, index: len(s.books) - 1, lease: true})
 	}
-	s.queries = []smallQueryState{{session: 0, effect: sessionowner.Unsafe}, {session: 0, effect: sessionowner.Safe}, {session: 1, effect: sessionowner.Safe},
-		{session: 1, effect: sessionowner.Safe}}
+	s.queries = []smallQueryState{{session: 0, effect: sessionowner.NonIdempotent}, {session: 0, effect: sessionowner.Idempotent}, {session: 1, effect: sessionowner.Idempotent},
+		{session: 1, effect: sessionowner.Idempotent}}
 	for i := range 2 { // each session is claimed by a query that is not counted
 		s.words = nil
-		s.step(i, sessionowner.Arrived{Token: 1000 + uint64(i), Session: smallID(i), Due: s.now + smallQuery, Needs: []string{"r"}})
-		s.step(i, sessionowner.Left{Token: 1000 + uint64(i)})
+		s.step(i, sessionowner.Arrived{Token: 1000 + uint64(i), Session: smallID(i), Deadline: s.now + smallQuery, Replicas: []string{"r"}})
+		s.step(i, sessionowner.ClientGone{Token: 1000 + uint64(i)})
 		s.deliver(0)
 		s.answered(smallWord{answer: true, node: i, sent: s.now, index: len(s.books) - 1, lease: true})
 	}
@@ -202,12 +202,12 @@
 // lease as the keeper of a node is told of it.
 func (s *small) lease(n *smallNode) sessionowner.Lease {
 	if s.off == OffLease && n.sure {
-		return sessionowner.Lease{Until: s.now + time.Hour, Sure: true}
+		return sessionowner.Lease{Until: s.now + time.Hour, Valid: true}
 	}
 	if n.started && s.off != OffFresh && s.now < n.born+smallLimits.Grace {
 		return sessionowner.Lease{}
 	}
-	return sessionowner.Lease{Until: n.until, Sure: n.sure}
+	return sessionowner.Lease{Until: n.until, Valid: n.sure}
 }
 
 func (s *small) step(i int, in ...sessionowner.Input) {
@@ -217,13 +217,13 @@
 		switch o := o.(type) {
 		case sessionowner.Run:
 			s.run(i, o)
-		case sessionowner.Refuse:
-			s.told(i, o.Token, history.Refused, o.Why.String())
-		case sessionowner.Recall:
-			s.told(i, o.Token, history.Refused, o.Why.String())
+		case sessionowner.Reject:
+			s.told(i, o.Token, history.Refused, o.Reason.String())
+		case sessionowner.Cancel:
+			s.told(i, o.Token, history.Refused, o.Reason.String())
 		case sessionowner.Fail:
-			s.told(i, o.Token, history.Failed, o.Why.String())
-		case sessionowner.Act:
+			s.told(i, o.Token, history.Failed, o.Reason.String())
+		case sessionowner.Propose:
 			raw, err := json.Marshal(session.ActsBody{From: smallName(i), Acts: []session.Act{o.Act}})
 			if err != nil {
 				s.err = err
@@ -267,9 +267,9 @@
 	}
 	s.tell(e)
 	s.tell(history.Event{Kind: history.Got, Request: token, Outcome: outcome})
-	q.over = q.over || outcome == history.Served || outcome == history.Failed && (q.effect != sessionowner.Unsafe || s.off != OffAgain)
+	q.over = q.over || outcome == history.Served || outcome == history.Failed && (q.effect != sessionowner.NonIdempotent || s.off != OffAgain)
 	if s.off == OffEnded && q.parts > 0 {
-		s.step(i, sessionowner.Ended{Token: token, Outcome: sessionowner.MayHaveRun})
+		s.step(i, sessionowner.QueryEnded{Token: token, Outcome: sessionowner.MayHaveRun})
 	}
 	if q.parts == 0 {
 		q.request = 0
@@ -288,7 +288,7 @@
 		n.sure, n.until = true, max(n.until, from+smallLimits.Lease-smallLimits.Lease/100)
 	}
 	book := s.books[n.applied]
-	s.step(w.node, sessionowner.Applied{Book: book, Index: uint64(n.applied), Agreed: book.Now()})
+	s.step(w.node, sessionowner.Applied{State: book, Index: uint64(n.applied), AgreedTime: book.Now()})
 	s.step(w.node)
 }
 
--- a/internal/fleet/sessiongate/bench_test.go
+++ b/internal/fleet/sessiongate/bench_test.go
@@ -27,7 +27,7 @@
 // A query of a pinned session costs two allocations at most beyond one of none, however many shards it asks.
 func TestQueryCost(t *testing.T) {
 	r := newOpenRig(t)
-	r.p.Holders([][]string{{"r"}, {"r"}, {}})
+	r.p.SetHolders([][]string{{"r"}, {"r"}, {}})
 	for _, parts := range [][]exchange.Part{{{}}, {{}, {Shard: 1}, {Shard: 2}}} {
 		q := &exchange.Query{Session: "s", Tenant: -1, Due: time.Now().Add(50 * time.Second), Parts: parts}
 		each := testing.AllocsPerRun(1000, func() {
--- a/internal/fleet/sessiongate/pins_test.go
+++ b/internal/fleet/sessiongate/gate_test.go
@@ -18,7 +18,7 @@
 // rig is the pins of "a" beside a book, with an exchange that notes what it is told.
 type rig struct {
 	testing.TB
-	p        *Pins
+	p        *Gate
 	b        *session.Book
 	acts     []session.Act
 	released []*exchange.Query
@@ -35,11 +35,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := &rig{TB: t, b: session.New()}
-	r.p = New(Options{Name: "a", Start: time.Now(), Exchange: r, Log: logrus.NewEntry(log), Names: &settings.Names{Classes: []string{"tally"}},
-		Policy: &policy.Config{Classes: []policy.Class{{Effect: policy.Unsafe}}, RetryAfter: true, MaxRetryAfter: 1}, Book: r.b,
-		Look: func(do func()) { do() }, Propose: func(acts []session.Act) { r.acts = append(r.acts, acts...) }})
-	r.p.File(&operator.Sessions{Classes: []string{"tally"}, Most: 9})
-	r.p.Holders([][]string{{"r"}})
+	r.p = New(Options{Name: "a", StartTime: time.Now(), Exchange: r, Log: logrus.NewEntry(log), Names: &settings.Names{Classes: []string{"tally"}},
+		Policy: &policy.Config{Classes: []policy.Class{{Effect: policy.Unsafe}}, RetryAfter: true, MaxRetryAfter: 1}, Sessions: r.b,
+		WithLock: func(do func()) { do() }, Propose: func(acts []session.Act) { r.acts = append(r.acts, acts...) }})
+	r.p.SetRules(&operator.Sessions{Classes: []string{"tally"}, Most: 9})
+	r.p.SetHolders([][]string{{"r"}})
 	r.apply(session.KindLimits, session.LimitsBody{Limits: limits})
 	r.apply(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r", N: 2}}})
 	return r
@@ -56,9 +56,9 @@
 	}
 }
 
-// step tells of the agreed state in that era, with a lease for a minute, and steps.
+// step passes on the agreed state in that era, with a lease for a minute, and steps.
 func (r *rig) step(index, era uint64) {
-	r.p.News(index, era, time.Second, r.p.now()+time.Minute)
+	r.p.Update(index, era, time.Second, r.p.now()+time.Minute)
 	r.p.step()
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// Between a release and its query's beginning the process may have been stopped past its lease, or the keeper has told the
+// Between a release and its query's beginning the process may have been stopped past its lease, or the owner has told the
 // query's client meanwhile: then it does not begin, and is told to come back.
 func TestAReleaseBeginsNothingWithoutALease(t *testing.T) {
 	r := newRig(t)
@@ -106,12 +106,12 @@
 	if a, may := r.p.Begin(q); !may {
 		t.Fatalf("with a sure lease it is told %+v", a)
 	}
-	r.p.lease.Store(int64(r.p.now()))
+	r.p.leaseUntil.Store(int64(r.p.now()))
 	if a, may := r.p.Begin(q); may || a.Status != exchange.Refused || a.After == 0 {
 		t.Fatalf("without a lease: may begin %v, %+v", may, a)
 	}
-	r.p.lease.Store(int64(r.p.now() + time.Minute))
-	r.p.turn(r.p.by[q], exchange.Reply{Status: exchange.Refused})
+	r.p.leaseUntil.Store(int64(r.p.now() + time.Minute))
+	r.p.reject(r.p.byQuery[q], exchange.Reply{Status: exchange.Refused})
 	if _, may := r.p.Begin(q); may {
 		t.Error("one whose client was told may begin")
 	}
@@ -131,12 +131,12 @@
 // A lease is published before the releases that rest on it: they would be told to come back otherwise.
 func TestAReleaseFindsItsLease(t *testing.T) {
 	r := &releasing{rig: newRig(t)}
-	r.p.o.Exchange = r
+	r.p.options.Exchange = r
 	r.step(1, 1)
 	r.ask("k", time.Minute)
 	r.p.step()
 	r.agree()
-	r.p.lease.Store(0)
+	r.p.leaseUntil.Store(0)
 	r.step(2, 1)
 	if len(r.may) != 1 || !r.may[0] {
 		t.Fatalf("%v", r.may)
@@ -147,19 +147,19 @@
 func TestStaysAfterAll(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
-	r.p.Leave()
+	r.p.Drain()
 	r.ask("k", time.Minute)
 	r.p.step()
 	if len(r.away) != 1 || len(r.acts) != 0 {
 		t.Fatalf("one that leaves took a session: %+v, %+v", r.away, r.acts)
 	}
-	r.p.Stay()
+	r.p.CancelDrain()
 	r.ask("k", time.Minute)
 	r.p.step()
 	if len(r.away) != 1 || len(r.acts) != 1 {
 		t.Fatalf("one that stays took none: %+v, %+v", r.away, r.acts)
 	}
-	if r.p.Idle() != nil {
+	if r.p.IdleSessions() != nil {
 		t.Error("it names idle sessions still")
 	}
 }
@@ -173,7 +173,7 @@
 	}
 }
 
-// The end of a query wakes the keeper only if something may begin upon it; else it is told with what comes next.
+// The end of a query wakes the owner only if something may begin upon it; else it is told with what comes next.
 func TestAnEndWakesWhoWaits(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
@@ -205,7 +205,7 @@
 	if r.p.Over(third, exchange.Over{Served: true, Ran: true}); r.p.step() {
 		t.Error("something is open at the end")
 	}
-	if n := len(r.p.free); n != 3 || len(r.p.ended) > 0 || r.p.free[0].q != nil {
+	if n := len(r.p.spareQueries); n != 3 || len(r.p.ended) > 0 || r.p.spareQueries[0].query != nil {
 		t.Errorf("%d of three kept for use again, %d are not told of", n, len(r.p.ended))
 	}
 }
@@ -243,16 +243,16 @@
 	r.p.step()
 	r.agree()
 	r.step(2, 1)
-	r.p.askedAt = -time.Hour
+	r.p.unsafeAt = -time.Hour
 	r.p.step()
-	open := r.p.Unsafe()
+	open := r.p.UnsafeQueries()
 	if len(open) != 1 || open[0].ID != session.IDOf(-1, []byte("k")) || open[0].TimeLeft > time.Minute || open[0].TimeLeft < 50*time.Second {
 		t.Fatalf("%+v", open)
 	}
 	r.p.Over(r.released[0], exchange.Over{Served: true, Ran: true})
-	r.p.askedAt = -time.Hour
+	r.p.unsafeAt = -time.Hour
 	r.p.step()
-	if open = r.p.Unsafe(); len(open) > 0 {
+	if open = r.p.UnsafeQueries(); len(open) > 0 {
 		t.Fatalf("%+v", open)
 	}
 }
--- a/internal/fleet/sessiongate/query.go
+++ b/internal/fleet/sessiongate/query.go
@@ -12,41 +12,41 @@
 	"birchcart/policy"
 )
 
-// Pinned implements exchange.Pins.
-func (p *Pins) Pinned(q *exchange.Query, route string) bool {
-	r := p.file.Load()
+// Pinned implements exchange.Gate.
+func (g *Gate) Pinned(q *exchange.Query, route string) bool {
+	r := g.rules.Load()
 	if !r.classes[q.Class] || len(r.routes) > 0 && !slices.Contains(r.routes, route) {
 		return false
 	}
-	class := &p.o.Policy.Classes[q.Class]
-	var key [keyRoom]byte
+	class := &g.options.Policy.Classes[q.Class]
+	var key [inlineKeySize]byte
 	arrived := sessionowner.Arrived{
-		Session: session.IDOf(q.Tenant, append(key[:0], q.Session...)), Client: maphash.String(p.seed, q.Client), Effect: effects[class.Effect], Lane: r.lanes[q.Tenant+1],
-		Due: q.Due.Sub(p.o.Start), Window: time.Duration(class.Window * float64(time.Second)), Needs: needs(*p.holders.Load(), q.Parts),
+		Session: session.IDOf(q.Tenant, append(key[:0], q.Session...)), Client: maphash.String(g.seed, q.Client), Effect: effects[class.Effect], Lane: r.lanes[q.Tenant+1],
+		Deadline: q.Due.Sub(g.options.StartTime), Window: time.Duration(class.Window * float64(time.Second)), Replicas: replicasFor(*g.holders.Load(), q.Parts),
 	}
 	if class.Effect != policy.Safe { // its id is its key: the frames carry it, and no other
 		arrived.ID = completed.IDOf(q.ID)
 	}
-	p.mu.Lock()
-	var n *pin
-	if last := len(p.free) - 1; last >= 0 {
-		n, p.free = p.free[last], p.free[:last]
-		n.told.Store(false)
+	g.mu.Lock()
+	var n *gatedQuery
+	if last := len(g.spareQueries) - 1; last >= 0 {
+		n, g.spareQueries = g.spareQueries[last], g.spareQueries[:last]
+		n.responded.Store(false)
 	} else {
-		n = new(pin)
-	}
-	p.last++
-	arrived.Token = p.last
-	n.token, n.q, n.effect, n.arrived, n.ended = p.last, q, class.Effect, arrived, sessionowner.Ended{}
-	p.by[q], p.tokens[n.token] = n, n
-	p.in = append(p.in, &n.arrived)
-	p.mu.Unlock()
-	p.nudge()
+		n = new(gatedQuery)
+	}
+	g.lastToken++
+	arrived.Token = g.lastToken
+	n.token, n.query, n.effect, n.arrived, n.ended = g.lastToken, q, class.Effect, arrived, sessionowner.QueryEnded{}
+	g.byQuery[q], g.byToken[n.token] = n, n
+	g.inbox = append(g.inbox, &n.arrived)
+	g.mu.Unlock()
+	g.wakeUp()
 	return true
 }
 
-// needs are the replicas that hold the shards of these parts: those of the table for one shard, else in one piece of memory.
-func needs(held [][]string, parts []exchange.Part) []string {
+// replicasFor are the replicas that hold the shards of these parts: those of the table for one shard, else in one piece of memory.
+func replicasFor(held [][]string, parts []exchange.Part) []string {
 	shards, many, one := 0, 0, []string(nil)
 	for i := range parts {
 		if at := parts[i].Shard; at < len(held) {
@@ -65,58 +65,58 @@
 	return all
 }
 
-var effects = map[policy.Effect]sessionowner.Effect{policy.Safe: sessionowner.Safe, policy.Keyed: sessionowner.Keyed, policy.Unsafe: sessionowner.Unsafe}
+var effects = map[policy.Effect]sessionowner.Effect{policy.Safe: sessionowner.Idempotent, policy.Keyed: sessionowner.Keyed, policy.Unsafe: sessionowner.NonIdempotent}
 
-// Begin implements exchange.Pins: a release may lie in the inbox while the process is stopped, and what was sure when it was
+// Begin implements exchange.Gate: a release may lie in the inbox while the process is stopped, and what was sure when it was
 // given need not be any more.
-func (p *Pins) Begin(q *exchange.Query) (exchange.Reply, bool) {
-	p.mu.Lock()
-	n := p.by[q]
-	p.mu.Unlock()
-	if n == nil || !n.told.Load() && p.now() < time.Duration(p.lease.Load()) {
+func (g *Gate) Begin(q *exchange.Query) (exchange.Reply, bool) {
+	g.mu.Lock()
+	n := g.byQuery[q]
+	g.mu.Unlock()
+	if n == nil || !n.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
 		return exchange.Reply{}, true
 	}
-	return exchange.Reply{Status: exchange.Refused, After: p.after(sessionowner.BackLater)}, false
+	return exchange.Reply{Status: exchange.Refused, After: g.retryAfter(sessionowner.RetryAfterWait)}, false
 }
 
-// Final implements exchange.Pins: an answer is given as served only while the lease is sure at this very moment and the
-// keeper has not given its word. The keeper publishes a lease only after all words of the one before.
-func (p *Pins) Final(q *exchange.Query, r exchange.Reply) exchange.Reply {
+// Final implements exchange.Gate: an answer is given as served only while the lease is sure at this very moment and the
+// owner has not given its response. The owner publishes a lease only after all responses of the one before.
+func (g *Gate) Final(q *exchange.Query, r exchange.Reply) exchange.Reply {
 	if r.Status != exchange.Served {
 		return r
 	}
-	p.mu.Lock()
-	n := p.by[q]
-	p.mu.Unlock()
-	if n == nil || !n.told.Load() && p.now() < time.Duration(p.lease.Load()) {
+	g.mu.Lock()
+	n := g.byQuery[q]
+	g.mu.Unlock()
+	if n == nil || !n.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
 		return r
 	}
 	if n.effect != policy.Safe { // of a keyed one nobody here looks at what is left of its window
 		return exchange.Reply{Status: exchange.Failed}
 	}
-	return exchange.Reply{Status: exchange.Refused, After: p.after(sessionowner.BackLater)}
+	return exchange.Reply{Status: exchange.Refused, After: g.retryAfter(sessionowner.RetryAfterWait)}
 }
 
-// after is a time to come back as the settings allow it.
-func (p *Pins) after(d time.Duration) time.Duration {
-	if !p.o.Policy.RetryAfter {
+// retryAfter is a time to come back as the settings allow it.
+func (g *Gate) retryAfter(d time.Duration) time.Duration {
+	if !g.options.Policy.RetryAfter {
 		return 0
 	}
-	return min(d, time.Duration(p.o.Policy.MaxRetryAfter*float64(time.Second)))
+	return min(d, time.Duration(g.options.Policy.MaxRetryAfter*float64(time.Second)))
 }
 
-// Over implements exchange.Pins.
-func (p *Pins) Over(q *exchange.Query, o exchange.Over) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.by[q]
+// Over implements exchange.Gate.
+func (g *Gate) Over(q *exchange.Query, o exchange.Over) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	n := g.byQuery[q]
 	if n == nil {
 		return
 	}
-	delete(p.by, q)
-	delete(p.tokens, n.token)
+	delete(g.byQuery, q)
+	delete(g.byToken, n.token)
 	in := &n.ended
-	in.Token, in.Told = n.token, true
+	in.Token, in.Responded = n.token, true
 	switch {
 	case o.Served:
 		in.Outcome = sessionowner.Done
@@ -124,10 +124,10 @@
 		in.Outcome = sessionowner.MayHaveRun
 	}
 	if !o.Until.IsZero() {
-		in.Until = o.Until.Sub(p.o.Start)
+		in.BusyUntil = o.Until.Sub(g.options.StartTime)
 	}
-	p.in, p.ended = append(p.in, in), append(p.ended, n)
-	if p.waits { // else the next step does: it comes with a query, or within StepBusy
-		p.nudge()
+	g.inbox, g.ended = append(g.inbox, in), append(g.ended, n)
+	if g.hasWaiting { // else the next step does: it comes with a query, or within BusyInterval
+		g.wakeUp()
 	}
 }
--- a/internal/fleet/sessiongate/run.go
+++ b/internal/fleet/sessiongate/run.go
@@ -10,145 +10,185 @@
 	"birchcart/internal/fleet/sessionowner"
 )
 
-// Run steps the keeper until ctx ends.
-func (p *Pins) Run(ctx context.Context) {
+// Run steps the owner until ctx ends.
+func (g *Gate) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.wake:
+		case <-g.wake:
 		case <-timer.C:
 		}
-		if p.step() {
-			timer.Reset(StepBusy)
+		if g.step() {
+			timer.Reset(BusyInterval)
 		} else {
-			timer.Reset(StepIdle)
+			timer.Reset(IdleInterval)
 		}
 	}
 }
 
-// step gives the keeper all news, and carries out what it wants. It says whether something waits or runs.
-func (p *Pins) step() (busy bool) {
-	p.mu.Lock()
-	in := p.in
-	p.in = p.spare[:0]
-	if p.moved {
-		in = append(in, sessionowner.Applied{Book: p.o.Book, Index: p.index, Agreed: p.agreed, Era: p.era})
-	}
-	lent, leaves, ended := p.lent, p.leaves, len(p.ended)
-	if p.news {
-		in = append(in, lent)
-	}
-	p.moved, p.news = false, false
-	p.mu.Unlock()
-	p.given = in
-	p.o.Look(p.look)
-	out := p.words
-	clear(in) // what it holds is not needed any more
-	var acts []session.Act
-	for _, o := range out { // refusals and recalls before the lease is published, releases after it: Begin looks at both
+// turn is what one step takes out of the gate's shared state.
+type turn struct {
+	inputs   []sessionowner.Input
+	lease    sessionowner.Lease
+	draining bool
+	ended    int // the queries of Gate.ended of whose end the owner is notified in this turn
+}
+
+// step gives the owner all events, and carries out what it wants. It says whether something waits or runs.
+func (g *Gate) step() (busy bool) {
+	t := g.beginTurn()
+	g.stepInputs = t.inputs
+	g.options.WithLock(g.stepOwner)
+	clear(t.inputs) // what it holds is not needed any more
+	acts := g.executeAll(g.stepOutputs, t.lease)
+	if len(acts) > 0 {
+		g.options.Propose(acts)
+	}
+	now, stats := g.now(), g.owner.Stats()
+	g.checkRules(now)
+	unsafe, asked := g.collectUnsafe(now)
+	idle := g.collectIdle(now, t.draining)
+
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if asked {
+		g.unsafe, g.unsafeAsOf = unsafe, now
+	}
+	if idle != nil && g.draining {
+		g.idle = idle
+	}
+	g.endTurn(t)
+	g.stats, g.awaitsAgreement = stats, len(acts) > 0 || stats.Waiting > 0
+	g.hasWaiting = g.awaitsAgreement || t.draining
+	if g.hasWaiting && len(g.ended) > 0 { // they came meanwhile
+		g.wakeUp()
+	}
+	return stats.Waiting > 0 || stats.Open > 0 || len(acts) > 0
+}
+
+// beginTurn takes the inputs that have come, with the agreed state and the lease if they have changed.
+func (g *Gate) beginTurn() turn {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	t := turn{inputs: g.inbox, lease: g.newLease, draining: g.draining, ended: len(g.ended)}
+	g.inbox = g.spareInbox[:0]
+	if g.stateMoved {
+		t.inputs = append(t.inputs, sessionowner.Applied{State: g.options.Sessions, Index: g.index, AgreedTime: g.agreedTime, LogEpoch: g.logEpoch})
+	}
+	if g.leaseChanged {
+		t.inputs = append(t.inputs, t.lease)
+	}
+	g.stateMoved, g.leaseChanged = false, false
+	return t
+}
+
+// executeAll carries out the outputs of a step and returns the acts to be proposed. Rejections and cancellations go out before
+// the lease is published, releases after it: Begin looks at both.
+func (g *Gate) executeAll(outputs []sessionowner.Output, lease sessionowner.Lease) (acts []session.Act) {
+	for _, o := range outputs {
 		switch o := o.(type) {
-		case sessionowner.Act:
+		case sessionowner.Propose:
 			acts = append(acts, o.Act)
 		case sessionowner.Run:
 		default:
-			p.do(o)
+			g.execute(o)
 		}
 	}
 	until := time.Duration(0)
-	now := p.now()
-	if lent.Sure {
-		until = lent.Until
+	if lease.Valid {
+		until = lease.Until
 	}
-	p.lease.Store(int64(until))
-	for _, o := range out {
+	g.leaseUntil.Store(int64(until))
+	for _, o := range outputs {
 		if r, ok := o.(sessionowner.Run); ok {
-			p.do(r)
+			g.execute(r)
 		}
 	}
-	if len(acts) > 0 {
-		p.o.Propose(acts)
-	}
-	sums := p.keeper.Sums()
-	if now >= p.checked+CheckEvery {
-		p.checked = now
-		if err := p.keeper.Check(); err != nil {
-			p.o.Log.WithError(err).Error("a rule of the pinned sessions does not hold")
-		}
-	}
-	var unsafe []peerproto.UnsafeQuery
-	asked := now >= p.askedAt+IdleEvery
-	if asked {
-		p.askedAt, p.opened = now, p.keeper.Unsafe(p.opened[:0], peerproto.MaxUnsafeQueries)
-		for _, o := range p.opened {
-			unsafe = append(unsafe, peerproto.UnsafeQuery(o))
-		}
-	}
-	var idle []session.ID
-	if leaves && now >= p.idledAt+IdleEvery {
-		p.idledAt = now
-		p.keeper.Idle(func(id session.ID, _ time.Duration) bool {
-			idle = append(idle, id)
-			return len(idle) < peerproto.MaxIdleSessions
-		})
+	return acts
+}
+
+// checkRules logs, every CheckInterval, a rule of the owner that does not hold.
+func (g *Gate) checkRules(now time.Duration) {
+	if now < g.checkedAt+CheckInterval {
+		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if asked {
-		p.unsafe, p.openAt = unsafe, now
+	g.checkedAt = now
+	if err := g.owner.Check(); err != nil {
+		g.options.Log.WithError(err).Error("a rule of the pinned sessions does not hold")
 	}
-	if idle != nil && p.leaves {
-		p.idle = idle
+}
+
+// collectUnsafe lists, every ReportInterval, the sessions with an open unsafe query; false between.
+func (g *Gate) collectUnsafe(now time.Duration) (unsafe []peerproto.UnsafeQuery, asked bool) {
+	if now < g.unsafeAt+ReportInterval {
+		return nil, false
 	}
-	if cap(in) <= spareMost {
-		p.spare = in
+	g.unsafeAt, g.unsafeScratch = now, g.owner.Unsafe(g.unsafeScratch[:0], peerproto.MaxUnsafeQueries)
+	for _, q := range g.unsafeScratch {
+		unsafe = append(unsafe, peerproto.UnsafeQuery(q))
 	}
-	for i, n := range p.ended[:ended] {
-		n.q = nil
-		if len(p.free) < spareMost {
-			p.free = append(p.free, n)
+	return unsafe, true
+}
+
+// collectIdle lists, every ReportInterval while this co-ordinator drains, the sessions without an open query; nil between.
+func (g *Gate) collectIdle(now time.Duration, draining bool) (idle []session.ID) {
+	if !draining || now < g.idleAt+ReportInterval {
+		return nil
+	}
+	g.idleAt = now
+	g.owner.Idle(func(id session.ID, _ time.Duration) bool {
+		idle = append(idle, id)
+		return len(idle) < peerproto.MaxIdleSessions
+	})
+	return idle
+}
+
+// endTurn keeps the memory of a turn's inputs and ended queries for their next use. g.mu is held.
+func (g *Gate) endTurn(t turn) {
+	if cap(t.inputs) <= maxSpare {
+		g.spareInbox = t.inputs
+	}
+	for i, q := range g.ended[:t.ended] {
+		q.query = nil
+		if len(g.spareQueries) < maxSpare {
+			g.spareQueries = append(g.spareQueries, q)
 		}
-		p.ended[i] = nil
-	}
-	p.ended = p.ended[:copy(p.ended, p.ended[ended:])]
-	p.sums, p.busy = sums, len(acts) > 0 || sums.Waiting > 0
-	p.waits = p.busy || leaves
-	if p.waits && len(p.ended) > 0 { // they came meanwhile
-		p.nudge()
+		g.ended[i] = nil
 	}
-	return sums.Waiting > 0 || sums.Open > 0 || len(acts) > 0
+	g.ended = g.ended[:copy(g.ended, g.ended[t.ended:])]
 }
 
-// do carries out one word of the keeper's.
-func (p *Pins) do(o sessionowner.Output) {
-	find := func(token uint64) *pin {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return p.tokens[token]
+// execute carries out one output of the owner.
+func (g *Gate) execute(o sessionowner.Output) {
+	find := func(token uint64) *gatedQuery {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return g.byToken[token]
 	}
 	switch o := o.(type) {
 	case sessionowner.Run:
 		if n := find(o.Token); n != nil {
-			p.o.Exchange.Release(n.q)
+			g.options.Exchange.Release(n.query)
 		}
-	case sessionowner.Refuse:
-		p.turn(find(o.Token), exchange.Reply{Status: exchange.Refused, After: p.after(o.After), Owner: o.Owner})
-	case sessionowner.Recall:
-		p.turn(find(o.Token), exchange.Reply{Status: exchange.Refused, After: p.after(o.After), Owner: o.Owner})
+	case sessionowner.Reject:
+		g.reject(find(o.Token), exchange.Reply{Status: exchange.Refused, After: g.retryAfter(o.RetryAfter), Owner: o.Owner})
+	case sessionowner.Cancel:
+		g.reject(find(o.Token), exchange.Reply{Status: exchange.Refused, After: g.retryAfter(o.RetryAfter), Owner: o.Owner})
 	case sessionowner.Fail:
-		p.turn(find(o.Token), exchange.Reply{Status: exchange.Failed})
+		g.reject(find(o.Token), exchange.Reply{Status: exchange.Failed})
 	case sessionowner.Log:
-		p.o.Log.Info(o.Text)
+		g.options.Log.Info(o.Text)
 	}
 }
 
-// turn ends a query by the keeper's word. From here on no served answer of it is given.
-func (p *Pins) turn(n *pin, r exchange.Reply) {
+// reject ends a query by the owner's response. From here on no served answer of it is given.
+func (g *Gate) reject(n *gatedQuery, r exchange.Reply) {
 	if n == nil {
 		return
 	}
-	n.told.Store(true)
-	p.o.Exchange.TurnAway(n.q, r)
+	n.responded.Store(true)
+	g.options.Exchange.TurnAway(n.query, r)
 }
--- a/internal/fleet/sessionowner/bench_test.go
+++ b/internal/fleet/sessionowner/bench_test.go
@@ -9,11 +9,11 @@
 	"birchcart/internal/fleet/session"
 )
 
-// pinnedMany is a keeper with that many idle sessions, and their ids.
+// pinnedMany is an owner with that many idle sessions, and their ids.
 func pinnedMany(t tb, n int) (*rig, []session.ID) {
-	r := newRig(t, Options{SessionsMost: 2*n + 10})
+	r := newRig(t, Options{MaxSessions: 2*n + 10})
 	ids := make([]session.ID, n)
-	a := Arrived{Effect: Safe, Due: r.now + time.Hour}
+	a := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour}
 	var acts []session.Act
 	for i := range ids {
 		binary.BigEndian.PutUint32(ids[i][:], uint32(i))
@@ -25,20 +25,20 @@
 			acts = acts[:0]
 			r.k.Step(r.now, []Input{r.applied()})
 			for token := a.Token; token > 0 && r.k.queries[token] != nil; token-- {
-				r.k.Step(r.now, []Input{Ended{Token: token, Told: true}})
+				r.k.Step(r.now, []Input{QueryEnded{Token: token, Responded: true}})
 			}
 		}
 	}
-	if s := r.k.Sums(); s.Held != n || s.Open+s.Waiting > 0 {
+	if s := r.k.Stats(); s.Sessions != n || s.Open+s.Waiting > 0 {
 		t.Fatalf("%+v", s)
 	}
 	return r, ids
 }
 
-// One pinned query at a keeper with 100,000 sessions: arrived, run, allowed, ended.
+// One pinned query at an owner with 100,000 sessions: arrived, run, allowed, ended.
 func BenchmarkQuery(b *testing.B) {
 	r, ids := pinnedMany(b, 100_000)
-	q := Arrived{Effect: Safe, Due: r.now + time.Hour, Needs: []string{"r1", "r2"}}
+	q := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour, Replicas: []string{"r1", "r2"}}
 	in := make([]Input, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -48,17 +48,17 @@
 		if len(out) != 1 || !r.k.MayAnswer(r.now, q.Token) {
 			b.Fatal(out)
 		}
-		in[0] = Ended{Token: q.Token, Outcome: Done}
+		in[0] = QueryEnded{Token: q.Token, Outcome: Done}
 		r.k.Step(r.now, in)
 	}
 }
 
-// A Step upon news of the agreed state, while 1,000 of 100,000 sessions are claimed.
+// A Step upon events of the agreed state, while 1,000 of 100,000 sessions are claimed.
 func BenchmarkApplied(b *testing.B) {
 	r, _ := pinnedMany(b, 100_000)
 	for i := range 1000 {
-		q := r.q(uint64(i)+1<<32, Safe)
-		q.Session, q.Due = id(i), r.now+time.Hour
+		q := r.q(uint64(i)+1<<32, Idempotent)
+		q.Session, q.Deadline = id(i), r.now+time.Hour
 		r.k.Step(r.now, []Input{&q})
 	}
 	for b.Loop() {
@@ -79,15 +79,15 @@
 		return m.HeapAlloc
 	}
 	with := heap()
-	q := Arrived{Effect: Safe, Due: r.now + time.Hour, Needs: []string{"r1", "r2"}}
+	q := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour, Replicas: []string{"r1", "r2"}}
 	var in [1]Input
-	var e Ended
+	var e QueryEnded
 	allocations := testing.AllocsPerRun(1000, func() {
 		q.Token, q.Session = q.Token+1, ids[q.Token%1000]
 		in[0] = &q
 		r.k.Step(r.now, in[:])
 		r.k.MayAnswer(r.now, q.Token)
-		e = Ended{Token: q.Token, Outcome: Done}
+		e = QueryEnded{Token: q.Token, Outcome: Done}
 		in[0] = &e
 		r.k.Step(r.now, in[:])
 	})
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -18,76 +18,76 @@
 }
 
 // began looks at a query that begins.
-func (e *evidence) began(k *Keeper, q *query) {
-	s := q.s
-	if k.now >= k.until {
-		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), k.now, k.until)
+func (e *evidence) began(k *Owner, q *query) {
+	s := q.session
+	if k.now >= k.leaseUntil {
+		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), k.now, k.leaseUntil)
 	}
-	if r, ok := k.book.Get(s.id); !ok || r.Owner != k.name || r.Epoch != q.epoch || r.Phase > session.Offered {
+	if r, ok := k.state.Get(s.id); !ok || r.Owner != k.name || r.Epoch != q.epoch || r.Phase > session.Offered {
 		e.fail("S1: query %d of %v began at %v in epoch %d, agreed is %s of %s in %d", q.token, session.ID(s.id), k.now, q.epoch, r.Phase, r.Owner, r.Epoch)
 	}
-	if s.phase != Pinned {
+	if s.phase != Active {
 		e.fail("S3: query %d of %v began while it was %s", q.token, session.ID(s.id), s.phase)
 	}
-	for o := s.open.head; o != nil; o = o.next {
+	for o := s.openQueries.head; o != nil; o = o.next {
 		switch {
-		case o == q || o.over:
-		case o.effect != Safe || q.effect != Safe:
+		case o == q || o.detached:
+		case o.effect != Idempotent || q.effect != Idempotent:
 			e.fail("S3: query %d (%d) of %v began beside %d (%d)", q.token, q.effect, session.ID(s.id), o.token, o.effect)
-		case o.no > q.no || o.epoch == q.epoch && o.seq >= q.seq:
+		case o.arrival > q.arrival || o.epoch == q.epoch && o.seq >= q.seq:
 			e.fail("S3: query %d of %v began as %d behind %d as %d", q.token, session.ID(s.id), q.seq, o.token, o.seq)
 		}
 	}
-	for _, r := range s.ran {
-		if q.effect != Safe && r.ID == q.id && (q.effect == Unsafe || !r.Keyed || r.Until() < q.due) {
+	for _, r := range s.completed {
+		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.Until() < q.deadline) {
 			e.fail("S3: query %d of %v begins, as %d it ran before: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
-	if k.now >= q.due {
-		e.fail("S4: query %d began at %v, its time was over at %v", q.token, k.now, q.due)
+	if k.now >= q.deadline {
+		e.fail("S4: query %d began at %v, its time was over at %v", q.token, k.now, q.deadline)
 	}
-	for _, name := range q.needs {
-		if l := k.slots[name]; l.used > l.held {
-			e.fail("S2: query %d has slot %d of %d at %s", q.token, l.used, l.held, name)
+	for _, name := range q.replicas {
+		if l := k.slots[name]; l.used > l.quota {
+			e.fail("S2: query %d has slot %d of %d at %s", q.token, l.used, l.quota, name)
 		}
 	}
 }
 
 // answered looks at a served answer that is allowed.
-func (e *evidence) answered(k *Keeper, now time.Duration, q *query) {
-	if q.told {
-		e.fail("S4: query %d was told and is answered", q.token)
+func (e *evidence) answered(k *Owner, now time.Duration, q *query) {
+	if q.responded {
+		e.fail("S4: query %d has its response and is answered", q.token)
 	}
-	if now >= k.until || now >= q.due || q.over {
-		e.fail("S1: query %d is answered at %v, the lease until %v, its time until %v", q.token, now, k.until, q.due)
+	if now >= k.leaseUntil || now >= q.deadline || q.detached {
+		e.fail("S1: query %d is answered at %v, the lease until %v, its time until %v", q.token, now, k.leaseUntil, q.deadline)
 	}
-	if r, _ := k.book.Get(q.s.id); r.Owner != k.name || r.Epoch != q.epoch {
+	if r, _ := k.state.Get(q.session.id); r.Owner != k.name || r.Epoch != q.epoch {
 		e.fail("S1: query %d of epoch %d is answered in %d of %s", q.token, q.epoch, r.Epoch, r.Owner)
 	}
 }
 
-// word looks at a Refuse, Recall or Fail of a query that was known.
-func (e *evidence) word(q *query) {
-	if q.told || q.allowed {
-		e.fail("S4: query %d gets a second word", q.token)
+// responded looks at a Reject, Cancel or Fail of a query that was known.
+func (e *evidence) responded(q *query) {
+	if q.responded || q.answerAllowed {
+		e.fail("S4: query %d gets a second response", q.token)
 	}
 }
 
-// comesBack looks at one that ran and whose client is told to come again.
-func (e *evidence) comesBack(k *Keeper, q *query, after time.Duration, end Outcome) {
+// retryAllowed looks at one that ran and whose client is asked to retry.
+func (e *evidence) retryAllowed(k *Owner, q *query, after time.Duration, end Outcome) {
 	switch {
-	case end == NotRun || q.effect == Safe:
-	case q.effect == Unsafe:
-		e.fail("S5: query %d is unsafe, may have run, and its client is told to come again", q.token)
-	case k.now+after >= q.began+q.window:
-		e.fail("S5: query %d is keyed for %v from %v, its client comes again at %v", q.token, q.window, q.began, k.now+after)
+	case end == NotRun || q.effect == Idempotent:
+	case q.effect == NonIdempotent:
+		e.fail("S5: query %d is unsafe, may have run, and its client is asked to retry", q.token)
+	case k.now+after >= q.startedAt+q.window:
+		e.fail("S5: query %d is keyed for %v from %v, its client comes again at %v", q.token, q.window, q.startedAt, k.now+after)
 	}
 }
 
-// hands looks at a session that is to be handed.
-func (e *evidence) hands(s *sess) {
-	for q := s.open.head; q != nil; q = q.next {
-		if !q.over {
+// handedOver looks at a session that is to be handed.
+func (e *evidence) handedOver(s *sessionEntry) {
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if !q.detached {
 			e.fail("S3: session %v is handed while query %d is open", session.ID(s.id), q.token)
 		}
 	}
@@ -95,33 +95,33 @@
 
 // Check names what does not hold, or ever did not, at this co-ordinator: S1 it acts for a session that is its own by what is agreed, with a sure
 // lease; S2 no more slots are in use than it may, but for those that a shift took from under running queries; S3 queries of a session begin in order,
-// one that is not safe alone, none while it is not pinned, and nothing is open when it is handed; S4 each query gets one word, one that waits
-// within its share, none begins behind its time; S5 only what is harmless is told to come again. And what is bounded is within its bound.
-func (k *Keeper) Check() error {
-	if k.seen.wrong != nil {
-		return k.seen.wrong
+// one that is not safe alone, none while it is not pinned, and nothing is open when it is handed; S4 each query gets one response, one that waits
+// within its share, none begins behind its time; S5 only what is harmless is asked to retry. And what is bounded is within its bound.
+func (o *Owner) Check() error {
+	if o.evidence.wrong != nil {
+		return o.evidence.wrong
 	}
-	if len(k.timers) > 0 && k.timers[0].key < k.now {
-		return fmt.Errorf("S4: query %d was due at %v, now %v", k.timers[0].token, k.timers[0].key, k.now)
+	if len(o.timers) > 0 && o.timers[0].timerAt < o.now {
+		return fmt.Errorf("S4: query %d was due at %v, now %v", o.timers[0].token, o.timers[0].timerAt, o.now)
 	}
 	used := map[string]int{}
 	waits := 0
-	for token, q := range k.queries {
+	for token, q := range o.queries {
 		switch {
-		case !q.runs && (q.place < 0 || q.key > q.due):
+		case !q.running && (q.heapIndex < 0 || q.timerAt > q.deadline):
 			return fmt.Errorf("S4: query %d waits without an end", token)
-		case !q.runs:
+		case !q.running:
 			waits++
 			continue
-		case q.place < 0 && q.effect != Safe && k.now >= q.due: // its Ended is waited for
-		case !q.over && (q.place < 0 || q.key > q.due && !q.strays):
+		case q.heapIndex < 0 && q.effect != Idempotent && o.now >= q.deadline: // its QueryEnded is waited for
+		case !q.detached && (q.heapIndex < 0 || q.timerAt > q.deadline && !q.awaitingReplicas):
 			return fmt.Errorf("S4: query %d runs without an end", token)
 		}
-		for _, name := range q.needs {
+		for _, name := range q.replicas {
 			used[name]++
 		}
 	}
-	for _, l := range k.sites {
+	for _, l := range o.slotList {
 		if l.used != used[l.name] {
 			return fmt.Errorf("S2: %d slots at %s are counted, %d are in use", l.used, l.name, used[l.name])
 		}
@@ -130,60 +130,60 @@
 	if len(used) > 0 {
 		return fmt.Errorf("S2: slots are in use and not counted: %v", used)
 	}
-	if waits != k.waits || len(k.queries) > k.o.QueriesMost || len(k.sessions) > k.o.SessionsMost {
-		return fmt.Errorf("bounds: %d wait (%d counted), %d queries, %d sessions", waits, k.waits, len(k.queries), len(k.sessions))
+	if waits != o.waiting || len(o.queries) > o.options.MaxQueries || len(o.sessions) > o.options.MaxSessions {
+		return fmt.Errorf("bounds: %d wait (%d counted), %d queries, %d sessions", waits, o.waiting, len(o.queries), len(o.sessions))
 	}
 	var phases [Gone + 1]int
-	for _, s := range k.sessions {
+	for _, s := range o.sessions {
 		phases[s.phase]++
-		if err := s.check(k); err != nil {
+		if err := s.check(o); err != nil {
 			return err
 		}
 	}
-	for i, q := range k.unsafe {
-		if q.spot != i || k.queries[q.token] != q || !q.runs || q.effect != Unsafe {
+	for i, q := range o.runningUnsafe {
+		if q.unsafeIndex != i || o.queries[q.token] != q || !q.running || q.effect != NonIdempotent {
 			return fmt.Errorf("unsafe: query %d stands at %d as open", q.token, i)
 		}
 	}
-	if phases != k.phases {
-		return fmt.Errorf("bounds: sessions by phase are %v, counted %v", phases, k.phases)
+	if phases != o.phaseCounts {
+		return fmt.Errorf("bounds: sessions by phase are %v, counted %v", phases, o.phaseCounts)
 	}
 	return nil
 }
 
-func (s *sess) check(k *Keeper) error {
+func (s *sessionEntry) check(k *Owner) error {
 	id := session.ID(s.id)
 	var waits, runs, alone, left int
-	for q := s.wait.head; q != nil; q = q.next {
+	for q := s.waitingQueries.head; q != nil; q = q.next {
 		waits++
-		if q.next != nil && q.no > q.next.no {
+		if q.next != nil && q.arrival > q.next.arrival {
 			return fmt.Errorf("S3: queries %d and %d of %v wait out of order", q.token, q.next.token, id)
 		}
 	}
-	for q := s.open.head; q != nil; q = q.next {
-		if q.over {
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if q.detached {
 			left++
 			continue
 		}
 		runs++
-		if q.effect != Safe {
+		if q.effect != Idempotent {
 			alone++
 		}
 	}
 	switch {
-	case waits != int(s.waits) || runs != int(s.runs) || alone != int(s.alone) || left != int(s.left):
-		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waits, s.runs, s.alone, s.left, waits, runs, alone, left)
+	case waits != int(s.waitingCount) || runs != int(s.runningCount) || alone != int(s.exclusiveCount) || left != int(s.detachedCount):
+		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waits, runs, alone, left)
 	case s.phase == Frozen && runs > 0:
 		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, runs)
-	case len(s.ran) > completed.Most || len(s.ran) > 0 && s.phase == Pinned && s.ran[len(s.ran)-1].Seq > uint32(s.seq):
-		return fmt.Errorf("bounds: session %v, at %d, remembers %+v", id, s.seq, s.ran)
-	case waits > k.o.WaitsMost:
+	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
+		return fmt.Errorf("bounds: session %v, at %d, remembers %+v", id, s.seq, s.completed)
+	case waits > k.options.MaxWaiting:
 		return fmt.Errorf("bounds: %d queries of session %v wait", waits, id)
-	case s.idle && (s.phase != Pinned || waits+runs > 0):
+	case s.idle && (s.phase != Active || waits+runs > 0):
 		return fmt.Errorf("session %v is idle, %s, with %d queries", id, s.phase, waits+runs)
-	case s.acts != (s.phase != Pinned && s.phase != Gone):
-		return fmt.Errorf("session %v is %s, and looked after: %t", id, s.phase, s.acts)
-	case s.phase == Pinned && !s.idle && waits+runs == 0:
+	case s.inActQueue != (s.phase != Active && s.phase != Gone):
+		return fmt.Errorf("session %v is %s, and looked after: %t", id, s.phase, s.inActQueue)
+	case s.phase == Active && !s.idle && waits+runs == 0:
 		return fmt.Errorf("session %v is pinned and unused, and not among the idle ones", id)
 	case s.phase == Gone && waits+runs+left == 0:
 		return fmt.Errorf("session %v is gone and still known", id)
--- a/internal/fleet/sessionowner/again_test.go
+++ b/internal/fleet/sessionowner/completions_test.go
@@ -17,7 +17,7 @@
 	return q
 }
 
-// moved hands session 1 from one keeper to another, which adopts it; what the source's clock shows is not what the target's does.
+// moved hands session 1 from one owner to another, which adopts it; what the source's clock shows is not what the target's does.
 func moved(from, to *rig) {
 	from.t.Helper()
 	from.offer(1, to.name)
@@ -25,7 +25,7 @@
 	from.agree()
 	to.step(to.applied())
 	to.agree()
-	to.want(to.k.Phase(id(1)) == Pinned, "not adopted")
+	to.want(to.k.Phase(id(1)) == Active, "not adopted")
 }
 
 // A client that repeats at the new owner what ran at the old one, or may have, is told so at once, and nothing of it runs; what surely never ran begins.
@@ -35,41 +35,41 @@
 		a := claimed(t)
 		b := a.rig("b", Options{}, 3, 1)
 		a.now += 30 * sec
-		a.step(Ended{Token: 1, Told: true})
+		a.step(QueryEnded{Token: 1, Responded: true})
 		for i, c := range []struct {
 			effect Effect
 			name   string
 			end    Outcome
-		}{{Unsafe, "served", Done}, {Unsafe, "broken", MayHaveRun}, {Unsafe, "never", NotRun}, {Keyed, "keyed", MayHaveRun}} {
+		}{{NonIdempotent, "served", Done}, {NonIdempotent, "broken", MayHaveRun}, {NonIdempotent, "never", NotRun}, {Keyed, "keyed", MayHaveRun}} {
 			q := a.named(uint64(i+2), c.effect, c.name)
 			a.step(q)
-			a.step(Ended{Token: q.Token, Outcome: c.end, Told: true})
+			a.step(QueryEnded{Token: q.Token, Outcome: c.end, Responded: true})
 		}
 		at, other := a, b
 		for range moves {
 			moved(at, other)
 			at, other = other, at
 		}
-		at.step(at.named(10, Unsafe, "served"), at.named(11, Unsafe, "broken"))
-		at.want(at.failed(10, Repeated) && at.failed(11, Repeated) && len(at.out) == 2 && at.k.Sums().Repeated == 2, "what ran, or may have")
-		at.step(at.named(12, Unsafe, "never"))
+		at.step(at.named(10, NonIdempotent, "served"), at.named(11, NonIdempotent, "broken"))
+		at.want(at.failed(10, Duplicate) && at.failed(11, Duplicate) && len(at.out) == 2 && at.k.Stats().Duplicates == 2, "what ran, or may have")
+		at.step(at.named(12, NonIdempotent, "never"))
 		at.want(at.ran(12), "what never ran")
-		at.step(at.named(13, Unsafe, "never"))
-		at.step(Ended{Token: 12, Outcome: MayHaveRun, Told: true})
-		at.want(at.failed(13, Repeated), "one that waited for its first")
+		at.step(at.named(13, NonIdempotent, "never"))
+		at.step(QueryEnded{Token: 12, Outcome: MayHaveRun, Responded: true})
+		at.want(at.failed(13, Duplicate), "one that waited for its first")
 		at.step(at.named(14, Keyed, "keyed"))
 		at.want(at.ran(14), "a keyed one in its window")
-		at.step(Ended{Token: 14, Outcome: Done, Told: true}, at.named(15, Unsafe, ""), at.named(16, Safe, "served"))
+		at.step(QueryEnded{Token: 14, Outcome: Done, Responded: true}, at.named(15, NonIdempotent, ""), at.named(16, Idempotent, "served"))
 		at.want(at.ran(15), "one without an id")
-		at.step(Ended{Token: 15, Outcome: Done, Told: true})
+		at.step(QueryEnded{Token: 15, Outcome: Done, Responded: true})
 		at.want(at.ran(16), "a safe one")
-		at.step(Ended{Token: 16, Outcome: Done, Told: true})
+		at.step(QueryEnded{Token: 16, Outcome: Done, Responded: true})
 		at.pass(6 * sec) // the window is of the first, and 10 s long
 		at.step(at.named(17, Keyed, "keyed"))
-		at.want(at.failed(17, Repeated), "a keyed one beyond its window")
+		at.want(at.failed(17, Duplicate), "a keyed one beyond its window")
 		at.step(at.named(18, Keyed, "two"))
-		at.step(Ended{Token: 18, Outcome: MayHaveRun, Told: true}, at.named(19, Unsafe, "two"))
-		at.want(at.failed(19, Repeated), "an unsafe one called as a keyed one")
+		at.step(QueryEnded{Token: 18, Outcome: MayHaveRun, Responded: true}, at.named(19, NonIdempotent, "two"))
+		at.want(at.failed(19, Duplicate), "an unsafe one called as a keyed one")
 	}
 }
 
@@ -78,8 +78,8 @@
 	for _, behind := range []time.Duration{0, 7 * sec} {
 		a := claimed(t)
 		b := a.rig("b", Options{}, 3, 1)
-		a.step(Ended{Token: 1, Told: true}, a.named(2, Keyed, "k"))
-		a.step(Ended{Token: 2, Outcome: MayHaveRun, Told: true})
+		a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, Keyed, "k"))
+		a.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true})
 		a.offer(1, "b")
 		a.step(a.applied())
 		a.agree()
@@ -88,7 +88,7 @@
 		b.step(handed)
 		b.agree()
 		b.step(b.named(3, Keyed, "k"))
-		b.want(b.ran(3) == (behind == 0) && b.failed(3, Repeated) == (behind > 0), "the window's end")
+		b.want(b.ran(3) == (behind == 0) && b.failed(3, Duplicate) == (behind > 0), "the window's end")
 	}
 }
 
@@ -96,20 +96,20 @@
 func TestHandThatCanNotBeRead(t *testing.T) {
 	a := claimed(t)
 	b := a.rig("b", Options{}, 3, 1)
-	a.step(Ended{Token: 1, Told: true}, a.named(2, Unsafe, "u"))
-	a.step(Ended{Token: 2, Outcome: Done, Told: true})
+	a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, NonIdempotent, "u"))
+	a.step(QueryEnded{Token: 2, Outcome: Done, Responded: true})
 	a.offer(1, "b")
 	a.step(a.applied())
 	a.acts[0].State[0]++
 	a.agree()
-	b.step(b.applied(), b.named(3, Unsafe, "u"))
+	b.step(b.applied(), b.named(3, NonIdempotent, "u"))
 	_, said := word(b, func(l Log) bool {
 		return strings.Contains(l.Text, "declined: unknown version of a record of queries: 2, known is 1")
 	})
 	b.want(said && len(b.acts) == 1 && b.acts[0].Kind == session.Decline && !b.ran(3), "takes what it can't read")
 	b.agree()
 	r, _ := b.b.Get(id(1))
-	b.want(r.Owner == "a" && b.refused(3, Elsewhere), "goes back")
+	b.want(r.Owner == "a" && b.refused(3, NotOwner), "goes back")
 }
 
 // A hand keeps to the bytes that are allowed: the newest are carried.
@@ -119,49 +119,49 @@
 	few := limits
 	few.Revision, few.StateMost = 2, 24
 	a.apply(session.KindLimits, session.LimitsBody{Limits: few})
-	a.step(a.applied(), Ended{Token: 1, Told: true})
+	a.step(a.applied(), QueryEnded{Token: 1, Responded: true})
 	for n, name := range []string{"one", "two", "three"} {
-		a.step(a.named(uint64(n+2), Unsafe, name))
-		a.step(Ended{Token: uint64(n + 2), Outcome: Done, Told: true})
+		a.step(a.named(uint64(n+2), NonIdempotent, name))
+		a.step(QueryEnded{Token: uint64(n + 2), Outcome: Done, Responded: true})
 	}
 	moved(a, b)
-	b.step(b.named(9, Unsafe, "three"), b.named(10, Unsafe, "two"), b.named(11, Unsafe, "one"))
-	b.want(b.failed(9, Repeated) && b.failed(10, Repeated) && b.ran(11), "the newest")
+	b.step(b.named(9, NonIdempotent, "three"), b.named(10, NonIdempotent, "two"), b.named(11, NonIdempotent, "one"))
+	b.want(b.failed(9, Duplicate) && b.failed(10, Duplicate) && b.ran(11), "the newest")
 }
 
 // One that is repeated is told at once, whatever waits before it and while its session moves.
 func TestRepeatedIsToldAtOnce(t *testing.T) {
 	r := claimed(t)
-	r.step(Ended{Token: 1, Told: true}, r.named(2, Unsafe, "u"))
-	r.step(Ended{Token: 2, Outcome: MayHaveRun, Told: true}, r.q(3, Unsafe), r.named(4, Unsafe, "u"))
-	r.want(r.ran(3) && r.failed(4, Repeated), "behind an open one")
+	r.step(QueryEnded{Token: 1, Responded: true}, r.named(2, NonIdempotent, "u"))
+	r.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true}, r.q(3, NonIdempotent), r.named(4, NonIdempotent, "u"))
+	r.want(r.ran(3) && r.failed(4, Duplicate), "behind an open one")
 	r.offer(1, "b")
-	r.step(r.applied(), r.named(5, Unsafe, "u"))
-	r.want(r.k.Phase(id(1)) == Quiescing && r.failed(5, Repeated), "while it quiesces")
-	r.step(Ended{Token: 3, Outcome: Done, Told: true}, r.named(6, Unsafe, "u"))
-	r.want(r.k.Phase(id(1)) == Frozen && r.failed(6, Repeated), "while it is frozen")
+	r.step(r.applied(), r.named(5, NonIdempotent, "u"))
+	r.want(r.k.Phase(id(1)) == Quiescing && r.failed(5, Duplicate), "while it quiesces")
+	r.step(QueryEnded{Token: 3, Outcome: Done, Responded: true}, r.named(6, NonIdempotent, "u"))
+	r.want(r.k.Phase(id(1)) == Frozen && r.failed(6, Duplicate), "while it is frozen")
 }
 
 // What an ownership of before had out is no part of the record: its place is not in this one's order.
 func TestEndOfAnOwnershipBefore(t *testing.T) {
 	r := claimed(t)
-	r.step(Ended{Token: 1, Told: true}, r.named(2, Unsafe, "u"), Lease{r.now + 5*sec, true})
+	r.step(QueryEnded{Token: 1, Responded: true}, r.named(2, NonIdempotent, "u"), Lease{r.now + 5*sec, true})
 	r.now += 8 * sec
 	r.apply(session.KindRelease, session.ReleaseBody{Name: "a", Silent: 8 * sec})
-	q := r.q(3, Unsafe)
-	q.Needs = nil // its slots went with the release
+	q := r.q(3, NonIdempotent)
+	q.Replicas = nil // its slots went with the release
 	r.step(r.applied(), Lease{r.now + 1000*sec, true}, q)
 	r.agree()
-	r.step(Ended{Token: 2, Outcome: MayHaveRun})
-	r.want(r.ran(3) && len(r.k.sessions[id(1)].ran) == 0, "remembers what another life of the session had out")
+	r.step(QueryEnded{Token: 2, Outcome: MayHaveRun})
+	r.want(r.ran(3) && len(r.k.sessions[id(1)].completed) == 0, "remembers what another life of the session had out")
 }
 
 // An adoption that was applied at once, and is seen after it was proposed again, bounds the time by its first proposal.
 func TestAdoptionSeenLate(t *testing.T) {
 	a := claimed(t)
 	b := a.rig("b", Options{}, 3, 1)
-	a.step(Ended{Token: 1, Told: true}, a.named(2, Keyed, "k"))
-	a.step(Ended{Token: 2, Outcome: MayHaveRun, Told: true})
+	a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, Keyed, "k"))
+	a.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true})
 	a.offer(1, "b")
 	a.step(a.applied())
 	a.agree()
@@ -171,19 +171,19 @@
 	b.now += 7 * sec
 	b.step() // and again
 	b.step(seen, b.named(3, Keyed, "k"))
-	b.want(len(b.acts) == 2 && b.k.Phase(id(1)) == Pinned && b.failed(3, Repeated), "the window's end")
+	b.want(len(b.acts) == 2 && b.k.Phase(id(1)) == Active && b.failed(3, Duplicate), "the window's end")
 }
 
 // What is unsafe and open is told, the longest first, as long as it is open; safe, keyed and waiting ones are not.
 func TestUnsafeAndOpen(t *testing.T) {
 	r := newRig(t, Options{})
 	for n := 1; n <= 5; n++ {
-		q := r.q(uint64(n), []Effect{Unsafe, Unsafe, Unsafe, Keyed, Safe}[n-1])
-		q.Session, q.Due, q.Needs = id(n), r.now+time.Duration(n)*sec, nil
+		q := r.q(uint64(n), []Effect{NonIdempotent, NonIdempotent, NonIdempotent, Keyed, Idempotent}[n-1])
+		q.Session, q.Deadline, q.Replicas = id(n), r.now+time.Duration(n)*sec, nil
 		r.step(q)
 	}
-	second := r.q(6, Unsafe)
-	second.Session, second.Needs = id(1), nil
+	second := r.q(6, NonIdempotent)
+	second.Session, second.Replicas = id(1), nil
 	r.step(second)
 	r.agree()
 	r.now += ms
@@ -192,7 +192,7 @@
 	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, want) || !slices.Equal(r.k.Unsafe(nil, 2), want[:2]) {
 		t.Fatalf("%v, want %v", got, want)
 	}
-	r.step(Ended{Token: 2, Outcome: Done, Told: true}, Ended{Token: 1, Outcome: MayHaveRun, Told: true, Until: r.now + 9*sec})
+	r.step(QueryEnded{Token: 2, Outcome: Done, Responded: true}, QueryEnded{Token: 1, Outcome: MayHaveRun, Responded: true, BusyUntil: r.now + 9*sec})
 	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, []UnsafeQuery{{id(1), 9 * sec}, {id(3), 3*sec - ms}}) {
 		t.Fatalf("after two ends: %v", got)
 	}
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -3,127 +3,127 @@
 import "birchcart/internal/fleet/session"
 
 // newSession makes a session known.
-func (k *Keeper) newSession(id session.ID) *sess {
-	var s *sess
-	if n := len(k.freeSessions); n > 0 {
-		s, k.freeSessions = k.freeSessions[n-1], k.freeSessions[:n-1]
+func (o *Owner) newSession(id session.ID) *sessionEntry {
+	var s *sessionEntry
+	if n := len(o.freeSessions); n > 0 {
+		s, o.freeSessions = o.freeSessions[n-1], o.freeSessions[:n-1]
 	} else {
-		s = new(sess)
+		s = new(sessionEntry)
 	}
-	*s = sess{id: id, phase: Gone, used: k.now, ran: s.ran[:0]}
-	k.sessions[id] = s
-	k.phases[Gone]++
+	*s = sessionEntry{id: id, phase: Gone, lastUsed: o.now, completed: s.completed[:0]}
+	o.sessions[id] = s
+	o.phaseCounts[Gone]++
 	return s
 }
 
-// to counts the phases.
-func (k *Keeper) to(s *sess, p Phase) {
-	k.phases[s.phase]--
-	k.phases[p]++
+// setPhase counts the phases.
+func (o *Owner) setPhase(s *sessionEntry, p Phase) {
+	o.phaseCounts[s.phase]--
+	o.phaseCounts[p]++
 	s.phase = p
 }
 
-// owned is how many sessions are here, as this co-ordinator knows.
-func (k *Keeper) owned() int {
-	return k.phases[Pinned] + k.phases[Quiescing] + k.phases[Frozen] + k.phases[Adopting] + k.phases[Ending]
+// ownedSessions is how many sessions are here, as this co-ordinator knows.
+func (o *Owner) ownedSessions() int {
+	return o.phaseCounts[Active] + o.phaseCounts[Quiescing] + o.phaseCounts[Frozen] + o.phaseCounts[Adopting] + o.phaseCounts[Ending]
 }
 
-// found starts a session that is Gone by what is agreed of it: free, or here.
-func (k *Keeper) found(s *sess, r session.Record, ok bool) {
-	s.epoch, s.used = r.Epoch, k.now
+// startSession starts a session that is Gone by what is agreed of it: free, or here.
+func (o *Owner) startSession(s *sessionEntry, r session.Record, ok bool) {
+	s.epoch, s.lastUsed = r.Epoch, o.now
 	switch {
 	case !ok:
-		s.ran = s.ran[:0]
-		k.enter(s, Claiming)
+		s.completed = s.completed[:0]
+		o.enterPhase(s, Claiming)
 	case r.Phase == session.Handed:
-		k.handedHere(s, r)
+		o.startAdopting(s, r)
 	default: // of a process before, or of a claim given up: what it began is not known here
-		k.enter(s, Ending)
+		o.enterPhase(s, Ending)
 	}
 }
 
-// handedHere takes over what a hand carried.
-func (k *Keeper) handedHere(s *sess, r session.Record) {
-	s.epoch, s.adopts = r.Epoch, false
-	k.carried(s, r)
+// startAdopting takes over what a hand carried.
+func (o *Owner) startAdopting(s *sessionEntry, r session.Record) {
+	s.epoch, s.adoptProposed = r.Epoch, false
+	o.restoreState(s, r)
 	if r.Source == "" {
-		k.sums.RolledBack++
+		o.stats.RolledBack++
 	}
-	k.enter(s, Adopting)
+	o.enterPhase(s, Adopting)
 }
 
-// enter brings a session into a phase in which something is proposed or waited for.
-func (k *Keeper) enter(s *sess, p Phase) {
-	k.loose(s)
-	k.to(s, p)
-	s.acts, s.again = true, k.now+ActAgain
-	k.acts.add(s)
-	if k.ready() {
-		k.propose(s)
+// enterPhase brings a session into a phase in which something is proposed or waited for.
+func (o *Owner) enterPhase(s *sessionEntry, p Phase) {
+	o.unlink(s)
+	o.setPhase(s, p)
+	s.inActQueue, s.actDueAt = true, o.now+ActRetryInterval
+	o.actQueue.add(s)
+	if o.mayAct() {
+		o.propose(s)
 	}
 }
 
-// loose takes a session out of the ring that it is in, and out of a slot's queue.
-func (k *Keeper) loose(s *sess) {
-	k.rest(s, false)
-	if s.acts {
-		k.acts.drop(s)
-		s.acts = false
+// unlink takes a session out of the ring that it is in, and out of a slot's queue.
+func (o *Owner) unlink(s *sessionEntry) {
+	o.setIdle(s, false)
+	if s.inActQueue {
+		o.actQueue.remove(s)
+		s.inActQueue = false
 	}
-	if s.at != nil {
-		s.at.unblock(s)
+	if s.blockedAt != nil {
+		s.blockedAt.dequeue(s)
 	}
 }
 
-// rest puts a session among the idle ones, or takes it out.
-func (k *Keeper) rest(s *sess, idle bool) {
+// setIdle puts a session among the idle ones, or takes it out.
+func (o *Owner) setIdle(s *sessionEntry, idle bool) {
 	if s.idle == idle {
 		return
 	}
 	s.idle = idle
 	if idle {
-		k.idle.add(s)
+		o.idle.add(s)
 		return
 	}
-	k.idle.drop(s)
+	o.idle.remove(s)
 }
 
-// settle goes on with a session after something of it ended.
-func (k *Keeper) settle(s *sess) {
+// continueSession goes on with a session after something of it ended.
+func (o *Owner) continueSession(s *sessionEntry) {
 	switch s.phase {
-	case Pinned:
-		k.pump(s, nil)
-		if s.phase == Pinned && s.wait.head == nil && s.runs == 0 {
-			k.rest(s, true)
+	case Active:
+		o.startIfOwned(s, nil)
+		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 {
+			o.setIdle(s, true)
 		}
 	case Quiescing:
-		if s.runs == 0 {
-			k.sums.Frozen++
-			k.enter(s, Frozen)
+		if s.runningCount == 0 {
+			o.stats.Frozen++
+			o.enterPhase(s, Frozen)
 		}
 	case Gone:
-		if s.wait.head == nil && s.open.head == nil {
-			k.drop(s)
+		if s.waitingQueries.head == nil && s.openQueries.head == nil {
+			o.dropSession(s)
 		}
 	}
 }
 
-// drop knows a session no more.
-func (k *Keeper) drop(s *sess) {
-	k.loose(s)
-	delete(k.sessions, s.id)
-	k.phases[s.phase]--
-	if s.counted {
-		k.count(s.client, -1, 0)
+// remove knows a session no more.
+func (o *Owner) dropSession(s *sessionEntry) {
+	o.unlink(s)
+	delete(o.sessions, s.id)
+	o.phaseCounts[s.phase]--
+	if s.countedForClient {
+		o.countClient(s.client, -1, 0)
 	}
-	if len(k.freeSessions) < freeMost {
-		k.freeSessions = append(k.freeSessions, s)
+	if len(o.freeSessions) < maxFree {
+		o.freeSessions = append(o.freeSessions, s)
 	}
 }
 
-// look brings a session to what is agreed of it.
-func (k *Keeper) look(s *sess, r session.Record, ok bool) {
-	mine := ok && r.Owner == k.name
+// refresh brings a session to what is agreed of it.
+func (o *Owner) refresh(s *sessionEntry, r session.Record, ok bool) {
+	mine := ok && r.Owner == o.name
 	switch s.phase {
 	case Gone:
 		return
@@ -132,139 +132,139 @@
 		case !ok:
 			s.epoch = r.Epoch
 		case mine && r.Phase != session.Handed:
-			k.sums.Claimed++
-			k.pin(s, r)
+			o.stats.Claimed++
+			o.startServing(s, r)
 		case mine:
-			k.handedHere(s, r)
+			o.startAdopting(s, r)
 		default:
-			k.lose(s, r.Owner)
+			o.loseSession(s, r.Owner)
 		}
 	case Ending:
 		switch {
 		case !ok:
-			k.sums.Ended++
-			k.lose(s, "")
+			o.stats.Ended++
+			o.loseSession(s, "")
 		case !mine:
-			k.lose(s, r.Owner)
+			o.loseSession(s, r.Owner)
 		case r.Epoch != s.epoch:
-			k.found(s, r, ok)
+			o.startSession(s, r, ok)
 		}
 	case Adopting:
 		switch {
 		case !mine:
-			k.lose(s, r.Owner)
-		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adopts: // a process before did, and what it began is not known
-			k.found(s, r, ok)
+			o.loseSession(s, r.Owner)
+		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed: // a process before did, and what it began is not known
+			o.startSession(s, r, ok)
 		case r.Phase != session.Handed && r.Epoch == s.epoch:
-			k.sums.Adopted++
-			s.ran.Shift(s.handed - r.Since)
-			k.pin(s, r)
+			o.stats.Adopted++
+			s.completed.Shift(s.adoptProposedAt - r.Since)
+			o.startServing(s, r)
 		case r.Epoch != s.epoch:
-			k.found(s, r, ok)
+			o.startSession(s, r, ok)
 		}
 	default:
-		k.lookOwned(s, r, mine)
+		o.refreshOwned(s, r, mine)
 	}
 }
 
-// lookOwned is look at one that was this co-ordinator's when it was last looked at.
-func (k *Keeper) lookOwned(s *sess, r session.Record, mine bool) {
+// refreshOwned is look at one that was this co-ordinator's when it was last looked at.
+func (o *Owner) refreshOwned(s *sessionEntry, r session.Record, mine bool) {
 	switch {
 	case !mine:
 		if s.phase == Frozen && r.Owner != "" {
-			k.sums.Handed++
+			o.stats.Handed++
 		}
-		k.lose(s, r.Owner)
+		o.loseSession(s, r.Owner)
 	case r.Epoch != s.epoch: // handed and back, or of another life
-		k.tellAll(s, Lost, "")
-		k.found(s, r, true)
-	case r.Phase == session.Pinned && s.phase != Pinned:
-		k.sums.Thawed++
-		k.pinned(s)
-	case r.Phase == session.Offered && s.phase == Pinned:
-		k.quiesce(s, r)
+		o.abortRunning(s, OwnershipLost, "")
+		o.startSession(s, r, true)
+	case r.Phase == session.Pinned && s.phase != Active:
+		o.stats.Resumed++
+		o.serve(s)
+	case r.Phase == session.Offered && s.phase == Active:
+		o.quiesce(s, r)
 	case r.Phase == session.Offered && s.fence != r.Fence: // that offer is over, and there is another
 		s.fence = r.Fence
-		if s.phase == Frozen && k.ready() {
-			k.propose(s)
+		if s.phase == Frozen && o.mayAct() {
+			o.propose(s)
 		}
 	}
 }
 
-// pin begins to serve a session that was claimed or adopted.
-func (k *Keeper) pin(s *sess, r session.Record) {
-	s.epoch, s.seq, s.lane, s.used = r.Epoch, r.Seq, r.Lane, k.now
-	k.pinned(s) // if it is offered, that is looked at next
+// startServing begins to serve a session that was claimed or adopted.
+func (o *Owner) startServing(s *sessionEntry, r session.Record) {
+	s.epoch, s.seq, s.lane, s.lastUsed = r.Epoch, r.Seq, r.Lane, o.now
+	o.serve(s) // if it is offered, that is looked at next
 }
 
-// pinned lets a session be served, at first or again.
-func (k *Keeper) pinned(s *sess) {
-	k.loose(s)
-	k.to(s, Pinned)
-	for q := s.open.head; q != nil; q = q.next {
-		if !q.over && !q.strays {
-			k.timers.set(q, q.due)
+// serve lets a session be served, at first or again.
+func (o *Owner) serve(s *sessionEntry) {
+	o.unlink(s)
+	o.setPhase(s, Active)
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if !q.detached && !q.awaitingReplicas {
+			o.timers.schedule(q, q.deadline)
 		}
 	}
-	k.settle(s)
+	o.continueSession(s)
 }
 
 // quiesce begins nothing more of a session that is offered.
-func (k *Keeper) quiesce(s *sess, r session.Record) {
-	k.sums.Offered++
+func (o *Owner) quiesce(s *sessionEntry, r session.Record) {
+	o.stats.Offered++
 	s.fence = r.Fence
-	k.enter(s, Quiescing)
-	at := k.now + RecallAfter
-	for q := s.open.head; q != nil; q = q.next {
-		if !q.over && !q.told && !q.allowed {
-			k.timers.set(q, min(q.due, at))
+	o.enterPhase(s, Quiescing)
+	at := o.now + CancelDelay
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if !q.detached && !q.responded && !q.answerAllowed {
+			o.timers.schedule(q, min(q.deadline, at))
 		}
 	}
-	if k.leaving {
-		k.hurry(s)
+	if o.draining {
+		o.cancelNow(s)
 	}
 	if s.phase == Quiescing {
-		k.settle(s)
+		o.continueSession(s)
 	}
 }
 
-// hurry lets what may be recalled be so at once.
-func (k *Keeper) hurry(s *sess) {
-	for q := s.open.head; q != nil; q = q.next {
-		if !q.over && !q.told && !q.allowed {
-			k.timers.set(q, k.now)
+// cancelNow lets what may be cancelled be so at once.
+func (o *Owner) cancelNow(s *sessionEntry) {
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if !q.detached && !q.responded && !q.answerAllowed {
+			o.timers.schedule(q, o.now)
 		}
 	}
 }
 
-// lose ends what is here of a session that is another's now, or free.
-func (k *Keeper) lose(s *sess, owner string) {
+// loseSession ends what is here of a session that is another's now, or free.
+func (o *Owner) loseSession(s *sessionEntry, owner string) {
 	if s.phase != Claiming && s.phase != Ending {
-		k.sums.Lost++
+		o.stats.Lost++
 	}
-	k.loose(s)
-	k.to(s, Gone)
-	why := Lost
+	o.unlink(s)
+	o.setPhase(s, Gone)
+	reason := OwnershipLost
 	if owner != "" {
-		why = Elsewhere
+		reason = NotOwner
 	}
-	waiting := s.wait.head != nil
-	if owner == "" && waiting && k.ready() && !k.leaving { // free again: claimed for those that wait
-		r, ok := k.book.Get(s.id)
-		k.tellAll(s, why, "")
-		k.found(s, r, ok)
+	waiting := s.waitingQueries.head != nil
+	if owner == "" && waiting && o.mayAct() && !o.draining { // free again: claimed for those that wait
+		r, ok := o.state.Get(s.id)
+		o.abortRunning(s, reason, "")
+		o.startSession(s, r, ok)
 		return
 	}
-	k.tellAll(s, why, owner)
-	k.refuseAll(s, why, owner)
-	k.settle(s)
+	o.abortRunning(s, reason, owner)
+	o.rejectAllWaiting(s, reason, owner)
+	o.continueSession(s)
 }
 
-// tellAll gives its word to each that runs. None of them may have its answer any more.
-func (k *Keeper) tellAll(s *sess, why Reason, owner string) {
-	for q := s.open.head; q != nil; q = q.next {
-		if !q.over {
-			k.tell(q, why, owner)
+// abortRunning gives its response to each that runs. None of them may have its answer any more.
+func (o *Owner) abortRunning(s *sessionEntry, reason Reason, owner string) {
+	for q := s.openQueries.head; q != nil; q = q.next {
+		if !q.detached {
+			o.abort(q, reason, owner)
 		}
 	}
 }
--- a/internal/fleet/sessionowner/queries.go
+++ b/internal/fleet/sessionowner/queries.go
@@ -7,335 +7,349 @@
 	"birchcart/internal/fleet/session"
 )
 
-// arrived begins a query, lets it wait or refuses it, at once.
-func (k *Keeper) arrived(a *Arrived) {
-	if k.queries[a.Token] != nil {
-		k.say("query %d came twice: the second counts for nothing", a.Token)
+// handleArrival begins a query, lets it wait or rejects it, at once.
+func (o *Owner) handleArrival(a *Arrived) {
+	if o.queries[a.Token] != nil {
+		o.log("query %d came twice: the second counts for nothing", a.Token)
 		return
 	}
-	k.sums.Arrived++
+	o.stats.Arrived++
 	switch {
-	case !k.ready():
-		k.turnAway(a.Token, NoLease, BackLater, "")
+	case !o.mayAct():
+		o.reject(a.Token, NoLease, RetryAfterWait, "")
 		return
-	case k.now >= a.Due:
-		k.turnAway(a.Token, Late, BackLater, "")
+	case o.now >= a.Deadline:
+		o.reject(a.Token, DeadlineExceeded, RetryAfterWait, "")
 		return
 	}
-	r, ok := k.book.Get(a.Session)
-	s := k.sessions[a.Session]
-	if s != nil {
-		k.look(s, r, ok)
-		s = k.sessions[a.Session] // it may be known no more
-	}
-	if s != nil && a.Effect != Safe && (s.phase == Pinned || s.phase == Quiescing || s.phase == Frozen) && s.ranBefore(a.ID, a.Effect, a.Due) {
-		k.failAgain(a.Token)
+	s := o.admitToSession(a)
+	if s == nil {
 		return
 	}
-	if s == nil || s.phase == Gone {
-		if ok && r.Owner != k.name {
-			k.turnAway(a.Token, Elsewhere, BackSoon, r.Owner)
-			return
-		}
-		if s = k.opened(s, a, r, ok); s == nil {
-			return
-		}
-	}
-	if len(k.queries) >= k.o.QueriesMost {
-		k.turnAway(a.Token, Full, BackFull, "")
-		k.unused(s)
+	if len(o.queries) >= o.options.MaxQueries {
+		o.reject(a.Token, Overloaded, RetryAfterOverload, "")
+		o.releaseUnused(s)
 		return
 	}
-	q := k.newQuery(a, s)
+	q := o.newQuery(a, s)
 	if s.idle {
-		k.rest(s, false)
+		o.setIdle(s, false)
 	}
-	s.wait.add(q)
-	s.waits++
-	k.begin(s, nil)
-	if k.queries[a.Token] != q { // told
-		k.settle(s)
+	s.waitingQueries.add(q)
+	s.waitingCount++
+	o.startWaiting(s, nil)
+	if o.queries[a.Token] != q { // it has its response
+		o.continueSession(s)
 		return
 	}
-	if q.runs {
-		return
+	if !q.running {
+		o.waitOrReject(q)
 	}
-	// It waits: there has to be room for that.
-	mine := k.clients[q.client]
-	if int(s.waits) > k.o.WaitsMost || k.waits+int(mine.waits) >= k.o.QueriesMost {
-		k.unqueue(q, false)
-		k.word(q)
-		k.turnAway(q.token, Full, BackFull, "")
-		k.forget(q)
-		k.unused(s)
+}
+
+// admitToSession finds or opens the session of a query that arrived. Where the query may not come into it, it is answered and
+// the result is nil.
+func (o *Owner) admitToSession(a *Arrived) *sessionEntry {
+	r, ok := o.state.Get(a.Session)
+	s := o.sessions[a.Session]
+	if s != nil {
+		o.refresh(s, r, ok)
+		s = o.sessions[a.Session] // it may be known no more
+	}
+	if s != nil && a.Effect != Idempotent && (s.phase == Active || s.phase == Quiescing || s.phase == Frozen) && s.alreadyRan(a.ID, a.Effect, a.Deadline) {
+		o.failDuplicate(a.Token)
+		return nil
+	}
+	if s != nil && s.phase != Gone {
+		return s
+	}
+	if ok && r.Owner != o.name {
+		o.reject(a.Token, NotOwner, RetryAfterMoved, r.Owner)
+		return nil
+	}
+	return o.openSession(s, a, r, ok)
+}
+
+// waitOrReject lets a query wait that could not begin, for its part of its client's time, if there is capacity for that.
+func (o *Owner) waitOrReject(q *query) {
+	s := q.session
+	mine := o.clients[q.client]
+	if int(s.waitingCount) > o.options.MaxWaiting || o.waiting+int(mine.waits) >= o.options.MaxQueries {
+		o.dequeue(q, false)
+		o.recordResponse(q)
+		o.reject(q.token, Overloaded, RetryAfterOverload, "")
+		o.dropQuery(q)
+		o.releaseUnused(s)
 		return
 	}
 	mine.waits++
-	k.clients[q.client] = mine
-	k.waits++
-	k.timers.set(q, k.now+(q.due-k.now)/WaitShare)
+	o.clients[q.client] = mine
+	o.waiting++
+	o.timers.schedule(q, o.now+(q.deadline-o.now)/MaxWaitDivisor)
 }
 
-// opened makes a session known that is free, or agreed to be here and of before.
-func (k *Keeper) opened(s *sess, a *Arrived, r session.Record, ok bool) *sess {
+// openSession makes a session known that is free, or agreed to be here and of before.
+func (o *Owner) openSession(s *sessionEntry, a *Arrived, r session.Record, ok bool) *sessionEntry {
 	switch {
-	case k.leaving && !ok:
-		k.turnAway(a.Token, Going, BackSoon, "")
+	case o.draining && !ok:
+		o.reject(a.Token, ShuttingDown, RetryAfterMoved, "")
 		return nil
-	case s == nil && len(k.sessions)+int(k.clients[a.Client].sessions) >= k.o.SessionsMost:
-		k.turnAway(a.Token, Full, BackFull, "")
+	case s == nil && len(o.sessions)+int(o.clients[a.Client].sessions) >= o.options.MaxSessions:
+		o.reject(a.Token, Overloaded, RetryAfterOverload, "")
 		return nil
 	}
 	if s == nil {
-		s = k.newSession(a.Session)
-		s.client, s.counted, s.lane = a.Client, true, a.Lane
-		c := k.clients[a.Client]
+		s = o.newSession(a.Session)
+		s.client, s.countedForClient, s.lane = a.Client, true, a.Lane
+		c := o.clients[a.Client]
 		c.sessions++
-		k.clients[a.Client] = c
+		o.clients[a.Client] = c
 	}
-	k.found(s, r, ok)
+	o.startSession(s, r, ok)
 	return s
 }
 
-// unused lets go of a claim that was opened for a query which then found no room.
-func (k *Keeper) unused(s *sess) {
-	if s.phase == Pinned {
-		k.settle(s)
+// releaseUnused lets go of a claim that was opened for a query which then found no capacity.
+func (o *Owner) releaseUnused(s *sessionEntry) {
+	if s.phase == Active {
+		o.continueSession(s)
 	}
 }
 
-func (k *Keeper) newQuery(a *Arrived, s *sess) *query {
+func (o *Owner) newQuery(a *Arrived, s *sessionEntry) *query {
 	var q *query
-	if n := len(k.freeQueries); n > 0 {
-		q, k.freeQueries = k.freeQueries[n-1], k.freeQueries[:n-1]
+	if n := len(o.freeQueries); n > 0 {
+		q, o.freeQueries = o.freeQueries[n-1], o.freeQueries[:n-1]
 	} else {
 		q = new(query)
 	}
-	k.no++
+	o.arrivals++
 	*q = query{
-		token: a.Token, no: k.no, client: a.Client, id: a.ID, s: s, needs: a.Needs, due: a.Due, window: a.Window, effect: a.Effect, place: -1,
+		token: a.Token, arrival: o.arrivals, client: a.Client, id: a.ID, session: s, replicas: a.Replicas, deadline: a.Deadline, window: a.Window, effect: a.Effect, heapIndex: -1,
 	}
-	k.queries[q.token] = q
+	o.queries[q.token] = q
 	return q
 }
 
-// freeMost queries and sessions are kept for their next use.
-const freeMost = 4096
+// maxFree queries and sessions are kept for their next use.
+const maxFree = 4096
 
-func (k *Keeper) forget(q *query) {
-	delete(k.queries, q.token)
-	if len(k.freeQueries) < freeMost {
+func (o *Owner) dropQuery(q *query) {
+	delete(o.queries, q.token)
+	if len(o.freeQueries) < maxFree {
 		*q = query{}
-		k.freeQueries = append(k.freeQueries, q)
+		o.freeQueries = append(o.freeQueries, q)
 	}
 }
 
-// begin runs what may run of those that wait, in their order. woken is the slot whose turn it is, nil for none. What is
+// startWaiting runs what may run of those that wait, in their order. woken is the slot whose turn it is, nil for none. What is
 // agreed, and the lease, were looked at by the caller.
-func (k *Keeper) begin(s *sess, woken *slot) {
-	for s.phase == Pinned && s.at == nil && s.wait.head != nil {
-		q := s.wait.head
-		if q.place >= 0 && q.key <= k.now { // its share is over, and it was not its turn to be told yet
-			k.giveUp(q, Waited, BackLater, "")
+func (o *Owner) startWaiting(s *sessionEntry, woken *slot) {
+	for s.phase == Active && s.blockedAt == nil && s.waitingQueries.head != nil {
+		q := s.waitingQueries.head
+		if q.heapIndex >= 0 && q.timerAt <= o.now { // its share is over, and it was not its turn to be answered yet
+			o.rejectWaiting(q, WaitTimeout, RetryAfterWait, "")
 			continue
 		}
-		if k.outlives(q) {
-			k.giveUp(q, NoLease, BackLater, "")
+		if o.mayOutliveLease(q) {
+			o.rejectWaiting(q, NoLease, RetryAfterWait, "")
 			continue
 		}
-		if q.effect != Safe && s.ranBefore(q.id, q.effect, q.due) {
-			k.word(q)
-			k.failAgain(q.token)
-			k.unqueue(q, q.place >= 0)
-			k.forget(q)
+		if q.effect != Idempotent && s.alreadyRan(q.id, q.effect, q.deadline) {
+			o.recordResponse(q)
+			o.failDuplicate(q.token)
+			o.dequeue(q, q.heapIndex >= 0)
+			o.dropQuery(q)
 			continue
 		}
-		if q.effect != Safe && s.runs > 0 || s.alone > 0 || s.runs > 0 && int(s.runs) >= k.limits.Slots {
+		if q.effect != Idempotent && s.runningCount > 0 || s.exclusiveCount > 0 || s.runningCount > 0 && int(s.runningCount) >= o.limits.Slots {
 			return
 		}
-		if lacks := k.reserve(q, woken); lacks != nil {
-			lacks.block(s)
+		if lacks := o.reserveSlots(q, woken); lacks != nil {
+			lacks.enqueue(s)
 			return
 		}
 		woken = nil
-		k.unqueue(q, q.place >= 0)
+		o.dequeue(q, q.heapIndex >= 0)
 		s.seq++
-		q.runs, q.epoch, q.seq, q.began = true, s.epoch, s.seq, k.now
-		s.open.add(q)
-		s.runs++
-		if q.effect != Safe {
-			s.alone++
+		q.running, q.epoch, q.seq, q.startedAt = true, s.epoch, s.seq, o.now
+		s.openQueries.add(q)
+		s.runningCount++
+		if q.effect != Idempotent {
+			s.exclusiveCount++
 		}
-		k.timers.set(q, q.due)
-		k.sums.Ran++
-		if q.effect == Unsafe {
-			q.spot = len(k.unsafe)
-			k.unsafe = append(k.unsafe, q)
+		o.timers.schedule(q, q.deadline)
+		o.stats.Ran++
+		if q.effect == NonIdempotent {
+			q.unsafeIndex = len(o.runningUnsafe)
+			o.runningUnsafe = append(o.runningUnsafe, q)
 		}
-		k.seen.began(k, q)
-		k.out = append(k.out, Run{q.token, q.seq})
+		o.evidence.began(o, q)
+		o.out = append(o.out, Run{q.token, q.seq})
 	}
 }
 
-// outlives says that a part of the query could still run at a replica when others may act for its session: they may from the end
+// mayOutliveLease says that a part of the query could still run at a replica when others may act for its session: they may from the end
 // of the lease and Grace on, the frames carry the client's time, and this process may be gone by then, or cut off, so that
 // nobody takes its parts back. Of a safe one only the answer would count, and it is not given.
-func (k *Keeper) outlives(q *query) bool { return q.effect != Safe && q.due > k.until+k.limits.Grace }
+func (o *Owner) mayOutliveLease(q *query) bool {
+	return q.effect != Idempotent && q.deadline > o.leaseUntil+o.limits.Grace
+}
 
-// pump is begin after a look at what is agreed.
-func (k *Keeper) pump(s *sess, woken *slot) {
-	if s.phase == Pinned && s.wait.head != nil && k.ready() && k.ours(s, s.epoch) {
-		k.begin(s, woken)
-		if s.phase == Pinned && s.wait.head == nil && s.runs == 0 { // none of them could begin
-			k.rest(s, true)
+// startIfOwned is begin after a look at what is agreed.
+func (o *Owner) startIfOwned(s *sessionEntry, woken *slot) {
+	if s.phase == Active && s.waitingQueries.head != nil && o.mayAct() && o.isOwner(s, s.epoch) {
+		o.startWaiting(s, woken)
+		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 { // none of them could begin
+			o.setIdle(s, true)
 		}
 	}
 }
 
-// unqueue takes a query out of those that wait; counted says that its waiting was counted.
-func (k *Keeper) unqueue(q *query, counted bool) {
-	s := q.s
-	if s.wait.head == q && s.at != nil {
-		s.at.unblock(s)
-	}
-	s.wait.drop(q)
-	s.waits--
+// dequeue takes a query out of those that wait; counted says that its waiting was counted.
+func (o *Owner) dequeue(q *query, counted bool) {
+	s := q.session
+	if s.waitingQueries.head == q && s.blockedAt != nil {
+		s.blockedAt.dequeue(s)
+	}
+	s.waitingQueries.remove(q)
+	s.waitingCount--
 	if counted {
-		k.waits--
-		k.count(q.client, 0, -1)
-		k.timers.drop(q)
+		o.waiting--
+		o.countClient(q.client, 0, -1)
+		o.timers.remove(q)
 	}
 }
 
-func (k *Keeper) count(client uint64, sessions, waits int32) {
-	c := k.clients[client]
+func (o *Owner) countClient(client uint64, sessions, waits int32) {
+	c := o.clients[client]
 	c.sessions += sessions
 	c.waits += waits
 	if c == (account{}) {
-		delete(k.clients, client)
+		delete(o.clients, client)
 		return
 	}
-	k.clients[client] = c
+	o.clients[client] = c
 }
 
-// ended is the end of one that ran.
-func (k *Keeper) ended(e *Ended) {
-	q := k.queries[e.Token]
+// handleEnd is the end of one that ran.
+func (o *Owner) handleEnd(e *QueryEnded) {
+	q := o.queries[e.Token]
 	if q == nil {
 		return
 	}
-	s := q.s
-	if !q.runs {
-		if e.Told {
-			k.left(e.Token)
+	s := q.session
+	if !q.running {
+		if e.Responded {
+			o.handleClientGone(e.Token)
 			return
 		}
-		k.refuse(q, Broken, BackLater, "")
+		o.rejectAndContinue(q, NoAnswer, RetryAfterWait, "")
 		return
 	}
-	if e.Told {
-		q.told = true
+	if e.Responded {
+		q.responded = true
 	}
-	if !q.told && !q.allowed {
-		k.out = append(k.out, k.wordAtEnd(q, e.Outcome))
+	if !q.responded && !q.answerAllowed {
+		o.out = append(o.out, o.responseAtEnd(q, e.Outcome))
 	}
-	k.remember(q, e.Outcome)
-	s.used = k.now
-	if e.Until > k.now { // what is out of it is waited for
-		q.told, q.strays = true, true
-		k.timers.set(q, e.Until)
+	o.recordCompletion(q, e.Outcome)
+	s.lastUsed = o.now
+	if e.BusyUntil > o.now { // what is out of it is waited for
+		q.responded, q.awaitingReplicas = true, true
+		o.timers.schedule(q, e.BusyUntil)
 		return
 	}
-	k.close(q)
+	o.closeQuery(q)
 }
 
-// close is the very end of one that ran.
-func (k *Keeper) close(q *query) {
-	s := q.s
-	if q.effect == Unsafe {
-		last := len(k.unsafe) - 1
-		k.unsafe[q.spot] = k.unsafe[last]
-		k.unsafe[q.spot].spot = q.spot
-		k.unsafe[last], k.unsafe = nil, k.unsafe[:last]
-	}
-	k.timers.drop(q)
-	s.open.drop(q)
-	if q.over {
-		s.left--
+// closeQuery is the very end of one that ran.
+func (o *Owner) closeQuery(q *query) {
+	s := q.session
+	if q.effect == NonIdempotent {
+		last := len(o.runningUnsafe) - 1
+		o.runningUnsafe[q.unsafeIndex] = o.runningUnsafe[last]
+		o.runningUnsafe[q.unsafeIndex].unsafeIndex = q.unsafeIndex
+		o.runningUnsafe[last], o.runningUnsafe = nil, o.runningUnsafe[:last]
+	}
+	o.timers.remove(q)
+	s.openQueries.remove(q)
+	if q.detached {
+		s.detachedCount--
 	} else {
-		k.counts(q)
+		o.uncountRunning(q)
 	}
-	k.giveBack(q)
-	k.forget(q)
-	k.settle(s)
+	o.releaseSlots(q)
+	o.dropQuery(q)
+	o.continueSession(s)
 }
 
-// counts takes one that ran off what its session has open.
-func (k *Keeper) counts(q *query) {
-	q.s.runs--
-	if q.effect != Safe {
-		q.s.alone--
+// uncountRunning takes one that ran off what its session has open.
+func (o *Owner) uncountRunning(q *query) {
+	q.session.runningCount--
+	if q.effect != Idempotent {
+		q.session.exclusiveCount--
 	}
 }
 
-// past lets a query count for its session no more, though something of it may be out at a replica still.
-func (k *Keeper) past(q *query) {
-	k.timers.drop(q)
-	q.over = true
-	k.counts(q)
-	q.s.left++
-	k.settle(q.s)
+// detach lets a query count for its session no more, though something of it may be out at a replica still.
+func (o *Owner) detach(q *query) {
+	o.timers.remove(q)
+	q.detached = true
+	o.uncountRunning(q)
+	q.session.detachedCount++
+	o.continueSession(q.session)
 }
 
-// left is for a client that has gone.
-func (k *Keeper) left(token uint64) {
-	q := k.queries[token]
+// handleClientGone is for a client that has gone.
+func (o *Owner) handleClientGone(token uint64) {
+	q := o.queries[token]
 	switch {
 	case q == nil:
-	case q.runs:
-		q.told = true
+	case q.running:
+		q.responded = true
 	default:
-		s := q.s
-		k.unqueue(q, true)
-		k.forget(q)
-		k.settle(s)
+		s := q.session
+		o.dequeue(q, true)
+		o.dropQuery(q)
+		o.continueSession(s)
 	}
 }
 
-// overdue ends what is over by its time: waiting, running, and being let run before a hand-over.
-func (k *Keeper) overdue() {
-	for len(k.timers) > 0 && k.timers[0].key <= k.now {
-		q := k.timers[0]
+// expireQueries ends what is over by its time: waiting, running, and being let run before a hand-over.
+func (o *Owner) expireQueries() {
+	for len(o.timers) > 0 && o.timers[0].timerAt <= o.now {
+		q := o.timers[0]
 		switch {
-		case !q.runs:
-			k.refuse(q, Waited, BackLater, k.ownerOf(q.s))
-		case q.strays:
-			k.close(q)
-		case k.now >= q.due:
-			k.tell(q, Late, "")
-			if q.effect == Safe {
-				k.past(q)
+		case !q.running:
+			o.rejectAndContinue(q, WaitTimeout, RetryAfterWait, o.ownerOf(q.session))
+		case q.awaitingReplicas:
+			o.closeQuery(q)
+		case o.now >= q.deadline:
+			o.abort(q, DeadlineExceeded, "")
+			if q.effect == Idempotent {
+				o.detach(q)
 			} else { // what comes behind it waits until it is surely over at its replicas: S3
-				k.timers.drop(q)
+				o.timers.remove(q)
 			}
 		default:
-			k.timers.set(q, q.due)
-			if k.harmless(q, BackLater) {
-				k.tell(q, Moving, k.ownerOf(q.s))
+			o.timers.schedule(q, q.deadline)
+			if o.mayRetry(q, RetryAfterWait) {
+				o.abort(q, SessionMoving, o.ownerOf(q.session))
 			}
 		}
 	}
 }
 
 // ownerOf names the co-ordinator where a session will be, as far as that is agreed; "" for this one.
-func (k *Keeper) ownerOf(s *sess) string {
-	if k.book == nil {
+func (o *Owner) ownerOf(s *sessionEntry) string {
+	if o.state == nil {
 		return ""
 	}
-	switch r, ok := k.book.Get(s.id); {
+	switch r, ok := o.state.Get(s.id); {
 	case !ok:
 		return ""
-	case r.Owner != k.name:
+	case r.Owner != o.name:
 		return r.Owner
 	case r.Phase == session.Offered:
 		return r.To
@@ -344,10 +358,10 @@
 }
 
 // byArrival gives all that have something to come, in the order of their arrival.
-func (k *Keeper) byArrival() []*query {
-	all := slices.Clone([]*query(k.timers))
+func (o *Owner) byArrival() []*query {
+	all := slices.Clone([]*query(o.timers))
 	slices.SortFunc(all, func(a, b *query) int {
-		if a.no < b.no {
+		if a.arrival < b.arrival {
 			return -1
 		}
 		return 1
@@ -355,7 +369,7 @@
 	return all
 }
 
-// spread gives a time to come back, up to twice base, by the token.
-func spread(base time.Duration, token uint64) time.Duration {
+// jitter gives a time to come back, up to twice base, by the token.
+func jitter(base time.Duration, token uint64) time.Duration {
 	return base + base/256*time.Duration(token*0x9e3779b97f4a7c15>>56)
 }
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -28,11 +28,11 @@
 	index, fence uint64
 }
 
-// rig is a keeper beside the book.
+// rig is an owner beside the book.
 type rig struct {
 	*world
 	name string
-	k    *Keeper
+	k    *Owner
 	acts []session.Act // proposed and not yet applied
 	out  []Output      // of the last step
 }
@@ -42,7 +42,7 @@
 	Lease: 6 * sec, Grace: sec, SessionsMost: 100_000, StateMost: 1024, Slots: 3,
 }
 
-// newRig is keeper "a" with 3 and 1 slots at r1 and r2, and a lease for long.
+// newRig is owner "a" with 3 and 1 slots at r1 and r2, and a lease for long.
 func newRig(t tb, o Options) *rig {
 	w := &world{t: t, b: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
@@ -62,7 +62,7 @@
 	r.t.Helper()
 	r.out = slices.Clone(r.k.Step(r.now, in))
 	for _, o := range r.out {
-		if a, ok := o.(Act); ok {
+		if a, ok := o.(Propose); ok {
 			r.acts = append(r.acts, a.Act)
 		}
 	}
@@ -104,7 +104,7 @@
 	r.apply(session.KindActs, session.ActsBody{From: co, Acts: acts})
 }
 
-func (r *world) applied() Applied { return Applied{Book: r.b, Index: r.index, Agreed: r.now} }
+func (r *world) applied() Applied { return Applied{State: r.b, Index: r.index, AgreedTime: r.now} }
 
 // agree applies what was proposed and shows the outcome.
 func (r *rig) agree() []Output {
@@ -120,7 +120,7 @@
 
 // q is a safe query of session 1 with 4 s of time.
 func (r *rig) q(token uint64, e Effect) Arrived {
-	return Arrived{Token: token, Session: id(1), Effect: e, Due: r.now + 4*sec, Window: 10 * sec, Needs: []string{"r1"}}
+	return Arrived{Token: token, Session: id(1), Effect: e, Deadline: r.now + 4*sec, Window: 10 * sec, Replicas: []string{"r1"}}
 }
 
 func (r *world) offer(n int, to string) {
@@ -148,18 +148,18 @@
 	return ok
 }
 
-func (r *rig) refused(token uint64, why Reason) bool {
-	_, ok := word(r, func(o Refuse) bool { return o.Token == token && o.Why == why && o.After > 0 })
+func (r *rig) refused(token uint64, reason Reason) bool {
+	_, ok := word(r, func(o Reject) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
 	return ok
 }
 
-func (r *rig) failed(token uint64, why Reason) bool {
-	_, ok := word(r, func(o Fail) bool { return o.Token == token && o.Why == why })
+func (r *rig) failed(token uint64, reason Reason) bool {
+	_, ok := word(r, func(o Fail) bool { return o.Token == token && o.Reason == reason })
 	return ok
 }
 
-func (r *rig) recalled(token uint64, why Reason) bool {
-	_, ok := word(r, func(o Recall) bool { return o.Token == token && o.Why == why && o.After > 0 })
+func (r *rig) recalled(token uint64, reason Reason) bool {
+	_, ok := word(r, func(o Cancel) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
 	return ok
 }
 
@@ -174,7 +174,7 @@
 func claimed(t tb) *rig {
 	t.Helper()
 	r := newRig(t, Options{})
-	r.step(r.q(1, Safe))
+	r.step(r.q(1, Idempotent))
 	r.want(!r.ran(1), "ran without a claim")
 	r.agree()
 	r.want(r.ran(1), "did not run after the claim")
--- a/internal/fleet/sessionowner/play_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -27,11 +27,11 @@
 }
 
 func (q *asked) open(now time.Duration) bool {
-	return q.runs && q.out && (q.Effect != Safe || now < q.Due)
+	return q.runs && q.out && (q.Effect != Idempotent || now < q.Deadline)
 }
 
-// play is a keeper under random news, beside a model that knows nothing of it: what clients got, what runs, what is truly
-// agreed. The keeper's copy of that is as old as its last Applied.
+// play is an owner under random events, beside a model that knows nothing of it: what clients got, what runs, what is truly
+// agreed. The owner's copy of that is as old as its last Applied.
 type play struct {
 	*rig
 	draw    func(n int) int
@@ -39,7 +39,7 @@
 	lease   time.Duration // sure until then
 	all     []*asked
 	news    []Input
-	left    []*asked      // by their clients, in the news
+	left    []*asked      // by their clients, in the events
 	words   []session.Act // ever proposed, the newest 64
 	seqs    map[string]uint64
 	history []byte
@@ -51,7 +51,7 @@
 	w := &world{t: t, b: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
 	w.plan(session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r1", N: 4}, {To: "a", Replica: "r2", N: 2}, {To: "b", Replica: "r1", N: 4}}})
-	p := &play{rig: &rig{world: w, name: "a", k: New("a", Options{Replicas: []string{"r1"}, WaitsMost: 6})}, draw: draw, seqs: map[string]uint64{}}
+	p := &play{rig: &rig{world: w, name: "a", k: New("a", Options{Replicas: []string{"r1"}, MaxWaiting: 6})}, draw: draw, seqs: map[string]uint64{}}
 	p.renew()
 	p.turn()
 	return p
@@ -64,7 +64,7 @@
 
 func (p *play) show() {
 	p.copy = p.b.Clone()
-	p.news = append(p.news, Applied{Book: p.copy, Index: p.index, Agreed: p.now})
+	p.news = append(p.news, Applied{State: p.copy, Index: p.index, AgreedTime: p.now})
 }
 
 func (p *play) renew() {
@@ -89,10 +89,10 @@
 
 func (p *play) arrive() {
 	n := p.draw(sessions)
-	effect := []Effect{Safe, Safe, Safe, Keyed, Unsafe}[p.draw(5)]
+	effect := []Effect{Idempotent, Idempotent, Idempotent, Keyed, NonIdempotent}[p.draw(5)]
 	need := [][]string{nil, {"r1"}, {"r1"}, {"r1", "r2"}, {"r2", "r2"}}[p.draw(5)]
 	q := &asked{n: n, at: p.now, Arrived: Arrived{Token: uint64(len(p.all) + 1), Session: id(n), Client: uint64(p.draw(2)), Effect: effect,
-		Due: p.now + time.Duration(p.draw(6)+1)*sec/2, Window: time.Duration(p.draw(4)) * sec, Needs: need}}
+		Deadline: p.now + time.Duration(p.draw(6)+1)*sec/2, Window: time.Duration(p.draw(4)) * sec, Replicas: need}}
 	q.ID = []completed.ID{{}, completed.IDOf("a"), completed.IDOf("b"), completed.IDOf("c")}[p.draw(4)]
 	p.all = append(p.all, q)
 	p.news = append(p.news, &q.Arrived)
@@ -108,10 +108,10 @@
 		p.answer(q)
 	}
 	q.ended, q.out = true, false
-	e := Ended{Token: q.Token, Outcome: q.outcome}
+	e := QueryEnded{Token: q.Token, Outcome: q.outcome}
 	if p.draw(4) == 0 {
 		q.out, q.until = true, p.now+sec/4
-		e.Until = q.until
+		e.BusyUntil = q.until
 	}
 	p.news = append(p.news, e)
 }
@@ -122,7 +122,7 @@
 		return
 	}
 	p.truly(q.n, q.epoch, "answers")
-	if q.words++; p.now >= q.Due {
+	if q.words++; p.now >= q.Deadline {
 		p.fail("%d is answered late", q.Token)
 	}
 }
@@ -171,7 +171,7 @@
 	case k == 10:
 		if q := p.any(func(q *asked) bool { return !q.ended && q.words == 0 }); q != nil {
 			p.left = append(p.left, q)
-			p.news = append(p.news, Left{q.Token})
+			p.news = append(p.news, ClientGone{q.Token})
 		}
 	case k < 13:
 		p.others()
@@ -193,7 +193,7 @@
 				q.out, q.until = false, 0
 				if !q.ended {
 					q.ended, q.outcome = true, MayHaveRun
-					p.news = append(p.news, Ended{Token: q.Token, Outcome: MayHaveRun})
+					p.news = append(p.news, QueryEnded{Token: q.Token, Outcome: MayHaveRun})
 				}
 			}
 		}
@@ -201,7 +201,7 @@
 	}
 }
 
-// turn gives the news to the keeper and looks at what comes out.
+// turn gives the events to the owner and looks at what comes out.
 func (p *play) turn() {
 	p.t.Helper()
 	for _, q := range p.all {
@@ -218,7 +218,7 @@
 	}
 	p.left = nil
 	for _, q := range p.all {
-		if q.words > 1 || q.words == 0 && (p.now >= q.Due || !q.runs && p.now >= q.at+(q.Due-q.at)/WaitShare) {
+		if q.words > 1 || q.words == 0 && (p.now >= q.Deadline || !q.runs && p.now >= q.at+(q.Deadline-q.at)/MaxWaitDivisor) {
 			p.fail("S4: %d words for %+v", q.words, *q)
 		}
 	}
@@ -237,7 +237,7 @@
 
 func (p *play) inUse(replica string) (n int) {
 	for _, q := range p.all {
-		for _, need := range q.Needs {
+		for _, need := range q.Replicas {
 			if q.runs && q.out && need == replica {
 				n++
 			}
@@ -252,32 +252,32 @@
 	back := func(token uint64, after time.Duration) {
 		q = p.all[token-1]
 		q.words++
-		if q.runs && (!q.ended || q.outcome != NotRun) && (q.Effect == Unsafe || q.Effect == Keyed && p.now+after >= q.began+q.Window) {
+		if q.runs && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && p.now+after >= q.began+q.Window) {
 			p.fail("S5: %+v may have run and comes again after %v", *q, after)
 		}
 	}
 	switch o := o.(type) {
 	case Run:
 		p.run(p.all[o.Token-1], o.Seq)
-	case Refuse:
-		back(o.Token, o.After)
-	case Recall:
-		back(o.Token, o.After)
+	case Reject:
+		back(o.Token, o.RetryAfter)
+	case Cancel:
+		back(o.Token, o.RetryAfter)
 		if !q.runs {
 			p.fail("%+v is recalled", *q)
 		}
 	case Fail:
 		q = p.all[o.Token-1]
-		if o.Why == Repeated {
+		if o.Reason == Duplicate {
 			if q.words++; q.runs || !slices.ContainsFunc(p.all, func(b *asked) bool { return b.before(q) }) {
 				p.fail("S5: %+v failed as one that is repeated", *q)
 			}
 			return
 		}
-		if q.words++; !q.runs || q.Effect == Safe || q.outcome == NotRun && o.Why == Broken {
+		if q.words++; !q.runs || q.Effect == Idempotent || q.outcome == NotRun && o.Reason == NoAnswer {
 			p.fail("S5: %+v failed", *q)
 		}
-	case Act:
+	case Propose:
 		if len(p.words) == 64 {
 			p.words = p.words[1:]
 		}
@@ -292,7 +292,7 @@
 
 // before says that one that ran, or may have, is called the same, and that a repeat of it could act again.
 func (b *asked) before(q *asked) bool {
-	return b != q && b.n == q.n && b.ID == q.ID && q.ID != completed.ID{} && b.Effect != Safe && q.Effect != Safe && b.runs && b.ended && b.outcome != NotRun
+	return b != q && b.n == q.n && b.ID == q.ID && q.ID != completed.ID{} && b.Effect != Idempotent && q.Effect != Idempotent && b.runs && b.ended && b.outcome != NotRun
 }
 
 // run is S1 and S3 for one that begins.
@@ -304,10 +304,10 @@
 	beside := 0
 	for _, o := range p.all {
 		switch {
-		case o.before(q) && o.epoch == q.epoch && (o.Effect == Unsafe || q.Effect == Unsafe || q.Due > o.began+o.Window):
+		case o.before(q) && o.epoch == q.epoch && (o.Effect == NonIdempotent || q.Effect == NonIdempotent || q.Deadline > o.began+o.Window):
 			p.fail("S3: %+v begins, %+v ran before it", *q, *o)
 		case o.n != q.n || o == q:
-		case o.open(p.now) && (o.Effect != Safe || q.Effect != Safe):
+		case o.open(p.now) && (o.Effect != Idempotent || q.Effect != Idempotent):
 			p.fail("S3: %+v begins beside %+v", *q, *o)
 		case o.open(p.now):
 			beside++
@@ -320,7 +320,7 @@
 	if !known {
 		last = rec.Seq
 	}
-	if p.seqs[epoch] = seq; seq != last+1 || beside >= limits.Slots || q.words > 0 || p.now >= q.at+(q.Due-q.at)/WaitShare {
+	if p.seqs[epoch] = seq; seq != last+1 || beside >= limits.Slots || q.words > 0 || p.now >= q.at+(q.Deadline-q.at)/MaxWaitDivisor {
 		p.fail("S3: %+v begins, %d was the last, beside %d", *q, last, beside)
 	}
 }
@@ -333,8 +333,8 @@
 				p.end(q)
 			}
 		}
-		if i == 65 && p.k.Sums().Held+p.b.Owned("a") != p.b.Owned("a")*2 {
-			p.fail("%+v, %d are agreed to be here", p.k.Sums(), p.b.Owned("a"))
+		if i == 65 && p.k.Stats().Sessions+p.b.Owned("a") != p.b.Owned("a")*2 {
+			p.fail("%+v, %d are agreed to be here", p.k.Stats(), p.b.Owned("a"))
 		}
 		p.by("a", append(p.acts, session.Act{Kind: session.Freed})...)
 		p.acts = nil
@@ -342,7 +342,7 @@
 		p.turn()
 		p.now += sec
 	}
-	if s := p.k.Sums(); s.Held+s.Waiting+s.Open+p.b.Owned("a")+len(p.k.clients)+len(p.k.timers) > 0 {
+	if s := p.k.Stats(); s.Sessions+s.Waiting+s.Open+p.b.Owned("a")+len(p.k.clients)+len(p.k.timers) > 0 {
 		p.fail("%+v, %d are agreed to be here", s, p.b.Owned("a"))
 	}
 }
@@ -369,7 +369,7 @@
 	if testing.Short() {
 		seeds = 15
 	}
-	var sum Sums
+	var sum Stats
 	for seed := range uint64(seeds) {
 		var twice [2]uint64
 		for i, procs := range []int{1, 4} {
@@ -381,15 +381,15 @@
 			h := fnv.New64()
 			h.Write(p.history)
 			twice[i] = h.Sum64()
-			s := p.k.Sums()
-			sum.Ran, sum.Recalled, sum.Failed, sum.Withheld = sum.Ran+s.Ran, sum.Recalled+s.Recalled, sum.Failed+s.Failed, sum.Withheld+s.Withheld
-			sum.Handed, sum.Adopted, sum.RolledBack, sum.Thawed = sum.Handed+s.Handed, sum.Adopted+s.Adopted, sum.RolledBack+s.RolledBack, sum.Thawed+s.Thawed
+			s := p.k.Stats()
+			sum.Ran, sum.Cancelled, sum.Failed, sum.Withheld = sum.Ran+s.Ran, sum.Cancelled+s.Cancelled, sum.Failed+s.Failed, sum.Withheld+s.Withheld
+			sum.Handed, sum.Adopted, sum.RolledBack, sum.Resumed = sum.Handed+s.Handed, sum.Adopted+s.Adopted, sum.RolledBack+s.RolledBack, sum.Resumed+s.Resumed
 		}
 		if twice[0] != twice[1] {
 			t.Fatalf("seed %d: two histories of the same news", seed)
 		}
 	}
-	if sum.Ran*sum.Recalled*sum.Failed*sum.Withheld*sum.Handed*sum.Adopted*sum.RolledBack*sum.Thawed == 0 {
+	if sum.Ran*sum.Cancelled*sum.Failed*sum.Withheld*sum.Handed*sum.Adopted*sum.RolledBack*sum.Resumed == 0 {
 		t.Errorf("not all was played: %+v", sum)
 	}
 	t.Logf("%+v", sum)
--- a/internal/fleet/sessionowner/slots.go
+++ b/internal/fleet/sessionowner/slots.go
@@ -8,16 +8,16 @@
 
 // slot is a replica and what is in use there. S2 rests on it: used goes up only below held.
 type slot struct {
-	name       string
-	used, held int
-	head, tail *sess // whose first waiting query lacks one here, in their order
-	blocked    int
-	turns      int // of these, how many may try once more
+	name        string
+	used, quota int
+	head, tail  *sessionEntry // whose first waiting query lacks one here, in their order
+	blocked     int
+	retries     int // of these, how many may try once more
 }
 
-// block lets a session wait for its turn.
-func (l *slot) block(s *sess) {
-	s.at = l
+// enqueue lets a session wait for its turn.
+func (l *slot) enqueue(s *sessionEntry) {
+	s.blockedAt = l
 	s.prevSlot, s.nextSlot = l.tail, nil
 	if l.tail == nil {
 		l.head = s
@@ -28,7 +28,7 @@
 	l.blocked++
 }
 
-func (l *slot) unblock(s *sess) {
+func (l *slot) dequeue(s *sessionEntry) {
 	if s.prevSlot == nil {
 		l.head = s.nextSlot
 	} else {
@@ -39,28 +39,28 @@
 	} else {
 		s.nextSlot.prevSlot = s.prevSlot
 	}
-	s.prevSlot, s.nextSlot, s.at = nil, nil, nil
+	s.prevSlot, s.nextSlot, s.blockedAt = nil, nil, nil
 	l.blocked--
 }
 
-func (k *Keeper) slot(name string) *slot {
-	l := k.slots[name]
+func (o *Owner) slotOf(name string) *slot {
+	l := o.slots[name]
 	if l == nil {
-		l = &slot{name: name, held: k.book.Pool().Held(k.name, name)}
-		k.slots[name] = l
-		k.sites = append(k.sites, l)
+		l = &slot{name: name, quota: o.state.Pool().Held(o.name, name)}
+		o.slots[name] = l
+		o.slotList = append(o.slotList, l)
 	}
 	return l
 }
 
-// reserve takes a slot at each replica that the query needs, or none and says where one lacks. Where others wait for one it is
+// reserveSlots takes a slot at each replica that the query needs, or none and says where one lacks. Where others wait for one it is
 // their turn, unless woken says that it is this one's.
-func (k *Keeper) reserve(q *query, woken *slot) *slot {
-	for i, name := range q.needs {
-		l := k.slot(name)
-		if l.used >= l.held || l.head != nil && woken == nil {
-			for _, name := range q.needs[:i] {
-				k.slots[name].used--
+func (o *Owner) reserveSlots(q *query, woken *slot) *slot {
+	for i, name := range q.replicas {
+		l := o.slotOf(name)
+		if l.used >= l.quota || l.head != nil && woken == nil {
+			for _, name := range q.replicas[:i] {
+				o.slots[name].used--
 			}
 			return l
 		}
@@ -69,108 +69,108 @@
 	return nil
 }
 
-// giveBack ends the use of a query's slots, and wakes who waits for them.
-func (k *Keeper) giveBack(q *query) {
-	for _, name := range q.needs {
-		k.slots[name].used--
+// releaseSlots ends the use of a query's slots, and wakes who waits for them.
+func (o *Owner) releaseSlots(q *query) {
+	for _, name := range q.replicas {
+		o.slots[name].used--
 	}
-	for _, name := range q.needs {
-		l := k.slots[name]
-		l.turns = l.blocked
+	for _, name := range q.replicas {
+		l := o.slots[name]
+		l.retries = l.blocked
 	}
 	for {
 		var first *slot // whose turn came first, of those where one is free
-		for _, name := range q.needs {
-			if l := k.slots[name]; l.turn() && (first == nil || l.head.wait.head.no < first.head.wait.head.no) {
+		for _, name := range q.replicas {
+			if l := o.slots[name]; l.mayRetry() && (first == nil || l.head.waitingQueries.head.arrival < first.head.waitingQueries.head.arrival) {
 				first = l
 			}
 		}
 		if first == nil {
 			break
 		}
-		k.wake(first)
+		o.wakeFirst(first)
 	}
-	for i := range k.asked { // what is left may do now
-		if k.asked[i].at == 0 {
-			k.freed(&k.asked[i])
+	for i := range o.requestedTransfers { // what is left may do now
+		if o.requestedTransfers[i].dueAt == 0 {
+			o.proposeFreed(&o.requestedTransfers[i])
 		}
 	}
 }
 
-// turn says that one that waits for a slot here may try again.
-func (l *slot) turn() bool { return l.turns > 0 && l.head != nil && l.used < l.held }
+// mayRetry says that one that waits for a slot here may try again.
+func (l *slot) mayRetry() bool { return l.retries > 0 && l.head != nil && l.used < l.quota }
 
-// wake lets the first try again that waits for a slot.
-func (k *Keeper) wake(l *slot) {
-	l.turns--
+// wakeFirst lets the first try again that waits for a slot.
+func (o *Owner) wakeFirst(l *slot) {
+	l.retries--
 	s := l.head
-	l.unblock(s)
-	k.pump(s, l)
-	if s.phase == Pinned && s.at == nil {
-		k.settle(s)
+	l.dequeue(s)
+	o.startIfOwned(s, l)
+	if s.phase == Active && s.blockedAt == nil {
+		o.continueSession(s)
 	}
 }
 
-// shifted takes over how many slots may be used now, and what is asked for.
-func (k *Keeper) shifted() {
-	p := k.book.Pool()
-	k.roomy = true
-	for _, name := range k.o.Replicas {
-		k.roomy = k.roomy && p.Held(k.name, name) > 0
-	}
-	old := k.asked
-	k.asked = nil
-	for _, t := range p.Asked(k.name) {
-		w := paced{fence: t.Fence}
-		if i := slices.IndexFunc(old, func(o paced) bool { return o.fence == t.Fence }); i >= 0 {
+// refreshSlots takes over how many slots may be used now, and what is asked for.
+func (o *Owner) refreshSlots() {
+	p := o.state.Pool()
+	o.hasSlots = true
+	for _, name := range o.options.Replicas {
+		o.hasSlots = o.hasSlots && p.Held(o.name, name) > 0
+	}
+	old := o.requestedTransfers
+	o.requestedTransfers = nil
+	for _, t := range p.Asked(o.name) {
+		w := pendingProposal{fence: t.Fence}
+		if i := slices.IndexFunc(old, func(o pendingProposal) bool { return o.fence == t.Fence }); i >= 0 {
 			w = old[i]
 		}
-		k.asked = append(k.asked, w)
+		o.requestedTransfers = append(o.requestedTransfers, w)
 	}
-	for _, l := range k.sites {
-		l.held = p.Held(k.name, l.name)
+	for _, l := range o.slotList {
+		l.quota = p.Held(o.name, l.name)
 	}
-	for i := range k.asked {
-		if k.asked[i].at == 0 {
-			k.freed(&k.asked[i])
+	for i := range o.requestedTransfers {
+		if o.requestedTransfers[i].dueAt == 0 {
+			o.proposeFreed(&o.requestedTransfers[i])
 		}
 	}
-	for _, l := range k.sites {
-		for l.turns = l.blocked; l.turn(); {
-			k.wake(l)
+	for _, l := range o.slotList {
+		for l.retries = l.blocked; l.mayRetry(); {
+			o.wakeFirst(l)
 		}
 	}
 }
 
-// free says again what was said of the slots, as long as it is asked for.
-func (k *Keeper) free() {
-	for i := range k.asked {
-		if k.asked[i].at <= k.now {
-			k.freed(&k.asked[i])
+// repeatFreed says again what was said of the slots, as long as it is asked for.
+func (o *Owner) repeatFreed() {
+	for i := range o.requestedTransfers {
+		if o.requestedTransfers[i].dueAt <= o.now {
+			o.proposeFreed(&o.requestedTransfers[i])
 		}
 	}
 }
 
-// freed says that a transfer leaves no more in use here than may be, once that is so.
-func (k *Keeper) freed(w *paced) {
-	t, ok := k.book.Pool().Transfer(w.fence)
-	if !ok || !k.ready() {
+// proposeFreed says that a transfer leaves no more in use here than may be, once that is so.
+func (o *Owner) proposeFreed(w *pendingProposal) {
+	t, ok := o.state.Pool().Transfer(w.fence)
+	if !ok || !o.mayAct() {
 		return
 	}
-	if l := k.slots[t.Replica]; l != nil && l.used > l.held {
+	if l := o.slots[t.Replica]; l != nil && l.used > l.quota {
 		return
 	}
-	w.at = k.now + ActAgain
-	k.act(session.Act{Kind: session.Freed, Fence: w.fence})
+	w.dueAt = o.now + ActRetryInterval
+	o.emitAct(session.Act{Kind: session.Freed, Fence: w.fence})
 }
 
-// trim forgets the replicas of which nothing is held, in use or waited for.
-func (k *Keeper) trim() {
-	k.sites = slices.DeleteFunc(k.sites, func(l *slot) bool {
-		if l.used > 0 || l.held > 0 || l.head != nil {
+// trimSlots forgets the replicas of which nothing is held, in use or waited for.
+func (o *Owner) trimSlots() {
+	o.slotList = slices.DeleteFunc(o.slotList, func(l *slot) bool {
+		if l.used > 0 || l.quota > 0 || l.head != nil {
 			return false
 		}
-		delete(k.slots, l.name)
+		delete(o.slots, l.name)
 		return true
 	})
 }
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -50,7 +50,7 @@
 // sessions is one co-ordinator's part in pinned sessions. What is not said to be shared belongs to the node's run.
 type sessions struct {
 	n        *Node
-	pins     *sessiongate.Pins
+	pins     *sessiongate.Gate
 	steward  *sessionctl.Steward
 	section  *operator.Sessions // in force here
 	no       uint64             // of the newest message of acts
@@ -83,8 +83,8 @@
 	}
 	p := &sessions{n: n, steward: sessionctl.New(), section: section, rooms: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}, no: uint64(n.start.UnixNano())}
 	p.pins = sessiongate.New(sessiongate.Options{
-		Name: n.name, Start: n.start, Exchange: s.Exchange, Log: n.log, Names: s.Config.Names, Policy: &s.Config.Policy,
-		Book: n.copy.book, Look: n.copy.withLock,
+		Name: n.name, StartTime: n.start, Exchange: s.Exchange, Log: n.log, Names: s.Config.Names, Policy: &s.Config.Policy,
+		Sessions: n.copy.book, WithLock: n.copy.withLock,
 		Propose: func(acts []session.Act) {
 			p.mu.Lock()
 			p.acts = append(p.acts, acts...)
@@ -92,7 +92,7 @@
 			n.nudge()
 		},
 	})
-	p.pins.File(section)
+	p.pins.SetRules(section)
 	s.Exchange.Pin(p.pins)
 	n.sessions = p
 	n.done.Go(func() { p.pins.Run(ctx) })
@@ -124,7 +124,7 @@
 // reload takes a section that was read again.
 func (p *sessions) reload(s *operator.Sessions) {
 	p.section = s
-	p.pins.File(s)
+	p.pins.SetRules(s)
 }
 
 // listed tells the keeper which replicas hold each shard.
@@ -145,7 +145,7 @@
 			by[s] = append(by[s], r.Name)
 		}
 	}
-	p.pins.Holders(by)
+	p.pins.SetHolders(by)
 }
 
 // hurry tells the view whether something agreed is waited for here: acts without an end, or a session that moves from or
@@ -153,13 +153,13 @@
 func (p *sessions) hurry() view.PollUrgently {
 	limits, _ := p.n.copy.order.Limits()
 	p.steward.Lease(p.n.now(), limits.Lease) // it may have to lead with the next step
-	return view.PollUrgently{On: p.pins.Waits() || p.n.copy.book.MovesOf(p.n.name)}
+	return view.PollUrgently{On: p.pins.AwaitsAgreement() || p.n.copy.book.MovesOf(p.n.name)}
 }
 
 // step hands on what the keeper wants agreed, and proposes as the leader.
 func (p *sessions) step(now time.Duration) {
 	n := p.n
-	p.pins.News(n.index, n.era, n.agreedNow, p.lease(now, n.sureUntil(now)))
+	p.pins.Update(n.index, n.era, n.agreedNow, p.lease(now, n.sureUntil(now)))
 	p.mu.Lock()
 	acts := p.acts
 	p.acts = nil
@@ -249,11 +249,11 @@
 	if p == nil {
 		return nil
 	}
-	s := p.pins.Sums()
+	s := p.pins.Stats()
 	owned := p.owned()
 	return &peerproto.SessionLoad{
 		Owned: owned, Open: s.Open + s.Waiting, Queries: queriesMost,
-		Memory: max(0, int64(p.section.Most)*operator.SessionMemory-int64(owned)*operator.SessionMemory), Idle: p.pins.Idle(), Unsafe: p.pins.Unsafe(),
+		Memory: max(0, int64(p.section.Most)*operator.SessionMemory-int64(owned)*operator.SessionMemory), Idle: p.pins.IdleSessions(), Unsafe: p.pins.UnsafeQueries(),
 	}
 }
 
@@ -273,9 +273,9 @@
 
 // tell is this part of the summary.
 func (p *sessions) tell(f logrus.Fields) {
-	s := p.pins.Sums()
-	f["sessions"], f["waiting"], f["open"] = s.Held, s.Waiting, s.Open
-	f["pinned_ran"], f["pinned_refused"], f["pinned_recalled"], f["pinned_failed"] = s.Ran, s.Refused, s.Recalled, s.Failed
+	s := p.pins.Stats()
+	f["sessions"], f["waiting"], f["open"] = s.Sessions, s.Waiting, s.Open
+	f["pinned_ran"], f["pinned_refused"], f["pinned_recalled"], f["pinned_failed"] = s.Ran, s.Rejected, s.Cancelled, s.Failed
 	f["claimed"], f["adopted"], f["handed"], f["rolled_back"], f["ended"], f["lost"] = s.Claimed, s.Adopted, s.Handed, s.RolledBack, s.Ended, s.Lost
 	p.n.copy.withLock(func() { f["sessions_agreed"], f["sessions_moving"] = p.n.copy.book.Len(), p.n.copy.book.Moving() })
 }
@@ -296,7 +296,7 @@
 // leave notes that this co-ordinator may go by the grant of that number. It goes once its sessions are handed on.
 func (p *sessions) leave(fence uint64) {
 	p.leaves = fence
-	p.pins.Leave()
+	p.pins.Drain()
 	p.n.log.WithFields(logrus.Fields{"fence": fence, "sessions": p.owned()}).Info("this co-ordinator may go for work, and waits for its sessions to be handed on")
 }
 
@@ -313,7 +313,7 @@
 		switch {
 		case !ok || it.Fence != p.leaves || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
 			p.leaves = 0
-			p.pins.Stay()
+			p.pins.CancelDrain()
 			n.log.Info("this co-ordinator goes for work no more, and takes new sessions again")
 		case n.copy.book.Owned(n.name) == 0 || n.agreedNow >= it.Until-limits.SettleTime-leaveBefore:
 			fence, goes, p.leaves = p.leaves, true, 0
