--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -413,15 +413,15 @@
 		io.WriteString(nc, whole(list(2, true, entry("v2", "Ready"))))
 	}, nil)
 	_, names, _ := runs(t, s.ln.Addr().String(), false)
-	for range asksMost {
+	for range maxConcurrentRequests {
 		<-open
 	}
 	s.set(2, nil, nil)
 	close(gate)
 	names("v2")
 	shut(t, s, 1)
-	if n := most.Load(); n > asksMost+1 { // one may still be ending
-		t.Errorf("%d were open at once, %d allowed", n, asksMost)
+	if n := most.Load(); n > maxConcurrentRequests+1 { // one may still be ending
+		t.Errorf("%d were open at once, %d allowed", n, maxConcurrentRequests)
 	}
 }
 
@@ -469,7 +469,7 @@
 		t.Fatal(err)
 	}
 	close(down)
-	for end := time.Now().Add(patience); refused.n.Load() <= 2*asksMost; time.Sleep(lookEvery) {
+	for end := time.Now().Add(patience); refused.n.Load() <= 2*maxConcurrentRequests; time.Sleep(lookEvery) {
 		if time.Now().After(end) {
 			t.Fatalf("%d asks were refused", refused.n.Load())
 		}
--- /dev/null
+++ b/internal/discovery/feed.go
@@ -0,0 +1,182 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// feed keeps the endpoint list from one address up to date. Its index means nothing at another address.
+type feed struct {
+	client         *Client
+	address        string
+	index          int64
+	fullListNeeded bool          // the full list is needed: at the start, after an object that could not be used, and after a silence
+	confirmedAt    time.Time     // up to when the list is known to hold: the last heartbeat or change, or the start of the request for the full list
+	backoff        time.Duration // before the next connection
+	cancel         context.CancelFunc
+
+	reopened bool // a watch of a shared discovery has fallen silent, and nothing was heard since
+}
+
+// run keeps the list up to date until the context ends. Where the decisions poll, their first request begins it, and they are
+// notified of failures. It does not wait for them after that: what is missed counts as notified by a clock that does not either,
+// and the retry policy bounds how often discovery is polled.
+func (f *feed) run(ctx context.Context) {
+	c := f.client
+	if c.onDemand && c.isActive(f) {
+		select {
+		case <-ctx.Done():
+		case <-c.watchRequested:
+		}
+	}
+	for ctx.Err() == nil {
+		s, err := f.request(ctx)
+		began := time.Now()
+		if err == nil {
+			err = f.consume(s)
+			s.close()
+		}
+		if ctx.Err() != nil {
+			return
+		}
+		c.logFailure(f, err)
+		lasted, closed := time.Since(began), errors.Is(err, errClosedAfterList)
+		if f.backoff = c.retry.nextBackoff(f.backoff); lasted > c.retry.maxBackoff || closed {
+			f.backoff = c.retry.initialBackoff
+		}
+		if c.onDemand && lasted < c.limits.AgentTime && !closed && c.isActive(f) {
+			c.sink.ListFailed()
+		}
+		if errors.Is(err, errSilent) {
+			f.afterSilence(s)
+		}
+	}
+}
+
+// afterSilence decides what is requested once discovery has been silent. A new watch of an agent may be silent for longer than
+// there is time left for what was missed, while the full list has all of it at once. Of a shared discovery that would be two
+// calls where one has the same: the answer to a watch begins with what was missed. Only when that brings nothing either is the
+// full list requested.
+func (f *feed) afterSilence(s *stream) {
+	switch {
+	case !f.client.retry.shared || f.reopened:
+		f.fullListNeeded = true
+	case s.watching:
+		f.reopened, f.confirmedAt = true, time.Now()
+	}
+}
+
+// needsFullList says whether to request the full list and not a watch. A new watch may be silent for WatchSilence and be of no
+// use then: with a confirmation that is old by now, the full list would come close to the time at which what was missed counts as
+// notified. So it is with watches that are refused, or end before they have brought anything.
+func (f *feed) needsFullList() bool {
+	return f.fullListNeeded || time.Since(f.confirmedAt) > f.client.retry.maxConfirmationAge
+}
+
+// confirm notes that the list holds as of now.
+func (f *feed) confirm() {
+	f.confirmedAt, f.reopened = time.Now(), false
+	f.client.confirm(f)
+}
+
+// consume reads the full list, if that was requested, and then its changes, until the connection is of no more use.
+func (f *feed) consume(s *stream) error {
+	c, asked := f.client, s.startedAt
+	if s.fullList {
+		if _, err := f.applyObject(s.objects.object, true, true); err != nil {
+			return err
+		}
+		f.fullListNeeded, f.reopened, f.confirmedAt = false, false, s.startedAt
+		if s.splitter.Close {
+			return errClosedAfterList
+		}
+		asked = time.Now()
+		s.setDeadline(asked.Add(c.retry.answerTime))
+		if err := s.sendGet(watchTarget(f.index), f.address); err != nil {
+			return err
+		}
+	}
+	if c.retry.shared { // how long a call waited its turn says nothing of the watch that it opened
+		asked = time.Now()
+	}
+	s.watching = true
+	s.setDeadline(asked.Add(c.limits.WatchSilence))
+	for fresh := true; !s.splitter.Done; {
+		piece, err := s.nextPiece()
+		if err != nil {
+			return err
+		}
+		if fresh, err = f.handlePiece(s, piece, fresh); err != nil {
+			f.fullListNeeded = true // what that said is missing: the full list has it
+			return err
+		}
+	}
+	return errors.New("the answer ended")
+}
+
+// handlePiece applies what a piece of a watch holds; fresh says that the watch has brought nothing yet.
+func (f *feed) handlePiece(s *stream, piece []byte, fresh bool) (bool, error) {
+	for len(piece) > 0 {
+		n, what, err := s.objects.scan(piece)
+		if err != nil {
+			return fresh, err
+		}
+		piece = piece[n:]
+		confirms := what == foundHeartbeat
+		if what == foundObject {
+			if confirms, err = f.applyObject(s.objects.object, false, fresh); err != nil {
+				return fresh, err
+			}
+			fresh = false
+		}
+		if confirms { // a change that is known already does not confirm the list, as a heartbeat does
+			s.setDeadline(time.Now().Add(f.client.limits.WatchSilence))
+			f.confirm()
+		}
+	}
+	return fresh, nil
+}
+
+// applyObject reads one object and passes it on; changed is false for changes that are known already. One that can't be used
+// leaves the list as it is. The first full list of a new address completes the move: from then on the old address is not read.
+//
+// A list that is full and fresh, the first answer to a call, was requested after everything known here had come: it counts
+// whatever its index, since discovery may have restarted. Further on in a watch an index below ours is either old, and then a
+// full list would undo what came since, or that of a restart, and then all that follows would be passed over as old: only a
+// fresh list can tell.
+func (f *feed) applyObject(raw []byte, whole, fresh bool) (changed bool, err error) {
+	c := f.client
+	list, index, odd, err := Parse(raw)
+	if err != nil {
+		c.limitedLog.Warn("an object of the list is passed over", logrus.Fields{"error": err, "bytes": len(raw)})
+		return false, err
+	}
+	if len(odd) > 0 {
+		c.limitedLog.Warn("odd entries on the list", logrus.Fields{"entries": odd, "index": index})
+	}
+	list.Full = list.Full || whole
+	if !(list.Full && fresh) && index < f.index {
+		return false, errStaleIndex
+	}
+	if !list.Full && index == f.index { // known already
+		return false, nil
+	}
+	f.index = index
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.pending == f {
+		c.log.WithFields(logrus.Fields{"from": c.active.address, "to": f.address, "index": index}).Info("the list has moved")
+		if c.active.cancel != nil {
+			c.active.cancel()
+		}
+		c.active, c.pending = f, nil
+	}
+	if c.active == f {
+		c.sink.Listed(list)
+		c.hasList.Store(true)
+	}
+	return true, nil
+}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-// Package discovery keeps the list of replicas: it reads the whole list, then watches its changes.
+// Package discovery keeps the list of replicas up to date: it reads the full list, then watches its changes.
 package discovery
 
 import (
@@ -12,8 +12,8 @@
 	"birchcart/policy"
 )
 
-// message is the list, or changes of it, as discovery writes them.
-type message struct {
+// listMessage is the list, or changes of it, as discovery writes them.
+type listMessage struct {
 	Index     *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
@@ -34,11 +34,11 @@
 	"Ready": policy.Up, "Terminating": policy.Draining, "Gone": policy.Removed,
 }
 
-// Parse reads one object of discovery's. Guards against one odd entry that would hold back the news of all the
+// Parse reads one object of discovery's. Guards against one odd entry that would hold back the changes of all the
 // others: an entry that can't be used is passed over, one of an unknown status is taken to want nothing new,
 // and odd names both.
 func Parse(raw []byte) (list exchange.List, index int64, odd []string, err error) {
-	var m message
+	var m listMessage
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return list, 0, nil, fmt.Errorf("discovery: %w", err)
 	}
--- /dev/null
+++ b/internal/discovery/retry.go
@@ -0,0 +1,46 @@
+package discovery
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"birchcart/internal/config"
+)
+
+// retryPolicy says how often, and how patiently, discovery is polled. Where lists are pushed, the agent on this machine answers
+// at once and at no cost, and stays silent while discovery is down. Where lists are polled, each call is work for a discovery
+// that all co-ordinators share and that serves calls in turn: a call that is cancelled before its answer is work for nothing,
+// and calls that follow a rejection at once keep it busy with rejecting.
+type retryPolicy struct {
+	maxConcurrent              int           // requests that may wait for an answer at the same time
+	answerTime                 time.Duration // for a connection and the complete answer on it
+	initialBackoff, maxBackoff time.Duration // between attempts after a failure, doubled from the first to the second
+	maxConfirmationAge         time.Duration // once the last confirmation is older, the full list is requested instead of a watch
+	shared                     bool          // discovery is shared: backoffs have jitter, and the end of an attempt is waited for
+}
+
+func newRetryPolicy(onDemand bool, limits *config.Limits) retryPolicy {
+	if !onDemand {
+		return retryPolicy{
+			maxConcurrent: maxConcurrentRequests, answerTime: limits.AgentTime, initialBackoff: limits.RedialFirst, maxBackoff: limits.RedialMost,
+			maxConfirmationAge: limits.AgentTime,
+		}
+	}
+	return retryPolicy{
+		maxConcurrent: 1, answerTime: limits.CallTime, initialBackoff: limits.CallFirst, maxBackoff: limits.CallMost,
+		maxConfirmationAge: limits.WatchSilence, shared: true,
+	}
+}
+
+// nextBackoff is the backoff after one more failure.
+func (p *retryPolicy) nextBackoff(wait time.Duration) time.Duration {
+	return max(p.initialBackoff, min(2*wait, p.maxBackoff))
+}
+
+// jitter draws the wait before the next attempt: co-ordinators whose watches broke together do not come again together.
+func (p *retryPolicy) jitter(wait time.Duration) time.Duration {
+	if !p.shared || wait <= 0 {
+		return wait
+	}
+	return wait/2 + rand.N(wait/2+1)
+}
--- a/internal/fleet/lanes_test.go
+++ b/internal/fleet/lanes_test.go
@@ -41,7 +41,7 @@
 	var out bytes.Buffer
 	log := logrus.New()
 	log.Out = &out
-	n := &Node{copy: newCopy(), file: f, log: logrus.NewEntry(log), s: serve.Serving{Config: &config.Config{Names: names}}}
+	n := &Node{copy: newCopy(), file: f, log: logrus.NewEntry(log), s: serve.Host{Config: &config.Config{Names: names}}}
 	if err := fitsLanes(f, names); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -66,7 +66,7 @@
 
 // Node is one co-ordinator's part. It is a serve.Beside.
 type Node struct {
-	s    serve.Serving
+	s    serve.Host
 	log  *logrus.Entry
 	off  bool // the operators' file has no fleet
 	name string
@@ -167,7 +167,7 @@
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 // Start opens what the operators' file names. Without its section it does nothing at all.
-func (n *Node) Start(s serve.Serving) error {
+func (n *Node) Start(s serve.Host) error {
 	n.s, n.log = s, s.Log.WithField("part", "fleet")
 	if s.Operator == nil || s.Operator.Fleet == nil {
 		n.off = true
@@ -190,9 +190,9 @@
 	return nil
 }
 
-// Await waits for the first whole answer of the raft group and until what it brought is laid, for AwaitMost at the most.
+// AwaitReady waits for the first whole answer of the raft group and until what it brought is laid, for AwaitMost at the most.
 // After that this co-ordinator serves as one that is cut off does.
-func (n *Node) Await(ctx context.Context) {
+func (n *Node) AwaitReady(ctx context.Context) {
 	if n.off {
 		return
 	}
--- a/internal/fleet/node_end.go
+++ b/internal/fleet/node_end.go
@@ -30,8 +30,8 @@
 	n.toLead = append(n.toLead, drainctl.Deposed{})
 }
 
-// Leave hands the lead over and says that this co-ordinator goes. What is laid stays laid until Stop.
-func (n *Node) Leave() {
+// Drain hands the lead over and says that this co-ordinator goes. What is laid stays laid until Stop.
+func (n *Node) Drain() {
 	if n.off || n.leaving.Swap(true) {
 		return
 	}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -105,7 +105,7 @@
 		e := exchange.New(cfg, logrus.NewEntry(log))
 		e.Join(unsent{}, unsent{})
 		n := New()
-		fail(n.Start(serve.Serving{Config: cfg, Operator: op, Exchange: e, Heard: time.Now, Log: logrus.NewEntry(log).WithField("node", name), End: func() {}}))
+		fail(n.Start(serve.Host{Config: cfg, Operator: op, Exchange: e, ListConfirmedAt: time.Now, Log: logrus.NewEntry(log).WithField("node", name), Shutdown: func() {}}))
 		go e.Run(context.Background())
 		list := exchange.List{Full: true}
 		for r := range p.Replicas {
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -76,7 +76,7 @@
 }
 
 // openSessions begins the part, if the section is there. It comes before the exchange runs.
-func (n *Node) openSessions(ctx context.Context, s serve.Serving) {
+func (n *Node) openSessions(ctx context.Context, s serve.Host) {
 	section := s.Operator.Fleet.Sessions
 	if section == nil {
 		return
--- a/internal/fleet/shedding.go
+++ b/internal/fleet/shedding.go
@@ -13,7 +13,7 @@
 )
 
 // openShed has queries go through the lanes, if there are any. It comes before the exchange runs.
-func (n *Node) openShed(ctx context.Context, s serve.Serving) {
+func (n *Node) openShed(ctx context.Context, s serve.Host) {
 	if n.lanes == nil {
 		return
 	}
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -19,7 +19,7 @@
 	"birchcart/internal/serve"
 )
 
-func (n *Node) init(s serve.Serving) {
+func (n *Node) init(s serve.Host) {
 	n.name, n.file, n.start, n.news = s.Config.Name, s.Operator, time.Now(), true
 	n.version, n.dir = serve.Version(), s.Operator.Fleet.Dir
 	n.copy, n.mail = newCopy(), newMail()
@@ -40,7 +40,7 @@
 }
 
 // zone of this co-ordinator, "" if the settings name none.
-func zone(s serve.Serving) string {
+func zone(s serve.Host) string {
 	if z := s.Config.Policy.Zone; z >= 0 && z < len(s.Config.Names.Zones) {
 		return s.Config.Names.Zones[z]
 	}
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -155,7 +155,7 @@
 	n.mu.Lock()
 	list, known := n.list, n.list != nil && !n.stale
 	n.mu.Unlock()
-	if heard := n.s.Heard(); known && heard.After(n.listFed) {
+	if heard := n.s.ListConfirmedAt(); known && heard.After(n.listFed) {
 		n.listFed = heard
 		n.toLead = append(n.toLead, drainctl.ReplicaList{Replicas: machines(list), Age: max(time.Since(heard), 0)})
 	}
@@ -198,7 +198,7 @@
 	n.log.WithField("fence", fence).Info("this co-ordinator goes for work")
 	go func() {
 		n.handOver()
-		n.s.End()
+		n.s.Shutdown()
 	}()
 }
 
--- a/internal/serve/args.go
+++ b/internal/serve/args.go
@@ -54,9 +54,9 @@
 	Strict   bool   `help:"Refuse keys that nothing reads, too."`
 }
 
-// Check reads a configuration, refuses what no deployment can mean, and prints what it comes to. Beside, nil for
+// Check reads a configuration, refuses what no deployment can mean, and prints what it comes to. The extension, nil for
 // none, is what would be run too.
-func Check(c CheckArgs, beside Beside) error {
+func Check(c CheckArgs, extension Extension) error {
 	cfg, err := c.Load()
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	if err := fits(cfg, op, beside); err != nil {
+	if err := checkExtension(cfg, op, extension); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
 	if _, err := loadRehearsal(c.Rehearse, cfg); err != nil {
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	logQueue = 1024                   // lines that wait; some 0.2 MB of the least machine's 32, and seconds of a loud day
-	logFlush = 500 * time.Millisecond // at the end, for whoever reads the log; well before SIGKILL may come
-	timeForm = "15:04:05.000"
+	logQueueLines   = 1024                   // lines that wait; some 0.2 MB of the least machine's 32, and seconds of a loud day
+	logFlushTimeout = 500 * time.Millisecond // at the end, for whoever reads the log; well before SIGKILL may come
+	timeFormat      = "15:04:05.000"
 )
 
 // Process is what belongs to the process and not to the service: today its log.
@@ -27,7 +27,7 @@
 // NewProcess returns one that logs at a level, "" for what the operators' file says.
 func NewProcess(level string) *Process {
 	p := &Process{log: logrus.New(), level: level}
-	p.logs = logs.NewQueue(os.Stderr, logQueue, func(n int) []byte {
+	p.logs = logs.NewQueue(os.Stderr, logQueueLines, func(n int) []byte {
 		e := p.log.WithField("lines", n)
 		e.Time, e.Level, e.Message = time.Now(), logrus.WarnLevel, "log lines were dropped: the log is not read fast enough"
 		line, err := e.Bytes()
@@ -37,7 +37,7 @@
 		return line
 	})
 	p.log.SetOutput(p.logs)
-	p.apply(nil)
+	p.applyOperator(nil)
 	return p
 }
 
@@ -45,26 +45,26 @@
 func (p *Process) Log() *logrus.Logger { return p.log }
 
 // Close ends the log once it is written, or after a moment if nobody reads it.
-func (p *Process) Close() { p.logs.Close(logFlush) }
+func (p *Process) Close() { p.logs.Close(logFlushTimeout) }
 
-// apply puts into force what the operators' file says, nil for none.
-func (p *Process) apply(op *operator.File) {
-	said := operator.Log{}
+// applyOperator puts into force what the operators' file says, nil for none.
+func (p *Process) applyOperator(op *operator.File) {
+	settings := operator.Log{}
 	if op != nil {
-		said = op.Process.Log
+		settings = op.Process.Log
 	}
-	for _, name := range []string{p.level, said.Level, "info"} {
+	for _, name := range []string{p.level, settings.Level, "info"} {
 		if level, err := logrus.ParseLevel(name); err == nil {
 			p.log.SetLevel(level)
 			break
 		}
 	}
-	if said.Format == "json" {
+	if settings.Format == "json" {
 		p.log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	} else {
-		p.log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeForm})
+		p.log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeFormat})
 	}
-	p.logs.Resize(max(said.Queue, 0))
+	p.logs.Resize(max(settings.Queue, 0))
 }
 
 // readOperator reads the rendered operators' file; no path, no file.
--- a/internal/serve/rehearse.go
+++ b/internal/serve/rehearse.go
@@ -30,22 +30,22 @@
 	return other, nil
 }
 
-// rehearsal watches the settings of another configuration and tells of it where the summary does.
+// rehearsal watches the settings of another configuration and logs what differs as often as the summary is logged.
 type rehearsal struct {
-	every time.Duration
-	log   *logrus.Entry
+	interval time.Duration
+	log      *logrus.Entry
 
-	mu    sync.Mutex // turns come from the exchange's goroutine, the last word from the one that ends it
-	watch *rehearse.Watch
-	told  time.Time
+	mu       sync.Mutex // turns come from the exchange's goroutine, the last counts from the one that ends it
+	watch    *rehearse.Watch
+	loggedAt time.Time
 }
 
 func newRehearsal(other *config.Config, every time.Duration, log *logrus.Entry) *rehearsal {
-	return &rehearsal{watch: rehearse.New(other.Policy), every: every, log: log, told: time.Now()}
+	return &rehearsal{watch: rehearse.New(other.Policy), interval: every, log: log, loggedAt: time.Now()}
 }
 
-// turn takes a turn of the live decisions. A fault of the watch ends the watch and nothing else.
-func (r *rehearsal) turn(now float64, events []policy.Event, actions []policy.Action) {
+// observe takes a turn of the live decisions. A fault of the watch ends the watch and nothing else.
+func (r *rehearsal) observe(now float64, events []policy.Event, actions []policy.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.watch == nil {
@@ -58,27 +58,27 @@
 		}
 	}()
 	r.watch.Turn(now, events, actions)
-	if time.Since(r.told) >= r.every {
-		r.tell()
+	if time.Since(r.loggedAt) >= r.interval {
+		r.logCounts()
 	}
 }
 
-// end tells of the whole.
-func (r *rehearsal) end() {
+// close tells of the whole.
+func (r *rehearsal) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.watch != nil {
-		r.tell()
+		r.logCounts()
 	}
 }
 
-// tell logs the counts since the start.
-func (r *rehearsal) tell() {
+// logCounts logs the counts since the start.
+func (r *rehearsal) logCounts() {
 	c := r.watch.Counts()
 	f := logrus.Fields{"queries": c.Queries, "differ": c.Differ}
 	for _, k := range rehearse.Kinds() {
 		f[k.String()] = c.By[k]
 	}
 	r.log.WithFields(f).Info("rehearsal")
-	r.told = time.Now()
+	r.loggedAt = time.Now()
 }
--- a/internal/serve/reload_test.go
+++ b/internal/serve/reload_test.go
@@ -38,7 +38,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	hangups := make(chan os.Signal, 1)
 	hangups <- os.Interrupt
-	r := &reloader{cfg: cfg, src: src, disc: moved, Process: process, log: process.Log().WithField("node", "n")}
+	r := &reloader{config: cfg, source: src, discovery: moved, Process: process, log: process.Log().WithField("node", "n")}
 	ended := make(chan struct{})
 	go func() { r.run(ctx, hangups); close(ended) }()
 	t.Cleanup(func() { end(); <-ended; process.Close() })
