--- a/cmd/birchcart-fleet/main.go
+++ b/cmd/birchcart-fleet/main.go
@@ -12,6 +12,7 @@
 	"github.com/alecthomas/kong"
 
 	"birchcart/internal/fleet"
+	"birchcart/internal/fleet/fleetfile"
 	"birchcart/internal/serve"
 )
 
@@ -41,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	for _, w := range fleet.Warnings(op) {
+	for _, w := range fleetfile.Warnings(op) {
 		fmt.Println("warning: " + w)
 	}
 	return nil
--- a/internal/fleet/answers_test.go
+++ b/internal/fleet/answers_test.go
@@ -4,6 +4,11 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/inventory"
+	"birchcart/internal/fleet/mailbox"
+	"birchcart/internal/fleet/pollqueue"
+
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/view"
 )
@@ -12,7 +17,7 @@
 // something, lacks something or comes after a silence waits for VerifyEvery at the most, and what is agreed meanwhile ends
 // the wait of all.
 func TestPollsAtRestWaitForEachOther(t *testing.T) {
-	n := &Node{copy: newCopy(), term: 7, loads: map[string]loadReport{}, waiting: waiting{by: map[string]polled{}}}
+	n := &Node{state: agreedstate.New(), term: 7, loads: map[string]inventory.LoadReport{}, pollQueue: pollqueue.New()}
 	now := time.Minute
 	poll := func(from string, p peerproto.Poll) bool {
 		t.Helper()
@@ -21,14 +26,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return n.letter(letter{from: from, raw: raw, at: now})
+		return n.letter(mailbox.Message{From: from, Raw: raw, At: now})
 	}
 	answer := func(agreed uint64) bool {
-		if !n.waiting.due(now, agreed) {
+		if !n.pollQueue.CheckDue(now, agreed) {
 			return false
 		}
-		n.waiting.begin(now)
-		n.waiting.verifying = false
+		n.pollQueue.BeginCheck(now)
+		n.pollQueue.EndCheck()
 		return true
 	}
 	names := make([]string, 300)
@@ -51,15 +56,15 @@
 			rounds++
 		}
 	}
-	if most := int(3 * view.PollInterval / VerifyRest); rounds > most || rounds < most-2 {
+	if most := int(3 * view.PollInterval / pollqueue.IdleCheckInterval); rounds > most || rounds < most-2 {
 		t.Errorf("%d rounds in 3 s at rest, %d wanted", rounds, most)
 	}
 	press := func(what string, agreed uint64, say func() bool) {
 		t.Helper()
-		now += VerifyRest
+		now += pollqueue.IdleCheckInterval
 		poll("aa", peerproto.Poll{Sequence: 20})
 		answer(0)
-		now += VerifyEvery
+		now += pollqueue.CheckInterval
 		poll("aa", peerproto.Poll{Sequence: 21})
 		if answer(0) {
 			t.Fatal("a poll at rest is answered before others could join it")
@@ -76,7 +81,7 @@
 		poll(name, peerproto.Poll{Sequence: 30})
 	}
 	press("one that was silent", 0, func() bool { now += 2*view.PollInterval + 1; return poll("ac", peerproto.Poll{Sequence: 31}) })
-	if err := n.copy.take(peerproto.Reply{Index: 5, Entries: []peerproto.Entry{{Index: 5, Raw: tick(t, 5)}}}); err != nil {
+	if err := n.state.ApplyReply(peerproto.Reply{Index: 5, Entries: []peerproto.Entry{{Index: 5, Raw: tick(t, 5)}}}); err != nil {
 		t.Fatal(err)
 	}
 	if !poll("ad", peerproto.Poll{Sequence: 40, Index: 4}) || poll("ad", peerproto.Poll{Sequence: 41, Index: 5}) {
--- a/internal/fleet/era.go
+++ b/internal/fleet/era.go
@@ -1,11 +1,7 @@
 package fleet
 
 import (
-	"errors"
 	"fmt"
-	"io/fs"
-	"os"
-	"path/filepath"
 
 	"birchcart/internal/fleet/store"
 )
@@ -39,34 +35,10 @@
 	}
 	n.outlived = false
 	dir := n.file.Fleet.Dir
-	if err := asideTo(dir, fmt.Sprintf("era-%d", n.copy.era())); err != nil {
+	if err := store.Archive(dir, fmt.Sprintf("era-%d", n.state.Epoch())); err != nil {
 		n.lost = true
 		n.log.WithError(err).Error("the log of before can't be put aside: this co-ordinator follows without a vote")
 		return
 	}
 	n.lost = false
 }
-
-// asideTo moves the raft group's files into a folder beside them.
-func asideTo(dir, name string) error {
-	to := filepath.Join(dir, name)
-	for i := 2; ; i++ {
-		err := os.Mkdir(to, 0o700)
-		if err == nil {
-			break
-		}
-		if !errors.Is(err, fs.ErrExist) || i > AsideMost {
-			return err
-		}
-		to = filepath.Join(dir, fmt.Sprintf("%s-%d", name, i))
-	}
-	for _, file := range []string{store.File, store.SnapshotDir} {
-		if err := os.Rename(filepath.Join(dir, file), filepath.Join(to, file)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return err
-		}
-	}
-	return nil
-}
-
-// AsideMost folders with logs of before, for one era; one more needs a hand to remove them.
-const AsideMost = 8
--- a/internal/fleet/asked.go
+++ b/internal/fleet/fleetfile/fleetfile.go
@@ -1,4 +1,6 @@
-package fleet
+// Package fleetfile turns the fleet section of the operators' file into what is agreed: limits, maintenance requests and warnings.
+// Pure.
+package fleetfile
 
 import (
 	"crypto/sha256"
@@ -12,22 +14,23 @@
 	"birchcart/policy"
 )
 
-func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+// Milliseconds is a setting's number of milliseconds as a duration.
+func Milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// Limits are what the agreed order keeps to, from the section, placement and settings.
+// Limits are what the agreed maintenance order keeps to, from the section, placement and settings.
 func Limits(f *operator.File, cfg *policy.Config) maintenance.LimitsBody {
 	fl := f.Fleet
 	return maintenance.LimitsBody{Revision: fl.Revision, Limits: maintenance.Limits{
 		Cells: cfg.Cells, Reach: cfg.Reach, Shards: cfg.Shards, MinHolders: f.Placement.HoldersLeast,
-		MaxOutPerZone: fl.Zone, MaxOut: fl.Most, Headroom: *fl.Headroom, LoadAge: ms(fl.LoadAge), ListAge: ms(fl.ListAge),
-		WarmUp: time.Duration(cfg.WarmUp * float64(time.Second)), Lease: ms(fl.Lease), Grace: ms(fl.Grace), SettleTime: ms(fl.Settle),
-		FailurePause: ms(fl.Calm), MaxPassedOver: fl.Passed,
-		MinVoters: votersLeast(len(fl.Voters)),
+		MaxOutPerZone: fl.Zone, MaxOut: fl.Most, Headroom: *fl.Headroom, LoadAge: Milliseconds(fl.LoadAge), ListAge: Milliseconds(fl.ListAge),
+		WarmUp: time.Duration(cfg.WarmUp * float64(time.Second)), Lease: Milliseconds(fl.Lease), Grace: Milliseconds(fl.Grace), SettleTime: Milliseconds(fl.Settle),
+		FailurePause: Milliseconds(fl.Calm), MaxPassedOver: fl.Passed,
+		MinVoters: minVoters(len(fl.Voters)),
 	}}
 }
 
-// Asks is all that the operators ask for, in the file's order.
-func Asks(f *operator.File) maintenance.RequestsBody {
+// Requests is all that the operators request, in the file's order.
+func Requests(f *operator.File) maintenance.RequestsBody {
 	fl := f.Fleet
 	out := maintenance.RequestsBody{Revision: fl.Revision, Paused: fl.Paused, Requests: make([]maintenance.Request, len(fl.Work))}
 	for i := range fl.Work {
--- a/internal/fleet/asked_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetfile
 
 import (
 	"encoding/json"
@@ -40,7 +40,7 @@
 // another number. The agreed state takes all of them.
 func TestRequestsAreNumberedByWhatTheySay(t *testing.T) {
 	const base = `{"names":["r1","r2"],"reason":"disk","for_s":60}`
-	id := func(work string) string { return Asks(file(t, "["+work+"]")).Requests[0].ID }
+	id := func(work string) string { return Requests(file(t, "["+work+"]")).Requests[0].ID }
 	if id(base) != id(`{"for_s":60.0,"reason":"disk","names":["r2","r1"],"priority":"routine"}`) {
 		t.Error("the same request has two numbers")
 	}
@@ -65,7 +65,7 @@
 		seen[n] = other
 		all = append(all, other)
 	}
-	asks := Asks(file(t, "["+strings.Join(all, ",")+"]"))
+	asks := Requests(file(t, "["+strings.Join(all, ",")+"]"))
 	if r := asks.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.MaxOutage != time.Minute {
 		t.Errorf("%+v", r)
 	}
--- a/internal/fleet/warn.go
+++ b/internal/fleet/fleetfile/warnings.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetfile
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 		return nil
 	}
 	voters := f.Fleet.Voters
-	least := votersLeast(len(voters))
+	least := minVoters(len(voters))
 	if len(voters)-1 >= least {
 		return nil
 	}
@@ -33,19 +33,19 @@
 		}
 		if len(taken) > 0 {
 			out = append(out, fmt.Sprintf("$.fleet.work[%d]: %s: never granted while voting: of %d voters %d have to stay up (a majority and one to spare). "+
-				"Name others as voters first, or let five vote", i, few(taken), len(voters), least))
+				"Name others as voters first, or let five vote", i, firstNames(taken), len(voters), least))
 		}
 	}
 	return out
 }
 
-// few are the first names of many.
-func few(names []string) string {
+// firstNames are the first names of many.
+func firstNames(names []string) string {
 	if len(names) <= 5 {
 		return strings.Join(names, ", ")
 	}
 	return fmt.Sprintf("%s and %d more", strings.Join(names[:5], ", "), len(names)-5)
 }
 
-// votersLeast of a raft group have to stay up while one is out: a majority and one to spare.
-func votersLeast(voters int) int { return voters/2 + 2 }
+// minVoters of a raft group have to stay up while one is out: a majority and one to spare.
+func minVoters(voters int) int { return voters/2 + 2 }
--- /dev/null
+++ b/internal/fleet/inventory/inventory.go
@@ -0,0 +1,54 @@
+// Package inventory turns the endpoint list and the gossip membership into the machines that the drain controller observes. Pure.
+package inventory
+
+import (
+	"time"
+
+	"birchcart/internal/exchange"
+	"birchcart/internal/fleet/drainctl"
+	"birchcart/internal/fleet/maintenance"
+	"birchcart/internal/fleet/member"
+	"birchcart/policy"
+)
+
+var replicaStatus = map[policy.Readiness]maintenance.Status{policy.Up: maintenance.Up, policy.Draining: maintenance.Terminating, policy.Removed: maintenance.Gone}
+
+// Machines is discovery's list as machines.
+func Machines(list []exchange.Entry) []maintenance.Machine {
+	out := make([]maintenance.Machine, len(list))
+	for i, e := range list {
+		m := maintenance.Machine{Name: e.Name, Kind: maintenance.Replica, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Status: replicaStatus[e.State]}
+		if !e.Started.IsZero() {
+			m.Started = time.Duration(e.Started.UnixNano())
+		}
+		out[i] = m
+	}
+	return out
+}
+
+// MemberStatus is the status of a member by its state. One that is suspected may be healthy or not: nothing is known of it.
+var MemberStatus = map[member.State]maintenance.Status{
+	member.Alive: maintenance.Up, member.Suspect: maintenance.Unknown, member.Unknown: maintenance.Unknown, member.Dead: maintenance.Gone, member.Left: maintenance.Gone,
+}
+
+// Coordinators is the gossip membership as the drain controller takes it. Incarnations are times of start. Loads are those that
+// came with polls: they come more often than gossip brings them.
+func Coordinators(list []member.Member, loads map[string]LoadReport, voters map[string]bool, now time.Duration) []drainctl.Member {
+	out := make([]drainctl.Member, len(list))
+	for i, m := range list {
+		l, ok := loads[m.Name]
+		out[i] = drainctl.Member{
+			Name: m.Name, Zone: m.Zone, Status: MemberStatus[m.State], Started: time.Duration(m.Incarnation), Voter: voters[m.Name],
+			Load: l.Load, LoadKnown: ok && l.Known, LoadAge: now - l.At,
+		}
+	}
+	return out
+}
+
+// LoadReport is the load of one co-ordinator as it last reported it, in mean replicas that it keeps busy.
+type LoadReport struct {
+	Load  float64
+	Known bool
+	At    time.Duration // own time
+	Epoch uint64        // of the log that it goes by
+}
--- a/internal/fleet/laid.go
+++ b/internal/fleet/laid.go
@@ -10,6 +10,8 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/atomicfile"
+
 	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/view"
 )
@@ -84,10 +86,10 @@
 	n.laying += 2
 	n.s.Exchange.Narrow(n.all(names))
 	f := laidDrains{Version: LaidVersion, Drains: []laidLine{}}
-	n.copy.withLock(func() {
+	n.state.WithLock(func() {
 		for _, name := range names {
-			if it, ok := n.copy.order.ActiveItem(name); ok {
-				f.Drains = append(f.Drains, laidLine{name, it.Until, n.copy.stateMachine.Epoch(), it.StartedAt, it.Fence})
+			if it, ok := n.state.Maintenance.ActiveItem(name); ok {
+				f.Drains = append(f.Drains, laidLine{name, it.Until, n.state.Machine.Epoch(), it.StartedAt, it.Fence})
 			} else if i := slices.IndexFunc(n.keeping, func(k laidLine) bool { return k.Machine == name }); i >= 0 {
 				f.Drains = append(f.Drains, n.keeping[i]) // of an era before
 			}
@@ -99,7 +101,7 @@
 	go func() {
 		err := os.MkdirAll(filepath.Dir(path), 0o700)
 		if err == nil {
-			err = replace(path, f)
+			err = atomicfile.WriteJSON(path, f)
 		}
 		n.saved <- err
 	}()
@@ -151,9 +153,9 @@
 	wall := time.Duration(time.Now().UnixNano())
 	left := slices.DeleteFunc(slices.Clone(n.kept), func(l laidLine) bool {
 		back := false // one of an era before: the raft group of now can't say when its drain may go
-		n.copy.withLock(func() {
-			m, ok := n.copy.order.Machine(l.Machine)
-			back = max(l.Era, 1) >= n.copy.stateMachine.Epoch() || ok && m.Status == maintenance.Up && m.Started > l.Start
+		n.state.WithLock(func() {
+			m, ok := n.state.Maintenance.Machine(l.Machine)
+			back = max(l.Era, 1) >= n.state.Machine.Epoch() || ok && m.Status == maintenance.Up && m.Started > l.Start
 		})
 		return n.caught && back || l.Until <= wall
 	})
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -90,9 +90,9 @@
 // applied here, 0 for none. heard is the highest one that others say they have applied. Any goroutine may call it.
 func (p *lanes) set(now time.Duration, heard int) (set *laneconfig.Set, changed bool, applied int) {
 	look := laneconfig.Look{Now: now, Heard: heard}
-	p.n.copy.withLock(func() {
-		look.Agreed = p.n.copy.stateMachine.Now()
-		look.Force, look.Before = p.n.copy.lanes.InForce(look.Agreed)
+	p.n.state.WithLock(func() {
+		look.Agreed = p.n.state.Machine.Now()
+		look.Force, look.Before = p.n.state.Lanes.InForce(look.Agreed)
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 // say logs what came in force.
 func (p *lanes) say() {
 	var force *laneconfig.Version
-	p.n.copy.withLock(func() { force, _ = p.n.copy.lanes.InForce(p.n.copy.stateMachine.Now()) })
+	p.n.state.WithLock(func() { force, _ = p.n.state.Lanes.InForce(p.n.state.Machine.Now()) })
 	if force == nil || force.Sum == p.said {
 		return
 	}
@@ -141,9 +141,9 @@
 		return
 	}
 	var takes, differs bool
-	n.copy.withLock(func() {
-		takes = n.copy.lanes.Takes(own.Revision, at)
-		force, _ := n.copy.lanes.InForce(at)
+	n.state.WithLock(func() {
+		takes = n.state.Lanes.Takes(own.Revision, at)
+		force, _ := n.state.Lanes.InForce(at)
 		differs = force != nil && force.Revision == own.Revision && force.Sum != own.Sum
 	})
 	if differs {
@@ -198,8 +198,8 @@
 
 // tell is this part of the summary.
 func (p *lanes) tell(f logrus.Fields) {
-	p.n.copy.withLock(func() {
-		force, before := p.n.copy.lanes.InForce(p.n.copy.stateMachine.Now())
+	p.n.state.WithLock(func() {
+		force, before := p.n.state.Lanes.InForce(p.n.state.Machine.Now())
 		if force != nil {
 			f["lanes_revision"] = force.Revision
 		}
--- a/internal/fleet/lanes_test.go
+++ b/internal/fleet/lanes_test.go
@@ -5,35 +5,17 @@
 	"strings"
 	"testing"
 
+	"birchcart/internal/fleet/agreedstate"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/config"
 	"birchcart/internal/fleet/laneconfig"
-	"birchcart/internal/fleet/maintenance"
-	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/session"
-	"birchcart/internal/fleet/statemachine"
 	"birchcart/internal/operator"
 	"birchcart/internal/serve"
 	"birchcart/internal/settings"
 )
 
-// What programs without lanes have saved is read, and what is saved while there are none is read by them.
-func TestStatesOfProgramsWithoutLanes(t *testing.T) {
-	older := statemachine.New(map[string]statemachine.Part{part: maintenance.New(), sessionsPart: session.New()})
-	if err := older.Apply(3, tick(t, 5)); err != nil {
-		t.Fatal(err)
-	}
-	raw, err := older.Save()
-	c := newCopy()
-	if err != nil || c.take(peerproto.Reply{Index: 3, Snapshot: raw}) != nil || c.stateMachine.Index() != 3 {
-		t.Fatal(err, c.stateMachine.Index())
-	}
-	if same, err := c.stateMachine.Save(); err != nil || !bytes.Equal(raw, same) || older.Load(same) != nil {
-		t.Errorf("%v: %s", err, same)
-	}
-}
-
 // A co-ordinator goes by what its copy has, and tells what it has applied; a file too large to agree on is refused.
 func TestLanesOfACopy(t *testing.T) {
 	names := &settings.Names{Classes: []string{"q"}}
@@ -41,7 +23,7 @@
 	var out bytes.Buffer
 	log := logrus.New()
 	log.Out = &out
-	n := &Node{copy: newCopy(), file: f, log: logrus.NewEntry(log), s: serve.Host{Config: &config.Config{Names: names}}}
+	n := &Node{state: agreedstate.New(), file: f, log: logrus.NewEntry(log), s: serve.Host{Config: &config.Config{Names: names}}}
 	if err := fitsLanes(f, names); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +36,7 @@
 		t.Fatal(err)
 	}
 	raw, err := laneCommand("l", 7, b)
-	if err != nil || n.copy.stateMachine.Apply(1, raw) != nil {
+	if err != nil || n.state.Machine.Apply(1, raw) != nil {
 		t.Fatal(err)
 	}
 	for heard, behind := range map[int]bool{4: false, 5: true} {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,6 +23,13 @@
 	"sync/atomic"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/grantsfile"
+	"birchcart/internal/fleet/inventory"
+	"birchcart/internal/fleet/mailbox"
+	"birchcart/internal/fleet/pollqueue"
+	"birchcart/internal/fleet/voters"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/exchange"
@@ -76,20 +83,20 @@
 
 	member    *member.Members
 	raftGroup *raftgroup.Group // nil: no vote
-	copy      *copied
+	state     *agreedstate.Copy
 	// nil without the section of pinned sessions; its start decides
 	sessions *sessions
 	lanes    *lanes // likewise, of the section of lanes
 	shed     atomic.Pointer[loadshed.Shed]
-	mail     *mail
+	mailbox  *mailbox.Queue
 	load     *exchange.Load
-	writer   *writer
+	writer   *grantsfile.Writer
 	start    time.Time
 
 	ended    chan drainctl.ProposalResult
 	verified chan verified
 	closed   chan struct{} // the seat was given up
-	looks    chan looked
+	looks    chan voters.Result
 	saved    chan error    // the newest set of drains is on disk, or can't be
 	laid     chan struct{} // the exchange goes by a set of drains
 	wake     chan struct{}
@@ -122,11 +129,11 @@
 	namedAt   uint64 // number of the newest poll that was sent on to whom a word named
 	silent    int    // polls in a row without a word of the leader
 	answer    *view.PollAnswered
-	answerAt  uint64  // index that the copy must reach before the answer counts as whole
-	waiting   waiting // not yet answered
-	states    handed
-	loads     map[string]loadReport
-	own       loadReport
+	answerAt  uint64          // index that the copy must reach before the answer counts as whole
+	pollQueue pollqueue.Queue // not yet answered
+	snapshots peerproto.SnapshotCache
+	loads     map[string]inventory.LoadReport
+	own       inventory.LoadReport
 	proposing int
 	index     uint64        // as last stepped with
 	agreedNow time.Duration // with it
@@ -277,13 +284,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-n.mail.queue:
-			n.mail.took(l)
+		case l := <-n.mailbox.Messages:
+			n.mailbox.Taken(l)
 			waits := !n.letter(l)
-			for range len(n.mail.queue) { // one step for all that came meanwhile
+			for range len(n.mailbox.Messages) { // one step for all that came meanwhile
 				select {
-				case l := <-n.mail.queue:
-					n.mail.took(l)
+				case l := <-n.mailbox.Messages:
+					n.mailbox.Taken(l)
 					waits = !n.letter(l) && waits
 				default: // some were dropped meanwhile
 				}
@@ -301,12 +308,12 @@
 			}
 		case v := <-n.verified:
 			n.reply(v)
-			if !v.presses && !n.waiting.press(n.index) {
+			if !v.presses && !n.pollQueue.Urgent(n.index) {
 				continue
 			}
 		case <-n.closed:
 			n.raftGroup, n.givingUp = nil, false
-			n.copy.sit(nil)
+			n.state.Attach(nil)
 			n.setAside()
 		case l := <-n.looks:
 			n.lookedAt(l)
--- a/internal/fleet/node_end.go
+++ b/internal/fleet/node_end.go
@@ -26,7 +26,7 @@
 		n.log.WithField("term", n.term).Info("leads no more")
 	}
 	n.term = 0
-	n.waiting.none()
+	n.pollQueue.Clear()
 	n.toLead = append(n.toLead, drainctl.Deposed{})
 }
 
@@ -42,9 +42,7 @@
 }
 
 func (n *Node) handOver() {
-	n.copy.mu.Lock()
-	seat := n.copy.seat
-	n.copy.mu.Unlock()
+	seat := n.state.Group()
 	if seat == nil {
 		return
 	}
--- a/internal/fleet/polls.go
+++ b/internal/fleet/polls.go
@@ -4,6 +4,11 @@
 	"errors"
 	"time"
 
+	"birchcart/internal/fleet/inventory"
+	"birchcart/internal/fleet/mailbox"
+	"birchcart/internal/fleet/pollqueue"
+	"birchcart/internal/fleet/voters"
+
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/raftgroup"
@@ -21,32 +26,32 @@
 // verified is what came of a check that this one leads, and the polls that waited for it.
 type verified struct {
 	term    uint64
-	polls   map[string]polled
+	polls   map[string]pollqueue.Poll
 	presses bool
 	err     error
 }
 
 // letter takes a message and says whether a step should follow soon. What can't be read is left out: its sender is of another
 // version, or no co-ordinator.
-func (n *Node) letter(l letter) (soon bool) {
-	if isSeats(l.raw) {
-		n.seat(l.from, l.raw)
+func (n *Node) letter(l mailbox.Message) (soon bool) {
+	if voters.IsMessage(l.Raw) {
+		n.seat(l.From, l.Raw)
 		return true
 	}
-	m, err := peerproto.Decode(l.raw)
+	m, err := peerproto.Decode(l.Raw)
 	if err != nil {
-		n.lines.limited(n, l.at, "a message of "+l.from+" is left out: "+err.Error())
+		n.lines.limited(n, l.At, "a message of "+l.From+" is left out: "+err.Error())
 		return false
 	}
 	switch m := m.(type) {
 	case peerproto.Poll:
-		return m.From == l.from && n.poll(l.at, m)
+		return m.From == l.From && n.poll(l.At, m)
 	case peerproto.Reply:
-		if m.From == l.from {
+		if m.From == l.From {
 			n.word(m)
 		}
 	case peerproto.SessionActions:
-		if n.term != 0 && m.From == l.from && n.sessions != nil {
+		if n.term != 0 && m.From == l.From && n.sessions != nil {
 			n.sessions.wanted = append(n.sessions.wanted, m)
 		}
 	case peerproto.FileReport:
@@ -60,7 +65,7 @@
 // poll takes one. The leader answers once it knows that it still leads; another voter names who does. One that says nothing
 // new and lacks nothing waits for the step that comes anyway.
 func (n *Node) poll(at time.Duration, p peerproto.Poll) (soon bool) {
-	era, own := max(p.Epoch, 1), n.copy.era()
+	era, own := max(p.Epoch, 1), n.state.Epoch()
 	if era > own {
 		n.outlive(p.From, era)
 		return true
@@ -71,12 +76,12 @@
 		}
 		n.toLead = append(n.toLead, drainctl.Polled{From: p.From, Sequence: p.Sequence, Index: p.Index, Drains: p.Drains, Wall: p.Wall})
 		before, heard := n.loads[p.From]
-		n.loads[p.From] = loadReport{p.Load, p.LoadKnown, at, era}
+		n.loads[p.From] = inventory.LoadReport{Load: p.Load, Known: p.LoadKnown, At: at, Epoch: era}
 		if n.sessions != nil {
 			n.sessions.hear(p)
 		}
-		soon = era < own || p.Index < n.agreedIndex() || len(p.Drains) > 0 || !heard || at-before.at > 2*view.PollInterval
-		n.waiting.put(p.From, polled{p.Sequence, p.Index, era}, soon)
+		soon = era < own || p.Index < n.agreedIndex() || len(p.Drains) > 0 || !heard || at-before.At > 2*view.PollInterval
+		n.pollQueue.Add(p.From, pollqueue.Poll{Sequence: p.Sequence, Index: p.Index, Epoch: era}, soon)
 		return soon
 	}
 	if n.raftGroup == nil {
@@ -92,18 +97,18 @@
 
 // agreedIndex is that of the newest entry that the own copy has.
 func (n *Node) agreedIndex() (index uint64) {
-	n.copy.withLock(func() { index = n.copy.stateMachine.Index() })
+	n.state.WithLock(func() { index = n.state.Machine.Index() })
 	return index
 }
 
 // verify begins a check with a majority that this one still leads. Only an answer after it may lengthen a lease:
 // one that was stopped and wakes would else answer beside the next leader.
 func (n *Node) verify(now time.Duration) {
-	if n.term == 0 || n.raftGroup == nil || !n.waiting.due(now, n.index) {
+	if n.term == 0 || n.raftGroup == nil || !n.pollQueue.CheckDue(now, n.index) {
 		return
 	}
-	v := verified{term: n.term, presses: n.waiting.press(n.index)}
-	v.polls = n.waiting.begin(now)
+	v := verified{term: n.term, presses: n.pollQueue.Urgent(n.index)}
+	v.polls = n.pollQueue.BeginCheck(now)
 	go func(seat *raftgroup.Group) {
 		v.err = seat.Verify()
 		n.verified <- v
@@ -112,19 +117,19 @@
 
 // reply answers the polls that waited for a check.
 func (n *Node) reply(v verified) {
-	n.waiting.verifying = false
+	n.pollQueue.EndCheck()
 	if v.err != nil || v.term != n.term || n.raftGroup == nil {
 		return
 	}
 	listed := map[string]bool{}
-	n.copy.withLock(func() {
+	n.state.WithLock(func() {
 		for from := range v.polls {
-			listed[from] = drainctl.MustAcknowledge(n.copy.order, from) && !(n.sessions != nil && n.sessions.steward.Releasing(from))
+			listed[from] = drainctl.MustAcknowledge(n.state.Maintenance, from) && !(n.sessions != nil && n.sessions.steward.Releasing(from))
 		}
 	})
-	own := n.copy.era()
+	own := n.state.Epoch()
 	for from, p := range v.polls {
-		w := peerproto.Reply{Sequence: p.no, From: n.name, Leader: n.name, Term: n.term, FromLeader: true, After: p.index, Index: p.index, Epoch: eraSent(own),
+		w := peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: n.name, Term: n.term, FromLeader: true, After: p.Index, Index: p.Index, Epoch: eraSent(own),
 			NotInInventory: !listed[from]}
 		if err := n.bring(&w, p, own); err != nil {
 			n.lines.limited(n, n.now(), "what was agreed can't be handed to "+from+", which stays cut off: "+err.Error())
@@ -137,11 +142,11 @@
 
 // bring puts what was agreed after a poll's index into its answer: entries, or the state for who is too far behind or of an
 // era before.
-func (n *Node) bring(w *peerproto.Reply, p polled, own uint64) error {
-	if p.era == own {
-		entries, snapshot, at := n.raftGroup.Since(p.index, peerproto.MaxEntriesSize)
+func (n *Node) bring(w *peerproto.Reply, p pollqueue.Poll, own uint64) error {
+	if p.Epoch == own {
+		entries, snapshot, at := n.raftGroup.Since(p.Index, peerproto.MaxEntriesSize)
 		if len(snapshot) > 0 {
-			return n.states.into(w, snapshot, at, own)
+			return n.snapshots.SetSnapshot(w, snapshot, at, own)
 		}
 		all := make([]peerproto.Entry, len(entries))
 		for i, e := range entries {
@@ -156,32 +161,15 @@
 		w.Entries = nil // one of them is of before there was a bound: the state has it too
 	}
 	at := uint64(0)
-	n.copy.withLock(func() { at = n.copy.stateMachine.Index() })
-	if s := &n.states; s.at == at && s.era == own {
-		return s.into(w, nil, at, own) // saved for another one: all that come back together want it
+	n.state.WithLock(func() { at = n.state.Machine.Index() })
+	if s := &n.snapshots; s.Index == at && s.Epoch == own {
+		return s.SetSnapshot(w, nil, at, own) // saved for another one: all that come back together want it
 	}
 	raw, at := n.whole()
 	if len(raw) == 0 {
 		return errors.New("it can't be saved")
 	}
-	return n.states.into(w, raw, at, own)
-}
-
-// handed keeps the newest state as it goes out, for all that are behind alike.
-type handed struct {
-	at, era uint64
-	word    peerproto.Reply
-	err     error
-}
-
-// into puts a state into a word.
-func (s *handed) into(w *peerproto.Reply, raw []byte, at, era uint64) error {
-	if s.at != at || s.era != era {
-		*s = handed{at: at, era: era}
-		s.err = s.word.SetSnapshot(raw)
-	}
-	w.After, w.Index, w.Snapshot, w.Packed = 0, at, s.word.Snapshot, s.word.Packed
-	return s.err
+	return n.snapshots.SetSnapshot(w, raw, at, own)
 }
 
 func (n *Node) answerTo(from string, w peerproto.Reply) {
@@ -194,10 +182,10 @@
 
 // whole is what was agreed, and its index; nothing if it can't be saved.
 func (n *Node) whole() (raw []byte, at uint64) {
-	n.copy.withLock(func() {
+	n.state.WithLock(func() {
 		var err error
-		at = n.copy.stateMachine.Index()
-		if raw, err = n.copy.stateMachine.Save(); err != nil {
+		at = n.state.Machine.Index()
+		if raw, err = n.state.Machine.Save(); err != nil {
 			n.log.WithError(err).Error("what was agreed can't be sent")
 		}
 	})
@@ -209,7 +197,7 @@
 	if w.Sequence > n.sent.Sequence || w.Sequence <= n.answered {
 		return // no poll of this process, or one whose answer was overtaken
 	}
-	switch era, own := max(w.Epoch, 1), n.copy.era(); {
+	switch era, own := max(w.Epoch, 1), n.state.Epoch(); {
 	case era < own:
 		return // a raft group of before
 	case era > own && n.raftGroup != nil:
@@ -223,7 +211,7 @@
 		return
 	}
 	n.silent, n.leader, n.answered = 0, w.From, w.Sequence
-	if err := n.copy.take(w); err != nil {
+	if err := n.state.ApplyReply(w); err != nil {
 		n.lines.limited(n, n.now(), "what the leader sent can't be taken: "+err.Error())
 		return
 	}
@@ -233,7 +221,7 @@
 // pollNow sends what the view wants asked.
 func (n *Node) pollNow(p view.Poll) {
 	n.silent++
-	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.sayable(p.Drains), Load: n.own.load, LoadKnown: n.own.known,
+	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.sayable(p.Drains), Load: n.own.Load, LoadKnown: n.own.Known,
 		Sessions: n.sessions.room()})
 }
 
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -20,6 +20,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/grantsfile"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/config"
@@ -252,7 +254,7 @@
 	heard := func() (n int, leader string) { // by the grants files, whose lease holds and who is the same leader's
 		var index uint64
 		for i := range restNodes {
-			var g grantsFile
+			var g grantsfile.File
 			raw, err := os.ReadFile(restGrants(dir, i))
 			if err != nil || json.Unmarshal(raw, &g) != nil || g.CutOff || g.Leader == "" || leader != "" && g.Leader != leader {
 				continue
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -7,9 +7,10 @@
 	"path/filepath"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+
 	"github.com/sirupsen/logrus"
 
-	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/raftgroup"
 	"birchcart/internal/fleet/store"
 	"birchcart/internal/operator"
@@ -35,26 +36,6 @@
 		return fmt.Errorf("operators' file: $.fleet.dir: %s holds no raft group: %w", f.Fleet.Dir, err)
 	}
 	return raftgroup.Restore(raftgroup.Options{
-		Name: name, Dir: f.Fleet.Dir, Bind: bindOf(f.Fleet, own), Advertise: own.Address, Machine: &renewed{newCopy(), stopped}, Log: log,
+		Name: name, Dir: f.Fleet.Dir, Bind: bindOf(f.Fleet, own), Advertise: own.Address, Machine: &agreedstate.Restored{Copy: agreedstate.New(), Stopped: stopped}, Log: log,
 	}, nil, 0)
 }
-
-// renewed is a copy whose snapshot, the one that the new council goes on from, is of a new era.
-type renewed struct {
-	*copied
-	stopped time.Time
-}
-
-func (r *renewed) Apply(index uint64, raw []byte) error { return r.stateMachine.Apply(index, raw) }
-
-func (r *renewed) Load(raw []byte) error { return r.stateMachine.Load(raw) }
-
-func (r *renewed) Save() ([]byte, error) {
-	limits, _ := r.order.Limits()
-	now := time.Duration(time.Now().UnixNano())
-	until := max(now, time.Duration(r.stopped.UnixNano())+drainctl.MaxGrantDuration(limits)+limits.SettleTime)
-	if err := r.stateMachine.Renew(now, until); err != nil {
-		return nil, err
-	}
-	return r.stateMachine.Save()
-}
--- a/internal/fleet/seats.go
+++ b/internal/fleet/seats.go
@@ -1,61 +1,25 @@
 package fleet
 
 import (
-	"encoding/json"
-	"fmt"
 	"maps"
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/voters"
+
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/raftgroup"
-	"birchcart/internal/operator"
 )
 
 const (
 	// SeatsEvery is between looks at whether the raft group's voters are those of the file. Twice as long: a voter is
 	// replaced so much later; half: twice the questions of one that waits for its seat.
 	SeatsEvery = 2 * time.Second
-
-	seatsVersion = 1
-	kindSeats    = 's' // none of peerproto's
-	seatsMost    = 64 << 10
 )
 
-// seats is the question who votes, and its answer by the leader.
-type seats struct {
-	Answer bool     `json:"answer,omitempty"`
-	Voters []string `json:"voters,omitempty"`
-}
-
-func isSeats(raw []byte) bool { return len(raw) > 2 && raw[0] == seatsVersion && raw[1] == kindSeats }
-
-func (s seats) encode() []byte {
-	raw, err := json.Marshal(s)
-	if err != nil {
-		panic(err) // a list of names
-	}
-	return append([]byte{seatsVersion, kindSeats}, raw...)
-}
-
-func decodeSeats(raw []byte) (s seats, err error) {
-	if len(raw) > seatsMost {
-		return s, fmt.Errorf("who votes: %d bytes, %d at most", len(raw), seatsMost)
-	}
-	return s, json.Unmarshal(raw[2:], &s)
-}
-
-// looked is what came of a look at the raft group's voters: by the leader after it changed one, if it had to.
-type looked struct {
-	voters []raftgroup.Voter
-	asker  string // who is to be told; "": nobody
-	did    string
-	err    error
-}
-
 // seat takes a question or an answer about who votes.
 func (n *Node) seat(from string, raw []byte) {
-	s, err := decodeSeats(raw)
+	s, err := voters.Decode(raw)
 	switch {
 	case err != nil:
 		n.lines.limited(n, n.now(), "a message of "+from+" is left out: "+err.Error())
@@ -64,9 +28,9 @@
 	case n.term != 0 && n.raftGroup != nil && !n.looking:
 		n.looking = true
 		go func(seat *raftgroup.Group) {
-			l := looked{asker: from}
-			if l.err = seat.Verify(); l.err == nil { // else another may lead, and have changed them
-				l.voters, l.err = seat.Voters()
+			l := voters.Result{Asker: from}
+			if l.Err = seat.Verify(); l.Err == nil { // else another may lead, and have changed them
+				l.Voters, l.Err = seat.Voters()
 			}
 			n.looks <- l
 		}(n.raftGroup)
@@ -120,7 +84,7 @@
 	if n.leader == "" || n.leader == n.name {
 		return
 	}
-	if err := n.member.Send(n.leader, seats{}.encode()); err != nil {
+	if err := n.member.Send(n.leader, voters.Message{}.Encode()); err != nil {
 		n.log.WithError(err).Debug("who votes was not asked")
 	}
 }
@@ -145,73 +109,35 @@
 		n.looking = true
 		ready := map[string]bool{}
 		for _, m := range n.member.Members() {
-			ready[m.Name] = m.State == member.Alive && m.Voter && n.loads[m.Name].era == n.era // one of before is told first
+			ready[m.Name] = m.State == member.Alive && m.Voter && n.loads[m.Name].Epoch == n.era // one of before is told first
 		}
-		go func() { n.looks <- change(seat, n.name, f, ready) }()
+		go func() { n.looks <- voters.Reconcile(seat, n.name, f, ready) }()
 	case !wanted:
 		n.askSeats()
 		n.looking = true
 		go func() {
-			l := looked{}
-			l.voters, l.err = seat.Voters()
+			l := voters.Result{}
+			l.Voters, l.Err = seat.Voters()
 			n.looks <- l
 		}()
 	}
 }
 
-// change makes the one next change, if there is any: one that the file does not name goes for one that it does and whose
-// seat is open.
-func change(seat *raftgroup.Group, self string, f *operator.Fleet, ready map[string]bool) (l looked) {
-	if l.voters, l.err = seat.Voters(); l.err != nil {
-		return l
-	}
-	has := map[string]bool{}
-	old := ""
-	for _, v := range l.voters {
-		has[v.Name] = true
-		if _, ok := f.Voters[v.Name]; !ok {
-			old = v.Name
-		}
-	}
-	var with raftgroup.Voter
-	missing := false
-	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
-		if !has[name] {
-			missing = true
-			if ready[name] && with.Name == "" {
-				with = raftgroup.Voter{Name: name, Addr: f.Voters[name].Address}
-			}
-		}
-	}
-	switch {
-	case old == "" && with.Name == "", with.Name == "" && missing: // nothing to do, or the new one is not there yet
-		return l
-	case old == self:
-		l.did, l.err = "the lead is handed over, as the file names this voter no more", seat.HandOver()
-		return l
-	}
-	l.did = fmt.Sprintf("voter %q goes, voter %q comes", old, with.Name)
-	if l.err = seat.Replace(old, with); l.err == nil {
-		l.voters, l.err = seat.Voters()
-	}
-	return l
-}
-
 // lookedAt takes what came of a look.
-func (n *Node) lookedAt(l looked) {
+func (n *Node) lookedAt(l voters.Result) {
 	n.looking = false
-	if l.did != "" {
-		n.log.WithField("error", l.err).Info("the raft group's voters change: " + l.did)
+	if l.Change != "" {
+		n.log.WithField("error", l.Err).Info("the raft group's voters change: " + l.Change)
 	}
-	if l.err != nil || n.raftGroup == nil {
+	if l.Err != nil || n.raftGroup == nil {
 		return
 	}
 	var names []string
-	for _, v := range l.voters {
+	for _, v := range l.Voters {
 		names = append(names, v.Name)
 	}
-	if l.asker != "" {
-		if err := n.member.Send(l.asker, seats{Answer: true, Voters: names}.encode()); err != nil {
+	if l.Asker != "" {
+		if err := n.member.Send(l.Asker, voters.Message{Answer: true, Voters: names}.Encode()); err != nil {
 			n.log.WithError(err).Debug("who votes was not told")
 		}
 		return
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"birchcart/internal/fleet/fleetfile"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/exchange"
@@ -26,9 +28,6 @@
 	"birchcart/policy"
 )
 
-// sessionsPart is the name of the agreed sessions in the state machine.
-const sessionsPart = "sessions"
-
 const (
 	// StewardEvery is between the leader's looks at sessions. Twice as long: a release, or a share of slots, comes so much
 	// later; half: twice the walks over slots by co-ordinator and replica.
@@ -84,7 +83,7 @@
 	p := &sessions{n: n, steward: sessionctl.New(), section: section, rooms: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}, no: uint64(n.start.UnixNano())}
 	p.pins = sessiongate.New(sessiongate.Options{
 		Name: n.name, StartTime: n.start, Exchange: s.Exchange, Log: n.log, Names: s.Config.Names, Policy: &s.Config.Policy,
-		Sessions: n.copy.book, WithLock: n.copy.withLock,
+		Sessions: n.state.Sessions, WithLock: n.state.WithLock,
 		Propose: func(acts []session.Act) {
 			p.mu.Lock()
 			p.acts = append(p.acts, acts...)
@@ -107,7 +106,7 @@
 	if f.Sessions == nil {
 		return nil
 	}
-	left := ms(f.Lease) + ms(f.Grace) - leaseSlack
+	left := fleetfile.Milliseconds(f.Lease) + fleetfile.Milliseconds(f.Grace) - leaseSlack
 	for i, name := range f.Sessions.Classes {
 		c := settings.Place(names.Classes, name)
 		if c < 0 || cfg.Classes[c].Effect == policy.Safe {
@@ -151,9 +150,9 @@
 // hurry tells the view whether something agreed is waited for here: acts without an end, or a session that moves from or
 // to this co-ordinator. It runs in a look.
 func (p *sessions) hurry() view.PollUrgently {
-	limits, _ := p.n.copy.order.Limits()
+	limits, _ := p.n.state.Maintenance.Limits()
 	p.steward.Lease(p.n.now(), limits.Lease) // it may have to lead with the next step
-	return view.PollUrgently{On: p.pins.AwaitsAgreement() || p.n.copy.book.MovesOf(p.n.name)}
+	return view.PollUrgently{On: p.pins.AwaitsAgreement() || p.n.state.Sessions.MovesOf(p.n.name)}
 }
 
 // step hands on what the keeper wants agreed, and proposes as the leader.
@@ -199,11 +198,11 @@
 	p.done = nil
 	p.mu.Unlock()
 	var out []sessionctl.Propose
-	n.copy.withLock(func() {
+	n.state.WithLock(func() {
 		p.refreshPlan(now, at)
 		out = p.steward.Step(sessionctl.Look{
-			Now: now, Agreed: at, Book: n.copy.book, Order: n.copy.order, Want: p.limits(), Slots: p.section.Pool, Silent: n.lead.SilentFor, Done: done,
-			Sites: p.sites, PerSlot: p.perSlot(), Paused: n.copy.order.Requests().Paused,
+			Now: now, Agreed: at, Book: n.state.Sessions, Order: n.state.Maintenance, Want: p.limits(), Slots: p.section.Pool, Silent: n.lead.SilentFor, Done: done,
+			Sites: p.sites, PerSlot: p.perSlot(), Paused: n.state.Maintenance.Requests().Paused,
 		})
 	})
 	for _, o := range out {
@@ -219,7 +218,7 @@
 func (p *sessions) refreshPlan(now, at time.Duration) {
 	n := p.n
 	if p.sites == nil || n.index != p.sitesAt || now >= p.sitesBy {
-		p.sites, p.sitesAt, p.sitesBy = migrate.FromState(n.copy.order, at), n.index, now+time.Second
+		p.sites, p.sitesAt, p.sitesBy = migrate.FromState(n.state.Maintenance, at), n.index, now+time.Second
 	}
 	for i := range p.sites {
 		c := &p.sites[i]
@@ -277,12 +276,14 @@
 	f["sessions"], f["waiting"], f["open"] = s.Sessions, s.Waiting, s.Open
 	f["pinned_ran"], f["pinned_refused"], f["pinned_recalled"], f["pinned_failed"] = s.Ran, s.Rejected, s.Cancelled, s.Failed
 	f["claimed"], f["adopted"], f["handed"], f["rolled_back"], f["ended"], f["lost"] = s.Claimed, s.Adopted, s.Handed, s.RolledBack, s.Ended, s.Lost
-	p.n.copy.withLock(func() { f["sessions_agreed"], f["sessions_moving"] = p.n.copy.book.Len(), p.n.copy.book.Moving() })
+	p.n.state.WithLock(func() {
+		f["sessions_agreed"], f["sessions_moving"] = p.n.state.Sessions.Len(), p.n.state.Sessions.Moving()
+	})
 }
 
 // owned says how many sessions are agreed to be here.
 func (p *sessions) owned() (owned int) {
-	p.n.copy.withLock(func() { owned = p.n.copy.book.Owned(p.n.name) })
+	p.n.state.WithLock(func() { owned = p.n.state.Sessions.Owned(p.n.name) })
 	return owned
 }
 
@@ -307,15 +308,15 @@
 	if p.leaves == 0 {
 		return 0, false
 	}
-	n.copy.withLock(func() {
-		it, ok := n.copy.order.ActiveItem(n.name)
-		limits, _ := n.copy.order.Limits()
+	n.state.WithLock(func() {
+		it, ok := n.state.Maintenance.ActiveItem(n.name)
+		limits, _ := n.state.Maintenance.Limits()
 		switch {
 		case !ok || it.Fence != p.leaves || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
 			p.leaves = 0
 			p.pins.CancelDrain()
 			n.log.Info("this co-ordinator goes for work no more, and takes new sessions again")
-		case n.copy.book.Owned(n.name) == 0 || n.agreedNow >= it.Until-limits.SettleTime-leaveBefore:
+		case n.state.Sessions.Owned(n.name) == 0 || n.agreedNow >= it.Until-limits.SettleTime-leaveBefore:
 			fence, goes, p.leaves = p.leaves, true, 0
 		}
 	})
--- a/internal/fleet/sessions_lease.go
+++ b/internal/fleet/sessions_lease.go
@@ -11,8 +11,8 @@
 func (p *sessions) lease(now, until time.Duration) time.Duration {
 	if (until > 0 || p.n.caught) && !p.looked {
 		p.looked = true
-		p.n.copy.withLock(func() {
-			b := p.n.copy.book
+		p.n.state.WithLock(func() {
+			b := p.n.state.Sessions
 			held := b.Owned(p.n.name) > 0
 			for _, r := range b.Pool().Replicas() {
 				held = held || b.Pool().Held(p.n.name, r) > 0
--- a/internal/fleet/sessions_propose.go
+++ b/internal/fleet/sessions_propose.go
@@ -6,6 +6,9 @@
 	"errors"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/fleetfile"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/fleet/peerproto"
@@ -19,8 +22,8 @@
 func (p *sessions) limits() session.Limits {
 	f, s := p.n.fleetFile(), p.section
 	return session.Limits{
-		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, OfferFor: ms(s.Offer), IdleFor: time.Duration(s.Idle * float64(time.Second)),
-		Lease: ms(f.Lease), Grace: ms(f.Grace), SessionsMost: s.Most, StateMost: stateMost, Slots: s.Slots,
+		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, OfferFor: fleetfile.Milliseconds(s.Offer), IdleFor: time.Duration(s.Idle * float64(time.Second)),
+		Lease: fleetfile.Milliseconds(f.Lease), Grace: fleetfile.Milliseconds(f.Grace), SessionsMost: s.Most, StateMost: stateMost, Slots: s.Slots,
 	}
 }
 
@@ -30,7 +33,7 @@
 	n := p.n
 	raw, err := json.Marshal(body)
 	if err == nil {
-		raw, err = statemachine.Command{V: statemachine.Version, ID: id, Part: sessionsPart, Kind: kind, At: at, Body: raw}.Encode()
+		raw, err = statemachine.Command{V: statemachine.Version, ID: id, Part: agreedstate.SessionsPart, Kind: kind, At: at, Body: raw}.Encode()
 	}
 	if err != nil {
 		n.log.WithError(err).Error("a proposal for the sessions can't be written")
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessions_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/fleet/drainctl"
@@ -46,11 +48,11 @@
 		want  time.Duration
 	}{"of a process before": {"a", 0}, "another's": {"b", until}, "no one's": {"", until}} {
 		t.Run(name, func(t *testing.T) {
-			n := &Node{name: "a", copy: newCopy(), log: logrus.NewEntry(logrus.New())}
+			n := &Node{name: "a", state: agreedstate.New(), log: logrus.NewEntry(logrus.New())}
 			apply := func(kind string, body any) {
 				raw, err := json.Marshal(body)
 				if err == nil {
-					err = n.copy.book.Apply(0, func() uint64 { return 1 }, kind, raw)
+					err = n.state.Sessions.Apply(0, func() uint64 { return 1 }, kind, raw)
 				}
 				if err != nil {
 					t.Fatal(err)
@@ -107,18 +109,18 @@
 // What a co-ordinator tells of its open unsafe queries comes to the leader's forecast: a session with one that may be open beyond the
 // deadline is named, and no offer is made of it; it is, once a later poll tells of none.
 func TestForecastKnowsWhatIsUnsafeAndOpen(t *testing.T) {
-	n := &Node{name: "b", copy: newCopy(), lead: drainctl.New(waveplan.Order)}
+	n := &Node{name: "b", state: agreedstate.New(), lead: drainctl.New(waveplan.Order)}
 	p := &sessions{n: n, section: &operator.Sessions{Most: 9}, rooms: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
 	id := session.IDOf(1, []byte("k"))
 	limits := session.Limits{Revision: 1, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute, Lease: time.Second, Grace: time.Second, SessionsMost: 9, Slots: 2}
 	for kind, body := range map[string]any{session.KindLimits: session.LimitsBody{Limits: limits}} {
 		raw, _ := json.Marshal(body)
-		if err := n.copy.book.Apply(0, nil, kind, raw); err != nil {
+		if err := n.state.Sessions.Apply(0, nil, kind, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	raw, _ := json.Marshal(session.ActsBody{From: "a", Acts: []session.Act{{Kind: session.Claim, ID: id}}})
-	if err := n.copy.book.Apply(0, nil, session.KindActs, raw); err != nil {
+	if err := n.state.Sessions.Apply(0, nil, session.KindActs, raw); err != nil {
 		t.Fatal(err)
 	}
 	forecast := func(open ...peerproto.UnsafeQuery) (migrate.Forecast, int) {
@@ -140,7 +142,7 @@
 		p.sites = []migrate.Coordinator{{Name: "a", Live: true, Leaving: true, Deadline: time.Minute}, {Name: "c", Live: true, Rank: migrate.Stays}}
 		p.sitesAt, p.sitesBy = n.index, time.Hour
 		p.refreshPlan(0, 0)
-		v := migrate.View{Book: n.copy.book, Coordinators: p.sites}
+		v := migrate.View{Book: n.state.Sessions, Coordinators: p.sites}
 		return migrate.Foresee(0, v, 0), len(migrate.New(migrate.Options{}).Step(0, v).Body.Offers)
 	}
 	f, offers := forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Minute + 1})
--- a/internal/fleet/shedding.go
+++ b/internal/fleet/shedding.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/mailbox"
+
 	"birchcart/internal/fleet/loadshed"
 	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
@@ -41,11 +43,11 @@
 		}
 		return
 	}
-	n.mail.put(letter{from, raw, n.now()})
+	n.mailbox.Put(mailbox.Message{From: from, Raw: raw, At: n.now()})
 }
 
 func (n *Node) agreedTime() (at time.Duration) {
-	n.copy.withLock(func() { at = n.copy.stateMachine.Now() })
+	n.state.WithLock(func() { at = n.state.Machine.Now() })
 	return at
 }
 
@@ -69,7 +71,7 @@
 	}
 	c.at = now
 	var agreed []maintenance.Machine
-	c.n.copy.withLock(func() { agreed = c.n.copy.order.Machines() })
+	c.n.state.WithLock(func() { agreed = c.n.state.Maintenance.Machines() })
 	c.last = crewOf(c.n.name, agreed, c.n.member.Members())
 	return c.last
 }
--- a/internal/fleet/shedding_test.go
+++ b/internal/fleet/shedding_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"birchcart/internal/fleet/mailbox"
+
 	"birchcart/internal/fleet/loadshed"
 	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
@@ -22,10 +24,10 @@
 
 // Letters of lanes never reach the node's mail, with lanes here or without.
 func TestLettersOfLanesAreNoMail(t *testing.T) {
-	n := &Node{mail: newMail()}
+	n := &Node{mailbox: mailbox.New()}
 	n.receive("b", []byte{loadshed.Kind, 1, 0})
 	n.receive("b", []byte{1, 'p'})
-	if len(n.mail.queue) != 1 {
-		t.Error(len(n.mail.queue))
+	if len(n.mailbox.Messages) != 1 {
+		t.Error(len(n.mailbox.Messages))
 	}
 }
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -11,6 +11,11 @@
 	"testing"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/inventory"
+	"birchcart/internal/fleet/mailbox"
+	"birchcart/internal/fleet/pollqueue"
+
 	"birchcart/internal/fleet/compress"
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/laneconfig"
@@ -32,9 +37,9 @@
 }
 
 // largest is a state at all of its bounds: machines, requests, items that ended after a whole life, remembered ids.
-func largest(t *testing.T) *copied {
+func largest(t *testing.T) *agreedstate.Copy {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	c, now, index := newCopy(), time.Hour, uint64(0)
+	c, now, index := agreedstate.New(), time.Hour, uint64(0)
 	do := func(kind string, body any) {
 		t.Helper()
 		b, err := json.Marshal(body)
@@ -43,9 +48,9 @@
 		}
 		index++
 		now += time.Millisecond
-		raw, err := statemachine.Command{V: 1, ID: fmt.Sprint("7-", index), Part: part, Kind: kind, At: now, Body: b}.Encode()
+		raw, err := statemachine.Command{V: 1, ID: fmt.Sprint("7-", index), Part: agreedstate.MaintenancePart, Kind: kind, At: now, Body: b}.Encode()
 		if err == nil {
-			err = c.stateMachine.Apply(index, raw)
+			err = c.Machine.Apply(index, raw)
 		}
 		if err != nil {
 			t.Fatalf("%s: %v", kind, err)
@@ -87,14 +92,14 @@
 		index++
 		raw, err := laneCommand(fmt.Sprint("l-", index), now, laneconfig.SetBody{Revision: revision + 1, Sum: hex.EncodeToString(sum[:]), Z: z})
 		if err == nil {
-			err = c.stateMachine.Apply(index, raw)
+			err = c.Machine.Apply(index, raw)
 		}
 		if err != nil || len(raw) > peerproto.MaxEntrySize {
 			t.Fatalf("%d bytes, %v", len(raw), err)
 		}
 	}
 
-	raw, err := c.order.Save() // the life of 20,000 items, without living them one by one
+	raw, err := c.Maintenance.Save() // the life of 20,000 items, without living them one by one
 	var all map[string]any
 	if err != nil || json.Unmarshal(raw, &all) != nil {
 		t.Fatal(err)
@@ -111,7 +116,7 @@
 	}
 	all["fence"] = len(items) + 1
 	if raw, err = json.Marshal(all); err == nil {
-		err = c.order.Load(raw)
+		err = c.Maintenance.Load(raw)
 	}
 	if err != nil || len(items) != maintenance.MaxItems {
 		t.Fatalf("%d items: %v", len(items), err)
@@ -126,13 +131,13 @@
 		t.Skip("with the race detector on a busy machine it takes a minute")
 	}
 	c := largest(t)
-	raw, err := c.stateMachine.Save()
+	raw, err := c.Machine.Save()
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := peerproto.Reply{Sequence: 9, From: "a", Leader: "a", Term: 7, FromLeader: true}
-	var s handed
-	if err := s.into(&w, raw, c.stateMachine.Index(), 1); err != nil {
+	var s peerproto.SnapshotCache
+	if err := s.SetSnapshot(&w, raw, c.Machine.Index(), 1); err != nil {
 		t.Fatal(err)
 	}
 	sent, err := peerproto.Encode(w)
@@ -147,23 +152,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := newCopy()
-	if err := to.take(m.(peerproto.Reply)); err != nil {
+	to := agreedstate.New()
+	if err := to.ApplyReply(m.(peerproto.Reply)); err != nil {
 		t.Fatal(err)
 	}
-	if came, err := to.stateMachine.Save(); err != nil || !bytes.Equal(came, raw) {
+	if came, err := to.Machine.Save(); err != nil || !bytes.Equal(came, raw) {
 		t.Fatalf("another state came: %v", err)
 	}
 	torn := m.(peerproto.Reply)
 	torn.Packed, torn.Index = torn.Packed[:len(torn.Packed)/2], torn.Index+1
-	if err := to.take(torn); err == nil || to.stateMachine.Index() != c.stateMachine.Index() {
+	if err := to.ApplyReply(torn); err == nil || to.Machine.Index() != c.Machine.Index() {
 		t.Errorf("a torn state was taken: %v", err)
 	}
 	// One of another size is made anew; a larger one than may be is refused in words, and so is the message.
-	if err := s.into(&w, []byte("small"), c.stateMachine.Index()+1, 1); err != nil || string(w.Snapshot) != "small" || w.Packed != nil {
+	if err := s.SetSnapshot(&w, []byte("small"), c.Machine.Index()+1, 1); err != nil || string(w.Snapshot) != "small" || w.Packed != nil {
 		t.Errorf("%v, %d bytes packed", err, len(w.Packed))
 	}
-	if err := s.into(&w, make([]byte, peerproto.MaxStateSize+1), c.stateMachine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
+	if err := s.SetSnapshot(&w, make([]byte, peerproto.MaxStateSize+1), c.Machine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Error(err)
 	}
 	noise := make([]byte, peerproto.MaxCompressedSize+1<<20)
@@ -171,7 +176,7 @@
 	for i := range noise {
 		noise[i] = byte(rnd.Uint32())
 	}
-	if err := s.into(&w, noise, c.stateMachine.Index()+3, 1); err == nil || !strings.Contains(err.Error(), "packed") {
+	if err := s.SetSnapshot(&w, noise, c.Machine.Index()+3, 1); err == nil || !strings.Contains(err.Error(), "packed") {
 		t.Error(err)
 	}
 }
@@ -179,7 +184,7 @@
 // A poll or a word that names another sender than the gossip does is left out: nobody polls in another's name by mistake, and
 // one who does it knowingly has to forge the gossip's message too, for which he needs its key.
 func TestNobodySpeaksForAnother(t *testing.T) {
-	n := &Node{copy: newCopy(), term: 7, loads: map[string]loadReport{}, waiting: waiting{by: map[string]polled{}}}
+	n := &Node{state: agreedstate.New(), term: 7, loads: map[string]inventory.LoadReport{}, pollQueue: pollqueue.New()}
 	n.sent.Sequence = 1
 	for _, m := range []peerproto.Message{peerproto.Poll{From: "b", Sequence: 1, Drains: []peerproto.DrainStatus{{Machine: "r1", Fence: 1}}}, peerproto.Reply{From: "b", Sequence: 1, Leader: "b", Term: 9, FromLeader: true}} {
 		raw, err := peerproto.Encode(m)
@@ -187,15 +192,15 @@
 			t.Fatal(err)
 		}
 		before := len(n.toLead)
-		n.letter(letter{from: "a", raw: raw})
-		if len(n.toLead) != before || len(n.waiting.by) != 0 || n.leader != "" || n.answer != nil {
+		n.letter(mailbox.Message{From: "a", Raw: raw})
+		if len(n.toLead) != before || n.pollQueue.Len() != 0 || n.leader != "" || n.answer != nil {
 			t.Errorf("%T of a in the name of b was taken", m)
 		}
-		n.letter(letter{from: "b", raw: raw})
+		n.letter(mailbox.Message{From: "b", Raw: raw})
 		if before == 0 && len(n.toLead) != 1 {
 			t.Error("the poll of b was not taken")
 		}
-		n.waiting.none()
+		n.pollQueue.Clear()
 	}
 	if n.leader != "b" || n.answer == nil {
 		t.Error("the word of b was not taken")
@@ -228,7 +233,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return statemachine.Command{V: 1, ID: "1-1", Part: part, Kind: "asks", At: time.Hour, Body: b}.Encode()
+		return statemachine.Command{V: 1, ID: "1-1", Part: agreedstate.MaintenancePart, Kind: "asks", At: time.Hour, Body: b}.Encode()
 	}
 	asks.Requests = []maintenance.Request{request(10_000), request(1)}
 	asks.Requests[1].Names = asks.Requests[0].Names // asked for twice
@@ -248,9 +253,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := newCopy()
-	if err := to.take(m.(peerproto.Reply)); err != nil || len(to.order.Requests().Requests) != 2 || len(to.order.Requests().Requests[1].Names) != 10_000 {
-		t.Fatalf("%v, %d requests", err, len(to.order.Requests().Requests))
+	to := agreedstate.New()
+	if err := to.ApplyReply(m.(peerproto.Reply)); err != nil || len(to.Maintenance.Requests().Requests) != 2 || len(to.Maintenance.Requests().Requests[1].Names) != 10_000 {
+		t.Fatalf("%v, %d requests", err, len(to.Maintenance.Requests().Requests))
 	}
 	t.Logf("an entry that asks for 10,000 machines twice has %d bytes", len(raw))
 	asks.Requests = append(asks.Requests, request(10_000), request(10_000))
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -9,6 +9,14 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/fleetfile"
+	"birchcart/internal/fleet/grantsfile"
+	"birchcart/internal/fleet/inventory"
+	"birchcart/internal/fleet/mailbox"
+	"birchcart/internal/fleet/pollqueue"
+	"birchcart/internal/fleet/voters"
+
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/raftgroup"
@@ -22,19 +30,20 @@
 func (n *Node) init(s serve.Host) {
 	n.name, n.file, n.start, n.news = s.Config.Name, s.Operator, time.Now(), true
 	n.version, n.dir = serve.Version(), s.Operator.Fleet.Dir
-	n.copy, n.mail = newCopy(), newMail()
+	n.state, n.mailbox = agreedstate.New(), mailbox.New()
 	n.ended, n.verified, n.closed = make(chan drainctl.ProposalResult, ProposingMost), make(chan verified, 1), make(chan struct{}, 1)
 	n.known = make(chan struct{})
 	n.wake, n.laid = make(chan struct{}, 1), make(chan struct{}, 1) // one set is laid at a time
-	n.looks, n.saved = make(chan looked, 1), make(chan error, 1)
-	n.waiting.by, n.loads, n.voters = map[string]polled{}, map[string]loadReport{}, map[string]bool{}
+	n.looks, n.saved = make(chan voters.Result, 1), make(chan error, 1)
+	n.pollQueue = pollqueue.New()
+	n.loads, n.voters = map[string]inventory.LoadReport{}, map[string]bool{}
 	f := s.Operator.Fleet
 	for name := range f.Voters {
 		n.voters[name] = true
 		n.names = append(n.names, name)
 	}
 	slices.Sort(n.names)
-	n.view = view.New(n.name, ms(f.Lease))
+	n.view = view.New(n.name, fleetfile.Milliseconds(f.Lease))
 	n.view.FirstSequence(uint64(n.start.UnixNano()))
 	n.lead = drainctl.New(waveplan.Order)
 }
@@ -75,7 +84,7 @@
 	}
 	n.member = m
 	n.member.SetRecord(member.Record{Voter: n.raftGroup != nil, Version: n.version})
-	n.writer = newWriter(f.Grants, n.log)
+	n.writer = grantsfile.NewWriter(f.Grants, n.log)
 	return nil
 }
 
@@ -105,7 +114,7 @@
 func (n *Node) openSeat(f *operator.Fleet, found bool) error {
 	own := f.Voters[n.name]
 	o := raftgroup.Options{
-		Name: n.name, Dir: f.Dir, Bind: bindOf(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.copy.stateMachine, Log: n.log,
+		Name: n.name, Dir: f.Dir, Bind: bindOf(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.state.Machine, Log: n.log,
 	}
 	for _, name := range n.names {
 		o.Voters = append(o.Voters, raftgroup.Voter{Name: name, Addr: f.Voters[name].Address})
@@ -115,7 +124,7 @@
 		return err
 	}
 	n.raftGroup = seat
-	n.copy.sit(seat)
+	n.state.Attach(seat)
 	return nil
 }
 
@@ -139,6 +148,6 @@
 		}
 	}
 	if n.writer != nil {
-		n.writer.close()
+		n.writer.Close()
 	}
 }
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -8,6 +8,10 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/fleetfile"
+	"birchcart/internal/fleet/grantsfile"
+	"birchcart/internal/fleet/inventory"
+
 	"birchcart/internal/fleet/drainctl"
 	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
@@ -32,11 +36,11 @@
 	n.feed(now)
 	var out []view.Output
 	var propose []drainctl.Output
-	var f grantsFile
+	var f grantsfile.File
 	var limits, asks int     // revisions agreed
 	var whole, unlisted bool // of an answer
-	n.copy.withLock(func() {
-		l := n.copy.stateMachine
+	n.state.WithLock(func() {
+		l := n.state.Machine
 		if err := l.Halted(); err != nil && !n.halted {
 			n.halted = true
 			n.toView = append(n.toView, view.Halted{Err: err})
@@ -44,9 +48,9 @@
 		}
 		if l.Index() != n.index || l.Epoch() != n.era || !n.stepped {
 			n.index, n.era, n.stepped = l.Index(), l.Epoch(), true
-			n.toView = append(n.toView, view.Applied{State: n.copy.order, Index: n.index, AgreedTime: l.Now(), Epoch: n.era})
-			n.toLead = append(n.toLead, drainctl.Applied{State: n.copy.order, Index: n.index, Now: l.Now(), Epoch: n.era})
-			f.Items = n.copy.order.Items()
+			n.toView = append(n.toView, view.Applied{State: n.state.Maintenance, Index: n.index, AgreedTime: l.Now(), Epoch: n.era})
+			n.toLead = append(n.toLead, drainctl.Applied{State: n.state.Maintenance, Index: n.index, Now: l.Now(), Epoch: n.era})
+			f.Items = n.state.Maintenance.Items()
 		}
 		if a := n.answer; a != nil {
 			a.Truncated = a.Truncated || n.index < n.answerAt
@@ -64,8 +68,8 @@
 			propose = n.lead.Step(now, wall, n.toLead)
 		}
 		f.Index, f.Now = n.index, l.Now()
-		_, limits = n.copy.order.Limits()
-		asks = n.copy.order.Requests().Revision
+		_, limits = n.state.Maintenance.Limits()
+		asks = n.state.Maintenance.Requests().Revision
 		n.lines.compare(n)
 	})
 	n.toView, n.toLead = n.toView[:0], n.toLead[:0]
@@ -110,7 +114,7 @@
 	}
 	n.news = false
 	if n.list != nil {
-		n.toView = append(n.toView, view.ReplicaList{Replicas: machines(n.list)})
+		n.toView = append(n.toView, view.ReplicaList{Replicas: inventory.Machines(n.list)})
 		n.hasList = true
 		if n.sessions != nil {
 			n.sessions.listed(n.list)
@@ -123,22 +127,22 @@
 	if n.lanes != nil {
 		n.lanes.reload(n.file)
 	}
-	n.asks = peerproto.FileReport{From: n.name, Limits: Limits(n.file, &n.s.Config.Policy), Requests: Asks(n.file)}
+	n.asks = peerproto.FileReport{From: n.name, Limits: fleetfile.Limits(n.file, &n.s.Config.Policy), Requests: fleetfile.Requests(n.file)}
 	n.askedAt, n.lines.differs = 0, 0
 	n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Requests})
 }
 
 // sample measures the own load and tells it by gossip.
 func (n *Node) sample(now time.Duration) {
-	if now < n.own.at+FeedEvery {
+	if now < n.own.At+FeedEvery {
 		return
 	}
 	if mean, ok := n.load.Mean(); ok {
 		n.mu.Lock()
 		bears := n.file.Fleet.Bears
 		n.mu.Unlock()
-		n.own = loadReport{mean / bears, true, now, n.era}
-		n.member.SetRecord(member.Record{Load: n.own.load, Voter: n.raftGroup != nil, Version: n.version})
+		n.own = inventory.LoadReport{Load: mean / bears, Known: true, At: now, Epoch: n.era}
+		n.member.SetRecord(member.Record{Load: n.own.Load, Voter: n.raftGroup != nil, Version: n.version})
 	}
 }
 
@@ -150,14 +154,14 @@
 	}
 	n.fedAt = now
 	n.loads[n.name] = n.own
-	maps.DeleteFunc(n.loads, func(_ string, l loadReport) bool { return now-l.at > LoadFor })
-	n.toLead = append(n.toLead, drainctl.Membership{Members: coordinators(n.member.Members(), n.loads, n.voters, now)})
+	maps.DeleteFunc(n.loads, func(_ string, l inventory.LoadReport) bool { return now-l.At > LoadFor })
+	n.toLead = append(n.toLead, drainctl.Membership{Members: inventory.Coordinators(n.member.Members(), n.loads, n.voters, now)})
 	n.mu.Lock()
 	list, known := n.list, n.list != nil && !n.stale
 	n.mu.Unlock()
 	if heard := n.s.ListConfirmedAt(); known && heard.After(n.listFed) {
 		n.listFed = heard
-		n.toLead = append(n.toLead, drainctl.ReplicaList{Replicas: machines(list), Age: max(time.Since(heard), 0)})
+		n.toLead = append(n.toLead, drainctl.ReplicaList{Replicas: inventory.Machines(list), Age: max(time.Since(heard), 0)})
 	}
 }
 
@@ -231,12 +235,12 @@
 }
 
 // write has the grants file replaced, if it would say something else.
-func (n *Node) write(now time.Duration, f grantsFile) {
+func (n *Node) write(now time.Duration, f grantsfile.File) {
 	w := &n.written
 	cut := n.view.CutOff(now)
 	same := w.ever && cut == w.cut && n.leader == w.leader && slices.Equal(n.grants, w.grants)
 	if f.Items != nil || !w.ever {
-		items := shown(f.Items, f.Now)
+		items := grantsfile.RecentItems(f.Items, f.Now)
 		same = same && slices.Equal(items, w.items)
 		w.items = items
 	}
@@ -244,19 +248,19 @@
 		return
 	}
 	w.ever, w.cut, w.leader, w.grants = true, cut, n.leader, n.grants
-	f.Version, f.Name, f.Leader, f.CutOff, f.Items = GrantsVersion, n.name, n.leader, cut, w.items
+	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cut, w.items
 	reasons := map[string]string{}
 	for _, r := range n.asks.Requests.Requests {
 		reasons[r.ID] = r.Reason
 	}
-	f.Grants = make([]grantLine, len(n.grants))
+	f.Grants = make([]grantsfile.Grant, len(n.grants))
 	for i, g := range n.grants {
-		f.Grants[i] = line(g, reasons[g.Request])
+		f.Grants[i] = grantsfile.NewGrant(g, reasons[g.Request])
 	}
 	if f.Items == nil {
 		f.Items = []maintenance.Item{}
 	}
-	n.writer.put(f)
+	n.writer.Put(f)
 }
 
 // sameAsks compares by what is written, as the state machine does; no requests are no requests.
--- /dev/null
+++ b/internal/fleet/store/archive_test.go
@@ -0,0 +1,26 @@
+package store
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// What an outlived seat leaves is kept, and no seat finds it.
+func TestASeatOfBeforeIsPutAside(t *testing.T) {
+	dir := t.TempDir()
+	for range MaxArchives {
+		if err := os.WriteFile(filepath.Join(dir, "council.db"), nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := Archive(dir, "era-1"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if left, _ := filepath.Glob(filepath.Join(dir, "era-1*", "council.db")); len(left) != MaxArchives {
+		t.Errorf("%v", left)
+	}
+	if Archive(dir, "era-1") == nil {
+		t.Error("without end")
+	}
+}
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"birchcart/internal/fleet/inventory"
+
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/fleet/maintenance"
@@ -36,12 +38,12 @@
 
 // compare says once that the own file differs from what was agreed under the same revision. It runs in a look.
 func (l *lines) compare(n *Node) {
-	limits, revision := n.copy.order.Limits()
+	limits, revision := n.state.Maintenance.Limits()
 	own := n.asks
 	if revision == 0 || own.Limits.Revision != revision || l.differs == revision {
 		return
 	}
-	asks := n.copy.order.Requests()
+	asks := n.state.Maintenance.Requests()
 	if asks.Revision != revision {
 		return
 	}
@@ -59,21 +61,21 @@
 	n.toldAt = now
 	f := logrus.Fields{
 		"age": n.view.Age(now).Round(time.Millisecond), "cut_off": n.view.CutOff(now), "leader": n.leader, "leads": n.term != 0,
-		"votes": n.raftGroup != nil, "dropped": n.mail.dropped.Load() + n.member.Dropped(),
+		"votes": n.raftGroup != nil, "dropped": n.mailbox.Dropped.Load() + n.member.Dropped(),
 	}
 	var wrong error
-	n.copy.withLock(func() {
-		f["index"] = n.copy.stateMachine.Index()
-		for _, it := range n.copy.order.Items() {
+	n.state.WithLock(func() {
+		f["index"] = n.state.Machine.Index()
+		for _, it := range n.state.Maintenance.Items() {
 			if k := string(it.Phase); it.Phase != "" {
 				count, _ := f[k].(int)
 				f[k] = count + 1
 			}
 		}
-		if stop, why := n.copy.order.Paused(n.copy.stateMachine.Now()); stop {
+		if stop, why := n.state.Maintenance.Paused(n.state.Machine.Now()); stop {
 			f["paused"] = why
 		}
-		wrong = n.copy.stateMachine.Check()
+		wrong = n.state.Machine.Check()
 	})
 	if wrong == nil {
 		wrong = n.view.Check()
@@ -84,7 +86,7 @@
 	up, all := 0, 0
 	for _, m := range n.member.Members() {
 		all++
-		if states[m.State] == maintenance.Up {
+		if inventory.MemberStatus[m.State] == maintenance.Up {
 			up++
 		}
 	}
--- a/internal/fleet/whole_test.go
+++ b/internal/fleet/whole_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 
+	"birchcart/internal/fleet/agreedstate"
+	"birchcart/internal/fleet/pollqueue"
+
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/session"
 	"birchcart/internal/fleet/statemachine"
@@ -23,10 +26,10 @@
 // is held meanwhile.
 func TestTheWholeIsSavedOnceForAll(t *testing.T) {
 	p := &savedPart{Book: session.New()}
-	n := &Node{copy: &copied{stateMachine: statemachine.New(map[string]statemachine.Part{sessionsPart: p})}}
+	n := &Node{state: &agreedstate.Copy{Machine: statemachine.New(map[string]statemachine.Part{agreedstate.SessionsPart: p})}}
 	for i := range 3 {
 		w := peerproto.Reply{}
-		if err := n.bring(&w, polled{era: 1}, 2); err != nil {
+		if err := n.bring(&w, pollqueue.Poll{Epoch: 1}, 2); err != nil {
 			t.Fatal(err)
 		}
 		if state, err := w.DecodeSnapshot(); err != nil || len(state) == 0 {
