--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,6 +23,8 @@
 	"sync/atomic"
 	"time"
 
+	"birchcart/internal/fleet/drainstore"
+
 	"birchcart/internal/fleet/agreedstate"
 	"birchcart/internal/fleet/grantsfile"
 	"birchcart/internal/fleet/inventory"
@@ -97,8 +99,7 @@
 	verified chan verified
 	closed   chan struct{} // the seat was given up
 	looks    chan voters.Result
-	saved    chan error    // the newest set of drains is on disk, or can't be
-	laid     chan struct{} // the exchange goes by a set of drains
+	drained  chan struct{} // the exchange goes by a set of drains
 	wake     chan struct{}
 	known    chan struct{} // closed once what was agreed is known here and laid, with the list
 	stop     context.CancelFunc
@@ -140,16 +141,10 @@
 	era       uint64        // as last stepped with
 	outlived  bool          // the seat is given up, as there is a raft group of a newer era
 	stepped   bool
-	laying    int        // sets of drains that the exchange or the disk does not have yet: no step is made before
-	caught    bool       // a whole answer came, to this process
-	hasList   bool       // the view has one
-	knows     bool       // known is closed
-	kept      []laidLine // of the process before, until this one is caught up
-	drains    []string   // as the view wants them
-	onDisk    []laidLine // the newest set that the disk took
-	keeping   []laidLine // the set that it was asked for, at keepAt
-	keepAt    time.Duration
-	unkept    bool // something may not be said as laid, since the disk does not have it
+	drains    *drainstore.Store
+	caught    bool // a whole answer came, to this process
+	hasList   bool // the view has one
+	knows     bool // known is closed
 	fedAt     time.Duration
 	seatsAt   time.Duration
 	looking   bool   // at the raft group's voters
@@ -187,8 +182,8 @@
 	if err := n.open(); err != nil {
 		return err
 	}
-	s.Exchange.Narrowable(n.listed, n.isLaid)
-	n.keepLaid()
+	s.Exchange.Narrowable(n.listed, n.drainsApplied)
+	n.drains.Restore()
 	n.load = s.Exchange.Load()
 	n.openSessions(ctx, s)
 	n.openLanes()
@@ -221,10 +216,10 @@
 	n.nudge()
 }
 
-// isLaid is the exchange's word that it goes by the newest set of drains. One is laid at a time.
-func (n *Node) isLaid() {
+// drainsApplied is the exchange's confirmation that it goes by the newest set of drains. One is applied at a time.
+func (n *Node) drainsApplied() {
 	select {
-	case n.laid <- struct{}{}:
+	case n.drained <- struct{}{}:
 	default:
 	}
 }
@@ -317,23 +312,23 @@
 			n.setAside()
 		case l := <-n.looks:
 			n.lookedAt(l)
-		case <-n.laid:
-			n.laying--
-		case err := <-n.saved:
-			n.savedLaid(err)
+		case <-n.drained:
+			n.drains.Applied()
+		case err := <-n.drains.Saved():
+			n.drains.HandleSaved(err)
 		case <-n.wake:
 		case <-soon.C:
 		case <-tick.C:
 		}
 		switch passed := time.Since(last); {
-		case n.laying > 0:
+		case n.drains.Busy():
 		case passed < StepSoonest:
 			soon.Reset(StepSoonest - passed)
 		default:
 			n.step()
 			last = time.Now()
 		}
-		if !n.knows && n.caught && n.hasList && n.laying == 0 {
+		if !n.knows && n.caught && n.hasList && !n.drains.Busy() {
 			n.knows = true
 			close(n.known)
 		}
--- a/internal/fleet/parts_test.go
+++ b/internal/fleet/parts_test.go
@@ -3,13 +3,10 @@
 import (
 	"fmt"
 	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 	"time"
 
 	"birchcart/internal/fleet/agreedstate"
-	"birchcart/internal/fleet/atomicfile"
 
 	"go.uber.org/goleak"
 
@@ -34,28 +31,6 @@
 	return raw
 }
 
-// What the process before had laid is taken over while its time runs; another version and a torn file are told of.
-func TestDrainsOfTheProcessBefore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "laid.json")
-	if kept, err := readLaid(path, 0); err != nil || len(kept) > 0 {
-		t.Errorf("%v %v", kept, err)
-	}
-	if err := atomicfile.WriteJSON(path, laidDrains{LaidVersion, []laidLine{{Machine: "a", Until: 10}, {Machine: "b", Until: 20, Era: 2}}}); err != nil {
-		t.Fatal(err)
-	}
-	if kept, err := readLaid(path, 10); err != nil || !reflect.DeepEqual(kept, []laidLine{{Machine: "b", Until: 20, Era: 2}}) {
-		t.Errorf("%v %v", kept, err)
-	}
-	for _, text := range []string{`{"version":2}`, `{"version":1,`} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := readLaid(path, 0); err == nil {
-			t.Errorf("%s was read", text)
-		}
-	}
-}
-
 // One that has heard nothing for a while asks whom a voter names, though the file does not have that one as a voter any
 // more: it leads until another has its seat. It asks so once for each poll: two that name each other keep nobody busy.
 func TestALeaderThatIsToVoteNoMoreIsFound(t *testing.T) {
--- a/internal/fleet/polls.go
+++ b/internal/fleet/polls.go
@@ -221,7 +221,7 @@
 // pollNow sends what the view wants asked.
 func (n *Node) pollNow(p view.Poll) {
 	n.silent++
-	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.sayable(p.Drains), Load: n.own.Load, LoadKnown: n.own.Known,
+	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.drains.Reportable(p.Drains), Load: n.own.Load, LoadKnown: n.own.Known,
 		Sessions: n.sessions.room()})
 }
 
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -9,6 +9,8 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/drainstore"
+
 	"birchcart/internal/fleet/agreedstate"
 	"birchcart/internal/fleet/fleetfile"
 	"birchcart/internal/fleet/grantsfile"
@@ -33,8 +35,9 @@
 	n.state, n.mailbox = agreedstate.New(), mailbox.New()
 	n.ended, n.verified, n.closed = make(chan drainctl.ProposalResult, ProposingMost), make(chan verified, 1), make(chan struct{}, 1)
 	n.known = make(chan struct{})
-	n.wake, n.laid = make(chan struct{}, 1), make(chan struct{}, 1) // one set is laid at a time
-	n.looks, n.saved = make(chan voters.Result, 1), make(chan error, 1)
+	n.wake, n.drained = make(chan struct{}, 1), make(chan struct{}, 1) // one set is applied at a time
+	n.looks = make(chan voters.Result, 1)
+	n.drains = n.newDrainStore()
 	n.pollQueue = pollqueue.New()
 	n.loads, n.voters = map[string]inventory.LoadReport{}, map[string]bool{}
 	f := s.Operator.Fleet
@@ -48,6 +51,14 @@
 	n.lead = drainctl.New(waveplan.Order)
 }
 
+// newDrainStore makes the store of drains in the folder of the start.
+func (n *Node) newDrainStore() *drainstore.Store {
+	return drainstore.New(drainstore.Options{
+		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.s.Exchange.Narrow(machines) },
+		Warn: func(text string) { n.lines.limited(n, n.now(), text) },
+	})
+}
+
 // zone of this co-ordinator, "" if the settings name none.
 func zone(s serve.Host) string {
 	if z := s.Config.Policy.Zone; z >= 0 && z < len(s.Config.Names.Zones) {
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -76,8 +76,8 @@
 	for _, o := range out {
 		n.do(o)
 	}
-	n.caughtUp()
-	n.keepAgain(now)
+	n.drains.DropPrevious(n.now(), n.caught)
+	n.drains.Retry(now)
 	for _, o := range propose {
 		switch o := o.(type) {
 		case drainctl.Propose:
@@ -169,7 +169,7 @@
 func (n *Node) do(o view.Output) {
 	switch o := o.(type) {
 	case view.Drains:
-		n.lay(o.Names)
+		n.drains.Set(n.now(), o.Names)
 	case view.Poll:
 		n.pollNow(o)
 	case view.Grants:
