--- /dev/null
+++ b/internal/fleet/lanepart/main_test.go
@@ -0,0 +1,9 @@
+package lanepart
+
+import (
+	"testing"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/fleet/lanes_test.go
+++ b/internal/fleet/lanepart/part_test.go
@@ -1,4 +1,4 @@
-package fleet
+package lanepart
 
 import (
 	"bytes"
@@ -9,10 +9,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchcart/internal/config"
 	"birchcart/internal/fleet/laneconfig"
 	"birchcart/internal/operator"
-	"birchcart/internal/serve"
 	"birchcart/internal/settings"
 )
 
@@ -23,34 +21,34 @@
 	var out bytes.Buffer
 	log := logrus.New()
 	log.Out = &out
-	n := &Node{state: agreedstate.New(), file: f, log: logrus.NewEntry(log), s: serve.Host{Config: &config.Config{Names: names}}}
-	if err := fitsLanes(f, names); err != nil {
+	state := agreedstate.New()
+	if err := Validate(f, names); err != nil {
 		t.Fatal(err)
 	}
-	n.openLanes()
-	if set, changed, applied := n.lanes.set(1, 0); set == nil || !changed || applied != 0 || !strings.Contains(out.String(), "no lanes are agreed on yet") {
+	p := New(Host{State: state, Names: names, Log: logrus.NewEntry(log)}, f)
+	if set, changed, applied := p.inForce(1, 0); set == nil || !changed || applied != 0 || !strings.Contains(out.String(), "no lanes are agreed on yet") {
 		t.Errorf("%v %v %d: %s", set, changed, applied, out.String())
 	}
 	b, err := laneconfig.Body(f.Fleet.Lanes, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := laneCommand("l", 7, b)
-	if err != nil || n.state.Machine.Apply(1, raw) != nil {
+	raw, err := encodeCommand("l", 7, b)
+	if err != nil || state.Machine.Apply(1, raw) != nil {
 		t.Fatal(err)
 	}
 	for heard, behind := range map[int]bool{4: false, 5: true} {
 		out.Reset()
-		if set, changed, applied := n.lanes.set(1, heard); set == nil || changed || applied != 4 || strings.Contains(out.String(), "is behind") != behind {
+		if set, changed, applied := p.inForce(1, heard); set == nil || changed || applied != 4 || strings.Contains(out.String(), "is behind") != behind {
 			t.Errorf("heard of %d: %v %v %d: %s", heard, set, changed, applied, out.String())
 		}
 	}
 	fields := logrus.Fields{}
-	if n.lanes.tell(fields); fields["lanes_revision"] != 4 {
+	if p.AddSummary(fields); fields["lanes_revision"] != 4 {
 		t.Error(fields)
 	}
 	f.Fleet.Lanes.Header = strings.Repeat("x", laneconfig.TextMost)
-	if err := fitsLanes(f, names); err == nil || !strings.HasPrefix(err.Error(), "$.fleet.lanes: ") {
+	if err := Validate(f, names); err == nil || !strings.HasPrefix(err.Error(), "$.fleet.lanes: ") {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,6 +23,9 @@
 	"sync/atomic"
 	"time"
 
+	"birchcart/internal/fleet/lanepart"
+	"birchcart/internal/fleet/sessionpart"
+
 	"birchcart/internal/fleet/drainstore"
 
 	"birchcart/internal/fleet/agreedstate"
@@ -36,7 +39,6 @@
 
 	"birchcart/internal/exchange"
 	"birchcart/internal/fleet/drainctl"
-	"birchcart/internal/fleet/loadshed"
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/peerproto"
 	"birchcart/internal/fleet/raftgroup"
@@ -59,9 +61,6 @@
 	// AskEvery is between attempts to hand a newer file to the leader. Twice as long: a file that got lost comes so much
 	// later; half: twice the messages while there is no leader to agree to it.
 	AskEvery = 5 * time.Second
-	// ProposeTime is how long one proposal waits for its end. Twice as long: a place among ProposingMost is held so much
-	// longer while there is no majority; half: one that a slow disk takes is not known to have acted.
-	ProposeTime = 3 * time.Second
 	// ProposingMost are under way; more are left out, and the leader's step proposes them again.
 	ProposingMost = 32
 	// AwaitMost is the most that the start waits, before it listens for clients, until what was agreed is known here and
@@ -87,13 +86,13 @@
 	raftGroup *raftgroup.Group // nil: no vote
 	state     *agreedstate.Copy
 	// nil without the section of pinned sessions; its start decides
-	sessions *sessions
-	lanes    *lanes // likewise, of the section of lanes
-	shed     atomic.Pointer[loadshed.Shed]
-	mailbox  *mailbox.Queue
-	load     *exchange.Load
-	writer   *grantsfile.Writer
-	start    time.Time
+	sessions     *sessionpart.Part
+	lanes        *lanepart.Part // likewise, of the section of lanes
+	laneReceiver atomic.Pointer[lanepart.Part]
+	mailbox      *mailbox.Queue
+	load         *exchange.Load
+	writer       *grantsfile.Writer
+	start        time.Time
 
 	ended    chan drainctl.ProposalResult
 	verified chan verified
@@ -186,8 +185,7 @@
 	n.drains.Restore()
 	n.load = s.Exchange.Load()
 	n.openSessions(ctx, s)
-	n.openLanes()
-	n.openShed(ctx, s)
+	n.openLanes(ctx, s)
 	n.done.Go(func() { n.run(ctx) })
 	return nil
 }
@@ -238,10 +236,10 @@
 	case (f.Fleet.Lanes != nil) != (n.lanes != nil):
 		return errors.New("$.fleet.lanes: lanes begin and end with the program")
 	}
-	if err := fitsSessions(f.Fleet, n.s.Config.Names, &n.s.Config.Policy); err != nil {
+	if err := sessionpart.Validate(f.Fleet, n.s.Config.Names, &n.s.Config.Policy); err != nil {
 		return err
 	}
-	if err := fitsLanes(f, n.s.Config.Names); err != nil {
+	if err := lanepart.Validate(f, n.s.Config.Names); err != nil {
 		return err
 	}
 	if err := n.member.ReloadKeys(); err != nil {
@@ -251,7 +249,7 @@
 	was := n.file.Fleet.Lanes
 	n.file, n.news = f, true
 	n.mu.Unlock()
-	n.reloadShed(was, f.Fleet.Lanes)
+	n.warnOfHeader(was, f.Fleet.Lanes)
 	n.nudge()
 	return nil
 }
--- a/internal/fleet/polls.go
+++ b/internal/fleet/polls.go
@@ -52,7 +52,7 @@
 		}
 	case peerproto.SessionActions:
 		if n.term != 0 && m.From == l.From && n.sessions != nil {
-			n.sessions.wanted = append(n.sessions.wanted, m)
+			n.sessions.HandleActions(m)
 		}
 	case peerproto.FileReport:
 		if n.term != 0 {
@@ -78,7 +78,7 @@
 		before, heard := n.loads[p.From]
 		n.loads[p.From] = inventory.LoadReport{Load: p.Load, Known: p.LoadKnown, At: at, Epoch: era}
 		if n.sessions != nil {
-			n.sessions.hear(p)
+			n.sessions.HandlePoll(p)
 		}
 		soon = era < own || p.Index < n.agreedIndex() || len(p.Drains) > 0 || !heard || at-before.At > 2*view.PollInterval
 		n.pollQueue.Add(p.From, pollqueue.Poll{Sequence: p.Sequence, Index: p.Index, Epoch: era}, soon)
@@ -124,7 +124,7 @@
 	listed := map[string]bool{}
 	n.state.WithLock(func() {
 		for from := range v.polls {
-			listed[from] = drainctl.MustAcknowledge(n.state.Maintenance, from) && !(n.sessions != nil && n.sessions.steward.Releasing(from))
+			listed[from] = drainctl.MustAcknowledge(n.state.Maintenance, from) && !(n.sessions != nil && n.sessions.Releasing(from))
 		}
 	})
 	own := n.state.Epoch()
@@ -222,7 +222,7 @@
 func (n *Node) pollNow(p view.Poll) {
 	n.silent++
 	n.ask(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: eraSent(n.era), Drains: n.drains.Reportable(p.Drains), Load: n.own.Load, LoadKnown: n.own.Known,
-		Sessions: n.sessions.room()})
+		Sessions: n.sessions.Load()})
 }
 
 // named says whether a word that is not the leader's names one who is to be asked at once: once for each poll, since two may
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -293,6 +293,17 @@
 	}
 }
 
+// ProposeTimeout is how long ProposeWithin waits for the end of one proposal. Twice as long: a place among those under way is held so
+// much longer while there is no majority; half: one that a slow disk takes is not known to have acted.
+const ProposeTimeout = 3 * time.Second
+
+// ProposeWithin is Propose for ProposeTimeout at the most.
+func (c *Group) ProposeWithin(raw []byte) error {
+	ctx, cancel := context.WithTimeout(context.Background(), ProposeTimeout)
+	defer cancel()
+	return c.Propose(ctx, raw)
+}
+
 func (c *Group) explain(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -1,4 +1,4 @@
-package fleet
+package sessionpart
 
 import (
 	"encoding/json"
@@ -25,14 +25,14 @@
 	names := &settings.Names{Classes: []string{"report", "tally"}}
 	cfg := &policy.Config{Classes: []policy.Class{{GiveUp: 60}, {GiveUp: 4, Effect: policy.Unsafe}}}
 	f := &operator.Fleet{Lease: 4500, Grace: 1000, Sessions: &operator.Sessions{Classes: []string{"report", "tally"}}}
-	if err := fitsSessions(f, names, cfg); err != nil {
+	if err := Validate(f, names, cfg); err != nil {
 		t.Errorf("4 s of 4 s: %v", err)
 	}
 	f.Lease = 4499
-	if err := fitsSessions(f, names, cfg); err == nil || !strings.Contains(err.Error(), `classes[1]: "tally" stands there`) {
+	if err := Validate(f, names, cfg); err == nil || !strings.Contains(err.Error(), `classes[1]: "tally" stands there`) {
 		t.Errorf("under it: %v", err)
 	}
-	if f.Sessions = nil; fitsSessions(f, names, cfg) != nil {
+	if f.Sessions = nil; Validate(f, names, cfg) != nil {
 		t.Error("refused without sessions")
 	}
 }
@@ -48,11 +48,11 @@
 		want  time.Duration
 	}{"of a process before": {"a", 0}, "another's": {"b", until}, "no one's": {"", until}} {
 		t.Run(name, func(t *testing.T) {
-			n := &Node{name: "a", state: agreedstate.New(), log: logrus.NewEntry(logrus.New())}
+			state := agreedstate.New()
 			apply := func(kind string, body any) {
 				raw, err := json.Marshal(body)
 				if err == nil {
-					err = n.state.Sessions.Apply(0, func() uint64 { return 1 }, kind, raw)
+					err = state.Sessions.Apply(0, func() uint64 { return 1 }, kind, raw)
 				}
 				if err != nil {
 					t.Fatal(err)
@@ -62,18 +62,18 @@
 			if c.slots != "" {
 				apply(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: c.slots, Replica: "r", N: 1}}})
 			}
-			p := &sessions{n: n}
-			if got := p.lease(0, 0); got != 0 {
+			p := &Part{host: Host{Name: "a", State: state, Log: logrus.NewEntry(logrus.New())}}
+			if got := p.leaseUntil(Turn{Now: 0, LeaseUntil: 0}); got != 0 {
 				t.Errorf("without a lease it has one until %v", got)
 			}
-			if got := p.lease(first, until); got != c.want {
+			if got := p.leaseUntil(Turn{Now: first, LeaseUntil: until}); got != c.want {
 				t.Errorf("at first it acts until %v, wanted %v", got, c.want)
 			}
 			apply(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r", N: 1}}}) // its own
-			if got := p.lease(first+time.Millisecond, until); got != c.want {
+			if got := p.leaseUntil(Turn{Now: first + time.Millisecond, LeaseUntil: until}); got != c.want {
 				t.Errorf("then until %v, wanted %v", got, c.want)
 			}
-			if got := p.lease(limits.SilentFor(), until); got != until {
+			if got := p.leaseUntil(Turn{Now: limits.SilentFor(), LeaseUntil: until}); got != until {
 				t.Errorf("after lease and grace until %v", got)
 			}
 		})
@@ -84,7 +84,7 @@
 func TestActsFitAnEntry(t *testing.T) {
 	full := session.Act{Kind: session.Hand, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.StateMost), Lane: 255}
 	many := make([]session.Act, session.ActsMost+1)
-	if n := fits(many); n != session.ActsMost {
+	if n := countFitting(many); n != session.ActsMost {
 		t.Errorf("%d claims", n)
 	}
 	for i := range many {
@@ -93,7 +93,7 @@
 			many[i].State = nil
 		}
 	}
-	n := fits(many)
+	n := countFitting(many)
 	body, err := json.Marshal(session.ActsBody{From: strings.Repeat("x", 64), Acts: many[:n]})
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	if len(body) > peerproto.MaxEntrySize || n < 500 {
 		t.Errorf("%d hands in %d bytes, %d at most", n, len(body), peerproto.MaxEntrySize)
 	}
-	if fits(many[:1]) != 1 || fits(nil) != 0 {
+	if countFitting(many[:1]) != 1 || countFitting(nil) != 0 {
 		t.Error("one, or none")
 	}
 }
@@ -109,18 +109,19 @@
 // What a co-ordinator tells of its open unsafe queries comes to the leader's forecast: a session with one that may be open beyond the
 // deadline is named, and no offer is made of it; it is, once a later poll tells of none.
 func TestForecastKnowsWhatIsUnsafeAndOpen(t *testing.T) {
-	n := &Node{name: "b", state: agreedstate.New(), lead: drainctl.New(waveplan.Order)}
-	p := &sessions{n: n, section: &operator.Sessions{Most: 9}, rooms: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
+	state := agreedstate.New()
+	p := &Part{host: Host{Name: "b", State: state, Controller: drainctl.New(waveplan.Order)}, section: &operator.Sessions{Most: 9},
+		capacity: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
 	id := session.IDOf(1, []byte("k"))
 	limits := session.Limits{Revision: 1, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute, Lease: time.Second, Grace: time.Second, SessionsMost: 9, Slots: 2}
 	for kind, body := range map[string]any{session.KindLimits: session.LimitsBody{Limits: limits}} {
 		raw, _ := json.Marshal(body)
-		if err := n.state.Sessions.Apply(0, nil, kind, raw); err != nil {
+		if err := state.Sessions.Apply(0, nil, kind, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	raw, _ := json.Marshal(session.ActsBody{From: "a", Acts: []session.Act{{Kind: session.Claim, ID: id}}})
-	if err := n.state.Sessions.Apply(0, nil, session.KindActs, raw); err != nil {
+	if err := state.Sessions.Apply(0, nil, session.KindActs, raw); err != nil {
 		t.Fatal(err)
 	}
 	forecast := func(open ...peerproto.UnsafeQuery) (migrate.Forecast, int) {
@@ -137,12 +138,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.hear(got.(peerproto.Poll))
+			p.HandlePoll(got.(peerproto.Poll))
 		}
-		p.sites = []migrate.Coordinator{{Name: "a", Live: true, Leaving: true, Deadline: time.Minute}, {Name: "c", Live: true, Rank: migrate.Stays}}
-		p.sitesAt, p.sitesBy = n.index, time.Hour
+		p.coordinators = []migrate.Coordinator{{Name: "a", Live: true, Leaving: true, Deadline: time.Minute}, {Name: "c", Live: true, Rank: migrate.Stays}}
+		p.planUntil = time.Hour
 		p.refreshPlan(0, 0)
-		v := migrate.View{Book: n.state.Sessions, Coordinators: p.sites}
+		v := migrate.View{Book: state.Sessions, Coordinators: p.coordinators}
 		return migrate.Foresee(0, v, 0), len(migrate.New(migrate.Options{}).Step(0, v).Body.Offers)
 	}
 	f, offers := forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Minute + 1})
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -90,7 +90,11 @@
 			t.Fatalf("%d bytes, %v", len(z), err)
 		}
 		index++
-		raw, err := laneCommand(fmt.Sprint("l-", index), now, laneconfig.SetBody{Revision: revision + 1, Sum: hex.EncodeToString(sum[:]), Z: z})
+		body, err := json.Marshal(laneconfig.SetBody{Revision: revision + 1, Sum: hex.EncodeToString(sum[:]), Z: z})
+		if err != nil {
+			t.Fatal(err)
+		}
+		raw, err := statemachine.Command{V: 1, ID: fmt.Sprint("l-", index), Part: laneconfig.Part, Kind: laneconfig.KindSet, At: now, Body: body}.Encode()
 		if err == nil {
 			err = c.Machine.Apply(index, raw)
 		}
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -9,6 +9,9 @@
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/lanepart"
+	"birchcart/internal/fleet/sessionpart"
+
 	"birchcart/internal/fleet/drainstore"
 
 	"birchcart/internal/fleet/agreedstate"
@@ -55,7 +58,7 @@
 func (n *Node) newDrainStore() *drainstore.Store {
 	return drainstore.New(drainstore.Options{
 		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.s.Exchange.Narrow(machines) },
-		Warn: func(text string) { n.lines.limited(n, n.now(), text) },
+		Warn: n.warn,
 	})
 }
 
@@ -70,10 +73,10 @@
 // open opens gossip, seat and file. An error names the place in the operators' file; what the disk holds is none.
 func (n *Node) open() error {
 	f := n.file.Fleet
-	if err := fitsSessions(f, n.s.Config.Names, &n.s.Config.Policy); err != nil {
+	if err := sessionpart.Validate(f, n.s.Config.Names, &n.s.Config.Policy); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
-	if err := fitsLanes(n.file, n.s.Config.Names); err != nil {
+	if err := lanepart.Validate(n.file, n.s.Config.Names); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
 	if f.Grants != "" {
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -1,13 +1,14 @@
 package fleet
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"maps"
 	"slices"
 	"time"
 
+	"birchcart/internal/fleet/lanepart"
+
 	"birchcart/internal/fleet/fleetfile"
 	"birchcart/internal/fleet/grantsfile"
 	"birchcart/internal/fleet/inventory"
@@ -58,7 +59,7 @@
 			unlisted = a.NotInInventory
 		}
 		if n.sessions != nil {
-			n.toView = append(n.toView, n.sessions.hurry())
+			n.toView = append(n.toView, n.sessions.Urgency(n.now()))
 		}
 		n.agreedNow = l.Now()
 		out = n.view.Step(now, n.toView)
@@ -89,13 +90,13 @@
 		}
 	}
 	if n.sessions != nil {
-		n.sessions.step(now)
-		if fence, goes := n.sessions.gone(); goes {
+		n.sessions.Step(n.sessionTurn(now))
+		if fence, leaves := n.sessions.MayLeaveNow(n.agreedNow); leaves {
 			n.goForWork(fence)
 		}
 	}
 	if n.lanes != nil {
-		n.lanes.step(now)
+		n.lanes.Step(lanepart.Turn{Now: now, Term: n.term, Group: n.raftGroup})
 	}
 	n.agreedRevision = limits
 	n.hand(now, limits, asks)
@@ -117,15 +118,15 @@
 		n.toView = append(n.toView, view.ReplicaList{Replicas: inventory.Machines(n.list)})
 		n.hasList = true
 		if n.sessions != nil {
-			n.sessions.listed(n.list)
+			n.sessions.SetReplicas(n.list)
 		}
 		n.listFed = time.Time{}
 	}
 	if n.sessions != nil {
-		n.sessions.reload(n.file.Fleet.Sessions)
+		n.sessions.Reload(n.file.Fleet.Sessions)
 	}
 	if n.lanes != nil {
-		n.lanes.reload(n.file)
+		n.lanes.Reload(n.file)
 	}
 	n.asks = peerproto.FileReport{From: n.name, Limits: fleetfile.Limits(n.file, &n.s.Config.Policy), Requests: fleetfile.Requests(n.file)}
 	n.askedAt, n.lines.differs = 0, 0
@@ -191,7 +192,7 @@
 		return
 	}
 	if n.sessions != nil {
-		n.sessions.leave(fence)
+		n.sessions.Leave(fence)
 		return
 	}
 	n.goForWork(fence)
@@ -220,9 +221,7 @@
 	n.proposing++
 	seat := n.raftGroup
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), ProposeTime)
-		defer cancel()
-		err := seat.Propose(ctx, raw)
+		err := seat.ProposeWithin(raw)
 		if errors.Is(err, statemachine.ErrDuplicate) {
 			err = nil
 		}
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -92,10 +92,10 @@
 	}
 	f["members"], f["members_up"] = all, up
 	if n.sessions != nil {
-		n.sessions.tell(f)
+		n.sessions.AddSummary(f)
 	}
 	if n.lanes != nil {
-		n.lanes.tell(f)
+		n.lanes.AddSummary(f)
 	}
 	n.log.WithFields(f).Info("the fleet")
 }
