--- a/cmd/birchcart-fleet/voters_test.go
+++ b/cmd/birchcart-fleet/voters_test.go
@@ -149,7 +149,7 @@
 	}
 	s.start(0)
 	s.until("n0 leads alone", s.says(0, "leads the raft group"))
-	s.until("n3 goes by the new council", s.says(3, "the raft group was set up anew (era"))
+	s.until("n3 goes by the new council", s.says(3, "the raft group was set up anew (epoch"))
 	s.start(1)
 	s.until("n1 votes", s.says(0, `voter \"\" goes, voter \"n1\" comes`))
 	s.start(2) // with its disk
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -16,7 +16,7 @@
 	}
 	n.lanes = lanepart.New(lanepart.Host{
 		Name: n.name, Zone: zone(s), StartTime: n.start, State: n.state, Names: s.Config.Names, Policy: &s.Config.Policy,
-		Log: n.log, MayPropose: n.lead.Time, Members: n.member.Members, Send: n.member.Send, Wake: n.nudge,
+		Log: n.log, MayPropose: n.controller.Time, Members: n.member.Members, Send: n.member.Send, Wake: n.wakeUp,
 	}, n.file)
 	n.lanes.Join(s.Exchange)
 	n.laneReceiver.Store(n.lanes)
--- a/internal/fleet/answers_test.go
+++ b/internal/fleet/pollserver_test.go
@@ -17,7 +17,9 @@
 // something, lacks something or comes after a silence waits for VerifyEvery at the most, and what is agreed meanwhile ends
 // the wait of all.
 func TestPollsAtRestWaitForEachOther(t *testing.T) {
-	n := &Node{state: agreedstate.New(), term: 7, loads: map[string]inventory.LoadReport{}, pollQueue: pollqueue.New()}
+	// Long: one sequence of polls on one clock, each case judged against the one before.
+	n := &Node{state: agreedstate.New()}
+	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
 	now := time.Minute
 	poll := func(from string, p peerproto.Poll) bool {
 		t.Helper()
@@ -26,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return n.letter(mailbox.Message{From: from, Raw: raw, At: now})
+		return n.handleMessage(mailbox.Message{From: from, Raw: raw, At: now})
 	}
 	answer := func(agreed uint64) bool {
 		if !n.pollQueue.CheckDue(now, agreed) {
--- a/internal/fleet/raftgroup/change.go
+++ b/internal/fleet/raftgroup/change.go
@@ -15,8 +15,8 @@
 )
 
 // Voters are the voters in the configuration that this one knows last.
-func (c *Group) Voters() ([]Voter, error) {
-	f := c.raft.GetConfiguration()
+func (g *Group) Voters() ([]Voter, error) {
+	f := g.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return nil, fmt.Errorf("raftgroup: %w", err)
 	}
@@ -34,19 +34,19 @@
 // left of those that answer now, without the new one (but a raft group of one only needs it to take a connection). An old
 // one named "" adds a voter only, a new one with no name takes the old one out only. A call that was cut off half way
 // is finished by calling it again.
-func (c *Group) Replace(old string, with Voter) error {
-	if !c.changing.TryLock() {
+func (g *Group) Replace(old string, with Voter) error {
+	if !g.changing.TryLock() {
 		return ErrChanging
 	}
-	defer c.changing.Unlock()
-	if err := c.mayChange(old); err != nil {
+	defer g.changing.Unlock()
+	if err := g.mayChange(old); err != nil {
 		return err
 	}
-	now, err := c.Voters()
+	now, err := g.Voters()
 	if err != nil {
 		return err
 	}
-	steps, err := c.planReplace(now, old, with)
+	steps, err := g.planReplace(now, old, with)
 	if err != nil {
 		return err
 	}
@@ -59,22 +59,22 @@
 }
 
 // mayChange checks that this voter leads, is not the one that is to go, and still holds the lead now.
-func (c *Group) mayChange(old string) error {
-	if c.raft.State() != raft.Leader {
-		return c.notLeader()
+func (g *Group) mayChange(old string) error {
+	if g.raft.State() != raft.Leader {
+		return g.notLeader()
 	}
-	if old == c.o.Name {
+	if old == g.o.Name {
 		return ErrSelf
 	}
-	if err := c.raft.VerifyLeader().Error(); err != nil {
-		return c.explain(err)
+	if err := g.raft.VerifyLeader().Error(); err != nil {
+		return g.explain(err)
 	}
 	return nil
 }
 
 // planReplace orders the steps that put with in old's place, and fails where a step would not leave a quorum of the
 // voters that answer now.
-func (c *Group) planReplace(now []Voter, old string, with Voter) ([]func() error, error) {
+func (g *Group) planReplace(now []Voter, old string, with Voter) ([]func() error, error) {
 	addresses := make(map[string]string, len(now))
 	for _, voter := range now {
 		addresses[voter.Name] = voter.Addr
@@ -86,13 +86,13 @@
 		return nil, fmt.Errorf("raftgroup: %s is a voter at %s; give a new one a new name", with.Name, addr)
 	}
 	size := len(now)
-	answer, oldSilent := c.answering(addresses, old)
+	answer, oldSilent := g.answering(addresses, old)
 	after := answer
 	if drop && !oldSilent {
 		after--
 	}
-	addStep := func() error { return c.addVoter(with) }
-	dropStep := func() error { return c.removeVoter(old) }
+	addStep := func() error { return g.addVoter(with) }
+	dropStep := func() error { return g.removeVoter(old) }
 	switch {
 	case add && drop && oldSilent:
 		return []func() error{dropStep, addStep}, errors.Join(quorum(size-1, after), quorum(size, after))
@@ -100,7 +100,7 @@
 		return []func() error{addStep, dropStep}, errors.Join(quorum(size+1, answer), quorum(size, after))
 	case add:
 		err := quorum(size+1, answer)
-		if err != nil && quorum(size+1, answer+1) == nil && c.answers(with.Addr) {
+		if err != nil && quorum(size+1, answer+1) == nil && g.answers(with.Addr) {
 			err = nil // a raft group of one grows, and the new one is there
 		}
 		return []func() error{addStep}, err
@@ -111,15 +111,15 @@
 }
 
 // answering counts the voters among addresses that are not silent now, and tells whether old is silent.
-func (c *Group) answering(addresses map[string]string, old string) (answer int, oldSilent bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (g *Group) answering(addresses map[string]string, old string) (answer int, oldSilent bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	for name := range addresses {
-		if !c.silent[name] {
+		if !g.silent[name] {
 			answer++
 		}
 	}
-	return answer, c.silent[old]
+	return answer, g.silent[old]
 }
 
 // quorum fails where answer voters of size are not a majority of them.
@@ -131,22 +131,22 @@
 }
 
 // addVoter adds with as a voter, on top of the configuration that was committed last.
-func (c *Group) addVoter(with Voter) error {
-	return c.step(func(prev uint64) raft.IndexFuture {
-		return c.raft.AddVoter(raft.ServerID(with.Name), raft.ServerAddress(with.Addr), prev, ChangeTimeout)
+func (g *Group) addVoter(with Voter) error {
+	return g.step(func(prev uint64) raft.IndexFuture {
+		return g.raft.AddVoter(raft.ServerID(with.Name), raft.ServerAddress(with.Addr), prev, ChangeTimeout)
 	})
 }
 
 // removeVoter takes old out, on top of the configuration that was committed last.
-func (c *Group) removeVoter(old string) error {
-	return c.step(func(prev uint64) raft.IndexFuture {
-		return c.raft.RemoveServer(raft.ServerID(old), prev, ChangeTimeout)
+func (g *Group) removeVoter(old string) error {
+	return g.step(func(prev uint64) raft.IndexFuture {
+		return g.raft.RemoveServer(raft.ServerID(old), prev, ChangeTimeout)
 	})
 }
 
 // answers says whether an address takes a connection now.
-func (c *Group) answers(addr string) bool {
-	conn, err := c.stream.Dial(raft.ServerAddress(addr), IOTimeout)
+func (g *Group) answers(addr string) bool {
+	conn, err := g.stream.Dial(raft.ServerAddress(addr), IOTimeout)
 	if err != nil {
 		return false
 	}
@@ -155,25 +155,25 @@
 }
 
 // step makes one change on top of the configuration that was committed last, and no other.
-func (c *Group) step(change func(prev uint64) raft.IndexFuture) error {
-	conf := c.raft.GetConfiguration()
+func (g *Group) step(change func(prev uint64) raft.IndexFuture) error {
+	conf := g.raft.GetConfiguration()
 	if err := conf.Error(); err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	if err := change(conf.Index()).Error(); err != nil {
-		return c.explain(err)
+		return g.explain(err)
 	}
 	return nil
 }
 
 // HandOver gives the lead to another voter, before this one leaves. One that does not lead has nothing to give. It takes
 // ElectionTimeout at the most; if nobody can take it, this one leads on and says so.
-func (c *Group) HandOver() error {
-	if c.raft.State() != raft.Leader {
+func (g *Group) HandOver() error {
+	if g.raft.State() != raft.Leader {
 		return nil
 	}
-	if err := c.raft.LeadershipTransfer().Error(); err != nil {
-		if c.raft.State() != raft.Leader {
+	if err := g.raft.LeadershipTransfer().Error(); err != nil {
+		if g.raft.State() != raft.Leader {
 			return nil
 		}
 		return fmt.Errorf("raftgroup: nobody took the lead: %w", err)
--- a/internal/fleet/raftgroup/fsm.go
+++ b/internal/fleet/raftgroup/fsm.go
@@ -138,15 +138,15 @@
 // Since gives what was committed and applied here after an index: entries, as many as go into so many bytes but at least
 // one, or, for who is too far behind, a snapshot, after which the next call goes on. at is the index that the asker has
 // reached with them.
-func (c *Group) Since(index uint64, mostBytes int) (entries []Entry, snapshot []byte, at uint64) {
-	s := c.fsm
+func (g *Group) Since(index uint64, mostBytes int) (entries []Entry, snapshot []byte, at uint64) {
+	s := g.fsm
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if index < s.floor {
 		if s.saved == nil || s.savedAt < s.floor {
 			raw, err := s.machine.Save()
 			if err != nil {
-				c.log.Errorf("no snapshot for one at %d: %v", index, err)
+				g.log.Errorf("no snapshot for one at %d: %v", index, err)
 				return nil, nil, index
 			}
 			s.saved, s.savedAt = raw, s.applied
@@ -173,18 +173,18 @@
 }
 
 // Applied is the index of the last command that was applied here.
-func (c *Group) Applied() uint64 {
-	c.fsm.mu.Lock()
-	defer c.fsm.mu.Unlock()
-	return c.fsm.applied
+func (g *Group) Applied() uint64 {
+	g.fsm.mu.Lock()
+	defer g.fsm.mu.Unlock()
+	return g.fsm.applied
 }
 
 // Updates has a word whenever something was applied since the last was taken.
-func (c *Group) Updates() <-chan struct{} { return c.fsm.fresh }
+func (g *Group) Updates() <-chan struct{} { return g.fsm.fresh }
 
 // WithLock calls f while nothing is applied, so that it may read the machine. It must not wait.
-func (c *Group) WithLock(f func()) {
-	c.fsm.mu.Lock()
-	defer c.fsm.mu.Unlock()
+func (g *Group) WithLock(f func()) {
+	g.fsm.mu.Lock()
+	defer g.fsm.mu.Unlock()
 	f()
 }
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -259,27 +259,27 @@
 }
 
 // Propose puts a command into the log and waits until it was applied here, or until ctx ends. Only the leader can.
-func (c *Group) Propose(ctx context.Context, raw []byte) error {
+func (g *Group) Propose(ctx context.Context, raw []byte) error {
 	if len(raw) > MaxCommandSize {
 		return fmt.Errorf("%w: %d bytes, %d at the most", ErrTooLarge, len(raw), MaxCommandSize)
 	}
-	if c.raft.State() != raft.Leader {
-		return c.notLeader()
+	if g.raft.State() != raft.Leader {
+		return g.notLeader()
 	}
 	select {
-	case c.slots <- struct{}{}:
+	case g.slots <- struct{}{}:
 	default:
 		return ErrBusy
 	}
 	result := make(chan error, 1)
 	go func() {
-		defer func() { <-c.slots }()
-		f := c.raft.Apply(raw, EnqueueTimeout)
+		defer func() { <-g.slots }()
+		f := g.raft.Apply(raw, EnqueueTimeout)
 		err := f.Error()
 		if err == nil {
 			err, _ = f.Response().(error)
 		} else {
-			err = c.explain(err)
+			err = g.explain(err)
 		}
 		result <- err
 	}()
@@ -288,7 +288,7 @@
 		return err
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
-	case <-c.stop:
+	case <-g.stop:
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrClosed)
 	}
 }
@@ -298,16 +298,16 @@
 const ProposeTimeout = 3 * time.Second
 
 // ProposeWithin is Propose for ProposeTimeout at the most.
-func (c *Group) ProposeWithin(raw []byte) error {
+func (g *Group) ProposeWithin(raw []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), ProposeTimeout)
 	defer cancel()
-	return c.Propose(ctx, raw)
+	return g.Propose(ctx, raw)
 }
 
-func (c *Group) explain(err error) error {
+func (g *Group) explain(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return c.notLeader()
+		return g.notLeader()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return ErrBusy
 	default: // leadership lost, shut down, a write of the log failed
@@ -315,53 +315,53 @@
 	}
 }
 
-func (c *Group) notLeader() error {
-	name, addr := c.Leader()
-	if name == c.o.Name {
+func (g *Group) notLeader() error {
+	name, addr := g.Leader()
+	if name == g.o.Name {
 		name, addr = "", "" // it is about to step down
 	}
 	return &NotLeader{name, addr}
 }
 
 // Leader is the one that this voter believes in, or "".
-func (c *Group) Leader() (name, addr string) {
-	a, id := c.raft.LeaderWithID()
+func (g *Group) Leader() (name, addr string) {
+	a, id := g.raft.LeaderWithID()
 	return string(id), string(a)
 }
 
 // Last is the index of the newest entry in this voter's log, committed or not; 0 for an empty one.
-func (c *Group) Last() uint64 { return c.raft.LastIndex() }
+func (g *Group) Last() uint64 { return g.raft.LastIndex() }
 
 // Changes tells of elections and their ends; of 16 that nobody took, the oldest goes.
-func (c *Group) Changes() <-chan State { return c.states }
+func (g *Group) Changes() <-chan State { return g.states }
 
 // Addr is the address that others are told.
-func (c *Group) Addr() string { return string(c.trans.LocalAddr()) }
+func (g *Group) Addr() string { return string(g.trans.LocalAddr()) }
 
 // Failed is why this voter is out of the raft group, or nil.
-func (c *Group) Failed() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.failed
+func (g *Group) Failed() error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.failed
 }
 
 // Close stops this voter and leaves its store as it is, without a word; see HandOver for before.
-func (c *Group) Close() error {
+func (g *Group) Close() error {
 	var err error
-	c.once.Do(func() {
-		close(c.stop)
-		err = c.shutdown().Error()
-		c.done.Wait()
-		err = errors.Join(err, c.trans.Close(), c.store.Close())
+	g.once.Do(func() {
+		close(g.stop)
+		err = g.shutdown().Error()
+		g.done.Wait()
+		err = errors.Join(err, g.trans.Close(), g.store.Close())
 	})
 	return err
 }
 
 // shutdown ends raft once; each caller may wait for it.
-func (c *Group) shutdown() raft.Future {
-	c.down.Do(func() {
-		c.ended = c.raft.Shutdown()
-		_ = c.streamLayer.Close() // so that nothing of raft's waits for a link
+func (g *Group) shutdown() raft.Future {
+	g.down.Do(func() {
+		g.ended = g.raft.Shutdown()
+		_ = g.streamLayer.Close() // so that nothing of raft's waits for a link
 	})
-	return c.ended
+	return g.ended
 }
--- a/internal/fleet/raftgroup/leadership.go
+++ b/internal/fleet/raftgroup/leadership.go
@@ -5,79 +5,79 @@
 )
 
 // announce tells of elections, once what was committed before is applied.
-func (c *Group) announce() {
-	defer c.done.Done()
-	leading, said := false, false
+func (g *Group) announce() {
+	defer g.done.Done()
+	leading, announced := false, false
 	for {
 		select {
-		case <-c.stop:
+		case <-g.stop:
 			return
-		case leading = <-c.led:
+		case leading = <-g.led:
 		}
 		if !leading {
-			if said {
-				c.say(State{Term: c.raft.CurrentTerm()})
+			if announced {
+				g.publish(State{Term: g.raft.CurrentTerm()})
 			}
-			said = false
+			announced = false
 			continue
 		}
-		for leading && !said {
-			term := c.raft.CurrentTerm()
-			if err := c.raft.Barrier(BarrierTimeout).Error(); err == nil && c.raft.CurrentTerm() == term {
-				said = true
-				c.say(State{Leading: true, Term: term})
-			} else if c.raft.State() != raft.Leader {
+		for leading && !announced {
+			term := g.raft.CurrentTerm()
+			if err := g.raft.Barrier(BarrierTimeout).Error(); err == nil && g.raft.CurrentTerm() == term {
+				announced = true
+				g.publish(State{Leading: true, Term: term})
+			} else if g.raft.State() != raft.Leader {
 				break // the end is on its way
 			}
 		}
 	}
 }
 
-func (c *Group) say(s State) {
+func (g *Group) publish(s State) {
 	for {
 		select {
-		case c.states <- s:
+		case g.states <- s:
 			return
 		default:
 		}
 		select {
-		case <-c.states:
+		case <-g.states:
 		default:
 		}
 	}
 }
 
 // fail takes this voter out of the raft group: its store cannot be relied on.
-func (c *Group) fail(err error) {
-	c.mu.Lock()
-	first := c.failed == nil
+func (g *Group) fail(err error) {
+	g.mu.Lock()
+	first := g.failed == nil
 	if first {
-		c.failed = err
+		g.failed = err
 	}
-	c.mu.Unlock()
+	g.mu.Unlock()
 	if !first {
 		return
 	}
-	c.log.Errorf("out of the raft group until opened again: %v", err)
-	c.say(State{Failed: err})
+	g.log.Errorf("out of the raft group until opened again: %v", err)
+	g.publish(State{Failed: err})
 	go func() {
-		if <-c.ready; c.raft != nil {
-			c.shutdown()
+		if <-g.ready; g.raft != nil {
+			g.shutdown()
 		}
 	}()
 }
 
 // observe notes which voters answer this leader. It is called by raft and keeps nothing.
-func (c *Group) observe(o *raft.Observation) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (g *Group) observe(o *raft.Observation) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch d := o.Data.(type) {
 	case raft.FailedHeartbeatObservation:
-		c.silent[string(d.PeerID)] = true
+		g.silent[string(d.PeerID)] = true
 	case raft.ResumedHeartbeatObservation:
-		delete(c.silent, string(d.PeerID))
+		delete(g.silent, string(d.PeerID))
 	case raft.LeaderObservation:
-		clear(c.silent)
+		clear(g.silent)
 	}
 	return false
 }
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -83,6 +83,7 @@
 
 // playRest is a process of the fleet: for each line on its input it writes what it counts.
 func playRest(raw string) {
+	// Long: the body of a child process: its set-up, then its answers line by line.
 	var p restOf
 	fail := func(err error) {
 		if err != nil {
@@ -181,6 +182,7 @@
 
 // TestRest is `make fleet-rest`.
 func TestRest(t *testing.T) {
+	// Long: one measurement over several processes, with its set-up and its report.
 	restNodes, err := strconv.Atoi(os.Getenv("BIRCHCART_REST"))
 	if err != nil || restNodes < 6 || restNodes > 400 {
 		t.Skip("set BIRCHCART_REST to the number of nodes, 6 to 400, of which five vote")
@@ -251,7 +253,7 @@
 			}
 		}
 	}
-	heard := func() (n int, leader string) { // by the grants files, whose lease holds and who is the same leader's
+	confirmedAt := func() (n int, leader string) { // by the grants files, whose lease holds and who is the same leader's
 		var index uint64
 		for i := range restNodes {
 			var g grantsfile.File
@@ -265,7 +267,7 @@
 		return n, leader
 	}
 	for said := time.Now(); ; {
-		n, leader := heard()
+		n, leader := confirmedAt()
 		up := slices.MinFunc(count(""), func(a, b restCount) int { return a.Up - b.Up }).Up
 		if n == restNodes && up == restNodes {
 			t.Logf("all %d are there after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
@@ -282,11 +284,11 @@
 		time.Sleep(time.Second)
 	}
 	time.Sleep(5 * time.Second) // what the last join set off
-	_, leader := heard()
+	_, leader := confirmedAt()
 	before, at := count("rest"), time.Now()
 	time.Sleep(restSpan)
 	after, span := count("end"), time.Since(at).Seconds()
-	left, still := heard()
+	left, still := confirmedAt()
 	figure := func(what string, from, to int) {
 		var bytes, packets, most int64
 		for i := from; i < to; i++ {
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -16,9 +16,9 @@
 		return
 	}
 	n.sessions = sessionpart.New(sessionpart.Host{
-		Name: n.name, StartTime: n.start, State: n.state, Exchange: s.Exchange, Controller: n.lead,
+		Name: n.name, StartTime: n.start, State: n.state, Exchange: s.Exchange, Controller: n.controller,
 		Names: s.Config.Names, Policy: &s.Config.Policy, Log: n.log,
-		Section: n.section, Send: n.send, Wake: n.nudge, Warn: n.warn,
+		Section: n.section, Send: n.send, Wake: n.wakeUp, Warn: n.warn,
 	}, section)
 	n.done.Go(func() { n.sessions.Run(ctx) })
 }
@@ -26,8 +26,8 @@
 // sessionTurn is what a step of the sessions' part goes by.
 func (n *Node) sessionTurn(now time.Duration) sessionpart.Turn {
 	return sessionpart.Turn{
-		Now: now, Index: n.index, Epoch: n.era, AgreedTime: n.agreedNow, Leader: n.leader, Term: n.term, Group: n.raftGroup,
-		LeaseUntil: n.leaseUntil(now), CaughtUp: n.caught,
+		Now: now, Index: n.index, Epoch: n.epoch, AgreedTime: n.agreedTime, Leader: n.leader, Term: n.term, Group: n.raftGroup,
+		LeaseUntil: n.leaseUntil(now), CaughtUp: n.caughtUp,
 	}
 }
 
@@ -47,4 +47,4 @@
 }
 
 // warn logs a line about others' messages or the disk, a limited number of times.
-func (n *Node) warn(text string) { n.lines.limited(n, n.now(), text) }
+func (n *Node) warn(text string) { n.messageLog.info(n, n.now(), text) }
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -38,6 +38,7 @@
 
 // largest is a state at all of its bounds: machines, requests, items that ended after a whole life, remembered ids.
 func largest(t *testing.T) *agreedstate.Copy {
+	// Long: one state filled to each of its bounds in turn.
 	rnd := rand.New(rand.NewPCG(1, 2))
 	c, now, index := agreedstate.New(), time.Hour, uint64(0)
 	do := func(kind string, body any) {
@@ -69,15 +70,15 @@
 		}
 		do("observe", maintenance.ObserveBody{Machines: ms})
 	}
-	var asks maintenance.RequestsBody
-	for asks.Revision = 1; len(asks.Requests) < maintenance.MaxRequests; {
+	var requests maintenance.RequestsBody
+	for requests.Revision = 1; len(requests.Requests) < maintenance.MaxRequests; {
 		r := maintenance.Request{ID: unlike(rnd), Kind: maintenance.Replica, Reason: unlike(rnd), MaxOutage: time.Hour}
-		if len(asks.Requests) > 1 { // two take in all machines
+		if len(requests.Requests) > 1 { // two take in all machines
 			r.Kind, r.Names = "", []string{unlike(rnd)}
 		}
-		asks.Requests = append(asks.Requests, r)
+		requests.Requests = append(requests.Requests, r)
 	}
-	do("asks", asks)
+	do("asks", requests)
 
 	for revision := range 2 { // two sections of lanes in force, as large as may be
 		var text []byte
@@ -128,7 +129,7 @@
 	return c
 }
 
-// The largest state that the bounds of the order of work allow, with names of 64 bytes, gets to a follower in one message of
+// The largest state that the bounds of the maintenance order allow, with names of 64 bytes, gets to a follower in one message of
 // the gossip.
 func TestTheLargestStateGetsToAFollower(t *testing.T) {
 	if testing.Short() {
@@ -188,25 +189,26 @@
 // A poll or a word that names another sender than the gossip does is left out: nobody polls in another's name by mistake, and
 // one who does it knowingly has to forge the gossip's message too, for which he needs its key.
 func TestNobodySpeaksForAnother(t *testing.T) {
-	n := &Node{state: agreedstate.New(), term: 7, loads: map[string]inventory.LoadReport{}, pollQueue: pollqueue.New()}
-	n.sent.Sequence = 1
+	n := &Node{state: agreedstate.New()}
+	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
+	n.lastPoll.Sequence = 1
 	for _, m := range []peerproto.Message{peerproto.Poll{From: "b", Sequence: 1, Drains: []peerproto.DrainStatus{{Machine: "r1", Fence: 1}}}, peerproto.Reply{From: "b", Sequence: 1, Leader: "b", Term: 9, FromLeader: true}} {
 		raw, err := peerproto.Encode(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := len(n.toLead)
-		n.letter(mailbox.Message{From: "a", Raw: raw})
-		if len(n.toLead) != before || n.pollQueue.Len() != 0 || n.leader != "" || n.answer != nil {
+		before := len(n.controllerInputs)
+		n.handleMessage(mailbox.Message{From: "a", Raw: raw})
+		if len(n.controllerInputs) != before || n.pollQueue.Len() != 0 || n.leader != "" || n.pendingAnswer != nil {
 			t.Errorf("%T of a in the name of b was taken", m)
 		}
-		n.letter(mailbox.Message{From: "b", Raw: raw})
-		if before == 0 && len(n.toLead) != 1 {
+		n.handleMessage(mailbox.Message{From: "b", Raw: raw})
+		if before == 0 && len(n.controllerInputs) != 1 {
 			t.Error("the poll of b was not taken")
 		}
 		n.pollQueue.Clear()
 	}
-	if n.leader != "b" || n.answer == nil {
+	if n.leader != "b" || n.pendingAnswer == nil {
 		t.Error("the word of b was not taken")
 	}
 }
@@ -224,7 +226,7 @@
 		}
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	asks := maintenance.RequestsBody{Revision: 1}
+	requests := maintenance.RequestsBody{Revision: 1}
 	request := func(names int) maintenance.Request {
 		r := maintenance.Request{ID: unlike(rnd), Reason: "disk", MaxOutage: time.Hour}
 		for range names {
@@ -233,14 +235,14 @@
 		return r
 	}
 	encode := func() ([]byte, error) {
-		b, err := json.Marshal(asks)
+		b, err := json.Marshal(requests)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return statemachine.Command{V: 1, ID: "1-1", Part: agreedstate.MaintenancePart, Kind: "asks", At: time.Hour, Body: b}.Encode()
 	}
-	asks.Requests = []maintenance.Request{request(10_000), request(1)}
-	asks.Requests[1].Names = asks.Requests[0].Names // asked for twice
+	requests.Requests = []maintenance.Request{request(10_000), request(1)}
+	requests.Requests[1].Names = requests.Requests[0].Names // asked for twice
 	raw, err := encode()
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +264,7 @@
 		t.Fatalf("%v, %d requests", err, len(to.Maintenance.Requests().Requests))
 	}
 	t.Logf("an entry that asks for 10,000 machines twice has %d bytes", len(raw))
-	asks.Requests = append(asks.Requests, request(10_000), request(10_000))
+	requests.Requests = append(requests.Requests, request(10_000), request(10_000))
 	if _, err := encode(); err == nil || !strings.Contains(err.Error(), "are allowed") {
 		t.Errorf("a file that is too large: %v", err)
 	}
--- a/internal/fleet/whole_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -29,7 +29,7 @@
 	n := &Node{state: &agreedstate.Copy{Machine: statemachine.New(map[string]statemachine.Part{agreedstate.SessionsPart: p})}}
 	for i := range 3 {
 		w := peerproto.Reply{}
-		if err := n.bring(&w, pollqueue.Poll{Epoch: 1}, 2); err != nil {
+		if err := n.fillReply(&w, pollqueue.Poll{Epoch: 1}, 2); err != nil {
 			t.Fatal(err)
 		}
 		if state, err := w.DecodeSnapshot(); err != nil || len(state) == 0 {
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -33,31 +33,31 @@
 )
 
 func (n *Node) init(s serve.Host) {
-	n.name, n.file, n.start, n.news = s.Config.Name, s.Operator, time.Now(), true
+	n.name, n.file, n.start, n.inputsChanged = s.Config.Name, s.Operator, time.Now(), true
 	n.version, n.dir = serve.Version(), s.Operator.Fleet.Dir
 	n.state, n.mailbox = agreedstate.New(), mailbox.New()
-	n.ended, n.verified, n.closed = make(chan drainctl.ProposalResult, ProposingMost), make(chan verified, 1), make(chan struct{}, 1)
-	n.known = make(chan struct{})
-	n.wake, n.drained = make(chan struct{}, 1), make(chan struct{}, 1) // one set is applied at a time
-	n.looks = make(chan voters.Result, 1)
+	n.proposalResults, n.verifications, n.voterClosed = make(chan drainctl.ProposalResult, MaxProposalsInFlight), make(chan verification, 1), make(chan struct{}, 1)
+	n.ready = make(chan struct{})
+	n.wake, n.drainApplied = make(chan struct{}, 1), make(chan struct{}, 1) // one set is applied at a time
+	n.voterResults = make(chan voters.Result, 1)
 	n.drains = n.newDrainStore()
 	n.pollQueue = pollqueue.New()
 	n.loads, n.voters = map[string]inventory.LoadReport{}, map[string]bool{}
 	f := s.Operator.Fleet
 	for name := range f.Voters {
 		n.voters[name] = true
-		n.names = append(n.names, name)
+		n.voterNames = append(n.voterNames, name)
 	}
-	slices.Sort(n.names)
+	slices.Sort(n.voterNames)
 	n.view = view.New(n.name, fleetfile.Milliseconds(f.Lease))
 	n.view.FirstSequence(uint64(n.start.UnixNano()))
-	n.lead = drainctl.New(waveplan.Order)
+	n.controller = drainctl.New(waveplan.Order)
 }
 
 // newDrainStore makes the store of drains in the folder of the start.
 func (n *Node) newDrainStore() *drainstore.Store {
 	return drainstore.New(drainstore.Options{
-		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.s.Exchange.Narrow(machines) },
+		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.host.Exchange.Narrow(machines) },
 		Warn: n.warn,
 	})
 }
@@ -73,10 +73,10 @@
 // open opens gossip, seat and file. An error names the place in the operators' file; what the disk holds is none.
 func (n *Node) open() error {
 	f := n.file.Fleet
-	if err := sessionpart.Validate(f, n.s.Config.Names, &n.s.Config.Policy); err != nil {
+	if err := sessionpart.Validate(f, n.host.Config.Names, &n.host.Config.Policy); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
-	if err := lanepart.Validate(n.file, n.s.Config.Names); err != nil {
+	if err := lanepart.Validate(n.file, n.host.Config.Names); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
 	if f.Grants != "" {
@@ -85,11 +85,11 @@
 			return fmt.Errorf("operators' file: $.fleet.grants_file: %s is no folder", dir)
 		}
 	}
-	if err := n.sit(f); err != nil {
+	if err := n.openVoterAtStart(f); err != nil {
 		return fmt.Errorf("operators' file: %w", err)
 	}
 	m, err := member.Open(member.Options{
-		Name: n.name, Zone: zone(n.s), Incarnation: uint64(n.start.UnixNano()), Bind: f.Gossip.Bind, Advertise: f.Gossip.Advertise,
+		Name: n.name, Zone: zone(n.host), Incarnation: uint64(n.start.UnixNano()), Bind: f.Gossip.Bind, Advertise: f.Gossip.Advertise,
 		Join: f.Gossip.Join, Keys: f.Keys, Log: n.log,
 		Receive: n.receive,
 	})
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// sit takes this co-ordinator's seat, if it has one. A store that can't be used leaves it without a vote.
-func (n *Node) sit(f *operator.Fleet) error {
+// openVoterAtStart takes this co-ordinator's seat, if it has one. A store that can't be used leaves it without a vote.
+func (n *Node) openVoterAtStart(f *operator.Fleet) error {
 	own, ok := f.Voters[n.name]
 	if !ok {
 		return nil
@@ -117,28 +117,28 @@
 		n.log.WithField("dir", f.Dir).Warn("this voter has no store: it votes once a leader knows it as new. At a fleet's first start set $.fleet.council.found")
 		return nil
 	}
-	if err := n.openSeat(f, f.Council.Found); err != nil {
-		n.lost = true
+	if err := n.openVoter(f, f.Council.Found); err != nil {
+		n.storeLost = true
 		n.log.WithError(err).Error("the store of the raft group can't be used: this co-ordinator follows without a vote")
 	}
 	return nil
 }
 
-// openSeat opens this voter's seat; found has it set a raft group up where it has no store.
-func (n *Node) openSeat(f *operator.Fleet, found bool) error {
+// openVoter opens this voter's seat; found has it set a raft group up where it has no store.
+func (n *Node) openVoter(f *operator.Fleet, found bool) error {
 	own := f.Voters[n.name]
 	o := raftgroup.Options{
 		Name: n.name, Dir: f.Dir, Bind: bindOf(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.state.Machine, Log: n.log,
 	}
-	for _, name := range n.names {
+	for _, name := range n.voterNames {
 		o.Voters = append(o.Voters, raftgroup.Voter{Name: name, Addr: f.Voters[name].Address})
 	}
-	seat, err := raftgroup.Open(o)
+	group, err := raftgroup.Open(o)
 	if err != nil {
 		return err
 	}
-	n.raftGroup = seat
-	n.state.Attach(seat)
+	n.raftGroup = group
+	n.state.Attach(group)
 	return nil
 }
 
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"maps"
 	"slices"
 	"time"
@@ -17,12 +16,11 @@
 	"birchcart/internal/fleet/maintenance"
 	"birchcart/internal/fleet/member"
 	"birchcart/internal/fleet/peerproto"
-	"birchcart/internal/fleet/statemachine"
 	"birchcart/internal/fleet/view"
 )
 
-// written is what the grants file was last made of.
-type written struct {
+// writtenGrants is what the grants file was last made of.
+type writtenGrants struct {
 	ever   bool
 	cut    bool
 	leader string
@@ -30,97 +28,112 @@
 	grants []view.Grant
 }
 
-// step gives all news to the pure parts and carries out what they want.
+// stepResult is what the pure parts want, and what was agreed when they were asked.
+type stepResult struct {
+	view             []view.Output
+	controller       []drainctl.Output
+	grants           grantsfile.File
+	limitsRevision   int // agreed
+	requestsRevision int
+}
+
+// step gives all events to the pure parts and carries out what they want.
 func (n *Node) step() {
 	now, wall := n.now(), time.Duration(time.Now().UnixNano())
-	n.taken()
-	n.feed(now)
-	var out []view.Output
-	var propose []drainctl.Output
-	var f grantsfile.File
-	var limits, asks int     // revisions agreed
-	var whole, unlisted bool // of an answer
-	n.state.WithLock(func() {
-		l := n.state.Machine
-		if err := l.Halted(); err != nil && !n.halted {
-			n.halted = true
-			n.toView = append(n.toView, view.Halted{Err: err})
-			n.toLead = append(n.toLead, drainctl.Deposed{})
-		}
-		if l.Index() != n.index || l.Epoch() != n.era || !n.stepped {
-			n.index, n.era, n.stepped = l.Index(), l.Epoch(), true
-			n.toView = append(n.toView, view.Applied{State: n.state.Maintenance, Index: n.index, AgreedTime: l.Now(), Epoch: n.era})
-			n.toLead = append(n.toLead, drainctl.Applied{State: n.state.Maintenance, Index: n.index, Now: l.Now(), Epoch: n.era})
-			f.Items = n.state.Maintenance.Items()
-		}
-		if a := n.answer; a != nil {
-			a.Truncated = a.Truncated || n.index < n.answerAt
-			n.toView, n.answer, whole = append(n.toView, *a), nil, !a.Truncated
-			unlisted = a.NotInInventory
-		}
-		if n.sessions != nil {
-			n.toView = append(n.toView, n.sessions.Urgency(n.now()))
-		}
-		n.agreedNow = l.Now()
-		out = n.view.Step(now, n.toView)
-		// One that was read after its lease is over had the view lay nothing: the drains of the process before stay.
-		n.caught = n.caught || whole && (unlisted || !n.view.CutOff(now))
-		if !n.halted {
-			propose = n.lead.Step(now, wall, n.toLead)
-		}
-		f.Index, f.Now = n.index, l.Now()
-		_, limits = n.state.Maintenance.Limits()
-		asks = n.state.Maintenance.Requests().Revision
-		n.lines.compare(n)
-	})
-	n.toView, n.toLead = n.toView[:0], n.toLead[:0]
-	for _, o := range out {
-		n.do(o)
+	n.takeInputs()
+	n.feedController(now)
+	var r stepResult
+	n.state.WithLock(func() { r = n.stepLocked(now, wall) })
+	n.viewInputs, n.controllerInputs = n.viewInputs[:0], n.controllerInputs[:0]
+	for _, o := range r.view {
+		n.execute(o)
 	}
-	n.drains.DropPrevious(n.now(), n.caught)
+	n.drains.DropPrevious(n.now(), n.caughtUp)
 	n.drains.Retry(now)
-	for _, o := range propose {
-		switch o := o.(type) {
-		case drainctl.Propose:
-			n.propose(o.Command)
-		case drainctl.TransferLeadership:
-			go n.handOver()
-		case drainctl.Log:
-			n.log.Info(o.Text)
-		}
+	for _, o := range r.controller {
+		n.executeController(o)
 	}
 	if n.sessions != nil {
 		n.sessions.Step(n.sessionTurn(now))
-		if fence, leaves := n.sessions.MayLeaveNow(n.agreedNow); leaves {
-			n.goForWork(fence)
+		if fence, leaves := n.sessions.MayLeaveNow(n.agreedTime); leaves {
+			n.shutdownForMaintenance(fence)
 		}
 	}
 	if n.lanes != nil {
 		n.lanes.Step(lanepart.Turn{Now: now, Term: n.term, Group: n.raftGroup})
 	}
-	n.agreedRevision = limits
-	n.hand(now, limits, asks)
-	n.keepSeats(now)
-	n.write(now, f)
-	n.verify(n.now())
-	n.tell(now)
+	n.agreedRevision = r.limitsRevision
+	n.reportFile(now, r.limitsRevision, r.requestsRevision)
+	n.reconcileVoters(now)
+	n.writeGrants(now, r.grants)
+	n.verifyLeadership(n.now())
+	n.logSummary(now)
+}
+
+// stepLocked steps the view and the drain controller while no command is applied.
+func (n *Node) stepLocked(now, wall time.Duration) (r stepResult) {
+	machine, order := n.state.Machine, n.state.Maintenance
+	if err := machine.Halted(); err != nil && !n.halted {
+		n.halted = true
+		n.viewInputs = append(n.viewInputs, view.Halted{Err: err})
+		n.controllerInputs = append(n.controllerInputs, drainctl.Deposed{})
+	}
+	if machine.Index() != n.index || machine.Epoch() != n.epoch || !n.stepped {
+		n.index, n.epoch, n.stepped = machine.Index(), machine.Epoch(), true
+		n.viewInputs = append(n.viewInputs, view.Applied{State: order, Index: n.index, AgreedTime: machine.Now(), Epoch: n.epoch})
+		n.controllerInputs = append(n.controllerInputs, drainctl.Applied{State: order, Index: n.index, Now: machine.Now(), Epoch: n.epoch})
+		r.grants.Items = order.Items()
+	}
+	var complete, notInInventory bool // of an answer
+	if a := n.pendingAnswer; a != nil {
+		a.Truncated = a.Truncated || n.index < n.pendingAnswerIndex
+		n.viewInputs, n.pendingAnswer, complete = append(n.viewInputs, *a), nil, !a.Truncated
+		notInInventory = a.NotInInventory
+	}
+	if n.sessions != nil {
+		n.viewInputs = append(n.viewInputs, n.sessions.Urgency(n.now()))
+	}
+	n.agreedTime = machine.Now()
+	r.view = n.view.Step(now, n.viewInputs)
+	// One that was read after its lease is over had the view apply nothing: the drains of the process before stay.
+	n.caughtUp = n.caughtUp || complete && (notInInventory || !n.view.CutOff(now))
+	if !n.halted {
+		r.controller = n.controller.Step(now, wall, n.controllerInputs)
+	}
+	r.grants.Index, r.grants.Now = n.index, machine.Now()
+	_, r.limitsRevision = order.Limits()
+	r.requestsRevision = order.Requests().Revision
+	n.messageLog.warnIfFileDiffers(n)
+	return r
+}
+
+// executeController carries out what the drain controller wants.
+func (n *Node) executeController(o drainctl.Output) {
+	switch o := o.(type) {
+	case drainctl.Propose:
+		n.propose(o.Command)
+	case drainctl.TransferLeadership:
+		go n.transferLeadership()
+	case drainctl.Log:
+		n.log.Info(o.Text)
+	}
 }
 
-// taken takes the list and the file that came since the last step.
-func (n *Node) taken() {
+// takeInputs takes the list and the file that came since the last step.
+func (n *Node) takeInputs() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.news {
+	if !n.inputsChanged {
 		return
 	}
-	n.news = false
-	if n.list != nil {
-		n.toView = append(n.toView, view.ReplicaList{Replicas: inventory.Machines(n.list)})
-		n.hasList = true
+	n.inputsChanged = false
+	if n.replicas != nil {
+		n.viewInputs = append(n.viewInputs, view.ReplicaList{Replicas: inventory.Machines(n.replicas)})
+		n.hasReplicas = true
 		if n.sessions != nil {
-			n.sessions.SetReplicas(n.list)
+			n.sessions.SetReplicas(n.replicas)
 		}
-		n.listFed = time.Time{}
+		n.replicasFedAt = time.Time{}
 	}
 	if n.sessions != nil {
 		n.sessions.Reload(n.file.Fleet.Sessions)
@@ -128,62 +141,62 @@
 	if n.lanes != nil {
 		n.lanes.Reload(n.file)
 	}
-	n.asks = peerproto.FileReport{From: n.name, Limits: fleetfile.Limits(n.file, &n.s.Config.Policy), Requests: fleetfile.Requests(n.file)}
-	n.askedAt, n.lines.differs = 0, 0
-	n.toLead = append(n.toLead, drainctl.MaintenanceFile{Limits: n.asks.Limits, Requests: n.asks.Requests})
+	n.fileReport = peerproto.FileReport{From: n.name, Limits: fleetfile.Limits(n.file, &n.host.Config.Policy), Requests: fleetfile.Requests(n.file)}
+	n.fileReportAt, n.messageLog.differsRevision = 0, 0
+	n.controllerInputs = append(n.controllerInputs, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
 }
 
-// sample measures the own load and tells it by gossip.
-func (n *Node) sample(now time.Duration) {
-	if now < n.own.At+FeedEvery {
+// sampleLoad measures the own load and publishes it by gossip.
+func (n *Node) sampleLoad(now time.Duration) {
+	if now < n.ownLoad.At+FeedInterval {
 		return
 	}
 	if mean, ok := n.load.Mean(); ok {
 		n.mu.Lock()
 		bears := n.file.Fleet.Bears
 		n.mu.Unlock()
-		n.own = inventory.LoadReport{Load: mean / bears, Known: true, At: now, Epoch: n.era}
-		n.member.SetRecord(member.Record{Load: n.own.Load, Voter: n.raftGroup != nil, Version: n.version})
+		n.ownLoad = inventory.LoadReport{Load: mean / bears, Known: true, At: now, Epoch: n.epoch}
+		n.member.SetRecord(member.Record{Load: n.ownLoad.Load, Voter: n.raftGroup != nil, Version: n.version})
 	}
 }
 
-// feed gives the leader the list and the members.
-func (n *Node) feed(now time.Duration) {
-	n.sample(now)
-	if n.term == 0 || n.fedAt > 0 && now < n.fedAt+FeedEvery {
+// feedController gives the leader the list and the members.
+func (n *Node) feedController(now time.Duration) {
+	n.sampleLoad(now)
+	if n.term == 0 || n.fedAt > 0 && now < n.fedAt+FeedInterval {
 		return
 	}
 	n.fedAt = now
-	n.loads[n.name] = n.own
-	maps.DeleteFunc(n.loads, func(_ string, l inventory.LoadReport) bool { return now-l.At > LoadFor })
-	n.toLead = append(n.toLead, drainctl.Membership{Members: inventory.Coordinators(n.member.Members(), n.loads, n.voters, now)})
+	n.loads[n.name] = n.ownLoad
+	maps.DeleteFunc(n.loads, func(_ string, l inventory.LoadReport) bool { return now-l.At > LoadRetention })
+	n.controllerInputs = append(n.controllerInputs, drainctl.Membership{Members: inventory.Coordinators(n.member.Members(), n.loads, n.voters, now)})
 	n.mu.Lock()
-	list, known := n.list, n.list != nil && !n.stale
+	list, known := n.replicas, n.replicas != nil && !n.replicasStale
 	n.mu.Unlock()
-	if heard := n.s.ListConfirmedAt(); known && heard.After(n.listFed) {
-		n.listFed = heard
-		n.toLead = append(n.toLead, drainctl.ReplicaList{Replicas: inventory.Machines(list), Age: max(time.Since(heard), 0)})
+	if confirmedAt := n.host.ListConfirmedAt(); known && confirmedAt.After(n.replicasFedAt) {
+		n.replicasFedAt = confirmedAt
+		n.controllerInputs = append(n.controllerInputs, drainctl.ReplicaList{Replicas: inventory.Machines(list), Age: max(time.Since(confirmedAt), 0)})
 	}
 }
 
-// do carries out what the view wants.
-func (n *Node) do(o view.Output) {
+// execute carries out what the view wants.
+func (n *Node) execute(o view.Output) {
 	switch o := o.(type) {
 	case view.Drains:
 		n.drains.Set(n.now(), o.Names)
 	case view.Poll:
-		n.pollNow(o)
+		n.sendPoll(o)
 	case view.Grants:
 		n.grants = slices.Clone(o.Items)
 	case view.MayLeave:
-		n.mayLeave(o.Fence)
+		n.leave(o.Fence)
 	case view.Log:
 		n.log.Info(o.Text)
 	}
 }
 
-// mayLeave goes, if the file says so: the lead first, then the drain as by SIGTERM.
-func (n *Node) mayLeave(fence uint64) {
+// leave goes, if the file says so: the leadership first, then the drain as by SIGTERM.
+func (n *Node) leave(fence uint64) {
 	n.mu.Lock()
 	self := n.file.Fleet.Self
 	n.mu.Unlock()
@@ -195,46 +208,20 @@
 		n.sessions.Leave(fence)
 		return
 	}
-	n.goForWork(fence)
+	n.shutdownForMaintenance(fence)
 }
 
-// goForWork ends this co-ordinator as by SIGTERM, the lead first.
-func (n *Node) goForWork(fence uint64) {
+// shutdownForMaintenance ends this co-ordinator as by SIGTERM, the leadership first.
+func (n *Node) shutdownForMaintenance(fence uint64) {
 	n.log.WithField("fence", fence).Info("this co-ordinator goes for work")
 	go func() {
-		n.handOver()
-		n.s.Shutdown()
-	}()
-}
-
-// propose puts a command to the raft group, beside the step.
-func (n *Node) propose(c statemachine.Command) {
-	if n.raftGroup == nil || n.proposing >= ProposingMost {
-		return
-	}
-	raw, err := c.Encode()
-	if err != nil {
-		n.log.WithError(err).Error("a proposal can't be written")
-		n.toLead = append(n.toLead, drainctl.ProposalResult{ID: c.ID, Err: err})
-		return
-	}
-	n.proposing++
-	seat := n.raftGroup
-	go func() {
-		err := seat.ProposeWithin(raw)
-		if errors.Is(err, statemachine.ErrDuplicate) {
-			err = nil
-		}
-		e := drainctl.ProposalResult{}
-		if err, known := outcome(err); known {
-			e = drainctl.ProposalResult{ID: c.ID, Err: err}
-		}
-		n.ended <- e
+		n.transferLeadership()
+		n.host.Shutdown()
 	}()
 }
 
-// write has the grants file replaced, if it would say something else.
-func (n *Node) write(now time.Duration, f grantsfile.File) {
+// writeGrants has the grants file replaced, if it would say something else.
+func (n *Node) writeGrants(now time.Duration, f grantsfile.File) {
 	w := &n.written
 	cut := n.view.CutOff(now)
 	same := w.ever && cut == w.cut && n.leader == w.leader && slices.Equal(n.grants, w.grants)
@@ -249,7 +236,7 @@
 	w.ever, w.cut, w.leader, w.grants = true, cut, n.leader, n.grants
 	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cut, w.items
 	reasons := map[string]string{}
-	for _, r := range n.asks.Requests.Requests {
+	for _, r := range n.fileReport.Requests.Requests {
 		reasons[r.ID] = r.Reason
 	}
 	f.Grants = make([]grantsfile.Grant, len(n.grants))
@@ -262,8 +249,8 @@
 	n.writer.Put(f)
 }
 
-// sameAsks compares by what is written, as the state machine does; no requests are no requests.
-func sameAsks(a, b maintenance.RequestsBody) bool {
+// sameRequests compares by what is written, as the state machine does; no requests are no requests.
+func sameRequests(a, b maintenance.RequestsBody) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
 	return errX == nil && errY == nil && slices.Equal(x, y) ||
--- a/internal/fleet/tell.go
+++ b/internal/fleet/summary.go
@@ -10,55 +10,55 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// LineEvery is the least time between lines about messages, and between those about a file that differs from what was
-// agreed. Twice as long: a fault is told of later; half: twice the lines of which one is enough.
-const LineEvery = 10 * time.Second
+// LogInterval is the least time between log lines about messages, and between those about a file that differs from what was
+// agreed. Twice as long: a fault is logged later; half: twice the lines of which one is enough.
+const LogInterval = 10 * time.Second
 
-// lines bounds what is logged of others' messages.
-type lines struct {
-	at      time.Duration
-	ever    bool
-	left    int
-	differs int // revision for which it was said that the file differs
+// limitedLog bounds what is logged of others' messages.
+type limitedLog struct {
+	loggedAt        time.Duration
+	ever            bool
+	suppressed      int
+	differsRevision int // revision for which it was logged that the file differs
 }
 
-// limited logs a line, unless one was logged just now.
-func (l *lines) limited(n *Node, now time.Duration, text string) {
-	if l.ever && now < l.at+LineEvery {
-		l.left++
+// info logs a line, unless one was logged just now.
+func (l *limitedLog) info(n *Node, now time.Duration, text string) {
+	if l.ever && now < l.loggedAt+LogInterval {
+		l.suppressed++
 		return
 	}
 	e := n.log
-	if l.left > 0 {
-		e = e.WithField("left_out", l.left)
+	if l.suppressed > 0 {
+		e = e.WithField("left_out", l.suppressed)
 	}
 	e.Info(text)
-	l.at, l.ever, l.left = now, true, 0
+	l.loggedAt, l.ever, l.suppressed = now, true, 0
 }
 
-// compare says once that the own file differs from what was agreed under the same revision. It runs in a look.
-func (l *lines) compare(n *Node) {
+// warnIfFileDiffers says once that the own file differs from what was agreed under the same revision. The state is locked.
+func (l *limitedLog) warnIfFileDiffers(n *Node) {
 	limits, revision := n.state.Maintenance.Limits()
-	own := n.asks
-	if revision == 0 || own.Limits.Revision != revision || l.differs == revision {
+	own := n.fileReport
+	if revision == 0 || own.Limits.Revision != revision || l.differsRevision == revision {
 		return
 	}
-	asks := n.state.Maintenance.Requests()
-	if asks.Revision != revision {
+	requests := n.state.Maintenance.Requests()
+	if requests.Revision != revision {
 		return
 	}
-	l.differs = revision
-	if own.Limits.Limits != limits || !sameAsks(own.Requests, asks) {
+	l.differsRevision = revision
+	if own.Limits.Limits != limits || !sameRequests(own.Requests, requests) {
 		n.log.WithField("revision", revision).Warn("the operators' file differs from what was agreed under its revision; give it a higher one")
 	}
 }
 
-// tell logs what an on-call reader wants to see at a glance, as often as the serving's summary.
-func (n *Node) tell(now time.Duration) {
-	if now < n.toldAt+n.s.Config.Limits.TellEvery {
+// logSummary logs what an on-call reader wants to see at a glance, as often as the serving's summary.
+func (n *Node) logSummary(now time.Duration) {
+	if now < n.summaryAt+n.host.Config.Limits.TellEvery {
 		return
 	}
-	n.toldAt = now
+	n.summaryAt = now
 	f := logrus.Fields{
 		"age": n.view.Age(now).Round(time.Millisecond), "cut_off": n.view.CutOff(now), "leader": n.leader, "leads": n.term != 0,
 		"votes": n.raftGroup != nil, "dropped": n.mailbox.Dropped.Load() + n.member.Dropped(),
