--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,8 +15,8 @@
 
 // Sink receives the endpoint list and its changes.
 type Sink interface {
-	Listed(exchange.List)
-	ListFailed()
+	UpdateReplicas(exchange.ReplicaList)
+	WatchFailed()
 }
 
 // Client watches the endpoint list. A feed is one goroutine with one connection. There is one of them, except while the list
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -51,14 +51,14 @@
 }
 
 type sink struct {
-	lists  chan exchange.List
+	lists  chan exchange.ReplicaList
 	failed chan struct{}
 }
 
-func (s *sink) Listed(l exchange.List) { s.lists <- l }
-func (s *sink) ListFailed()            { s.failed <- struct{}{} }
+func (s *sink) UpdateReplicas(l exchange.ReplicaList) { s.lists <- l }
+func (s *sink) WatchFailed()                          { s.failed <- struct{}{} }
 
-func (s *sink) next(t *testing.T) exchange.List {
+func (s *sink) next(t *testing.T) exchange.ReplicaList {
 	t.Helper()
 	select {
 	case l := <-s.lists:
@@ -142,7 +142,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &sink{make(chan exchange.List, 10), make(chan struct{}, 10)}
+	s := &sink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
 	held := int64(5)
 	if ask { // else the watch is opened at once: see TestAHeldListIsWatchedAtOnce
 		held = NoIndex
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -48,7 +48,7 @@
 			f.backoff = c.retry.initialBackoff
 		}
 		if c.onDemand && lasted < c.limits.AgentTime && !closed && c.isActive(f) {
-			c.sink.ListFailed()
+			c.sink.WatchFailed()
 		}
 		if errors.Is(err, errSilent) {
 			f.afterSilence(s)
@@ -175,7 +175,7 @@
 		c.active, c.pending = f, nil
 	}
 	if c.active == f {
-		c.sink.Listed(list)
+		c.sink.UpdateReplicas(list)
 		c.hasList.Store(true)
 	}
 	return true, nil
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -37,7 +37,7 @@
 // Parse reads one object of discovery's. Guards against one odd entry that would hold back the changes of all the
 // others: an entry that can't be used is passed over, one of an unknown status is taken to want nothing new,
 // and odd names both.
-func Parse(raw []byte) (list exchange.List, index int64, odd []string, err error) {
+func Parse(raw []byte) (list exchange.ReplicaList, index int64, odd []string, err error) {
 	var m listMessage
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return list, 0, nil, fmt.Errorf("discovery: %w", err)
@@ -57,7 +57,7 @@
 			odd = append(odd, fmt.Sprintf("%s: address %q", ep.Name, ep.Address))
 			continue
 		}
-		e := exchange.Entry{
+		e := exchange.Endpoint{
 			Name: ep.Name, Address: ep.Address, Zone: ep.Zone, Kind: ep.Type, Cell: ep.Group, State: state, Size: 1,
 		}
 		if ep.Weight != nil {
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -10,8 +10,8 @@
 	"birchcart/policy"
 )
 
-// do carries out one action.
-func (e *Exchange) do(a *policy.Action) {
+// execute carries out one action.
+func (e *Exchange) execute(a *policy.Action) {
 	switch a.Verb {
 	case policy.Send:
 		e.send(a)
@@ -22,15 +22,15 @@
 	case policy.Answer:
 		e.answer(a)
 	case policy.Refuse:
-		e.finish(a.Query, Reply{Status: Refused, After: duration(a.After)})
+		e.finish(a.Query, Reply{Status: Rejected, RetryAfter: duration(a.After)})
 	case policy.Fail:
 		e.finish(a.Query, Reply{Status: Failed})
 	case policy.Probe:
-		if e.cfg.Probes {
-			e.replicas.Probe(a.Replica)
+		if e.config.Probes {
+			e.replicas.CheckHealth(a.Replica)
 		}
 	case policy.Timer:
-		e.after(a.After, timer{handle: a.Handle})
+		e.schedule(a.After, timer{handle: a.Handle})
 	case policy.Watch:
 		e.watcher.Watch()
 	case policy.Log:
@@ -43,44 +43,44 @@
 // send puts an attempt into this turn's call to its replica.
 func (e *Exchange) send(act *policy.Action) {
 	pt := e.parts[act.Part]
-	if pt == nil || pt.q.over || e.ids[act.Replica] == nil {
+	if pt == nil || pt.query.closed || e.replicasByID[act.Replica] == nil {
 		e.log.WithField("part", act.Part).Error("the decisions sent what is not open")
 		return
 	}
 	a := &Attempt{
-		ID: pt.name, Shard: pt.shard, Text: pt.q.Text, Due: pt.q.Due, From: pt.from, Whole: pt.whole,
-		part: pt, replica: act.Replica, no: len(pt.attempts), sentAt: e.clock(e.turned),
+		ID: pt.frameID, Shard: pt.shard, Text: pt.query.Text, Due: pt.query.Due, Previous: pt.previous, Complete: pt.complete,
+		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.decisionTime(e.turnAt),
 	}
 	if act.TryFor > 0 {
-		if due := e.turned.Add(duration(act.TryFor)); due.Before(a.Due) {
+		if due := e.turnAt.Add(duration(act.TryFor)); due.Before(a.Due) {
 			a.Due = due
 		}
 	}
 	pt.attempts = append(pt.attempts, a)
-	pt.q.sent = true
-	pt.q.out++
-	e.sums.attempts++
-	e.load.change(e.turned, 1)
-	e.after(a.Due.Sub(e.turned).Seconds(), timer{attempt: a})
-	for i := range e.calls {
-		if c := &e.calls[i]; c.replica == a.replica && len(c.attempts) < e.limits.CallParts {
+	pt.query.sent = true
+	pt.query.openAttempts++
+	e.counters.attempts++
+	e.load.change(e.turnAt, 1)
+	e.schedule(a.Due.Sub(e.turnAt).Seconds(), timer{attempt: a})
+	for i := range e.outgoing {
+		if c := &e.outgoing[i]; c.replica == a.replica && len(c.attempts) < e.limits.CallParts {
 			c.attempts = append(c.attempts, a)
 			return
 		}
 	}
-	e.calls = append(e.calls, call{a.replica, []*Attempt{a}})
+	e.outgoing = append(e.outgoing, outgoingCall{a.replica, []*Attempt{a}})
 }
 
 // flush hands this turn's calls to the replica side. The first step of a query ends where the first part of
-// its second arrives, and what arrives before that is known everywhere is turned away. So the part that opens
+// its second arrives, and what arrives before that is known everywhere is rejected. So the part that opens
 // a second step goes ahead, and calls with others of that step follow after a short gap.
 func (e *Exchange) flush() {
-	var later []call
-	for _, c := range e.calls {
+	var later []outgoingCall
+	for _, c := range e.outgoing {
 		if len(c.attempts) == 0 {
 			continue
 		}
-		if e.follows(c) {
+		if e.nextStepOf(c) {
 			later = append(later, c)
 			continue
 		}
@@ -92,22 +92,22 @@
 			e.replicas.Send(c.replica, c.attempts)
 		}
 	}
-	clear(e.calls)
-	e.calls = e.calls[:0]
+	clear(e.outgoing)
+	e.outgoing = e.outgoing[:0]
 }
 
-// follows tells whether a call holds a part of a second step that has been opened in this turn; a part that
+// nextStepOf tells whether a call holds a part of a second step that has been opened in this turn; a part that
 // opens one is noted.
-func (e *Exchange) follows(c call) bool {
+func (e *Exchange) nextStepOf(c outgoingCall) bool {
 	wait := false
 	for _, a := range c.attempts {
-		q := a.part.q
-		if a.From == nil {
+		q := a.part.query
+		if a.Previous == nil {
 			continue
 		}
 		if q.opened.IsZero() {
-			q.opened = e.turned
-		} else if q.opened.Equal(e.turned) {
+			q.opened = e.turnAt
+		} else if q.opened.Equal(e.turnAt) {
 			wait = true
 		}
 	}
@@ -120,14 +120,14 @@
 	if q == nil {
 		return
 	}
-	if n := e.cfg.Classes[q.Class].FollowUp; n > 0 && q.step == 1 {
+	if n := e.config.Classes[q.Class].FollowUp; n > 0 && q.step == 1 {
 		e.secondStep(q, n, a.Full)
 		return
 	}
-	r := Reply{Whole: a.Full}
+	r := Reply{Complete: a.Full}
 	for _, pt := range q.parts {
-		if pt.in {
-			r.Found = append(r.Found, Value{pt.shard, pt.value})
+		if pt.answered {
+			r.Values = append(r.Values, Value{pt.shard, pt.value})
 		}
 	}
 	e.finish(a.Query, r)
@@ -138,7 +138,7 @@
 func (e *Exchange) secondStep(q *query, n int, whole bool) {
 	var in []*part
 	for _, pt := range q.parts {
-		if pt.in {
+		if pt.answered {
 			in = append(in, pt)
 		}
 	}
@@ -155,7 +155,7 @@
 	e.closeStep(q)
 	q.parts = nil
 	for _, pt := range in {
-		e.next = append(e.next, e.newPart(q, &part{shard: pt.shard, from: from, whole: whole}, 1/float64(len(in)), 0))
+		e.deferred = append(e.deferred, e.newPart(q, &part{shard: pt.shard, previous: from, complete: whole}, 1/float64(len(in)), 0))
 	}
 }
 
@@ -166,17 +166,17 @@
 		return
 	}
 	if q.pinned {
-		r = e.pins.Final(q.Query, r)
+		r = e.sessionGate.FinalReply(q.Query, r)
 	}
 	q.served = r.Status == Served
-	e.close(q, LaneOver{Status: r.Status})
-	e.recordEnd(q, r.ending(), len(r.Found))
+	e.close(q, LaneOutcome{Status: r.Status})
+	e.recordEnd(q, r.ending(), len(r.Values))
 	q.count(r)
-	e.sums.replies[r.Status]++
+	e.counters.replies[r.Status]++
 	if e.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		e.log.WithFields(logrus.Fields{
-			"query": q.ID, "class": e.names.Classes[q.Class], "status": r.Status, "whole": r.Whole,
-			"found": len(r.Found), "step": q.step, "took": e.turned.Sub(q.Received),
+			"query": q.ID, "class": e.names.Classes[q.Class], "status": r.Status, "whole": r.Complete,
+			"found": len(r.Values), "step": q.step, "took": e.turnAt.Sub(q.Received),
 		}).Debug("a query ended")
 	}
 	q.Reply(r)
--- a/internal/exchange/narrow_test.go
+++ b/internal/exchange/drains_test.go
@@ -24,13 +24,13 @@
 // is what discovery has: the same start, so no new one.
 func TestNarrow(t *testing.T) {
 	s := newStand(t, nil)
-	var told [][]Entry
+	var told [][]Endpoint
 	laid := 0
-	s.e.Narrowable(func(list []Entry, _ bool) { told = append(told, list) }, func() { laid++ })
+	s.e.WatchReplicas(func(list []Endpoint, _ bool) { told = append(told, list) }, func() { laid++ })
 	var events []policy.Event
 	s.e.Observe(func(_ float64, in []policy.Event, _ []policy.Action) { events = append(events, in...) })
 	started := time.Now().Add(-time.Hour)
-	zero, one := Entry{Name: "r0", Address: "a", Cell: 0, Size: 2, Started: started}, Entry{Name: "r1", Address: "b", Cell: 1, Size: 1}
+	zero, one := Endpoint{Name: "r0", Address: "a", Cell: 0, Size: 2, Started: started}, Endpoint{Name: "r1", Address: "b", Cell: 1, Size: 1}
 	send := func(news ...func()) string {
 		for _, do := range news {
 			do()
@@ -38,11 +38,11 @@
 		s.e.turn()
 		return s.states()
 	}
-	list := func(full bool, entries ...Entry) func() {
-		return func() { s.e.Listed(List{Full: full, Entries: entries}) }
+	list := func(full bool, entries ...Endpoint) func() {
+		return func() { s.e.UpdateReplicas(ReplicaList{Full: full, Entries: entries}) }
 	}
-	narrow := func(names ...string) func() { return func() { s.e.Narrow(names) } }
-	as := func(entry Entry, state policy.Readiness) Entry { entry.State = state; return entry }
+	narrow := func(names ...string) func() { return func() { s.e.SetDrains(names) } }
+	as := func(entry Endpoint, state policy.Readiness) Endpoint { entry.State = state; return entry }
 	for i, step := range []struct{ got, want string }{
 		{send(list(true, zero, one)), "[r0 up r1 up]"},
 		{send(narrow("r0", "r7")), "[r0 draining r1 up]"},
@@ -64,7 +64,7 @@
 	}
 	for _, ev := range events {
 		for _, e := range ev.List {
-			if e.Replica == s.e.targets["r0"].Replica && e.State != policy.Removed && (e.Size != 2 || e.Started != s.e.clock(started) || e.Cell != 0) {
+			if e.Replica == s.e.replicasByName["r0"].Replica && e.State != policy.Removed && (e.Size != 2 || e.Started != s.e.decisionTime(started) || e.Cell != 0) {
 				t.Errorf("r0 is told as %+v", e)
 			}
 		}
@@ -75,7 +75,7 @@
 	if laid != 8 {
 		t.Errorf("%d sets were laid", laid)
 	}
-	if last := told[len(told)-1]; len(told) != 8 || !reflect.DeepEqual(last, []Entry{zero, one}) {
+	if last := told[len(told)-1]; len(told) != 8 || !reflect.DeepEqual(last, []Endpoint{zero, one}) {
 		t.Errorf("told %d lists, the last %v", len(told), last)
 	}
 }
@@ -83,21 +83,21 @@
 // What is drained gets nothing new, and its part that was out is answered.
 func TestNarrowedGetsNothingNew(t *testing.T) {
 	s := newStand(t, nil)
-	s.e.Narrowable(nil, nil)
+	s.e.WatchReplicas(nil, nil)
 	load := s.e.Load()
-	s.e.Listed(List{Full: true, Entries: []Entry{{Name: "r0", Address: "a", Size: 1}, {Name: "r1", Address: "b", Cell: 1, Size: 1}}})
+	s.e.UpdateReplicas(ReplicaList{Full: true, Entries: []Endpoint{{Name: "r0", Address: "a", Size: 1}, {Name: "r1", Address: "b", Cell: 1, Size: 1}}})
 	s.e.turn()
 	var first Reply
 	s.ask("first", 0, 0, 1, 2, 3).Reply = func(r Reply) { first = r }
-	out := s.take()
+	out := s.handle()
 	if load.out != 4 {
 		t.Errorf("%d parts out", load.out)
 	}
-	s.e.Narrow([]string{"r0"})
+	s.e.SetDrains([]string{"r0"})
 	for i := range 20 {
 		s.ask(fmt.Sprint("q", i), 0, 0, 1, 2, 3)
 	}
-	more := s.take()
+	more := s.handle()
 	for _, a := range more {
 		if s.p.targets[a.replica].Name == "r0" {
 			t.Fatalf("%s went to what is drained", a.ID)
@@ -110,17 +110,17 @@
 		s.hit(a, 1, "v")
 	}
 	s.e.turn()
-	if first.Status != Served || !first.Whole {
+	if first.Status != Served || !first.Complete {
 		t.Errorf("%+v", first)
 	}
 	if mean, ok := load.Mean(); load.out != 0 || !ok || mean <= 0 {
 		t.Errorf("%d parts out, %v on average", load.out, mean)
 	}
-	s.e.Narrow(nil)
+	s.e.SetDrains(nil)
 	to := map[string]bool{}
 	for i := range 20 {
 		s.ask(fmt.Sprint("l", i), 0, 0, 1, 2, 3)
-		for _, a := range s.take() {
+		for _, a := range s.handle() {
 			to[s.p.targets[a.replica].Name] = true
 			s.hit(a, 1, "v")
 		}
@@ -141,12 +141,12 @@
 			}
 		}
 	})
-	s.e.Narrow([]string{"r0"})
+	s.e.SetDrains([]string{"r0"})
 	s.e.turn()
-	if len(s.p.log) != before || s.e.narrowing != nil {
+	if len(s.p.log) != before || s.e.drainOverlay != nil {
 		t.Error("something came of it")
 	}
-	if n := testing.AllocsPerRun(10, func() { s.e.laidOver(List{}); s.e.load.change(s.e.turned, 1) }); n > 0 {
+	if n := testing.AllocsPerRun(10, func() { s.e.withDrains(ReplicaList{}); s.e.load.change(s.e.turnAt, 1) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/exchange/endings_test.go
+++ b/internal/exchange/endings_test.go
@@ -27,7 +27,7 @@
 	for range 3 {
 		s.e.turn()
 	}
-	if sent := s.take(); len(sent) != 0 || len(s.replies) != 0 {
+	if sent := s.handle(); len(sent) != 0 || len(s.replies) != 0 {
 		s.Errorf("%d attempts were sent and %d replies given", len(sent), len(s.replies))
 	}
 	s.empty()
@@ -37,17 +37,17 @@
 // comes with the query, or even before. Nothing of it is sent, and its id is free.
 func TestLeavingAtTheArrival(t *testing.T) {
 	for name, steps := range map[string]func(s *stand, q *Query){
-		"behind it in its turn":    func(s *stand, q *Query) { s.e.Submit(q); s.e.Leave(q) },
-		"before it in its turn":    func(s *stand, q *Query) { s.e.Leave(q); s.e.Submit(q) },
-		"in the turn before it":    func(s *stand, q *Query) { s.e.Leave(q); s.e.turn(); s.e.Submit(q) },
-		"twice, and on both sides": func(s *stand, q *Query) { s.e.Leave(q); s.e.Submit(q); s.e.Leave(q) },
+		"behind it in its turn":    func(s *stand, q *Query) { s.e.Submit(q); s.e.ClientGone(q) },
+		"before it in its turn":    func(s *stand, q *Query) { s.e.ClientGone(q); s.e.Submit(q) },
+		"in the turn before it":    func(s *stand, q *Query) { s.e.ClientGone(q); s.e.turn(); s.e.Submit(q) },
+		"twice, and on both sides": func(s *stand, q *Query) { s.e.ClientGone(q); s.e.Submit(q); s.e.ClientGone(q) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStand(t, nil)
 			steps(s, s.query("q", 0, 1, 2))
 			s.silent()
 			s.ask("q", 0, 1)
-			if len(s.take()) != 1 {
+			if len(s.handle()) != 1 {
 				t.Error("the id is not free")
 			}
 		})
@@ -57,7 +57,7 @@
 // secondStep has a query's first step answered; with the next turn its second would begin.
 func (s *stand) secondStep(leave func(q *Query)) {
 	q := s.ask("q", 1, 1, 2, 3)
-	for _, a := range s.take() {
+	for _, a := range s.handle() {
 		s.hit(a, int64(a.Shard), "first")
 	}
 	leave(q)
@@ -71,11 +71,11 @@
 			s.secondStep(func(q *Query) {
 				if waits {
 					s.e.turn()
-					if len(s.e.next) == 0 {
+					if len(s.e.deferred) == 0 {
 						t.Fatal("no second step")
 					}
 				}
-				s.e.Leave(q)
+				s.e.ClientGone(q)
 			})
 			s.silent()
 		})
@@ -90,13 +90,13 @@
 	s.secondStep(func(q *Query) { left = q })
 	s.e.turn()
 	s.e.turn()
-	sent := s.take()
-	if len(sent) != 2 || sent[0].From == nil {
+	sent := s.handle()
+	if len(sent) != 2 || sent[0].Previous == nil {
 		t.Fatalf("%d sent", len(sent))
 	}
 	s.p.written[sent[1]] = false
 	s.p.log = nil
-	s.e.Leave(left)
+	s.e.ClientGone(left)
 	s.e.turn()
 	for _, a := range sent {
 		if !slices.Contains(s.p.log, "withdraw "+a.ID) {
@@ -110,15 +110,15 @@
 func TestLeavingWhereNothingMayBeCancelled(t *testing.T) {
 	s := newStand(t, func(c *config.Config) { c.Policy.Cancel = false })
 	q := s.ask("q", 0, 1, 2)
-	sent := s.take()
+	sent := s.handle()
 	s.p.written[sent[1]] = false
 	s.p.log = nil
-	s.e.Leave(q)
+	s.e.ClientGone(q)
 	s.e.turn()
 	if !slices.Equal(s.p.log, []string{"unsend " + sent[1].ID}) {
 		t.Errorf("%v", s.p.log)
 	}
-	s.e.Ended(Result{Attempt: sent[0], Outcome: policy.OK, At: time.Now()})
+	s.e.AttemptEnded(Result{Attempt: sent[0], Outcome: policy.OK, At: time.Now()})
 	s.silent()
 }
 
@@ -127,13 +127,13 @@
 	for _, leftFirst := range []bool{true, false} {
 		s := newStand(t, nil)
 		q := s.ask("q", 0, 1)
-		a := s.take()[0]
+		a := s.handle()[0]
 		if leftFirst {
-			s.e.Leave(q)
+			s.e.ClientGone(q)
 		}
 		s.hit(a, 1, "v")
 		if !leftFirst {
-			s.e.Leave(q)
+			s.e.ClientGone(q)
 		}
 		s.e.turn()
 		if leftFirst == (len(s.replies) == 1) || len(s.replies) > 1 {
@@ -149,7 +149,7 @@
 func TestOneAnswerAtTheEnd(t *testing.T) {
 	s := newStand(t, nil)
 	q := s.ask("q", 0, 1, 2)
-	sent := s.take()
+	sent := s.handle()
 	s.p.log = nil
 	s.hit(sent[0], 1, "v")
 	s.hit(sent[1], 1, "v")
@@ -166,7 +166,7 @@
 	if strings.Contains(strings.Join(s.p.log, " "), "send") {
 		t.Errorf("%v", s.p.log)
 	}
-	s.e.Leave(q)
+	s.e.ClientGone(q)
 	s.silent()
 }
 
@@ -176,9 +176,9 @@
 		s := newStand(t, nil)
 		q := s.ask("q", 0, 1)
 		s.e.send(&policy.Action{
-			Verb: policy.Send, Part: s.e.byID["q"].parts[0].id, Replica: s.e.targets["r0"].Replica, TryFor: tryFor,
+			Verb: policy.Send, Part: s.e.byRequestID["q"].parts[0].id, Replica: s.e.replicasByName["r0"].Replica, TryFor: tryFor,
 		})
-		if a := s.e.calls[0].attempts[0]; a.Due.Equal(q.Due) != whole || a.Due.After(q.Due) {
+		if a := s.e.outgoing[0].attempts[0]; a.Due.Equal(q.Due) != whole || a.Due.After(q.Due) {
 			t.Errorf("tried for %v s: due %v after the client", tryFor, a.Due.Sub(q.Due))
 		}
 	}
@@ -188,10 +188,10 @@
 func TestNoLaterAttemptOutlivesItsClient(t *testing.T) {
 	s := newStand(t, nil)
 	q := s.ask("q", 1, 1, 2)
-	first := s.take()
-	s.e.Ended(Result{Attempt: first[0], Outcome: policy.Failed, At: time.Now()})
+	first := s.handle()
+	s.e.AttemptEnded(Result{Attempt: first[0], Outcome: policy.Failed, At: time.Now()})
 	s.e.turn()
-	again := s.take()
+	again := s.handle()
 	if len(again) != 1 {
 		t.Fatalf("%d further attempts", len(again))
 	}
@@ -199,8 +199,8 @@
 	s.hit(first[1], 1, "v")
 	s.e.turn()
 	s.e.turn()
-	second := s.take()
-	if len(second) != 2 || second[0].From == nil {
+	second := s.handle()
+	if len(second) != 2 || second[0].Previous == nil {
 		t.Fatalf("%d attempts of a second step", len(second))
 	}
 	for _, a := range slices.Concat(again, second) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -20,7 +20,7 @@
 // Exchange owns the decisions and what is open.
 type Exchange struct {
 	policy   *policy.Policy
-	cfg      policy.Config
+	config   policy.Config
 	names    *settings.Names
 	limits   config.Limits
 	log      *logrus.Entry
@@ -33,78 +33,78 @@
 	wake  chan struct{}
 
 	// What follows belongs to the goroutine of Run.
-	taken   []message // the inbox of this turn
-	events  []policy.Event
-	next    []policy.Event // for the next turn: second steps, and attempts that were withdrawn
-	lastID  uint64
-	record  *record.Writer // nil: nothing is recorded
-	routes  *routes        // nil: no query has one
-	leaving []*query       // their clients have gone in this turn
-	queries map[uint64]*query
-	byID    map[string]*query // open, or of late with parts sent: till its end their ids may be at replicas
-	parts   map[uint64]*part
-	held    int // queries and parts open
-	targets map[string]*known
-	ids     map[uint64]*known
-	timers  timers
-	turned  time.Time // the last turn
-	sums    sums
-	toldAt  time.Time
-	calls   []call
-	observe func(now float64, events []policy.Event, actions []policy.Action)
-
-	narrowing *narrowing // nil: nothing is laid over the list
-	load      *Load      // nil: not measured
-	pins      Pins       // nil: no query is pinned
-	lanes     Lanes      // nil: the fleet sheds nothing
-	yielding  map[bounded]*policy.Limits
+	batch          []message // the inbox of this turn
+	events         []policy.Event
+	deferred       []policy.Event // for the next turn: second steps, and attempts that were withdrawn
+	lastID         uint64
+	record         *record.Writer // nil: nothing is recorded
+	routes         *routes        // nil: no query has one
+	clientsGone    []*query       // their clients have gone in this turn
+	queries        map[uint64]*query
+	byRequestID    map[string]*query // open, or of late with parts sent: till its end their ids may be at replicas
+	parts          map[uint64]*part
+	openCount      int // queries and parts open
+	replicasByName map[string]*replicaEntry
+	replicasByID   map[uint64]*replicaEntry
+	timers         timers
+	turnAt         time.Time // the last turn
+	counters       counters
+	loggedAt       time.Time
+	outgoing       []outgoingCall
+	observe        func(now float64, events []policy.Event, actions []policy.Action)
+
+	drainOverlay   *drainOverlay // nil: nothing is laid over the list
+	load           *Load         // nil: not measured
+	sessionGate    SessionGate   // nil: no query is pinned
+	laneGate       LaneGate      // nil: the fleet sheds nothing
+	limitOverrides map[limitKey]*policy.Limits
 }
 
 // query is one that is open.
 type query struct {
 	*Query
-	id    uint64 // of the query, and of its group
-	step  int
-	parts []*part
-	sent  bool // an attempt has gone
-	over  bool
-	way   *routes // under which it was taken; nil: none
-	route int
+	id     uint64 // of the query, and of its group
+	step   int
+	parts  []*part
+	sent   bool // an attempt has gone
+	closed bool
+	routes *routes // under which it was taken; nil: none
+	route  int
 
 	opened time.Time // the turn in which the first part of the second step went
 
-	// Of a session: pinned until its end was told, and whether it waits, ran, and may have parts that still run.
-	pinned, waits, served, ran, strays bool
-	out                                int    // attempts that have not ended
-	last                               *Reply // by which its session ended it; nil: it did not
+	// Of a session: pinned until its end was reported, and whether it waits, ran, and may have parts that still run.
+	pinned, waiting, served, ran, mayStillRun bool
+	openAttempts                              int    // attempts that have not ended
+	sessionReply                              *Reply // by which its session ended it; nil: it did not
 
-	entered Entered // laned: what the lanes said; they are told of its end
-	laned   bool
+	laneVerdict LaneVerdict // laned: what the verdict of the lanes; the lanes are notified of its end
+	inLane      bool
 }
 
 // part of a query's present step.
 type part struct {
 	id       uint64
-	q        *query
-	name     string // its id on the frames
+	query    *query
+	frameID  string // its id on the frames
 	shard    int
-	from     []int // second step
-	whole    bool
+	previous []int // second step
+	complete bool
 	attempts []*Attempt
-	in       bool
+	answered bool
 	score    int64
 	value    []byte
 }
 
-// known is one replica that discovery named.
-type known struct {
+// replicaEntry is one replica that discovery named.
+type replicaEntry struct {
 	Target
 	listed bool
 	goneAt time.Time // since when it is removed
 }
 
-// call is what one turn sends to one replica.
-type call struct {
+// outgoingCall is what one turn sends to one replica.
+type outgoingCall struct {
 	replica  uint64
 	attempts []*Attempt
 }
@@ -112,10 +112,10 @@
 // New returns an exchange; Join connects it before Run.
 func New(cfg *config.Config, log *logrus.Entry) *Exchange {
 	return &Exchange{
-		policy: policy.New(cfg.Policy), cfg: cfg.Policy, names: cfg.Names, limits: cfg.Limits, log: log,
+		policy: policy.New(cfg.Policy), config: cfg.Policy, names: cfg.Names, limits: cfg.Limits, log: log,
 		start: time.Now(), wake: make(chan struct{}, 1),
-		queries: map[uint64]*query{}, byID: map[string]*query{}, parts: map[uint64]*part{},
-		targets: map[string]*known{}, ids: map[uint64]*known{},
+		queries: map[uint64]*query{}, byRequestID: map[string]*query{}, parts: map[uint64]*part{},
+		replicasByName: map[string]*replicaEntry{}, replicasByID: map[uint64]*replicaEntry{},
 	}
 }
 
@@ -129,35 +129,35 @@
 }
 
 // Submit takes a query from the client side. Like all of the following it may be called from anywhere.
-func (e *Exchange) Submit(q *Query) { e.put(q) }
+func (e *Exchange) Submit(q *Query) { e.enqueue(q) }
 
-// Leave tells that the client of a query has gone. It may overtake the query's own Submit, which another goroutine calls.
-func (e *Exchange) Leave(q *Query) {
+// ClientGone says that the client of a query has gone. It may overtake the query's own Submit, which another goroutine calls.
+func (e *Exchange) ClientGone(q *Query) {
 	e.mu.Lock()
-	q.gone = true
+	q.clientGone = true
 	e.mu.Unlock()
-	e.put(left{q})
+	e.enqueue(clientGone{q})
 }
 
-func (e *Exchange) hasLeft(q *Query) bool {
+func (e *Exchange) isClientGone(q *Query) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return q.gone
+	return q.clientGone
 }
 
-// Ended takes the end of an attempt from the replica side.
-func (e *Exchange) Ended(r Result) { e.put(r) }
+// AttemptEnded takes the end of an attempt from the replica side.
+func (e *Exchange) AttemptEnded(r Result) { e.enqueue(r) }
 
-// Probed takes the end of a probe.
-func (e *Exchange) Probed(p Probed) { e.put(p) }
+// HealthChecked takes the outcome of a health check.
+func (e *Exchange) HealthChecked(p HealthCheck) { e.enqueue(p) }
 
-// Listed takes news of the list.
-func (e *Exchange) Listed(l List) { e.put(l) }
+// UpdateReplicas takes a change of the endpoint list.
+func (e *Exchange) UpdateReplicas(l ReplicaList) { e.enqueue(l) }
 
-// ListFailed tells that a watch could not be had or has ended.
-func (e *Exchange) ListFailed() { e.put(listFailed{}) }
+// WatchFailed says that a watch could not be opened or has ended.
+func (e *Exchange) WatchFailed() { e.enqueue(watchFailed{}) }
 
-func (e *Exchange) put(m message) {
+func (e *Exchange) enqueue(m message) {
 	e.mu.Lock()
 	e.inbox = append(e.inbox, m)
 	e.mu.Unlock()
@@ -181,7 +181,7 @@
 		case <-timer.C:
 		case <-e.wake:
 		}
-		if gap := time.Duration(e.cfg.Resolution*float64(time.Second)) - time.Since(e.turned); gap > 0 {
+		if gap := time.Duration(e.config.Resolution*float64(time.Second)) - time.Since(e.turnAt); gap > 0 {
 			time.Sleep(gap)
 		}
 		e.turn()
@@ -191,7 +191,7 @@
 // sleep sets the timer to the next thing that is due.
 func (e *Exchange) sleep(timer *time.Timer) {
 	switch {
-	case len(e.next) > 0:
+	case len(e.deferred) > 0:
 		timer.Reset(0)
 	case len(e.timers) > 0:
 		timer.Reset(time.Until(e.timers[0].at))
@@ -203,65 +203,65 @@
 // turn is one round: all that came in goes to the decisions, and what they want is done.
 func (e *Exchange) turn() {
 	e.mu.Lock()
-	e.taken, e.inbox = e.inbox, e.taken[:0]
+	e.batch, e.inbox = e.inbox, e.batch[:0]
 	e.mu.Unlock()
-	e.turned = time.Now()
+	e.turnAt = time.Now()
 	e.events = e.events[:0]
-	for _, m := range e.taken {
-		if _, ahead := m.(news); ahead {
-			m.take(e)
+	for _, m := range e.batch {
+		if _, ahead := m.(control); ahead {
+			m.handle(e)
 		}
 	}
-	e.events = append(e.events, e.next...)
-	e.next = e.next[:0]
-	for _, m := range e.taken {
-		if _, ahead := m.(news); !ahead {
-			m.take(e)
+	e.events = append(e.events, e.deferred...)
+	e.deferred = e.deferred[:0]
+	for _, m := range e.batch {
+		if _, ahead := m.(control); !ahead {
+			m.handle(e)
 		}
 	}
-	clear(e.taken)
-	e.due()
-	now := e.clock(e.turned)
+	clear(e.batch)
+	e.fireTimers()
+	now := e.decisionTime(e.turnAt)
 	actions := e.policy.Handle(now, e.events)
 	if e.observe != nil {
 		e.observe(now, e.events, actions)
 	}
 	for i := range actions {
-		e.do(&actions[i])
+		e.execute(&actions[i])
 	}
-	e.closeLeft()
+	e.closeGoneClients()
 	e.flush()
-	if e.turned.Sub(e.toldAt) >= e.limits.TellEvery {
-		e.tell()
+	if e.turnAt.Sub(e.loggedAt) >= e.limits.TellEvery {
+		e.logSummary()
 	}
 }
 
-// sums count what happened since the last line that told of it.
-type sums struct {
+// counters count what happened since the last summary.
+type counters struct {
 	queries, attempts, full int
 	replies                 [Conflict + 1]int
 	left                    int
 	outcomes                [policy.Moot + 1]int
 }
 
-// tell logs what an on-call reader wants to see at a glance.
-func (e *Exchange) tell() {
-	if s := &e.sums; s.queries > 0 || len(e.queries) > 0 {
+// logSummary logs what an on-call reader wants to see at a glance.
+func (e *Exchange) logSummary() {
+	if s := &e.counters; s.queries > 0 || len(e.queries) > 0 {
 		e.log.WithFields(logrus.Fields{
-			"queries": s.queries, "served": s.replies[Served], "refused": s.replies[Refused],
-			"failed": s.replies[Failed], "left": s.left, "full": s.full, "open": len(e.queries), "held": e.held,
+			"queries": s.queries, "served": s.replies[Served], "refused": s.replies[Rejected],
+			"failed": s.replies[Failed], "left": s.left, "full": s.full, "open": len(e.queries), "held": e.openCount,
 			"attempts": s.attempts, "ok": s.outcomes[policy.OK], "fault": s.outcomes[policy.Failed],
 			"overload": s.outcomes[policy.Rejected], "unreachable": s.outcomes[policy.Unreachable],
 			"broken": s.outcomes[policy.Broken], "timed_out": s.outcomes[policy.TimedOut],
 			"given_up": s.outcomes[policy.Revoked],
 		}).Info("summary")
 	}
-	e.tellRoutes()
-	e.sums, e.toldAt = sums{}, e.turned
+	e.logRoutes()
+	e.counters, e.loggedAt = counters{}, e.turnAt
 }
 
-// clock translates a time into the decisions' seconds.
-func (e *Exchange) clock(t time.Time) float64 { return epoch + t.Sub(e.start).Seconds() }
+// decisionTime translates a time into the decisions' seconds.
+func (e *Exchange) decisionTime(t time.Time) float64 { return epoch + t.Sub(e.start).Seconds() }
 
 // timer is one thing that will be due: the decisions' own, the end of an attempt or of a query.
 type timer struct {
@@ -285,22 +285,22 @@
 	return x
 }
 
-// due reports what is due by now.
-func (e *Exchange) due() {
-	for len(e.timers) > 0 && !e.timers[0].at.After(e.turned) {
+// fireTimers reports what is due by now.
+func (e *Exchange) fireTimers() {
+	for len(e.timers) > 0 && !e.timers[0].at.After(e.turnAt) {
 		t := heap.Pop(&e.timers).(timer)
 		switch {
 		case t.attempt != nil:
 			e.expire(t.attempt)
 		case t.query != nil:
-			e.overdue(t.query)
+			e.queryOverdue(t.query)
 		default:
 			e.events = append(e.events, policy.Event{Kind: policy.TimerFired, Handle: t.handle})
 		}
 	}
 }
 
-func (e *Exchange) after(seconds float64, t timer) {
-	t.at = e.turned.Add(time.Duration(seconds * float64(time.Second)))
+func (e *Exchange) schedule(seconds float64, t timer) {
+	t.at = e.turnAt.Add(time.Duration(seconds * float64(time.Second)))
 	heap.Push(&e.timers, t)
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -36,12 +36,12 @@
 	p.log = append(p.log, fmt.Sprint("send ", p.targets[replica].Name))
 }
 
-func (p *pool) Withdraw(a *Attempt) (bool, bool) {
+func (p *pool) Cancel(a *Attempt) (bool, bool) {
 	p.log = append(p.log, "withdraw "+a.ID)
 	return true, p.written[a]
 }
 
-func (p *pool) Unsend(a *Attempt) bool {
+func (p *pool) CancelUnsent(a *Attempt) bool {
 	if p.written[a] {
 		return false
 	}
@@ -49,7 +49,7 @@
 	return true
 }
 
-func (p *pool) Probe(uint64) {}
+func (p *pool) CheckHealth(uint64) {}
 
 type stand struct {
 	*testing.T
@@ -82,7 +82,7 @@
 	log.SetOutput(io.Discard)
 	s := &stand{T: t, e: New(cfg, logrus.NewEntry(log)), p: &pool{targets: map[uint64]Target{}, written: map[*Attempt]bool{}}}
 	s.e.Join(s.p, nil)
-	s.e.Listed(List{Full: true, Entries: []Entry{
+	s.e.UpdateReplicas(ReplicaList{Full: true, Entries: []Endpoint{
 		{Name: "r0", Address: "a", Cell: 0, Size: 1}, {Name: "r1", Address: "b", Cell: 1, Size: 1},
 	}})
 	s.e.turn()
@@ -101,8 +101,8 @@
 	return q
 }
 
-// take returns what was sent since the last call, all of it written.
-func (s *stand) take() []*Attempt {
+// handle returns what was sent since the last call, all of it written.
+func (s *stand) handle() []*Attempt {
 	out := s.p.sent
 	s.p.sent = nil
 	for _, a := range out {
@@ -112,7 +112,7 @@
 }
 
 func (s *stand) hit(a *Attempt, score int64, value string) {
-	s.e.Ended(Result{Attempt: a, Outcome: policy.OK, At: time.Now(), Score: score, Value: []byte(value)})
+	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.OK, At: time.Now(), Score: score, Value: []byte(value)})
 }
 
 func (s *stand) reply() Reply {
@@ -129,15 +129,15 @@
 func (s *stand) empty() {
 	s.Helper()
 	s.e.turn()
-	if e := s.e; len(e.queries)+len(e.parts)+e.held != 0 {
-		s.Errorf("left: %d queries, %d parts, %d held", len(e.queries), len(e.parts), e.held)
+	if e := s.e; len(e.queries)+len(e.parts)+e.openCount != 0 {
+		s.Errorf("left: %d queries, %d parts, %d held", len(e.queries), len(e.parts), e.openCount)
 	}
 }
 
 func TestAQueryIsAnsweredWithItsValues(t *testing.T) {
 	s := newStand(t, nil)
 	s.ask("q", 0, 1, 2, 3)
-	sent := s.take()
+	sent := s.handle()
 	if len(sent) != 3 || sent[0].Due.IsZero() || string(sent[0].Text) != "t" {
 		t.Fatalf("%+v", sent)
 	}
@@ -151,7 +151,7 @@
 	}
 	s.e.turn()
 	r := s.reply()
-	if r.Status != Served || !r.Whole || len(r.Found) != 3 || string(r.Found[0].Item) != "v of q.1" || r.Found[0].Shard != 1 {
+	if r.Status != Served || !r.Complete || len(r.Values) != 3 || string(r.Values[0].Item) != "v of q.1" || r.Values[0].Shard != 1 {
 		t.Fatalf("%+v", r)
 	}
 	s.empty()
@@ -162,7 +162,7 @@
 	s := newStand(t, nil)
 	s.ask("q", 1, 1, 2, 3)
 	scores := map[int]int64{1: 5, 2: 9, 3: 7}
-	for _, a := range s.take() {
+	for _, a := range s.handle() {
 		s.hit(a, scores[a.Shard], "first")
 	}
 	s.e.turn()
@@ -170,19 +170,19 @@
 		t.Fatal("answered after the first step")
 	}
 	s.e.turn()
-	sent := s.take()
+	sent := s.handle()
 	if len(sent) != 2 {
 		t.Fatalf("%d parts in the second step", len(sent))
 	}
 	for _, a := range sent {
-		if a.Shard == 1 || a.ID != fmt.Sprintf("q.%d.load", a.Shard) || !slices.Equal(a.From, []int{1, 2, 3}) || !a.Whole {
+		if a.Shard == 1 || a.ID != fmt.Sprintf("q.%d.load", a.Shard) || !slices.Equal(a.Previous, []int{1, 2, 3}) || !a.Complete {
 			t.Errorf("%+v", a)
 		}
 		s.hit(a, 1, "second")
 	}
 	s.e.turn()
 	r := s.reply()
-	if !r.Whole || len(r.Found) != 2 || string(r.Found[0].Item) != "second" {
+	if !r.Complete || len(r.Values) != 2 || string(r.Values[0].Item) != "second" {
 		t.Fatalf("%+v", r)
 	}
 	s.empty()
@@ -194,7 +194,7 @@
 	const gap = 30 * time.Millisecond
 	s := newStand(t, func(c *config.Config) { c.Limits.CallParts, c.Limits.StepGap = 1, gap })
 	s.ask("q", 1, 1, 2, 3)
-	for _, a := range s.take() {
+	for _, a := range s.handle() {
 		s.hit(a, int64(a.Shard), "first")
 	}
 	s.e.turn()
@@ -203,7 +203,7 @@
 	if d := time.Since(began); d < gap {
 		t.Errorf("all parts went within %v", d)
 	}
-	if sent := s.take(); len(sent) != 2 || sent[0].Shard != 3 {
+	if sent := s.handle(); len(sent) != 2 || sent[0].Shard != 3 {
 		t.Errorf("%d sent", len(sent))
 	}
 	began = time.Now()
@@ -217,10 +217,10 @@
 func TestNothingIsSentAfterTheEnd(t *testing.T) {
 	s := newStand(t, nil)
 	q := s.ask("q", 0, 1, 2)
-	sent := s.take()
+	sent := s.handle()
 	s.p.written[sent[1]] = false
 	s.p.log = nil
-	s.e.Leave(q)
+	s.e.ClientGone(q)
 	s.e.turn()
 	if !slices.Contains(s.p.log, "withdraw "+sent[1].ID) || !slices.Contains(s.p.log, "withdraw "+sent[0].ID) {
 		t.Errorf("%v", s.p.log)
@@ -249,9 +249,9 @@
 		}
 	})
 	q := s.ask("q", 0, 1)
-	a := s.take()[0]
-	s.e.Ended(Result{Attempt: a, Outcome: policy.Failed, At: time.Now()})
-	s.e.Leave(q)
+	a := s.handle()[0]
+	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Failed, At: time.Now()})
+	s.e.ClientGone(q)
 	s.e.turn()
 	s.e.turn()
 	if out != 0 || len(s.p.sent) != 0 {
@@ -264,14 +264,14 @@
 func TestLateEnds(t *testing.T) {
 	s := newStand(t, nil)
 	s.ask("q", 0, 1)
-	a := s.take()[0]
+	a := s.handle()[0]
 	s.hit(a, 1, "v")
 	s.hit(a, 1, "again")
 	s.e.turn()
-	if r := s.reply(); string(r.Found[0].Item) != "v" {
+	if r := s.reply(); string(r.Values[0].Item) != "v" {
 		t.Errorf("%+v", r)
 	}
-	s.e.Ended(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
+	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
 	s.empty()
 	if len(s.replies) != 0 {
 		t.Error("answered twice")
@@ -285,7 +285,7 @@
 	now := time.Now()
 	s.e.Submit(&Query{ID: "q", Tenant: -1, Received: now, Due: now.Add(time.Second), Parts: []Part{{Shard: 0, Weight: 1}},
 		Reply: func(Reply) {}})
-	s.e.Listed(List{Entries: []Entry{{Name: "r0", Address: "a", State: policy.Draining}}})
+	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "r0", Address: "a", State: policy.Draining}}})
 	s.p.log = nil
 	s.e.turn()
 	if !slices.Equal(s.p.log, []string{"update r0 1", "send r1"}) {
@@ -297,8 +297,8 @@
 func TestWholeLists(t *testing.T) {
 	s := newStand(t, nil)
 	s.p.log = nil
-	s.e.Listed(List{Entries: []Entry{{Name: "never", State: policy.Removed}}})
-	s.e.Listed(List{Full: true, Entries: []Entry{{Name: "r1", Address: "b", Cell: 1}}})
+	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "never", State: policy.Removed}}})
+	s.e.UpdateReplicas(ReplicaList{Full: true, Entries: []Endpoint{{Name: "r1", Address: "b", Cell: 1}}})
 	s.e.turn()
 	if !slices.Equal(s.p.log, []string{"update r1 0", "update r0 2"}) {
 		t.Errorf("%v", s.p.log)
@@ -309,18 +309,18 @@
 // like a young one.
 func TestStartsOnTheDecisionsClock(t *testing.T) {
 	s := newStand(t, nil)
-	s.e.Listed(List{Entries: []Entry{
+	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{
 		{Name: "r0", Address: "a", Started: time.UnixMilli(time.Now().Add(-3 * time.Second).UnixMilli())},
 		{Name: "r1", Address: "b", Cell: 1, Started: time.UnixMilli(1000)},
 	}})
 	s.e.mu.Lock()
-	m := s.e.inbox[0].(List)
+	m := s.e.inbox[0].(ReplicaList)
 	s.e.mu.Unlock()
-	s.e.turned = time.Now()
+	s.e.turnAt = time.Now()
 	s.e.events = nil
-	s.e.listed(m)
+	s.e.handleReplicaList(m)
 	got := s.e.events[0].List
-	if age := s.e.clock(time.Now()) - got[0].Started; age < 2.9 || age > 3.5 {
+	if age := s.e.decisionTime(time.Now()) - got[0].Started; age < 2.9 || age > 3.5 {
 		t.Errorf("3 s old, taken for %v s", age)
 	}
 	if got[1].Started != 0 {
@@ -331,12 +331,12 @@
 func TestAnIDThatIsOpenIsAConflict(t *testing.T) {
 	s := newStand(t, nil)
 	s.ask("q", 0, 1)
-	s.take()
+	s.handle()
 	s.ask("q", 0, 2)
 	if r := s.reply(); r.Status != Conflict {
 		t.Errorf("%+v", r)
 	}
-	if len(s.take()) != 0 {
+	if len(s.handle()) != 0 {
 		t.Error("a part of it was sent")
 	}
 }
@@ -345,12 +345,12 @@
 func TestTheLimitOfWhatIsHeld(t *testing.T) {
 	s := newStand(t, func(c *config.Config) { c.Limits.Held, c.Limits.ComeBack = 3, time.Second })
 	s.ask("a", 0, 1, 2)
-	s.take()
+	s.handle()
 	s.ask("b", 2, 1)
-	if r := s.reply(); r.Status != Refused || r.After != time.Second {
+	if r := s.reply(); r.Status != Rejected || r.RetryAfter != time.Second {
 		t.Errorf("%+v", r)
 	}
-	if len(s.take()) != 0 {
+	if len(s.handle()) != 0 {
 		t.Error("a part of it was sent")
 	}
 }
@@ -360,11 +360,11 @@
 	for _, written := range []bool{true, false} {
 		s := newStand(t, func(c *config.Config) { c.Policy.Cancel = false })
 		s.ask("q", 0, 1)
-		a := s.take()[0]
+		a := s.handle()[0]
 		s.p.written[a] = written
-		s.e.turned = time.Now().Add(3 * time.Second)
+		s.e.turnAt = time.Now().Add(3 * time.Second)
 		s.e.events = nil
-		s.e.due()
+		s.e.fireTimers()
 		want := policy.Moot
 		if written {
 			want = policy.TimedOut
@@ -379,12 +379,12 @@
 func TestOverdue(t *testing.T) {
 	s := newStand(t, nil)
 	q := s.ask("q", 0, 1)
-	s.take()
-	s.e.overdue(s.e.byID[q.ID])
+	s.handle()
+	s.e.queryOverdue(s.e.byRequestID[q.ID])
 	if r := s.reply(); r.Status != Failed {
 		t.Errorf("%+v", r)
 	}
-	s.e.overdue(&query{Query: &Query{ID: "other"}, over: true})
+	s.e.queryOverdue(&query{Query: &Query{ID: "other"}, closed: true})
 }
 
 func FuzzSteps(f *testing.F) {
@@ -411,15 +411,15 @@
 			case 2, 3:
 				if len(out) > 0 {
 					a := out[int(m/6)%len(out)]
-					s.e.Ended(Result{Attempt: a, Outcome: policy.Outcome(m % 8), At: time.Now(), Score: int64(m)})
+					s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Outcome(m % 8), At: time.Now(), Score: int64(m)})
 				}
 			case 4:
 				if len(asked) > 0 {
-					s.e.Leave(asked[int(m/6)%len(asked)])
+					s.e.ClientGone(asked[int(m/6)%len(asked)])
 				}
 			case 5:
 				s.e.turn()
-				out = append(out, s.take()...)
+				out = append(out, s.handle()...)
 			}
 		}
 		s.e.turn()
@@ -432,8 +432,8 @@
 		for _, q := range s.e.queries {
 			held += 1 + len(q.parts)
 		}
-		if held != s.e.held {
-			t.Fatalf("%d held, counted %d", held, s.e.held)
+		if held != s.e.openCount {
+			t.Fatalf("%d held, counted %d", held, s.e.openCount)
 		}
 	})
 }
@@ -444,21 +444,21 @@
 	s := newStand(t, func(c *config.Config) { c.Limits.Forget = 20 * time.Millisecond })
 	for i := range 10 {
 		for _, state := range []policy.Readiness{policy.Up, policy.Draining, policy.Removed} {
-			s.e.Listed(List{Entries: []Entry{{Name: fmt.Sprint("new", i), Address: "c", State: state, Size: 1}}})
+			s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: fmt.Sprint("new", i), Address: "c", State: state, Size: 1}}})
 			s.e.turn()
 		}
 	}
-	was := s.e.targets["new9"]
-	s.e.Listed(List{Entries: []Entry{{Name: "new9", Address: "d", Size: 1}}})
+	was := s.e.replicasByName["new9"]
+	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "new9", Address: "d", Size: 1}}})
 	s.e.turn()
-	if k := s.e.targets["new9"]; k != was || k.Address != "d" {
+	if k := s.e.replicasByName["new9"]; k != was || k.Address != "d" {
 		t.Errorf("%+v became %+v", was, k)
 	}
 	time.Sleep(30 * time.Millisecond)
-	s.e.Listed(List{})
+	s.e.UpdateReplicas(ReplicaList{})
 	s.e.turn()
-	if len(s.e.targets) != 3 || len(s.e.ids) != 3 {
-		t.Errorf("%d names and %d numbers are held", len(s.e.targets), len(s.e.ids))
+	if len(s.e.replicasByName) != 3 || len(s.e.replicasByID) != 3 {
+		t.Errorf("%d names and %d numbers are held", len(s.e.replicasByName), len(s.e.replicasByID))
 	}
 }
 
@@ -467,7 +467,7 @@
 func TestWhenAnIDIsFree(t *testing.T) {
 	s := newStand(t, nil)
 	q := s.ask("q", 0, 1)
-	for _, a := range s.take() {
+	for _, a := range s.handle() {
 		s.hit(a, 1, "v")
 	}
 	s.e.turn()
@@ -476,13 +476,13 @@
 	if r := s.reply(); r.Status != Conflict {
 		t.Errorf("%+v", r)
 	}
-	s.e.Leave(q) // of the first one, and late
+	s.e.ClientGone(q) // of the first one, and late
 	s.e.turn()
-	s.e.Listed(List{Full: true}) // nobody is there: refused with nothing sent
+	s.e.UpdateReplicas(ReplicaList{Full: true}) // nobody is there: refused with nothing sent
 	s.e.turn()
 	for range 2 {
 		s.ask("r", 0, 1)
-		if r := s.reply(); r.Status != Refused {
+		if r := s.reply(); r.Status != Rejected {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -490,11 +490,11 @@
 		s.e.timers[i].at = time.Now()
 	}
 	s.empty()
-	if len(s.e.byID) != 0 {
-		t.Errorf("%d ids are held", len(s.e.byID))
+	if len(s.e.byRequestID) != 0 {
+		t.Errorf("%d ids are held", len(s.e.byRequestID))
 	}
 	s.ask("q", 0, 1)
-	if r := s.reply(); r.Status != Refused {
+	if r := s.reply(); r.Status != Rejected {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/exchange/lanes.go
+++ b/internal/exchange/lanes.go
@@ -6,73 +6,73 @@
 	"birchcart/policy"
 )
 
-// Lanes decide on a query before the decisions see it, by what the whole fleet sheds. It only narrows: a query is turned away
-// at once, or goes on to its route's gate and to the decisions, which may turn it away still. What was taken is never shed
+// LaneGate decides on a query before the decisions see it, by what the whole fleet sheds. It only restricts: a query is rejected
+// at once, or goes on to its route's gate and to the decisions, which may reject it still. What was taken is never shed
 // later. Its calls come in the turn and must not block.
-type Lanes interface {
-	// Enter decides on a query whose turn has come; route is that of the table in force, -1 for none.
-	Enter(now time.Time, q *Query, route int) Entered
-	// Over tells how a query that was taken has ended, in the turn of its end.
-	Over(now time.Time, e Entered, o LaneOver)
+type LaneGate interface {
+	// Admit decides on a query whose turn has come; route is that of the table in force, -1 for none.
+	Admit(now time.Time, q *Query, route int) LaneVerdict
+	// QueryEnded reports how a query that was taken has ended, in the turn of its end.
+	QueryEnded(now time.Time, e LaneVerdict, o LaneOutcome)
 }
 
-// Entered is the word on one query.
-type Entered struct {
-	Refused bool
-	After   time.Duration // refused: when to come back; 0 for no advice
-	Account int           // for Over, as the next three
-	Lane    int
-	Class   int
-	Cost    float64
-	YieldBy float64 // see policy.Limits; under 1: not at all
+// LaneVerdict is the decision on one query.
+type LaneVerdict struct {
+	Rejected   bool
+	RetryAfter time.Duration // rejected: when to retry; 0 for no advice
+	Account    int           // for Over, as the next three
+	Lane       int
+	Class      int
+	Cost       float64
+	YieldBy    float64 // see policy.Limits; under 1: not at all
 }
 
-// LaneOver is how a query that was taken has ended.
-type LaneOver struct {
-	Status Status
-	Left   bool          // its client went
-	Gate   bool          // its route's gate turned it away: the decisions never saw it
-	Took   time.Duration // since it was received
+// LaneOutcome is how a query that was taken has ended.
+type LaneOutcome struct {
+	Status          Status
+	ClientGone      bool          // its client went
+	RejectedByRoute bool          // its route's gate rejected it: the decisions never saw it
+	Took            time.Duration // since it was received
 }
 
-// Lane has queries shown to l first. To be called before Run.
-func (e *Exchange) Lane(l Lanes) { e.lanes = l }
+// SetLaneGate has queries shown to l first. To be called before Run.
+func (e *Exchange) SetLaneGate(l LaneGate) { e.laneGate = l }
 
-// enter asks the lanes about a query. What is turned away is told so at once.
-func (e *Exchange) enter(q *query, route int) bool {
-	if e.lanes == nil {
+// admitToLane asks the lanes about a query. What is rejected is answered at once.
+func (e *Exchange) admitToLane(q *query, route int) bool {
+	if e.laneGate == nil {
 		return true
 	}
-	q.entered = e.lanes.Enter(e.turned, q.Query, route)
-	if q.entered.Refused {
-		e.sums.replies[Refused]++
-		q.Reply(Reply{Status: Refused, After: e.comeBack(q.entered.After)})
+	q.laneVerdict = e.laneGate.Admit(e.turnAt, q.Query, route)
+	if q.laneVerdict.Rejected {
+		e.counters.replies[Rejected]++
+		q.Reply(Reply{Status: Rejected, RetryAfter: e.retryAfter(q.laneVerdict.RetryAfter)})
 		return false
 	}
-	q.laned = true
+	q.inLane = true
 	return true
 }
 
-// comeBack is a time to come back as the settings allow it.
-func (e *Exchange) comeBack(after time.Duration) time.Duration {
-	if !e.cfg.RetryAfter {
+// retryAfter is a Retry-After time as the settings allow it.
+func (e *Exchange) retryAfter(after time.Duration) time.Duration {
+	if !e.config.RetryAfter {
 		return 0
 	}
-	return min(after, duration(e.cfg.MaxRetryAfter))
+	return min(after, duration(e.config.MaxRetryAfter))
 }
 
-// outOfLane tells the lanes that a query of theirs has ended.
-func (e *Exchange) outOfLane(q *query, o LaneOver) {
-	if !q.laned {
+// leaveLane notifies the lane gate that a query of its has ended.
+func (e *Exchange) leaveLane(q *query, o LaneOutcome) {
+	if !q.inLane {
 		return
 	}
-	q.laned = false
-	o.Took = e.turned.Sub(q.Received)
-	e.lanes.Over(e.turned, q.entered, o)
+	q.inLane = false
+	o.Took = e.turnAt.Sub(q.Received)
+	e.laneGate.QueryEnded(e.turnAt, q.laneVerdict, o)
 }
 
-// bounded are limits of a route that yield as a lane says; of no route those are the lane's alone.
-type bounded struct {
+// limitKey are limits of a route that yield as a lane says; of no route those are the lane's alone.
+type limitKey struct {
 	of *policy.Limits // nil: no route
 	by float64
 }
@@ -81,30 +81,30 @@
 // place, for as long as the table is in force.
 func (e *Exchange) limitsOf(q *query) *policy.Limits {
 	var of *policy.Limits
-	if q.way != nil {
-		of = &q.way.table.Routes[q.route].Limits
+	if q.routes != nil {
+		of = &q.routes.table.Routes[q.route].Limits
 	}
-	if !q.laned || q.entered.YieldBy <= 1 {
+	if !q.inLane || q.laneVerdict.YieldBy <= 1 {
 		return of
 	}
-	k := bounded{of, q.entered.YieldBy}
-	l := e.yielding[k]
+	k := limitKey{of, q.laneVerdict.YieldBy}
+	l := e.limitOverrides[k]
 	if l == nil {
-		if len(e.yielding) >= yieldingMost {
-			e.yielding = nil // of tables that are gone
+		if len(e.limitOverrides) >= maxLimitOverrides {
+			e.limitOverrides = nil // of tables that are gone
 		}
-		if e.yielding == nil {
-			e.yielding = map[bounded]*policy.Limits{}
+		if e.limitOverrides == nil {
+			e.limitOverrides = map[limitKey]*policy.Limits{}
 		}
 		l = &policy.Limits{}
 		if of != nil {
 			*l = *of
 		}
 		l.YieldBy = max(l.YieldBy, k.by)
-		e.yielding[k] = l
+		e.limitOverrides[k] = l
 	}
 	return l
 }
 
-// yieldingMost pairs of limits and lanes are kept: a thousand routes in eight lanes each.
-const yieldingMost = 8192
+// maxLimitOverrides pairs of limits and lanes are kept: a thousand routes in eight lanes each.
+const maxLimitOverrides = 8192
--- a/internal/exchange/lanes_test.go
+++ b/internal/exchange/lanes_test.go
@@ -10,17 +10,17 @@
 
 // laned stands in for the lanes.
 type laned struct {
-	say   Entered
+	say   LaneVerdict
 	asked []int // routes
-	overs []LaneOver
+	overs []LaneOutcome
 }
 
-func (l *laned) Enter(_ time.Time, _ *Query, route int) Entered {
+func (l *laned) Admit(_ time.Time, _ *Query, route int) LaneVerdict {
 	l.asked = append(l.asked, route)
 	return l.say
 }
 
-func (l *laned) Over(_ time.Time, e Entered, o LaneOver) {
+func (l *laned) QueryEnded(_ time.Time, e LaneVerdict, o LaneOutcome) {
 	if e != l.say {
 		panic("told of another query than was taken")
 	}
@@ -31,27 +31,27 @@
 	l.overs = append(l.overs, o)
 }
 
-func newLaned(t *testing.T, say Entered) (*stand, *laned) {
+func newLaned(t *testing.T, say LaneVerdict) (*stand, *laned) {
 	s, l := newStand(t, nil), &laned{say: say}
-	s.e.Lane(l)
+	s.e.SetLaneGate(l)
 	return s, l
 }
 
 // What the fleet sheds is refused at once, within what the settings allow, and neither gate nor decisions see it.
 func TestWhatALaneShedsIsRefusedAtOnce(t *testing.T) {
-	s, l := newLaned(t, Entered{Refused: true, After: time.Hour})
+	s, l := newLaned(t, LaneVerdict{Rejected: true, RetryAfter: time.Hour})
 	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
 	s.ask("a", 0, 1)
-	if r := s.reply(); r.Status != Refused || r.After != time.Second || len(s.take()) > 0 {
+	if r := s.reply(); r.Status != Rejected || r.RetryAfter != time.Second || len(s.handle()) > 0 {
 		t.Fatalf("%+v", r)
 	}
 	if s.e.routes.gate.Open(0) != 0 || len(l.overs) != 0 || len(l.asked) != 1 || l.asked[0] != 0 {
 		t.Errorf("open %d, told %+v, asked of routes %v", s.e.routes.gate.Open(0), l.overs, l.asked)
 	}
-	s.e.cfg.RetryAfter = false
+	s.e.config.RetryAfter = false
 	s.ask("b", 0, 1)
-	if r := s.reply(); r.After != 0 {
-		t.Errorf("named %v where no time may be named", r.After)
+	if r := s.reply(); r.RetryAfter != 0 {
+		t.Errorf("named %v where no time may be named", r.RetryAfter)
 	}
 	s.empty()
 }
@@ -60,18 +60,18 @@
 func TestLanesAreToldOfEachEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(s *stand, q *Query, a *Attempt)
-		want LaneOver
+		want LaneOutcome
 	}{
-		"served": {func(s *stand, q *Query, a *Attempt) { s.hit(a, 1, "v") }, LaneOver{Status: Served}},
-		"left":   {func(s *stand, q *Query, a *Attempt) { s.e.Leave(q) }, LaneOver{Left: true}},
+		"served": {func(s *stand, q *Query, a *Attempt) { s.hit(a, 1, "v") }, LaneOutcome{Status: Served}},
+		"left":   {func(s *stand, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
 		"failed": {func(s *stand, q *Query, a *Attempt) {
-			s.e.Ended(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
-		}, LaneOver{Status: Failed}},
-		"overdue": {func(s *stand, q *Query, a *Attempt) { s.e.overdue(s.e.byID[q.ID]) }, LaneOver{Status: Failed}},
+			s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
+		}, LaneOutcome{Status: Failed}},
+		"overdue": {func(s *stand, q *Query, a *Attempt) { s.e.queryOverdue(s.e.byRequestID[q.ID]) }, LaneOutcome{Status: Failed}},
 	} {
-		s, l := newLaned(t, Entered{Account: 3, Lane: 1, Class: 2, Cost: 1.5})
+		s, l := newLaned(t, LaneVerdict{Account: 3, Lane: 1, Class: 2, Cost: 1.5})
 		q := s.ask("a", 2, 1)
-		a := s.take()
+		a := s.handle()
 		if len(a) != 1 {
 			t.Fatalf("%s: %d sent", name, len(a))
 		}
@@ -86,11 +86,11 @@
 
 // A gate behind the lanes may still turn a query away; it never came to the decisions then.
 func TestAGateBehindTheLanes(t *testing.T) {
-	s, l := newLaned(t, Entered{Cost: 1})
+	s, l := newLaned(t, LaneVerdict{Cost: 1})
 	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
 	s.ask("a", 0, 1)
 	s.ask("b", 0, 1)
-	if want := (LaneOver{Status: Refused, Gate: true}); len(l.overs) != 1 || l.overs[0] != want {
+	if want := (LaneOutcome{Status: Rejected, RejectedByRoute: true}); len(l.overs) != 1 || l.overs[0] != want {
 		t.Errorf("%+v", l.overs)
 	}
 }
@@ -98,7 +98,7 @@
 // A lane's yielding comes to the decisions with the limits of the route, in one place for all queries alike, and those of the
 // route alone stay as they are.
 func TestALaneYieldsBesideItsRoute(t *testing.T) {
-	s, l := newLaned(t, Entered{YieldBy: 4})
+	s, l := newLaned(t, LaneVerdict{YieldBy: 4})
 	var seen []policy.Event
 	s.e.Observe(func(_ float64, events []policy.Event, _ []policy.Action) {
 		for _, ev := range events {
@@ -119,10 +119,10 @@
 	if *seen[2].Limits != (policy.Limits{YieldBy: 4}) || seen[3].Limits != &s.e.routes.table.Routes[0].Limits || seen[3].Limits.YieldBy != 0 {
 		t.Errorf("%+v, %+v", seen[2].Limits, seen[3].Limits)
 	}
-	for i := range 2 * yieldingMost {
-		s.e.limitsOf(&query{laned: true, entered: Entered{YieldBy: 2 + float64(i)}})
+	for i := range 2 * maxLimitOverrides {
+		s.e.limitsOf(&query{inLane: true, laneVerdict: LaneVerdict{YieldBy: 2 + float64(i)}})
 	}
-	if len(s.e.yielding) > yieldingMost {
-		t.Errorf("%d pairs are kept", len(s.e.yielding))
+	if len(s.e.limitOverrides) > maxLimitOverrides {
+		t.Errorf("%d pairs are kept", len(s.e.limitOverrides))
 	}
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -3,36 +3,36 @@
 import "birchcart/policy"
 
 // message is what reaches the exchange from other goroutines, one after the other, by its inbox.
-type message interface{ take(e *Exchange) }
+type message interface{ handle(e *Exchange) }
 
-// news is a message that a turn takes before all others: what was read of the list, and of what narrows or routes by it,
+// control is a message that a turn takes before all others: what was read of the list, and of what narrows or routes by it,
 // is in force before anything is sent.
-type news interface {
+type control interface {
 	message
-	isNews()
+	isControl()
 }
 
-// left is the news that a client went away.
-type left struct{ q *Query }
+// handleClientGone is the message that a client has gone.
+type clientGone struct{ q *Query }
 
-// listFailed is the news that a watch could not be had or has ended.
-type listFailed struct{}
+// watchFailed is the message that a watch failed or has ended.
+type watchFailed struct{}
 
-func (l List) take(e *Exchange)    { e.listed(l) }
-func (r *routes) take(e *Exchange) { e.routed(r) }
-func (d drains) take(e *Exchange)  { e.narrowed(d) }
-func (listFailed) take(e *Exchange) {
+func (l ReplicaList) handle(e *Exchange) { e.handleReplicaList(l) }
+func (r *routes) handle(e *Exchange)     { e.handleRoutes(r) }
+func (d setDrains) handle(e *Exchange)   { e.handleDrains(d) }
+func (watchFailed) handle(e *Exchange) {
 	e.events = append(e.events, policy.Event{Kind: policy.ListFailed})
 }
 
-func (List) isNews()       {}
-func (*routes) isNews()    {}
-func (drains) isNews()     {}
-func (listFailed) isNews() {}
-
-func (q *Query) take(e *Exchange)   { e.arrived(q) }
-func (l left) take(e *Exchange)     { e.left(l.q) }
-func (r release) take(e *Exchange)  { e.released(r.q) }
-func (t turnAway) take(e *Exchange) { e.turnedAway(t.q, t.r) }
-func (r Result) take(e *Exchange)   { e.ended(r) }
-func (p Probed) take(e *Exchange)   { e.probed(p) }
+func (ReplicaList) isControl() {}
+func (*routes) isControl()     {}
+func (setDrains) isControl()   {}
+func (watchFailed) isControl() {}
+
+func (q *Query) handle(e *Exchange)       { e.handleQuery(q) }
+func (l clientGone) handle(e *Exchange)   { e.handleClientGone(l.q) }
+func (r releaseQuery) handle(e *Exchange) { e.handleRelease(r.q) }
+func (t rejectQuery) handle(e *Exchange)  { e.handleRejection(t.q, t.r) }
+func (r Result) handle(e *Exchange)       { e.handleResult(r) }
+func (p HealthCheck) handle(e *Exchange)  { e.handleHealthCheck(p) }
--- a/internal/exchange/outcome.go
+++ b/internal/exchange/outcome.go
@@ -6,31 +6,31 @@
 	"birchcart/policy"
 )
 
-// ended takes the end of an attempt; of two ends the first counts.
-func (e *Exchange) ended(r Result) {
+// handleResult takes the end of an attempt; of two ends the first counts.
+func (e *Exchange) handleResult(r Result) {
 	a := r.Attempt
 	if a.ended {
 		return
 	}
 	pt := a.part
-	if r.Outcome == policy.OK && !pt.in {
-		pt.in, pt.score, pt.value = true, r.Score, r.Value
+	if r.Outcome == policy.OK && !pt.answered {
+		pt.answered, pt.score, pt.value = true, r.Score, r.Value
 	}
-	e.events = append(e.events, e.endOf(a, r.Outcome, r.At, r.Report))
+	e.events = append(e.events, e.reportEnd(a, r.Outcome, r.At, r.Report))
 }
 
-// endOf closes an attempt and returns the event that tells of its end.
-func (e *Exchange) endOf(a *Attempt, o policy.Outcome, at time.Time, report []float64) policy.Event {
+// reportEnd closes an attempt and returns the event that tells of its end.
+func (e *Exchange) reportEnd(a *Attempt, o policy.Outcome, at time.Time, report []float64) policy.Event {
 	a.ended, a.Text = true, nil // its timer lives on for a while
-	e.sums.outcomes[o]++
-	a.part.q.attemptOver(o)
-	e.load.change(e.turned, -1)
-	if pt := a.part; !pt.out() && (pt.q.over || pt.q.step == 2 && pt.from == nil) {
+	e.counters.outcomes[o]++
+	a.part.query.attemptOver(o)
+	e.load.change(e.turnAt, -1)
+	if pt := a.part; !pt.out() && (pt.query.closed || pt.query.step == 2 && pt.previous == nil) {
 		delete(e.parts, pt.id) // its step has ended
 	}
 	return policy.Event{
-		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.no, Replica: a.replica, Outcome: o,
-		Took: max(0, e.clock(at)-a.sentAt), Report: report, Tenant: -1,
+		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: a.replica, Outcome: o,
+		Took: max(0, e.decisionTime(at)-a.sentAt), Report: report, Tenant: -1,
 	}
 }
 
@@ -39,13 +39,13 @@
 	if a.ended {
 		return
 	}
-	found, sent := e.replicas.Withdraw(a)
+	found, sent := e.replicas.Cancel(a)
 	switch {
 	case !found: // its end is on its way
 	case sent:
-		e.events = append(e.events, e.endOf(a, policy.TimedOut, e.turned, nil))
+		e.events = append(e.events, e.reportEnd(a, policy.TimedOut, e.turnAt, nil))
 	default:
-		e.events = append(e.events, e.endOf(a, policy.Moot, e.turned, nil))
+		e.events = append(e.events, e.reportEnd(a, policy.Moot, e.turnAt, nil))
 	}
 }
 
@@ -55,32 +55,32 @@
 		return
 	}
 	if e.unqueue(a) {
-		e.next = append(e.next, e.endOf(a, policy.Moot, e.turned, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
 		return
 	}
-	found, sent := e.replicas.Withdraw(a)
+	found, sent := e.replicas.Cancel(a)
 	switch {
 	case !found:
 	case sent:
-		e.next = append(e.next, e.endOf(a, policy.Revoked, e.turned, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.Revoked, e.turnAt, nil))
 	default:
-		e.next = append(e.next, e.endOf(a, policy.Moot, e.turned, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
 	}
 }
 
 // unsend takes back an attempt only if it has not been written.
 func (e *Exchange) unsend(a *Attempt) {
-	if e.unqueue(a) || e.replicas.Unsend(a) {
-		e.next = append(e.next, e.endOf(a, policy.Moot, e.turned, nil))
+	if e.unqueue(a) || e.replicas.CancelUnsent(a) {
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
 	}
 }
 
 // unqueue takes an attempt out of this turn's calls.
 func (e *Exchange) unqueue(a *Attempt) bool {
-	for i := range e.calls {
-		for j, b := range e.calls[i].attempts {
+	for i := range e.outgoing {
+		for j, b := range e.outgoing[i].attempts {
 			if a == b {
-				e.calls[i].attempts = append(e.calls[i].attempts[:j], e.calls[i].attempts[j+1:]...)
+				e.outgoing[i].attempts = append(e.outgoing[i].attempts[:j], e.outgoing[i].attempts[j+1:]...)
 				return true
 			}
 		}
@@ -88,7 +88,7 @@
 	return false
 }
 
-func (e *Exchange) probed(p Probed) {
+func (e *Exchange) handleHealthCheck(p HealthCheck) {
 	e.events = append(e.events, policy.Event{
 		Kind: policy.ProbeEnded, Replica: p.Replica, Outcome: p.Outcome, Took: p.Took.Seconds(), Report: p.Report,
 		Tenant: -1,
--- a/internal/exchange/query.go
+++ b/internal/exchange/query.go
@@ -7,45 +7,45 @@
 	"birchcart/policy"
 )
 
-// arrived takes a query in, or turns it away before it reaches the decisions: what is full or malformed, or was left.
-func (e *Exchange) arrived(m *Query) {
-	e.sums.queries++
-	if e.hasLeft(m) { // nobody waits for it, and the news of that may have come before it
-		e.sums.left++
+// handleQuery takes a query in, or turns it away before it reaches the decisions: what is full or malformed, or was left.
+func (e *Exchange) handleQuery(m *Query) {
+	e.counters.queries++
+	if e.isClientGone(m) { // nobody waits for it, and the news of that may have come before it
+		e.counters.left++
 		return
 	}
-	if e.byID[m.ID] != nil { // the ids of its parts are at replicas, or may be still
-		e.sums.replies[Conflict]++
+	if e.byRequestID[m.ID] != nil { // the ids of its parts are at replicas, or may be still
+		e.counters.replies[Conflict]++
 		m.Reply(Reply{Status: Conflict})
 		return
 	}
-	if e.limits.Held > 0 && e.held >= e.limits.Held {
-		e.sums.full++
-		m.Reply(Reply{Status: Refused, After: e.limits.ComeBack})
+	if e.limits.Held > 0 && e.openCount >= e.limits.Held {
+		e.counters.full++
+		m.Reply(Reply{Status: Rejected, RetryAfter: e.limits.ComeBack})
 		return
 	}
 	q := &query{Query: m, id: e.newID(), step: 1}
 	e.recordQuery(q)
-	if !e.hold(q) {
+	if !e.admitToSession(q) {
 		e.open(q)
 	}
 }
 
-// open hands a query to the decisions, or tells that its route's gate turned it away.
+// open hands a query to the decisions, or tells that its route's gate rejected it.
 func (e *Exchange) open(q *query) bool {
 	m := q.Query
 	if !e.admit(q) {
-		q.over = true
+		q.closed = true
 		e.recordEnd(q, "refused", 0)
 		return false
 	}
-	e.queries[q.id], e.byID[m.ID] = q, q
-	e.held++
+	e.queries[q.id], e.byRequestID[m.ID] = q, q
+	e.openCount++
 	ev := policy.Event{
 		Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: m.Class, Tenant: m.Tenant,
-		Due: e.clock(m.Due), Count: len(m.Parts), Retry: m.Retry,
+		Due: e.decisionTime(m.Due), Count: len(m.Parts), Retry: m.Retry,
 	}
-	if q.way != nil {
+	if q.routes != nil {
 		ev.Route = q.route + 1
 	}
 	ev.Limits = e.limitsOf(q)
@@ -69,86 +69,86 @@
 
 // newPart enters a part and returns the event that tells of it.
 func (e *Exchange) newPart(q *query, pt *part, weight, work float64) policy.Event {
-	pt.id, pt.q = e.newID(), q
-	pt.name = q.ID + "." + strconv.Itoa(pt.shard)
+	pt.id, pt.query = e.newID(), q
+	pt.frameID = q.ID + "." + strconv.Itoa(pt.shard)
 	if q.step == 2 {
-		pt.name += ".load"
+		pt.frameID += ".load"
 	}
 	q.parts = append(q.parts, pt)
 	e.parts[pt.id] = pt
-	e.held++
+	e.openCount++
 	return policy.Event{
 		Kind: policy.PartArrived, Part: pt.id, Group: q.id, Class: q.Class, Tenant: -1, Shard: pt.shard,
 		Weight: weight, Work: work,
 	}
 }
 
-// left tells the decisions that a query's client has gone. The query is closed when the turn's actions are done: what
+// handleClientGone tells the decisions that a query's client has gone. The query is closed when the turn's actions are done: what
 // they sent for it before they came to this event has an end then like any other.
-func (e *Exchange) left(m *Query) {
-	if q := e.byID[m.ID]; q != nil && q.Query == m && q.waits {
-		e.leftWaiting(q)
-	} else if q != nil && q.Query == m && !q.over {
+func (e *Exchange) handleClientGone(m *Query) {
+	if q := e.byRequestID[m.ID]; q != nil && q.Query == m && q.waiting {
+		e.clientGoneWaiting(q)
+	} else if q != nil && q.Query == m && !q.closed {
 		e.events = append(e.events, policy.Event{Kind: policy.ClientLeft, Query: q.id})
-		e.leaving = append(e.leaving, q)
+		e.clientsGone = append(e.clientsGone, q)
 	}
 }
 
-// closeLeft closes the queries whose clients have gone in this turn.
-func (e *Exchange) closeLeft() {
-	for _, q := range e.leaving {
+// closeGoneClients closes the queries whose clients have gone in this turn.
+func (e *Exchange) closeGoneClients() {
+	for _, q := range e.clientsGone {
 		switch {
-		case q.over:
-		case q.last != nil:
-			e.finish(q.id, *q.last)
+		case q.closed:
+		case q.sessionReply != nil:
+			e.finish(q.id, *q.sessionReply)
 		default:
-			e.sums.left++
+			e.counters.left++
 			e.recordEnd(q, "left", 0)
-			e.close(q, LaneOver{Left: true})
+			e.close(q, LaneOutcome{ClientGone: true})
 		}
 	}
-	clear(e.leaving)
-	e.leaving = e.leaving[:0]
+	clear(e.clientsGone)
+	e.clientsGone = e.clientsGone[:0]
 }
 
-// overdue guards against a query that nobody ended: its client is told, and the decisions drop it. The id of one
+// queryOverdue guards against a query that nobody ended: its client is told, and the decisions drop it. The id of one
 // that has ended is free from now on.
-func (e *Exchange) overdue(q *query) {
-	if e.byID[q.ID] == q {
-		delete(e.byID, q.ID)
+func (e *Exchange) queryOverdue(q *query) {
+	if e.byRequestID[q.ID] == q {
+		delete(e.byRequestID, q.ID)
 	}
-	if q.over {
+	if q.closed {
 		return
 	}
 	e.log.WithField("query", q.ID).Error("a query was still open after its end")
-	if q.waits {
-		e.endWaiting(q, Reply{Status: Refused, After: e.limits.ComeBack}) // nothing of it ran
+	if q.waiting {
+		e.endWaiting(q, Reply{Status: Rejected, RetryAfter: e.limits.ComeBack}) // nothing of it ran
 		return
 	}
 	e.events = append(e.events, policy.Event{Kind: policy.ClientLeft, Query: q.id})
-	e.close(q, LaneOver{Status: Failed})
-	e.sums.replies[Failed]++
+	e.close(q, LaneOutcome{Status: Failed})
+	e.counters.replies[Failed]++
 	q.Reply(Reply{Status: Failed})
 }
 
 // close forgets a query; attempts that are out live on until they end.
-func (e *Exchange) close(q *query, o LaneOver) {
-	q.over = true
-	e.release(q)
-	e.outOfLane(q, o)
+func (e *Exchange) close(q *query, o LaneOutcome) {
+	q.closed = true
+	e.releaseRoute(q)
+	e.leaveLane(q, o)
 	delete(e.queries, q.id)
-	e.held--
+	e.openCount--
 	e.closeStep(q)
 	if !q.sent {
-		delete(e.byID, q.ID)
+		delete(e.byRequestID, q.ID)
 	}
 	q.Text = nil // its timers live on for a while
-	e.unpin(q)
+	e.endSession(q)
 }
 
 // closeStep ends the parts of a step. Those still out can be cancelled until their end is told.
 func (e *Exchange) closeStep(q *query) {
-	e.held -= len(q.parts)
+	e.openCount -= len(q.parts)
 	for _, pt := range q.parts {
 		for _, a := range pt.attempts {
 			// What is not yet written must not go after the end, whether or not it may be cancelled.
--- a/internal/exchange/record.go
+++ b/internal/exchange/record.go
@@ -8,7 +8,7 @@
 // Record writes what comes and how it ends to w from now on. It must be called before Run.
 func (e *Exchange) Record(w *record.Writer) { e.record = w }
 
-// recordQuery notes a query as it was taken in, or turned away.
+// recordQuery notes a query as it was taken in, or rejected.
 func (e *Exchange) recordQuery(q *query) {
 	if e.record == nil {
 		return
@@ -34,18 +34,18 @@
 // recordEnd notes how a query ended.
 func (e *Exchange) recordEnd(q *query, status string, in int) {
 	if e.record != nil {
-		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turned), Number: q.id, Status: status, In: in})
+		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: in})
 	}
 }
 
 // ending names a reply in records.
 func (r *Reply) ending() string {
 	switch {
-	case r.Status == Served && r.Whole:
+	case r.Status == Served && r.Complete:
 		return "whole"
 	case r.Status == Served:
 		return "short"
-	case r.Status == Refused:
+	case r.Status == Rejected:
 		return "refused"
 	}
 	return "failed"
--- a/internal/exchange/routes.go
+++ b/internal/exchange/routes.go
@@ -10,33 +10,33 @@
 // routes is one table in force, with the state of its gate and its sums. Queries keep the one that they were taken
 // under, so a new table changes nothing for them.
 type routes struct {
-	table *route.Table
-	gate  *admission.Gate
-	sums  []routeSums
+	table    *route.Table
+	gate     *admission.Gate
+	counters []routeCounters
 }
 
-// routeSums count by route since the last line that told of it.
-type routeSums struct {
+// routeCounters count by route since the last summary.
+type routeCounters struct {
 	taken, whole, short, refused, failed int
 	turned                               [len(admission.Reasons)]int // away before the decisions, by reason
 }
 
-// Routes puts a table into force for queries from now on, nil for none. It may be called from anywhere. Rooms begin
+// SetRoutes puts a table into force for queries from now on, nil for none. It may be called from anywhere. Rooms begin
 // empty: what is open was taken under the table before.
-func (e *Exchange) Routes(t *route.Table) {
+func (e *Exchange) SetRoutes(t *route.Table) {
 	if t == nil {
-		e.put(&routes{})
+		e.enqueue(&routes{})
 		return
 	}
 	rules := make([]admission.Rule, len(t.Routes))
 	for i := range t.Routes {
 		rules[i] = admission.Rule(t.Routes[i].Room)
 	}
-	e.put(&routes{table: t, gate: admission.New(rules, len(e.names.Tenants), e.cfg.Seed), sums: make([]routeSums, len(rules))})
+	e.enqueue(&routes{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
 }
 
-// routed takes a new table.
-func (e *Exchange) routed(r *routes) {
+// handleRoutes takes a new table.
+func (e *Exchange) handleRoutes(r *routes) {
 	if e.routes = r; r.table == nil {
 		e.routes = nil
 	}
@@ -59,62 +59,62 @@
 	})
 }
 
-// admit finds a query's route and asks the lanes and its gate. What is turned away is told so at once.
+// admit finds a query's route and asks the lanes and its gate. What is rejected is answered at once.
 func (e *Exchange) admit(q *query) bool {
 	r := e.routes
 	i := e.routeOf(q)
-	if !e.enter(q, i) {
+	if !e.admitToLane(q, i) {
 		return false
 	}
 	if i < 0 {
 		return true
 	}
-	d := r.gate.Admit(e.turned, i, q.Tenant, q.Client, q.Retry)
+	d := r.gate.Admit(e.turnAt, i, q.Tenant, q.Client, q.Retry)
 	if d.Reason != admission.Taken {
-		r.sums[i].turned[d.Reason]++
-		e.sums.replies[Refused]++
-		e.outOfLane(q, LaneOver{Status: Refused, Gate: true})
-		q.Reply(Reply{Status: Refused, After: e.comeBack(d.After)})
+		r.counters[i].turned[d.Reason]++
+		e.counters.replies[Rejected]++
+		e.leaveLane(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
+		q.Reply(Reply{Status: Rejected, RetryAfter: e.retryAfter(d.After)})
 		return false
 	}
-	q.way, q.route = r, i
-	r.sums[i].taken++
+	q.routes, q.route = r, i
+	r.counters[i].taken++
 	return true
 }
 
-// release gives back the room of a query that has ended.
-func (e *Exchange) release(q *query) {
-	if q.way != nil {
-		q.way.gate.Done(q.route)
+// releaseRoute gives back the room of a query that has ended.
+func (e *Exchange) releaseRoute(q *query) {
+	if q.routes != nil {
+		q.routes.gate.Done(q.route)
 	}
 }
 
 // count takes the end of a query into its route's sums.
 func (q *query) count(r Reply) {
-	if q.way == nil {
+	if q.routes == nil {
 		return
 	}
-	s := &q.way.sums[q.route]
+	s := &q.routes.counters[q.route]
 	switch {
-	case r.Status == Served && r.Whole:
+	case r.Status == Served && r.Complete:
 		s.whole++
 	case r.Status == Served:
 		s.short++
-	case r.Status == Refused:
+	case r.Status == Rejected:
 		s.refused++
 	default:
 		s.failed++
 	}
 }
 
-// tellRoutes logs a line for each route on which something happened.
-func (e *Exchange) tellRoutes() {
+// logRoutes logs a line for each route on which something happened.
+func (e *Exchange) logRoutes() {
 	if e.routes == nil {
 		return
 	}
-	for i := range e.routes.sums {
-		s := &e.routes.sums[i]
-		if *s == (routeSums{}) {
+	for i := range e.routes.counters {
+		s := &e.routes.counters[i]
+		if *s == (routeCounters{}) {
 			continue
 		}
 		f := logrus.Fields{
@@ -127,6 +127,6 @@
 			}
 		}
 		e.log.WithFields(f).Info("route")
-		*s = routeSums{}
+		*s = routeCounters{}
 	}
 }
--- a/internal/exchange/routes_test.go
+++ b/internal/exchange/routes_test.go
@@ -16,28 +16,28 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.e.Routes(table)
+	s.e.SetRoutes(table)
 }
 
-// What a route has no room for is refused at once, with a time to come back, and the decisions never see it.
+// What a route has no room for is refused at once, with a Retry-After time, and the decisions never see it.
 func TestRouteWithoutRoom(t *testing.T) {
 	s := newStand(t, nil)
 	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
 	s.ask("a", 0, 1)
-	a := s.take()[0]
+	a := s.handle()[0]
 	s.ask("b", 0, 1)
-	if r := s.reply(); r.Status != Refused || r.After <= 0 || r.After > time.Second || len(s.take()) > 0 {
+	if r := s.reply(); r.Status != Rejected || r.RetryAfter <= 0 || r.RetryAfter > time.Second || len(s.handle()) > 0 {
 		t.Fatalf("%+v", r)
 	}
 	s.ask("other", 2, 1) // another class has its own route
-	other := s.take()[0]
+	other := s.handle()[0]
 	for _, sent := range []*Attempt{a, other} {
 		s.hit(sent, 1, "v")
 		s.e.turn()
 		s.reply()
 	}
 	s.ask("c", 0, 1)
-	if sent := s.take(); len(sent) != 1 {
+	if sent := s.handle(); len(sent) != 1 {
 		t.Errorf("room that was given back is not there: %d sent", len(sent))
 	} else {
 		s.hit(sent[0], 1, "v")
@@ -53,7 +53,7 @@
 	s := newStand(t, nil)
 	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Time: 1.5}, Room: route.Room{Queries: 5}})
 	s.ask("old", 0, 1)
-	old := s.take()[0]
+	old := s.handle()[0]
 	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Time: 0.05}, Room: route.Room{Queries: 1}})
 	s.ask("new", 0, 2)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -68,7 +68,7 @@
 	if r := s.reply(); r.Status != Served {
 		t.Errorf("%+v", r)
 	}
-	s.take()
+	s.handle()
 }
 
 // Routes that change all the time leave nothing behind.
@@ -77,7 +77,7 @@
 	for i := range 2000 {
 		s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Attempts: 1 + i%3}, Room: route.Room{Queries: 1 + i%7}})
 		s.ask(fmt.Sprint("q", i), 0, 1)
-		sent := s.take()
+		sent := s.handle()
 		if len(sent) != 1 {
 			t.Fatalf("%d: %d sent", i, len(sent))
 		}
--- a/internal/exchange/sockets_test.go
+++ b/internal/exchange/sockets_test.go
@@ -52,7 +52,7 @@
 	e := exchange.New(cfg, logrus.NewEntry(log))
 	pool := replica.New(cfg, e, logrus.NewEntry(log))
 	e.Join(pool, nil)
-	e.Listed(exchange.List{Full: true, Entries: []exchange.Entry{{Name: "r", Address: r.Address(), Size: 1}}})
+	e.UpdateReplicas(exchange.ReplicaList{Full: true, Entries: []exchange.Endpoint{{Name: "r", Address: r.Address(), Size: 1}}})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { e.Run(ctx); close(ended) }()
@@ -89,7 +89,7 @@
 func TestNothingReachesAReplicaForAClientThatLeft(t *testing.T) {
 	s := newSockets(t, func(standin.Asked) standin.Does { return standin.Does{Value: []byte("v")} })
 	q, replies := query("q", 0, 1, 2)
-	s.e.Leave(q)
+	s.e.ClientGone(q)
 	s.e.Submit(q)
 	s.served("after")
 	for _, a := range s.r.Asked() {
@@ -110,7 +110,7 @@
 	s = newSockets(t, func(a standin.Asked) standin.Does {
 		if a.ID == "q.2" {
 			<-ready
-			s.e.Leave(left)
+			s.e.ClientGone(left)
 		}
 		return standin.Does{Value: []byte("v")}
 	})
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -17,7 +17,7 @@
 	Retry         bool
 	Front         route.Front
 	Header        func(name string) string // nil: routes see no headers of it; names in lower case
-	Client        string                   // its client, for a budget of retries; "" where none is told
+	Client        string                   // its client, for a budget of retries; "" where none is given
 	Session       string                   // key of its session, as the client named it; "" for none
 	Mark          string                   // as the client named it for the lanes; "" for none
 	Received, Due time.Time                // Received: the last byte was read
@@ -26,7 +26,7 @@
 	// Reply takes the one answer. It is called from the exchange's goroutine and must not block.
 	Reply func(Reply)
 
-	gone bool // its client has left; under the exchange's lock
+	clientGone bool // its client has left; under the exchange's lock
 }
 
 // Part is one part that a query asks for. Work is in seconds, 0 if no hint came.
@@ -41,18 +41,18 @@
 // Statuses of a reply.
 const (
 	Served   Status = iota
-	Refused         // coming again is harmless
+	Rejected        // a retry is harmless
 	Failed          // nothing is promised
 	Conflict        // a query of the same id is open
 )
 
 // Reply ends a query.
 type Reply struct {
-	Status Status
-	Whole  bool
-	Found  []Value
-	After  time.Duration // Refused: when to come back; 0 for no advice
-	Owner  string        // Refused: the co-ordinator that has its session; "" if none is named
+	Status     Status
+	Complete   bool
+	Values     []Value
+	RetryAfter time.Duration // Rejected: when to retry; 0 for no advice
+	Owner      string        // Rejected: the co-ordinator that has its session; "" if none is named
 }
 
 // Value is what a replica gave for one part.
@@ -64,16 +64,16 @@
 // Attempt is one part on its way to one replica. The replica side reads its exported fields and reports its
 // end with it.
 type Attempt struct {
-	ID    string // of the part
-	Shard int
-	Text  []byte
-	Due   time.Time
-	From  []int // second step: the shards that were in, else nil
-	Whole bool
+	ID       string // of the part
+	Shard    int
+	Text     []byte
+	Due      time.Time
+	Previous []int // second step: the shards that were in, else nil
+	Complete bool
 
 	part    *part
 	replica uint64
-	no      int
+	number  int
 	sentAt  float64
 	ended   bool
 }
@@ -88,8 +88,8 @@
 	Value   []byte
 }
 
-// Probed is how a probe ended.
-type Probed struct {
+// HealthCheck is the outcome of a health check.
+type HealthCheck struct {
 	Replica uint64
 	Outcome policy.Outcome
 	At      time.Time
@@ -97,8 +97,8 @@
 	Report  []float64
 }
 
-// Entry is one replica on discovery's list.
-type Entry struct {
+// Endpoint is one replica on discovery's list.
+type Endpoint struct {
 	Name, Address, Zone string
 	Kind                string // what it speaks, as discovery names its type
 	Cell                int
@@ -107,9 +107,9 @@
 	Started             time.Time // zero for long ago
 }
 
-// List is news of the list: a whole one, or the entries that changed.
-type List struct {
-	Entries     []Entry
+// ReplicaList is a change of the endpoint list: a full one, or the endpoints that changed.
+type ReplicaList struct {
+	Entries     []Endpoint
 	Full, Stale bool
 }
 
@@ -129,12 +129,12 @@
 	Update(changed []Target)
 	// Send sends attempts as one call.
 	Send(replica uint64, call []*Attempt)
-	// Withdraw takes back an attempt. found is false if it has ended; sent tells that it may have run.
-	Withdraw(a *Attempt) (found, sent bool)
-	// Unsend takes back an attempt that is not yet written, and tells whether it was.
-	Unsend(a *Attempt) bool
-	// Probe asks for a sign of life, or for the load.
-	Probe(replica uint64)
+	// Cancel takes back an attempt. found is false if it has ended; sent says that it may have run.
+	Cancel(a *Attempt) (found, sent bool)
+	// CancelUnsent takes back an attempt that is not yet written, and says whether it was.
+	CancelUnsent(a *Attempt) bool
+	// CheckHealth sends a health check, or asks for the load report.
+	CheckHealth(replica uint64)
 }
 
 // Watcher is the side of discovery.
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -14,7 +14,7 @@
 var replicaStatus = map[policy.Readiness]maintenance.Status{policy.Up: maintenance.Up, policy.Draining: maintenance.Terminating, policy.Removed: maintenance.Gone}
 
 // Machines is discovery's list as machines.
-func Machines(list []exchange.Entry) []maintenance.Machine {
+func Machines(list []exchange.Endpoint) []maintenance.Machine {
 	out := make([]maintenance.Machine, len(list))
 	for i, e := range list {
 		m := maintenance.Machine{Name: e.Name, Kind: maintenance.Replica, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Status: replicaStatus[e.State]}
--- a/internal/fleet/lanepart/part.go
+++ b/internal/fleet/lanepart/part.go
@@ -115,7 +115,7 @@
 			}
 		},
 	})
-	e.Lane(p.shed)
+	e.SetLaneGate(p.shed)
 }
 
 // Run runs the load shedding until ctx ends.
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -118,8 +118,8 @@
 	at, i := began.Add(s.now), 0
 	one := func() {
 		i++
-		if e := p.Enter(at, qs[i%len(qs)], -1); !e.Refused {
-			p.Over(at, e, exchange.LaneOver{Took: time.Millisecond})
+		if e := p.Admit(at, qs[i%len(qs)], -1); !e.Rejected {
+			p.QueryEnded(at, e, exchange.LaneOutcome{Took: time.Millisecond})
 		}
 	}
 	for range qs {
--- a/internal/fleet/loadshed/shed.go
+++ b/internal/fleet/loadshed/shed.go
@@ -118,8 +118,8 @@
 	return s
 }
 
-// Enter implements exchange.Lanes.
-func (s *Shed) Enter(at time.Time, q *exchange.Query, route int) exchange.Entered {
+// Admit implements exchange.Lanes.
+func (s *Shed) Admit(at time.Time, q *exchange.Query, route int) exchange.LaneVerdict {
 	now := at.Sub(s.o.Start)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 	if s.gate == nil {
 		s.meter.Asked(now, 0, false, cost)
-		return exchange.Entered{Account: -1, Class: q.Class, Cost: cost}
+		return exchange.LaneVerdict{Account: -1, Class: q.Class, Cost: cost}
 	}
 	ask := lanes.Ask{Account: s.set.Account(q.Tenant, route, q.Mark), Class: q.Class, Cost: cost, Retry: q.Retry}
 	if ask.Account < 0 {
@@ -143,20 +143,20 @@
 		}
 		s.asked[ask.Account] += cost
 	}
-	return exchange.Entered{Refused: !v.Admitted, After: v.After, Account: ask.Account, Lane: v.Lane, Class: q.Class, Cost: cost, YieldBy: v.YieldBy}
+	return exchange.LaneVerdict{Rejected: !v.Admitted, RetryAfter: v.After, Account: ask.Account, Lane: v.Lane, Class: q.Class, Cost: cost, YieldBy: v.YieldBy}
 }
 
-// Over implements exchange.Lanes.
-func (s *Shed) Over(at time.Time, e exchange.Entered, o exchange.LaneOver) {
+// QueryEnded implements exchange.Lanes.
+func (s *Shed) QueryEnded(at time.Time, e exchange.LaneVerdict, o exchange.LaneOutcome) {
 	promise := time.Second
 	if uint(e.Class) < uint(len(s.promises)) {
 		promise = s.promises[e.Class]
 	}
 	end := pressure.Failed
 	switch {
-	case o.Left:
+	case o.ClientGone:
 		end = pressure.Left
-	case o.Status == exchange.Refused: // by the gate of its route as well
+	case o.Status == exchange.Rejected: // by the gate of its route as well
 		end = pressure.Refused
 	case o.Status == exchange.Served && o.Took <= promise:
 		end = pressure.InTime
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -158,17 +158,17 @@
 	if tenant > 0 {
 		q.Tenant, q.Client = -1, fmt.Sprint("c", s.rng.IntN(1000))
 	}
-	e := p.Enter(at, q, -1)
-	if e.Refused {
+	e := p.Admit(at, q, -1)
+	if e.Rejected {
 		return false
 	}
-	o := exchange.LaneOver{Status: exchange.Served, Took: 100 * time.Millisecond}
+	o := exchange.LaneOutcome{Status: exchange.Served, Took: 100 * time.Millisecond}
 	if s.left < e.Cost {
-		o = exchange.LaneOver{Status: exchange.Refused}
+		o = exchange.LaneOutcome{Status: exchange.Rejected}
 	} else {
 		s.left -= e.Cost
 	}
-	p.Over(at, e, o)
+	p.QueryEnded(at, e, o)
 	return true
 }
 
@@ -330,8 +330,8 @@
 	if admitted, asked := sum(gold); admitted > asked*9/10 {
 		t.Errorf("%d of %d of who moved down", admitted, asked)
 	}
-	e := s.sheds[2].Enter(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
-	if e.Refused || e.Lane != 0 || e.Account != 1 {
+	e := s.sheds[2].Admit(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
+	if e.Rejected || e.Lane != 0 || e.Account != 1 {
 		t.Errorf("an account that is new with it: %+v", e)
 	}
 	s.set = compile(t, section(1), 3)
@@ -357,7 +357,7 @@
 		for _, p := range s.sheds { // all want more than their part of some
 			for range 100 {
 				i++
-				p.Enter(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
+				p.Admit(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
 			}
 		}
 		s.run(1500*time.Millisecond, ask)
@@ -405,8 +405,8 @@
 	ended := make(chan struct{})
 	go func() { p.Run(ctx); close(ended) }()
 	for got, i := 0, 0; got < 2; i++ {
-		e := p.Enter(time.Now(), &exchange.Query{Tenant: i % 2, Parts: make([]exchange.Part, 1)}, -1)
-		p.Over(time.Now(), e, exchange.LaneOver{})
+		e := p.Admit(time.Now(), &exchange.Query{Tenant: i % 2, Parts: make([]exchange.Part, 1)}, -1)
+		p.QueryEnded(time.Now(), e, exchange.LaneOutcome{})
 		p.Hear("n1", encode(nil, word("n1")))
 		select {
 		case raw := <-letters:
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -110,7 +110,7 @@
 
 	mu            sync.Mutex
 	file          *operator.File // in force
-	replicas      []exchange.Entry
+	replicas      []exchange.Endpoint
 	replicasStale bool // an old list from disk: what this co-ordinator serves with, and no observation of the leader's
 	inputsChanged bool // file or replicas
 
@@ -206,7 +206,7 @@
 	if err := n.open(); err != nil {
 		return err
 	}
-	s.Exchange.Narrowable(n.setReplicas, n.drainsApplied)
+	s.Exchange.WatchReplicas(n.setReplicas, n.drainsApplied)
 	n.drains.Restore()
 	n.load = s.Exchange.Load()
 	n.openSessions(ctx, s)
@@ -232,7 +232,7 @@
 }
 
 // setReplicas takes the list from the exchange.
-func (n *Node) setReplicas(list []exchange.Entry, stale bool) {
+func (n *Node) setReplicas(list []exchange.Endpoint, stale bool) {
 	n.mu.Lock()
 	n.replicas, n.replicasStale, n.inputsChanged = list, stale, true
 	n.mu.Unlock()
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -74,12 +74,12 @@
 // unsent is a replica side and a discovery that do nothing: no query comes.
 type unsent struct{}
 
-func (unsent) Update([]exchange.Target)                      {}
-func (unsent) Send(uint64, []*exchange.Attempt)              {}
-func (unsent) Withdraw(*exchange.Attempt) (found, sent bool) { return false, false }
-func (unsent) Unsend(*exchange.Attempt) bool                 { return false }
-func (unsent) Probe(uint64)                                  {}
-func (unsent) Watch()                                        {}
+func (unsent) Update([]exchange.Target)                    {}
+func (unsent) Send(uint64, []*exchange.Attempt)            {}
+func (unsent) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
+func (unsent) CancelUnsent(*exchange.Attempt) bool         { return false }
+func (unsent) CheckHealth(uint64)                          {}
+func (unsent) Watch()                                      {}
 
 // playRest is a process of the fleet: for each line on its input it writes what it counts.
 func playRest(raw string) {
@@ -110,12 +110,12 @@
 		n := New()
 		fail(n.Start(serve.Host{Config: cfg, Operator: op, Exchange: e, ListConfirmedAt: time.Now, Log: logrus.NewEntry(log).WithField("node", name), Shutdown: func() {}}))
 		go e.Run(context.Background())
-		list := exchange.List{Full: true}
+		list := exchange.ReplicaList{Full: true}
 		for r := range p.Replicas {
-			list.Entries = append(list.Entries, exchange.Entry{Name: fmt.Sprintf("r%04d", r), Address: "127.0.0.1:9", Zone: standin.DataCentres[r%3],
+			list.Entries = append(list.Entries, exchange.Endpoint{Name: fmt.Sprintf("r%04d", r), Address: "127.0.0.1:9", Zone: standin.DataCentres[r%3],
 				Cell: r % 6, State: policy.Up, Size: 1})
 		}
-		e.Listed(list)
+		e.UpdateReplicas(list)
 		nodes = append(nodes, n)
 	}
 	profile := restProfile(p.From, fail)
--- a/internal/fleet/sessiongate/bench_test.go
+++ b/internal/fleet/sessiongate/bench_test.go
@@ -16,7 +16,7 @@
 	r.p.step()
 	r.agree()
 	r.step(2, 1)
-	r.p.Over(first, exchange.Over{Served: true, Ran: true})
+	r.p.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
 	r.p.step()
 	if len(r.released) != 1 {
 		t.Fatal("the session is not open")
@@ -32,12 +32,12 @@
 		q := &exchange.Query{Session: "s", Tenant: -1, Due: time.Now().Add(50 * time.Second), Parts: parts}
 		each := testing.AllocsPerRun(1000, func() {
 			r.released = r.released[:0]
-			r.p.Pinned(q, "")
+			r.p.Admit(q, "")
 			r.p.step()
-			if len(r.released) != 1 || r.p.Final(q, exchange.Reply{Status: exchange.Served}).Status != exchange.Served {
+			if len(r.released) != 1 || r.p.FinalReply(q, exchange.Reply{Status: exchange.Served}).Status != exchange.Served {
 				t.Fatal("it was not served")
 			}
-			r.p.Over(q, exchange.Over{Served: true, Ran: true})
+			r.p.QueryEnded(q, exchange.QueryOutcome{Served: true, Ran: true})
 			r.p.step()
 		})
 		t.Logf("%d shards: %v allocations", len(parts), each)
@@ -59,10 +59,10 @@
 				r.released = r.released[:0]
 				for range many {
 					next := q
-					r.p.Pinned(&next, "")
+					r.p.Admit(&next, "")
 					r.p.step()
-					r.p.Final(&next, exchange.Reply{})
-					r.p.Over(&next, exchange.Over{Served: true, Ran: true})
+					r.p.FinalReply(&next, exchange.Reply{})
+					r.p.QueryEnded(&next, exchange.QueryOutcome{Served: true, Ran: true})
 				}
 				r.p.step()
 				if len(r.released) != many {
--- a/internal/fleet/sessiongate/gate.go
+++ b/internal/fleet/sessiongate/gate.go
@@ -2,7 +2,7 @@
 // end, and the agreed state. It decides nothing: what waits, runs or is rejected the owner says, in a goroutine of its
 // own, so that the exchange's turn never waits for it or for what is agreed.
 //
-//	exchange ──Pinned, Over──> inputs ──┐                    ┌──Release, TurnAway──> exchange
+//	exchange ──Pinned, Over──> inputs ──┐                    ┌──Release, Reject──> exchange
 //	node ──Events (index, lease)──────────┼──> sessionowner.Step ────┤
 //	clock ──────────────────────────────┘                    └──acts──> node, to the raft group
 package sessiongate
@@ -46,7 +46,7 @@
 // Exchange is what this needs of the exchange.
 type Exchange interface {
 	Release(q *exchange.Query)
-	TurnAway(q *exchange.Query, r exchange.Reply)
+	Reject(q *exchange.Query, r exchange.Reply)
 }
 
 // Options of the pins. Functions must not block.
--- a/internal/fleet/sessiongate/gate_test.go
+++ b/internal/fleet/sessiongate/gate_test.go
@@ -25,8 +25,8 @@
 	away     []exchange.Reply
 }
 
-func (r *rig) Release(q *exchange.Query)                    { r.released = append(r.released, q) }
-func (r *rig) TurnAway(_ *exchange.Query, a exchange.Reply) { r.away = append(r.away, a) }
+func (r *rig) Release(q *exchange.Query)                  { r.released = append(r.released, q) }
+func (r *rig) Reject(_ *exchange.Query, a exchange.Reply) { r.away = append(r.away, a) }
 
 var limits = session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute,
 	Lease: 2 * time.Second, Grace: 3 * time.Second, SessionsMost: 9, StateMost: 9, Slots: 2}
@@ -72,7 +72,7 @@
 func (r *rig) ask(key string, wait time.Duration) *exchange.Query {
 	r.Helper()
 	q := &exchange.Query{Session: key, Tenant: -1, Due: time.Now().Add(wait), Parts: []exchange.Part{{}}}
-	if !r.p.Pinned(q, "") {
+	if !r.p.Admit(q, "") {
 		r.Fatal("not taken")
 	}
 	return q
@@ -103,16 +103,16 @@
 	if len(r.released) != 1 {
 		t.Fatalf("%d released, %+v", len(r.released), r.away)
 	}
-	if a, may := r.p.Begin(q); !may {
+	if a, may := r.p.MayBegin(q); !may {
 		t.Fatalf("with a sure lease it is told %+v", a)
 	}
 	r.p.leaseUntil.Store(int64(r.p.now()))
-	if a, may := r.p.Begin(q); may || a.Status != exchange.Refused || a.After == 0 {
+	if a, may := r.p.MayBegin(q); may || a.Status != exchange.Rejected || a.RetryAfter == 0 {
 		t.Fatalf("without a lease: may begin %v, %+v", may, a)
 	}
 	r.p.leaseUntil.Store(int64(r.p.now() + time.Minute))
-	r.p.reject(r.p.byQuery[q], exchange.Reply{Status: exchange.Refused})
-	if _, may := r.p.Begin(q); may {
+	r.p.reject(r.p.byQuery[q], exchange.Reply{Status: exchange.Rejected})
+	if _, may := r.p.MayBegin(q); may {
 		t.Error("one whose client was told may begin")
 	}
 }
@@ -124,7 +124,7 @@
 }
 
 func (r *releasing) Release(q *exchange.Query) {
-	_, may := r.p.Begin(q)
+	_, may := r.p.MayBegin(q)
 	r.may = append(r.may, may)
 }
 
@@ -183,7 +183,7 @@
 	r.step(2, 1)
 	for r.woken() {
 	}
-	r.p.Over(first, exchange.Over{Served: true, Ran: true})
+	r.p.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
 	if r.woken() {
 		t.Error("an end that nobody waits for woke the keeper")
 	}
@@ -194,7 +194,7 @@
 	}
 	for r.woken() {
 	}
-	r.p.Over(second, exchange.Over{Served: true, Ran: true})
+	r.p.QueryEnded(second, exchange.QueryOutcome{Served: true, Ran: true})
 	if !r.woken() {
 		t.Error("an end that one waits for did not wake the keeper")
 	}
@@ -202,7 +202,7 @@
 	if len(r.released) != 3 || r.released[2] != third {
 		t.Fatalf("%d released", len(r.released))
 	}
-	if r.p.Over(third, exchange.Over{Served: true, Ran: true}); r.p.step() {
+	if r.p.QueryEnded(third, exchange.QueryOutcome{Served: true, Ran: true}); r.p.step() {
 		t.Error("something is open at the end")
 	}
 	if n := len(r.p.spareQueries); n != 3 || len(r.p.ended) > 0 || r.p.spareQueries[0].query != nil {
@@ -218,7 +218,7 @@
 	r.p.step()
 	r.agree()
 	r.step(2, 1)
-	r.p.Over(r.released[0], exchange.Over{Served: true, Ran: true})
+	r.p.QueryEnded(r.released[0], exchange.QueryOutcome{Served: true, Ran: true})
 	r.called("a")
 	r.called("b")
 	r.p.step()
@@ -230,7 +230,7 @@
 func (r *rig) called(id string) {
 	r.Helper()
 	q := &exchange.Query{ID: id, Session: "k", Tenant: -1, Due: time.Now().Add(time.Minute), Parts: []exchange.Part{{}}}
-	if !r.p.Pinned(q, "") {
+	if !r.p.Admit(q, "") {
 		r.Fatal("not taken")
 	}
 }
@@ -249,7 +249,7 @@
 	if len(open) != 1 || open[0].ID != session.IDOf(-1, []byte("k")) || open[0].TimeLeft > time.Minute || open[0].TimeLeft < 50*time.Second {
 		t.Fatalf("%+v", open)
 	}
-	r.p.Over(r.released[0], exchange.Over{Served: true, Ran: true})
+	r.p.QueryEnded(r.released[0], exchange.QueryOutcome{Served: true, Ran: true})
 	r.p.unsafeAt = -time.Hour
 	r.p.step()
 	if open = r.p.UnsafeQueries(); len(open) > 0 {
--- a/internal/fleet/sessiongate/query.go
+++ b/internal/fleet/sessiongate/query.go
@@ -12,8 +12,8 @@
 	"birchcart/policy"
 )
 
-// Pinned implements exchange.Gate.
-func (g *Gate) Pinned(q *exchange.Query, route string) bool {
+// Admit implements exchange.Gate.
+func (g *Gate) Admit(q *exchange.Query, route string) bool {
 	r := g.rules.Load()
 	if !r.classes[q.Class] || len(r.routes) > 0 && !slices.Contains(r.routes, route) {
 		return false
@@ -67,21 +67,21 @@
 
 var effects = map[policy.Effect]sessionowner.Effect{policy.Safe: sessionowner.Idempotent, policy.Keyed: sessionowner.Keyed, policy.Unsafe: sessionowner.NonIdempotent}
 
-// Begin implements exchange.Gate: a release may lie in the inbox while the process is stopped, and what was sure when it was
+// MayBegin implements exchange.Gate: a release may lie in the inbox while the process is stopped, and what was sure when it was
 // given need not be any more.
-func (g *Gate) Begin(q *exchange.Query) (exchange.Reply, bool) {
+func (g *Gate) MayBegin(q *exchange.Query) (exchange.Reply, bool) {
 	g.mu.Lock()
 	n := g.byQuery[q]
 	g.mu.Unlock()
 	if n == nil || !n.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
 		return exchange.Reply{}, true
 	}
-	return exchange.Reply{Status: exchange.Refused, After: g.retryAfter(sessionowner.RetryAfterWait)}, false
+	return exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(sessionowner.RetryAfterWait)}, false
 }
 
-// Final implements exchange.Gate: an answer is given as served only while the lease is sure at this very moment and the
+// FinalReply implements exchange.Gate: an answer is given as served only while the lease is sure at this very moment and the
 // owner has not given its response. The owner publishes a lease only after all responses of the one before.
-func (g *Gate) Final(q *exchange.Query, r exchange.Reply) exchange.Reply {
+func (g *Gate) FinalReply(q *exchange.Query, r exchange.Reply) exchange.Reply {
 	if r.Status != exchange.Served {
 		return r
 	}
@@ -94,7 +94,7 @@
 	if n.effect != policy.Safe { // of a keyed one nobody here looks at what is left of its window
 		return exchange.Reply{Status: exchange.Failed}
 	}
-	return exchange.Reply{Status: exchange.Refused, After: g.retryAfter(sessionowner.RetryAfterWait)}
+	return exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(sessionowner.RetryAfterWait)}
 }
 
 // retryAfter is a time to come back as the settings allow it.
@@ -105,8 +105,8 @@
 	return min(d, time.Duration(g.options.Policy.MaxRetryAfter*float64(time.Second)))
 }
 
-// Over implements exchange.Gate.
-func (g *Gate) Over(q *exchange.Query, o exchange.Over) {
+// QueryEnded implements exchange.Gate.
+func (g *Gate) QueryEnded(q *exchange.Query, o exchange.QueryOutcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := g.byQuery[q]
@@ -123,8 +123,8 @@
 	case o.Ran:
 		in.Outcome = sessionowner.MayHaveRun
 	}
-	if !o.Until.IsZero() {
-		in.BusyUntil = o.Until.Sub(g.options.StartTime)
+	if !o.MayRunUntil.IsZero() {
+		in.BusyUntil = o.MayRunUntil.Sub(g.options.StartTime)
 	}
 	g.inbox, g.ended = append(g.inbox, in), append(g.ended, n)
 	if g.hasWaiting { // else the next step does: it comes with a query, or within BusyInterval
--- a/internal/fleet/sessiongate/run.go
+++ b/internal/fleet/sessiongate/run.go
@@ -174,9 +174,9 @@
 			g.options.Exchange.Release(n.query)
 		}
 	case sessionowner.Reject:
-		g.reject(find(o.Token), exchange.Reply{Status: exchange.Refused, After: g.retryAfter(o.RetryAfter), Owner: o.Owner})
+		g.reject(find(o.Token), exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(o.RetryAfter), Owner: o.Owner})
 	case sessionowner.Cancel:
-		g.reject(find(o.Token), exchange.Reply{Status: exchange.Refused, After: g.retryAfter(o.RetryAfter), Owner: o.Owner})
+		g.reject(find(o.Token), exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(o.RetryAfter), Owner: o.Owner})
 	case sessionowner.Fail:
 		g.reject(find(o.Token), exchange.Reply{Status: exchange.Failed})
 	case sessionowner.Log:
@@ -190,5 +190,5 @@
 		return
 	}
 	n.responded.Store(true)
-	g.options.Exchange.TurnAway(n.query, r)
+	g.options.Exchange.Reject(n.query, r)
 }
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -124,7 +124,7 @@
 		Sessions: h.State.Sessions, WithLock: h.State.WithLock, Propose: p.queueActs,
 	})
 	p.gate.SetRules(section)
-	h.Exchange.Pin(p.gate)
+	h.Exchange.SetSessionGate(p.gate)
 	return p
 }
 
@@ -146,7 +146,7 @@
 }
 
 // SetReplicas tells the gate which replicas hold each shard.
-func (p *Part) SetReplicas(list []exchange.Entry) {
+func (p *Part) SetReplicas(list []exchange.Endpoint) {
 	c := p.host.Policy
 	all := make([]placement.Replica, len(list))
 	for i, e := range list {
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -57,7 +57,7 @@
 // newDrainStore makes the store of drains in the folder of the start.
 func (n *Node) newDrainStore() *drainstore.Store {
 	return drainstore.New(drainstore.Options{
-		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.host.Exchange.Narrow(machines) },
+		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.host.Exchange.SetDrains(machines) },
 		Warn: n.warn,
 	})
 }
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -24,7 +24,7 @@
 // Sink takes queries and the news that their clients have left.
 type Sink interface {
 	Submit(*exchange.Query)
-	Leave(*exchange.Query)
+	ClientGone(*exchange.Query)
 }
 
 // Server accepts clients.
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -157,7 +157,7 @@
 
 // hugeReply is more than the socket buffers of both sides take.
 func hugeReply() exchange.Reply {
-	return exchange.Reply{Found: []exchange.Value{{Shard: 1, Item: []byte(strings.Repeat("x", 32<<20))}}}
+	return exchange.Reply{Values: []exchange.Value{{Shard: 1, Item: []byte(strings.Repeat("x", 32<<20))}}}
 }
 
 // A client that leaves while its answer waits to be taken leaves at once with the query that came next, not when the
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -29,8 +29,8 @@
 	left  chan *exchange.Query
 }
 
-func (s *sink) Submit(q *exchange.Query) { s.asked <- q }
-func (s *sink) Leave(q *exchange.Query)  { s.left <- q }
+func (s *sink) Submit(q *exchange.Query)     { s.asked <- q }
+func (s *sink) ClientGone(q *exchange.Query) { s.left <- q }
 
 type stand struct {
 	*testing.T
@@ -191,7 +191,7 @@
 	if d := q.Due.Sub(q.Received); d != 480*time.Millisecond || q.Received.Before(began) || q.Received.After(time.Now()) {
 		t.Errorf("due after %v", d)
 	}
-	q.Reply(exchange.Reply{Whole: true, Found: []exchange.Value{{Shard: 3, Item: []byte("5be2")}, {Shard: 9, Item: []byte("\"\\\n\xff")}}})
+	q.Reply(exchange.Reply{Complete: true, Values: []exchange.Value{{Shard: 3, Item: []byte("5be2")}, {Shard: 9, Item: []byte("\"\\\n\xff")}}})
 	r, body := c.read()
 	if r.StatusCode != 200 || body != "{\"finished\":true,\"found\":[{\"bucket\":3,\"item\":\"5be2\"},{\"bucket\":9,\"item\":\"\\\"\\\\\\u000a\xff\"}]}" {
 		t.Fatalf("%d %q", r.StatusCode, body)
@@ -201,7 +201,7 @@
 		r      exchange.Reply
 		status int
 	}{
-		{exchange.Reply{Status: exchange.Refused, After: 250 * time.Millisecond}, 503},
+		{exchange.Reply{Status: exchange.Rejected, RetryAfter: 250 * time.Millisecond}, 503},
 		{exchange.Reply{Status: exchange.Failed}, 504}, {exchange.Reply{Status: exchange.Conflict}, 409},
 		{exchange.Reply{}, 200},
 	} {
@@ -209,7 +209,7 @@
 			fmt.Sprintf("5\r\n%s\r\n%x;x\r\n%s\r\n0\r\n\r\n", goodBody[:5], len(goodBody)-5, goodBody[5:]))
 		st.next().Reply(end.r)
 		r := c.status(end.status)
-		if got := r.Header.Get("Retry-After"); (got == "0.250") != (end.r.After > 0) {
+		if got := r.Header.Get("Retry-After"); (got == "0.250") != (end.r.RetryAfter > 0) {
 			t.Errorf("Retry-After %q", got)
 		}
 	}
@@ -341,11 +341,11 @@
 	c.write(query("a", "", goodBody) + query("b", "", goodBody))
 	a := st.next()
 	st.none()
-	a.Reply(exchange.Reply{Found: []exchange.Value{{Shard: 1}}})
+	a.Reply(exchange.Reply{Values: []exchange.Value{{Shard: 1}}})
 	if _, body := c.read(); !strings.Contains(body, `"bucket":1`) {
 		t.Errorf("%s", body)
 	}
-	st.next().Reply(exchange.Reply{Found: []exchange.Value{{Shard: 2}}})
+	st.next().Reply(exchange.Reply{Values: []exchange.Value{{Shard: 2}}})
 	if _, body := c.read(); !strings.Contains(body, `"bucket":2`) {
 		t.Errorf("%s", body)
 	}
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -146,7 +146,7 @@
 	c.asked, c.waiting = nil, nil
 	c.mu.Unlock()
 	if q != nil {
-		c.s.sink.Leave(q)
+		c.s.sink.ClientGone(q)
 	}
 }
 
@@ -260,7 +260,7 @@
 			// (a refusal would not be). With its answer kept, such a client would hold a place, a reading goroutine
 			// and attempts for all its time; one that sends so much does not wait for any one answer.
 			c.s.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": 400, "reason": "too many at once"})
-			c.s.sink.Leave(open)
+			c.s.sink.ClientGone(open)
 			return
 		}
 		c.mu.Unlock()
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -9,7 +9,7 @@
 )
 
 var statuses = map[exchange.Status]int{
-	exchange.Served: 200, exchange.Refused: 503, exchange.Failed: 504, exchange.Conflict: 409,
+	exchange.Served: 200, exchange.Rejected: 503, exchange.Failed: 504, exchange.Conflict: 409,
 }
 
 // reply writes the answer of a query. The exchange calls it, so it only queues.
@@ -19,8 +19,8 @@
 	switch r.Status {
 	case exchange.Served:
 		body = appendAnswer(nil, r)
-	case exchange.Refused:
-		header = comeBack(r.After)
+	case exchange.Rejected:
+		header = comeBack(r.RetryAfter)
 		if r.Owner != "" && c.s.owner != "" {
 			header = append(header, h1.Header{{Name: c.s.owner, Value: r.Owner}}...)
 		}
@@ -212,9 +212,9 @@
 
 // appendAnswer writes the body of an answer. Values go out byte for byte, but for what JSON has to escape.
 func appendAnswer(b []byte, r exchange.Reply) []byte {
-	b = strconv.AppendBool(append(b, `{"finished":`...), r.Whole)
+	b = strconv.AppendBool(append(b, `{"finished":`...), r.Complete)
 	b = append(b, `,"found":[`...)
-	for i, v := range r.Found {
+	for i, v := range r.Values {
 		if i > 0 {
 			b = append(b, ',')
 		}
--- a/internal/front/turns_test.go
+++ b/internal/front/turns_test.go
@@ -34,7 +34,7 @@
 	if wait := b.Due.Sub(b.Received); wait != 480*time.Millisecond {
 		t.Errorf("due after %v", wait)
 	}
-	b.Reply(exchange.Reply{Status: exchange.Refused})
+	b.Reply(exchange.Reply{Status: exchange.Rejected})
 	c.status(503)
 }
 
--- a/internal/ogc/accept.go
+++ b/internal/ogc/accept.go
@@ -28,7 +28,7 @@
 // Sink takes queries and the news that their clients have left.
 type Sink interface {
 	Submit(*exchange.Query)
-	Leave(*exchange.Query)
+	ClientGone(*exchange.Query)
 }
 
 // Server is the front.
--- a/internal/ogc/items.go
+++ b/internal/ogc/items.go
@@ -92,7 +92,7 @@
 	case reply := <-replies:
 		return s.answer(pg, reply)
 	case <-r.Context().Done():
-		s.sink.Leave(q)
+		s.sink.ClientGone(q)
 		return nil, r.Context().Err()
 	}
 }
@@ -121,14 +121,14 @@
 // leaves less than the class's least share there is no answer.
 func (s *Server) answer(pg *page, reply exchange.Reply) (*answer, error) {
 	switch reply.Status {
-	case exchange.Refused:
-		return nil, &failure{http.StatusServiceUnavailable, "refused: coming again is harmless", reply.After}
+	case exchange.Rejected:
+		return nil, &failure{http.StatusServiceUnavailable, "refused: coming again is harmless", reply.RetryAfter}
 	case exchange.Served:
 	default:
 		return nil, &failure{http.StatusGatewayTimeout, "the readers did not answer in time, or failed", 0}
 	}
 	values := map[int]*feature.Value{}
-	for _, found := range reply.Found {
+	for _, found := range reply.Values {
 		v, err := feature.Read(found.Item, pg.req, found.Shard)
 		if err != nil {
 			s.log.Warn("a value of features can't be used", logrus.Fields{"shard": found.Shard, "error": err})
--- a/internal/ogc/rig_test.go
+++ b/internal/ogc/rig_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if table != nil {
-		ex.Routes(table)
+		ex.SetRoutes(table)
 	}
 	r.pool = replica.New(r.cfg, ex, log)
 	list, at, _, err := discovery.Parse(r.cfg.Known)
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	list.Full, list.Stale = true, true
-	ex.Listed(list)
+	ex.UpdateReplicas(list)
 	disc := discovery.New(r.cfg, at, ex, log)
 	ex.Join(r.pool, disc)
 	ready := func() bool { return true }
--- a/internal/replica/blocked_test.go
+++ b/internal/replica/blocked_test.go
@@ -120,10 +120,10 @@
 	open()
 	p := s.acceptFrames(8 << 20)
 	s.untilBlocked()
-	if !s.pool.Unsend(left) {
+	if !s.pool.CancelUnsent(left) {
 		t.Error("a call that has not begun could not be taken back")
 	}
-	if found, sent := s.pool.Withdraw(withdrawn); !found || sent {
+	if found, sent := s.pool.Cancel(withdrawn); !found || sent {
 		t.Errorf("found %v, sent %v of a call that has not begun", found, sent)
 	}
 	s.pool.mu.Lock()
@@ -292,8 +292,8 @@
 // begin with its last byte, for a client that has left.
 func TestHalfAFrameEndsWithItsQuery(t *testing.T) {
 	for name, end := range map[string]func(*Pool, *exchange.Attempt) (sent bool){
-		"withdrawn":                 func(p *Pool, a *exchange.Attempt) bool { _, sent := p.Withdraw(a); return sent },
-		"query over, no cancelling": func(p *Pool, a *exchange.Attempt) bool { return !p.Unsend(a) },
+		"withdrawn":                 func(p *Pool, a *exchange.Attempt) bool { _, sent := p.Cancel(a); return sent },
+		"query over, no cancelling": func(p *Pool, a *exchange.Attempt) bool { return !p.CancelUnsent(a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := patientLimits()
@@ -332,7 +332,7 @@
 		s.pool.Send(1, []*exchange.Attempt{big, other})
 		p := s.acceptFrames(8 << 20)
 		s.untilBlocked()
-		s.pool.Withdraw(big)
+		s.pool.Cancel(big)
 		if f := p.frame(); !strings.Contains(f, "r.1 ") {
 			t.Errorf("a frame without the part that is waited for: %q...", f[:min(40, len(f))])
 		}
@@ -349,7 +349,7 @@
 		p.frame()
 		s.pool.Send(1, []*exchange.Attempt{big})
 		s.untilBlocked()
-		s.pool.Withdraw(big)
+		s.pool.Cancel(big)
 		p.frame()
 		p.say("Er.1 hit 0 -\nvalue")
 		if r := s.sink.next(t); r.Attempt != before || r.Outcome != policy.OK {
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		parts = append(parts, frame.Part{
-			ID: a.ID, Shard: a.Shard, Wait: max(1, a.Due.Sub(now).Milliseconds()), From: a.From, Whole: a.Whole,
+			ID: a.ID, Shard: a.Shard, Wait: max(1, a.Due.Sub(now).Milliseconds()), From: a.Previous, Whole: a.Complete,
 			Text: a.Text,
 		})
 		live = append(live, en)
--- a/internal/replica/collect_test.go
+++ b/internal/replica/collect_test.go
@@ -121,7 +121,7 @@
 		}
 	}
 	s.pool.byProbe = true
-	s.pool.Probe(1)
+	s.pool.CheckHealth(1)
 	p.frame()
 	p.say("Dcpu=NaN")
 	if r := <-s.sink.probes; r.Outcome != policy.OK || r.Report != nil {
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -52,7 +52,7 @@
 			open := s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
-			s.pool.Probe(1)
+			s.pool.CheckHealth(1)
 			target := exchange.Target{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: policy.Up}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
@@ -130,7 +130,7 @@
 }
 
 // nextProbe waits for the end of a probe.
-func (s *sink) nextProbe(t *testing.T) exchange.Probed {
+func (s *sink) nextProbe(t *testing.T) exchange.HealthCheck {
 	t.Helper()
 	select {
 	case r := <-s.probes:
@@ -168,7 +168,7 @@
 	withdrawn := make(chan [2]bool, 1)
 	s.sink.then = func(r exchange.Result) {
 		if r.Attempt == a {
-			found, sent := s.pool.Withdraw(b)
+			found, sent := s.pool.Cancel(b)
 			withdrawn <- [2]bool{found, sent}
 		}
 	}
--- a/internal/replica/featureserver/featureserver.go
+++ b/internal/replica/featureserver/featureserver.go
@@ -38,8 +38,8 @@
 
 // Sink takes what came of attempts and probes.
 type Sink interface {
-	Ended(exchange.Result)
-	Probed(exchange.Probed)
+	AttemptEnded(exchange.Result)
+	HealthChecked(exchange.HealthCheck)
 }
 
 // Pool holds what is out at feature servers. Its lock is held for bookkeeping only, never across I/O.
@@ -114,7 +114,7 @@
 	}
 	p.mu.Unlock()
 	for _, r := range back {
-		p.sink.Ended(r)
+		p.sink.AttemptEnded(r)
 	}
 }
 
@@ -146,7 +146,7 @@
 		p.mu.Unlock()
 		if en == nil {
 			p.log.Warn("no connection for a call", logrus.Fields{"replica": replica})
-			p.sink.Ended(exchange.Result{Attempt: a, Outcome: policy.Unreachable, At: time.Now()})
+			p.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Unreachable, At: time.Now()})
 			continue
 		}
 		go p.run(en, en.l)
@@ -173,8 +173,8 @@
 	return true
 }
 
-// Withdraw takes back an attempt; one that was written is given up by closing its connection.
-func (p *Pool) Withdraw(a *exchange.Attempt) (found, sent bool) {
+// Cancel takes back an attempt; one that was written is given up by closing its connection.
+func (p *Pool) Cancel(a *exchange.Attempt) (found, sent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	en := p.entries[a]
@@ -188,8 +188,8 @@
 	return true, en.written
 }
 
-// Unsend takes back an attempt that is not yet written.
-func (p *Pool) Unsend(a *exchange.Attempt) bool {
+// CancelUnsent takes back an attempt that is not yet written.
+func (p *Pool) CancelUnsent(a *exchange.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	en := p.entries[a]
@@ -200,8 +200,8 @@
 	return true
 }
 
-// Probe asks a server for its landing page.
-func (p *Pool) Probe(replica uint64) {
+// CheckHealth asks a server for its landing page.
+func (p *Pool) CheckHealth(replica uint64) {
 	p.mu.Lock()
 	t := p.targets[replica]
 	address := ""
@@ -212,7 +212,7 @@
 	p.mu.Unlock()
 	began := time.Now()
 	if address == "" {
-		p.sink.Probed(exchange.Probed{Replica: replica, Outcome: policy.Unreachable, At: began})
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: replica, Outcome: policy.Unreachable, At: began})
 		return
 	}
 	go func() {
@@ -233,7 +233,7 @@
 		p.links--
 		p.mu.Unlock()
 		now := time.Now()
-		p.sink.Probed(exchange.Probed{Replica: replica, Outcome: o, At: now, Took: now.Sub(began)})
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: replica, Outcome: o, At: now, Took: now.Sub(began)})
 	}()
 }
 
@@ -307,7 +307,7 @@
 	}
 	p.mu.Unlock()
 	if open { // else it was given up meanwhile
-		p.sink.Ended(exchange.Result{Attempt: en.a, Outcome: o, At: now, Value: value})
+		p.sink.AttemptEnded(exchange.Result{Attempt: en.a, Outcome: o, At: now, Value: value})
 	}
 }
 
--- a/internal/replica/featureserver/featureserver_test.go
+++ b/internal/replica/featureserver/featureserver_test.go
@@ -19,11 +19,11 @@
 
 type sink struct {
 	results chan exchange.Result
-	probes  chan exchange.Probed
+	probes  chan exchange.HealthCheck
 }
 
-func (s *sink) Ended(r exchange.Result)  { s.results <- r }
-func (s *sink) Probed(p exchange.Probed) { s.probes <- p }
+func (s *sink) AttemptEnded(r exchange.Result)       { s.results <- r }
+func (s *sink) HealthChecked(p exchange.HealthCheck) { s.probes <- p }
 
 type stand struct {
 	*testing.T
@@ -47,7 +47,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &stand{T: t, sink: &sink{make(chan exchange.Result, 100), make(chan exchange.Probed, 10)}, server: server}
+	s := &stand{T: t, sink: &sink{make(chan exchange.Result, 100), make(chan exchange.HealthCheck, 10)}, server: server}
 	s.pool = featureserver.New(l, s.sink, logrus.NewEntry(log))
 	s.set(server.Address(), policy.Up)
 	t.Cleanup(func() { s.pool.Close(); server.Close() })
@@ -169,13 +169,13 @@
 	a := s.send(time.Minute)
 	for end := time.Now().Add(5 * time.Second); s.server.Asked() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if s.pool.Unsend(a) {
+	if s.pool.CancelUnsent(a) {
 		t.Error("what was written can't be unsent")
 	}
-	if found, sent := s.pool.Withdraw(a); !found || !sent {
+	if found, sent := s.pool.Cancel(a); !found || !sent {
 		t.Errorf("found %v, sent %v", found, sent)
 	}
-	if found, _ := s.pool.Withdraw(a); found {
+	if found, _ := s.pool.Cancel(a); found {
 		t.Error("withdrawn twice")
 	}
 	s.set(s.server.Address(), policy.Draining)
@@ -203,7 +203,7 @@
 	if r := s.next(); r.Outcome != policy.OK {
 		t.Errorf("%+v", r)
 	}
-	s.pool.Probe(1)
+	s.pool.CheckHealth(1)
 	if p := <-s.sink.probes; p.Outcome != policy.OK {
 		t.Errorf("%+v", p)
 	}
--- a/internal/replica/links_test.go
+++ b/internal/replica/links_test.go
@@ -106,7 +106,7 @@
 	s.pool.Send(1, []*exchange.Attempt{a})
 	first := s.accept()
 	first.frame()
-	s.pool.Withdraw(a)
+	s.pool.Cancel(a)
 	first.frame()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // there is no other yet
 	first.frame()
@@ -123,7 +123,7 @@
 		second.in.Split(frame.Split(1000))
 		first.frame()
 	}
-	s.pool.Withdraw(b)
+	s.pool.Cancel(b)
 	peers[0].frame()
 	for i := range 3 { // the one that said nothing has been idle longest, and stays unused
 		s.pool.Send(1, []*exchange.Attempt{attempt(fmt.Sprint("r.", i))})
@@ -230,7 +230,7 @@
 	if f := second.frame(); !strings.HasPrefix(f, "Aq.2 ") {
 		t.Fatalf("%q", f)
 	}
-	s.pool.Withdraw(a)
+	s.pool.Cancel(a)
 	p.frame()
 	p.ended()
 }
--- a/internal/replica/mux.go
+++ b/internal/replica/mux.go
@@ -60,16 +60,18 @@
 // Send sends attempts as one call.
 func (m *Mux) Send(replica uint64, call []*exchange.Attempt) { m.of(replica).Send(replica, call) }
 
-// Probe asks for a sign of life.
-func (m *Mux) Probe(replica uint64) { m.of(replica).Probe(replica) }
+// CheckHealth asks for a sign of life.
+func (m *Mux) CheckHealth(replica uint64) { m.of(replica).CheckHealth(replica) }
 
-// Withdraw takes back an attempt from the side that has it.
-func (m *Mux) Withdraw(a *exchange.Attempt) (found, sent bool) {
-	if found, sent = m.frames.Withdraw(a); found {
+// Cancel takes back an attempt from the side that has it.
+func (m *Mux) Cancel(a *exchange.Attempt) (found, sent bool) {
+	if found, sent = m.frames.Cancel(a); found {
 		return found, sent
 	}
-	return m.features.Withdraw(a)
+	return m.features.Cancel(a)
 }
 
-// Unsend takes back an attempt that is not yet written from the side that has it.
-func (m *Mux) Unsend(a *exchange.Attempt) bool { return m.frames.Unsend(a) || m.features.Unsend(a) }
+// CancelUnsent takes back an attempt that is not yet written from the side that has it.
+func (m *Mux) CancelUnsent(a *exchange.Attempt) bool {
+	return m.frames.CancelUnsent(a) || m.features.CancelUnsent(a)
+}
--- a/internal/replica/mux_test.go
+++ b/internal/replica/mux_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func (s *servers) Withdraw(*exchange.Attempt) (found, sent bool) { return false, false }
+func (s *servers) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
 
 // A replica that comes again as a feature server under its name gets nothing by frames any more, also nothing that waits
 // for a connection, and the other way round.
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -19,8 +19,8 @@
 
 // Sink takes what came of attempts and probes.
 type Sink interface {
-	Ended(exchange.Result)
-	Probed(exchange.Probed)
+	AttemptEnded(exchange.Result)
+	HealthChecked(exchange.HealthCheck)
 }
 
 // Pool holds the connections to all replicas. Its lock is held for bookkeeping only, never across I/O.
@@ -114,7 +114,7 @@
 
 func (p *Pool) tell(results []exchange.Result) {
 	for _, r := range results {
-		p.sink.Ended(r)
+		p.sink.AttemptEnded(r)
 	}
 }
 
@@ -130,7 +130,7 @@
 		p.mu.Unlock()
 		p.log.Warn("no connection for a call", logrus.Fields{"replica": replica})
 		for _, a := range call {
-			p.sink.Ended(exchange.Result{Attempt: a, Outcome: policy.Unreachable, At: time.Now()})
+			p.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Unreachable, At: time.Now()})
 		}
 		return
 	}
@@ -214,8 +214,8 @@
 	return true
 }
 
-// Withdraw takes back an attempt: one that was sent is given up at the replica, too.
-func (p *Pool) Withdraw(a *exchange.Attempt) (found, sent bool) {
+// Cancel takes back an attempt: one that was sent is given up at the replica, too.
+func (p *Pool) Cancel(a *exchange.Attempt) (found, sent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	en := p.entries[a]
@@ -240,9 +240,9 @@
 	return true, true
 }
 
-// Unsend takes back an attempt that is not yet written. One whose frame waits in the middle for the replica to read on is
+// CancelUnsent takes back an attempt that is not yet written. One whose frame waits in the middle for the replica to read on is
 // not: it may be whole by now. But then the rest of its frame does not go out, if it can be helped.
-func (p *Pool) Unsend(a *exchange.Attempt) bool {
+func (p *Pool) CancelUnsent(a *exchange.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	en := p.entries[a]
@@ -267,8 +267,8 @@
 	}
 }
 
-// Probe asks a replica for a sign of life, or for its load where that is the only way to it.
-func (p *Pool) Probe(replica uint64) {
+// CheckHealth asks a replica for a sign of life, or for its load where that is the only way to it.
+func (p *Pool) CheckHealth(replica uint64) {
 	p.mu.Lock()
 	t := p.targets[replica]
 	var l *link
@@ -284,7 +284,7 @@
 	}
 	p.mu.Unlock()
 	if l == nil {
-		p.sink.Probed(exchange.Probed{Replica: replica, Outcome: policy.Unreachable, At: now})
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: replica, Outcome: policy.Unreachable, At: now})
 	}
 }
 
@@ -302,7 +302,7 @@
 	pr.ended = true
 	p.mu.Unlock()
 	if now := time.Now(); !over {
-		p.sink.Probed(exchange.Probed{Replica: pr.replica, Outcome: o, At: now, Took: now.Sub(pr.at), Report: report})
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: pr.replica, Outcome: o, At: now, Took: now.Sub(pr.at), Report: report})
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -24,18 +24,18 @@
 // sink gathers results.
 type sink struct {
 	results chan exchange.Result
-	probes  chan exchange.Probed
+	probes  chan exchange.HealthCheck
 	then    func(exchange.Result) // called before a result is passed on
 }
 
-func (s *sink) Ended(r exchange.Result) {
+func (s *sink) AttemptEnded(r exchange.Result) {
 	if s.then != nil {
 		s.then(r)
 	}
 	s.results <- r
 }
 
-func (s *sink) Probed(p exchange.Probed) { s.probes <- p }
+func (s *sink) HealthChecked(p exchange.HealthCheck) { s.probes <- p }
 
 func (s *sink) next(t *testing.T) exchange.Result {
 	t.Helper()
@@ -120,7 +120,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &stand{T: t, ln: ln, sink: &sink{results: make(chan exchange.Result, 1000), probes: make(chan exchange.Probed, 100)}}
+	s := &stand{T: t, ln: ln, sink: &sink{results: make(chan exchange.Result, 1000), probes: make(chan exchange.HealthCheck, 100)}}
 	s.pool = New(&config.Config{Limits: l, Policy: policy.Config{ReportNames: []string{"cpu"}}}, s.sink, logrus.NewEntry(log))
 	s.set(policy.Up)
 	t.Cleanup(func() { ln.Close(); s.pool.Close() })
@@ -272,10 +272,10 @@
 	s.pool.Send(2, []*exchange.Attempt{a})
 	s.pool.Send(2, []*exchange.Attempt{b})
 	s.pool.Send(2, []*exchange.Attempt{c})
-	if found, sent := s.pool.Withdraw(a); !found || sent {
+	if found, sent := s.pool.Cancel(a); !found || sent {
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
-	if !s.pool.Unsend(b) || s.pool.Unsend(b) {
+	if !s.pool.CancelUnsent(b) || s.pool.CancelUnsent(b) {
 		t.Fatal("a waiting part could not be taken back once")
 	}
 	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: "127.0.0.1:1", State: policy.Draining}})
@@ -296,7 +296,7 @@
 	if f := p.frame(); strings.Contains(f, "q.1") || !strings.Contains(f, "q.2") {
 		t.Fatalf("frame %q", f)
 	}
-	if found, sent := s.pool.Withdraw(late); !found || sent {
+	if found, sent := s.pool.Cancel(late); !found || sent {
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
 	p.say("Eq.2 hit 1 -\nv")
@@ -333,10 +333,10 @@
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
 	p.frame()
-	if s.pool.Unsend(a) {
+	if s.pool.CancelUnsent(a) {
 		t.Fatal("a part on the wire was taken back")
 	}
-	if found, sent := s.pool.Withdraw(a); !found || !sent {
+	if found, sent := s.pool.Cancel(a); !found || !sent {
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
 	if f := p.frame(); f != "Bq.1" {
@@ -358,7 +358,7 @@
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
 	p.frame()
-	s.pool.Withdraw(a)
+	s.pool.Cancel(a)
 	p.frame()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	second := s.accept()
@@ -392,8 +392,8 @@
 
 func TestProbes(t *testing.T) {
 	s := newStand(t, testLimits())
-	s.pool.Probe(1)
-	s.pool.Probe(1)
+	s.pool.CheckHealth(1)
+	s.pool.CheckHealth(1)
 	p := s.accept()
 	if f := p.frame() + p.frame(); f != "CC" {
 		t.Fatalf("%q", f)
@@ -407,7 +407,7 @@
 		t.Fatalf("%+v", r)
 	}
 	s.pool.byProbe = true
-	s.pool.Probe(1)
+	s.pool.CheckHealth(1)
 	if f := p.frame(); f != "D" {
 		t.Fatalf("%q", f)
 	}
@@ -416,7 +416,7 @@
 		t.Fatalf("%+v", r)
 	}
 	s.pool.limits.ProbeTime = 10 * time.Millisecond
-	s.pool.Probe(1)
+	s.pool.CheckHealth(1)
 	if r := <-s.sink.probes; r.Outcome != policy.TimedOut {
 		t.Fatalf("%+v", r)
 	}
@@ -451,8 +451,8 @@
 				a := attempt(fmt.Sprintf("%d-%d.1", g, i))
 				s.pool.Send(1, []*exchange.Attempt{a})
 				if i%5 == 0 {
-					if found, _ := s.pool.Withdraw(a); found {
-						s.sink.Ended(exchange.Result{Attempt: a, Outcome: policy.Revoked})
+					if found, _ := s.pool.Cancel(a); found {
+						s.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Revoked})
 					}
 				}
 			}
--- a/internal/serve/coordinator.go
+++ b/internal/serve/coordinator.go
@@ -121,8 +121,8 @@
 		return discovery.NoIndex
 	}
 	list.Full, list.Stale = true, true
-	c.listKnown = slices.ContainsFunc(list.Entries, func(e exchange.Entry) bool { return e.State == policy.Up })
-	c.exchange.Listed(list)
+	c.listKnown = slices.ContainsFunc(list.Entries, func(e exchange.Endpoint) bool { return e.State == policy.Up })
+	c.exchange.UpdateReplicas(list)
 	if len(list.Entries) == 0 { // an empty one is no ground for asking for changes alone
 		return discovery.NoIndex
 	}
@@ -155,7 +155,7 @@
 		return fmt.Errorf("operators' file: %w", err)
 	}
 	if table != nil {
-		c.exchange.Routes(table)
+		c.exchange.SetRoutes(table)
 	}
 	return nil
 }
--- a/internal/serve/reload.go
+++ b/internal/serve/reload.go
@@ -100,7 +100,7 @@
 			return err
 		}
 	}
-	r.exchange.Routes(table)
+	r.exchange.SetRoutes(table)
 	if r.features != nil {
 		r.features.Apply(op)
 	}
