--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -8,7 +8,7 @@
 	"net"
 	"time"
 
-	"birchcart/internal/duplex"
+	"birchcart/internal/duplexconn"
 	"birchcart/internal/h1"
 )
 
@@ -36,7 +36,7 @@
 func (s *stream) Read(p []byte) (int, error) {
 	s.conn.SetReadDeadline(s.deadline)
 	n, err := s.conn.Read(p)
-	if timedOut(err) && s.lateBytes < s.objects.maxSize && duplex.Waits(s.conn) {
+	if timedOut(err) && s.lateBytes < s.objects.maxSize && duplexconn.Waits(s.conn) {
 		s.conn.SetReadDeadline(time.Time{}) // there is something: it does not wait
 		n, err = s.conn.Read(p)
 		s.lateBytes += n
--- a/internal/duplex/duplex.go
+++ b/internal/duplexconn/duplex.go
@@ -1,7 +1,7 @@
-// Package duplex lets one goroutine serve a connection in both directions. It sits in Read; others queue
+// Package duplexconn lets one goroutine serve a connection in both directions. It sits in Read; others queue
 // what is to be written and wake it by a read deadline in the past. Read then writes what is queued and
 // reads on, so a connection that waits for its answer still sees its peer leave.
-package duplex
+package duplexconn
 
 import (
 	"errors"
@@ -37,7 +37,7 @@
 // past is a deadline that has gone by on every clock.
 var past = time.Unix(1, 0)
 
-// keepBuffer is the most bytes of the write buffer that are kept for the next write.
+// keepBuffer is the maximum number of bytes of the write buffer that are kept for the next write.
 const keepBuffer = 64 << 10
 
 // New wraps a connection.
--- a/internal/duplex/duplex_test.go
+++ b/internal/duplexconn/duplex_test.go
@@ -1,4 +1,4 @@
-package duplex
+package duplexconn
 
 import (
 	"errors"
--- a/internal/duplex/waits.go
+++ b/internal/duplexconn/waits.go
@@ -1,4 +1,4 @@
-package duplex
+package duplexconn
 
 import (
 	"errors"
@@ -6,17 +6,17 @@
 	"syscall"
 )
 
-// Open tells whether the peer's machine holds the connection still, as far as has been heard. It may be called from
+// Open says whether the peer's machine holds the connection still, as far as has been heard. It may be called from
 // anywhere.
 func (c *Conn) Open() bool {
 	n, err := peek(c.nc)
 	return n > 0 || nothing(err)
 }
 
-// Waits tells whether bytes or the end of the connection can be read at once. It may be called from anywhere.
+// Waits says whether bytes or the end of the connection can be read at once. It may be called from anywhere.
 func (c *Conn) Waits() bool { return Waits(c.nc) }
 
-// Waits tells whether bytes or the end of a connection can be read at once.
+// Waits says whether bytes or the end of a connection can be read at once.
 func Waits(nc net.Conn) bool {
 	_, err := peek(nc)
 	return !nothing(err)
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -12,7 +12,7 @@
 )
 
 // arrived waits until what a client wrote can be read at the server's side.
-func (st *stand) arrived(c *client) {
+func (st *stand) arrived(c *clientConn) {
 	st.Helper()
 	st.until("bytes arrive", c.conn.Waits)
 }
@@ -21,11 +21,11 @@
 // its connection comes to it, and the connection does not end over it.
 func TestATimeRunsOutOverARequest(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
-	for name, past := range map[string]func(*client){
-		"between requests":  func(c *client) { c.idleAt = long },
-		"the first request": func(c *client) { c.began, c.good = long, false },
-		"half a request":    func(c *client) { c.partial = long },
-		"half of the first": func(c *client) { c.partial, c.began, c.good = long, long, false },
+	for name, past := range map[string]func(*clientConn){
+		"between requests":  func(c *clientConn) { c.idleSince = long },
+		"the first request": func(c *clientConn) { c.acceptedAt, c.sentValid = long, false },
+		"half a request":    func(c *clientConn) { c.partialSince = long },
+		"half of the first": func(c *clientConn) { c.partialSince, c.acceptedAt, c.sentValid = long, long, false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			st := newStand(t, nil)
@@ -44,7 +44,7 @@
 func TestATimeRunsOutOverATrickle(t *testing.T) {
 	st := newStand(t, nil)
 	c, peer := st.unstarted()
-	c.partial = time.Now().Add(-time.Hour)
+	c.partialSince = time.Now().Add(-time.Hour)
 	peer.write(query("a", "", goodBody)[:60])
 	st.arrived(c)
 	go c.run()
@@ -53,17 +53,17 @@
 	st.none()
 }
 
-// A client that is asked to go in the middle of a request that has taken long, and whose rest waits unread by then, has
+// A client that is asked to close in the middle of a request that has taken long, and whose rest waits unread by then, has
 // sent it whole: it is answered. With nothing waiting it goes, also when it has sent a little more.
 func TestEvictedOverARequest(t *testing.T) {
 	text := query("a", "", goodBody)
 	for _, cut := range []int{0, 30} { // bytes that are missing
 		st := newStand(t, nil)
 		c, peer := st.unstarted()
-		c.partial = time.Now().Add(-time.Hour)
+		c.partialSince = time.Now().Add(-time.Hour)
 		peer.write(text[:len(text)-cut])
 		st.arrived(c)
-		if !c.hangUp() {
+		if !c.requestClose() {
 			t.Error("it is not asked to go")
 		}
 		go c.run()
@@ -85,11 +85,11 @@
 	for _, what := range []string{"a query", "a bad query"} {
 		st := newStand(t, nil)
 		end := time.Now().Add(time.Hour)
-		st.s.lastBy.Store(&end)
-		st.s.leaving.Store(true)
+		st.s.lastReplyBy.Store(&end)
+		st.s.closing.Store(true)
 		c, peer := st.unstarted()
 		first := &exchange.Query{ID: "a"}
-		c.asked = first
+		c.current = first
 		text := query("b", "", goodBody)
 		if what != "a query" {
 			text = query("b", "", "nonsense")
@@ -98,9 +98,9 @@
 		if _, token, err := split.Split([]byte(text), false); token == nil || err != nil {
 			t.Fatalf("%q %v", token, err)
 		}
-		c.cut(0)
-		c.reply(first, exchange.Reply{})
-		last := c.request(&split.Request)
+		c.requestRead(0)
+		c.queueReply(first, exchange.Reply{})
+		last := c.handleRequest(&split.Request)
 		if what == "a query" {
 			if b := st.next(); b.ID != "b" || last {
 				t.Errorf("asked %s, last %t", b.ID, last)
@@ -156,7 +156,7 @@
 	c := st.dialled()
 	head, body, _ := strings.Cut(query("a", "Expect: 100-continue\r\n", goodBody), "\r\n\r\n")
 	c.write(head + "\r\n\r\n")
-	st.until("the word is on its way", func() bool { return st.s.unread.Load() == int64(len(head)+4) })
+	st.until("the word is on its way", func() bool { return st.s.partialBytes.Load() == int64(len(head)+4) })
 	done := st.draining()
 	time.Sleep(2 * drainTick) // each connection has been looked at
 	c.continues()
@@ -241,13 +241,13 @@
 	st.drained(done)
 }
 
-// begun tells whether some connection has an unfinished request.
+// begun says whether some connection has an unfinished request.
 func (st *stand) begun() bool {
 	st.s.mu.Lock()
 	defer st.s.mu.Unlock()
 	for c := range st.s.conns {
 		c.mu.Lock()
-		begun := !c.partial.IsZero()
+		begun := !c.partialSince.IsZero()
 		c.mu.Unlock()
 		if begun {
 			return true
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// isReady tells whether clients should come.
-func (s *Server) isReady() bool { return !s.ending.Load() && s.ready() }
+// isReady says whether clients should come.
+func (s *Server) isReady() bool { return !s.draining.Load() && s.ready() }
 
-// hears tells whether a request that has begun may still be answered: not from the moment for the last answers on.
-func (s *Server) hears() bool {
-	end := s.lastBy.Load()
+// mayRespond says whether a request that has begun may still be answered: not from the moment for the last answers on.
+func (s *Server) mayRespond() bool {
+	end := s.lastReplyBy.Load()
 	return end == nil || time.Now().Before(*end)
 }
 
@@ -21,39 +21,39 @@
 // time before the process may be killed.
 func (s *Server) Drain(ctx context.Context) {
 	end := time.Now().Add(s.limits.EndTime)
-	s.lastBy.Store(&end)
-	s.ending.Store(true)
+	s.lastReplyBy.Store(&end)
+	s.draining.Store(true)
 	select {
 	case <-ctx.Done():
 	case <-time.After(s.limits.DrainTime):
 	}
-	s.leaving.Store(true)
+	s.closing.Store(true)
 	s.mu.Lock()
-	s.room.Broadcast()
+	s.placeFreed.Broadcast()
 	s.mu.Unlock()
 	// Guards against requests that the machine has taken and nobody has read: the listener's end resets what waits there.
-	if s.look(0) {
+	if s.extendAccept(0) {
 		select {
-		case <-s.taken:
+		case <-s.acceptEnded:
 		case <-ctx.Done():
-		case <-time.After(takeMost):
+		case <-time.After(maxAcceptTime):
 		}
 	}
-	s.ln.Close()
+	s.listener.Close()
 	for tick := time.NewTicker(drainTick); ; {
 		s.mu.Lock()
 		left := len(s.conns)
-		idle := make([]*client, 0, left)
+		idle := make([]*clientConn, 0, left)
 		for c := range s.conns {
 			idle = append(idle, c)
 		}
 		s.mu.Unlock()
-		if left == 0 && (s.hasTaken() || !s.hears()) {
+		if left == 0 && (s.acceptHasEnded() || !s.mayRespond()) {
 			tick.Stop()
 			return
 		}
 		for _, c := range idle {
-			c.hangUp()
+			c.requestClose()
 		}
 		select {
 		case <-ctx.Done():
@@ -64,28 +64,28 @@
 	}
 }
 
-// hasTaken tells whether the accepting has ended: until then a connection that was accepted may not be among the others.
-func (s *Server) hasTaken() bool {
+// acceptHasEnded says whether the accepting has ended: until then a connection that was accepted may not be among the others.
+func (s *Server) acceptHasEnded() bool {
 	select {
-	case <-s.taken:
+	case <-s.acceptEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-// look lets the accepting go on for a time, from now; false if the listener knows no times.
-func (s *Server) look(during time.Duration) bool {
-	ln, ok := s.ln.(interface{ SetDeadline(time.Time) error })
+// extendAccept lets the accepting go on for a time, from now; false if the listener knows no times.
+func (s *Server) extendAccept(during time.Duration) bool {
+	ln, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	return ok && ln.SetDeadline(time.Now().Add(during)) == nil
 }
 
 const (
 	drainTick = 20 * time.Millisecond // how often the drain looks for connections that are done
-	// lookTime without anybody to accept ends the accepting. Twice as long ends later by so much; half as long and a
+	// acceptExtension without anybody to accept ends the accepting. Twice as long ends later by so much; half as long and a
 	// busy machine finds nobody though one waits.
-	lookTime = 5 * time.Millisecond
-	// takeMost bounds the accepting at the end: clients that go on coming are refused by the machine then. Half as long
+	acceptExtension = 5 * time.Millisecond
+	// maxAcceptTime bounds the accepting at the end: clients that go on coming are refused by the machine then. Half as long
 	// and a process that gets a quarter of a core does not come round to it.
-	takeMost = 100 * time.Millisecond
+	maxAcceptTime = 100 * time.Millisecond
 )
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -17,7 +17,7 @@
 	st.Helper()
 	done = make(chan struct{})
 	go func() { st.s.Drain(context.Background()); close(done) }()
-	for end := time.Now().Add(patience); !st.s.leaving.Load(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); !st.s.closing.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			st.Fatal("not leaving")
 		}
@@ -108,12 +108,12 @@
 		t.Fatal(err)
 	}
 	c := newClient(st.s, nc) // its goroutine is not running: it has not had the processor
-	c.good = true
+	c.sentValid = true
 	if _, err := peer.Write([]byte(query("a", "", goodBody))); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(10 * time.Millisecond)
-	c.hung = true // asked to go before that came
+	c.closeRequested = true // asked to close before that came
 	go c.run()
 	st.next().Reply(exchange.Reply{})
 	b := make([]byte, 100)
@@ -122,7 +122,7 @@
 	if err != nil || !strings.HasPrefix(string(b[:n]), "HTTP/1.1 200") {
 		t.Errorf("%q %v", b[:n], err)
 	}
-	c.hangUp()
+	c.requestClose()
 	if n, err := peer.Read(b); err == nil {
 		t.Errorf("not closed though nothing waits: %q", b[:n])
 	}
@@ -167,7 +167,7 @@
 	}
 	done := held.draining()
 	time.Sleep(2 * drainTick)
-	close(held.s.ln.(slowToAccept).free)
+	close(held.s.listener.(slowToAccept).free)
 	for range waiting {
 		held.next().Reply(exchange.Reply{})
 	}
@@ -187,8 +187,8 @@
 	c.write(strings.Replace(query("a", "", goodBody), "X-Timeout-Ms: 480", "X-Timeout-Ms: 60000", 1))
 	q := st.next()
 	done := st.draining()
-	st.until("the time for last answers is over", func() bool { return !st.s.hears() })
-	if end := st.s.lastBy.Load(); !q.Due.After(*end) {
+	st.until("the time for last answers is over", func() bool { return !st.s.mayRespond() })
+	if end := st.s.lastReplyBy.Load(); !q.Due.After(*end) {
 		t.Fatalf("due %v before the last answers", end.Sub(q.Due))
 	}
 	select {
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -38,14 +38,14 @@
 }
 
 // unstarted is a connection whose goroutine has not had the processor yet.
-func (st *stand) unstarted() (*client, *conn) {
+func (st *stand) unstarted() (*clientConn, *conn) {
 	st.Helper()
 	c, peer, _ := st.unstartedOn()
 	return c, peer
 }
 
 // unstartedOn tells the server's socket too.
-func (st *stand) unstartedOn() (*client, *conn, *net.TCPConn) {
+func (st *stand) unstartedOn() (*clientConn, *conn, *net.TCPConn) {
 	st.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	st.Cleanup(func() { peer.Close(); nc.Close() })
 	c := newClient(st.s, nc)
-	c.good = true
+	c.sentValid = true
 	return c, &conn{st.T, peer, bufio.NewReader(peer)}, nc.(*net.TCPConn)
 }
 
@@ -223,7 +223,7 @@
 	st.until("all is read", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return len(c.waiting) == 2
+		return len(c.pipelined) == 2
 	})
 	a.Reply(hugeReply())
 	b := st.next()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -68,11 +68,11 @@
 	if err := st.s.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	st.s.Mark("X-Account")
-	st.s.ln = wrap(st.s.ln)
+	st.s.SetLaneHeader("X-Account")
+	st.s.listener = wrap(st.s.listener)
 	ctx, stop := context.WithCancel(context.Background())
 	go st.s.Serve(ctx)
-	t.Cleanup(func() { stop(); st.s.ln.Close() })
+	t.Cleanup(func() { stop(); st.s.listener.Close() })
 	return st
 }
 
@@ -297,7 +297,7 @@
 // A query is not held for longer than the clients of its class wait, whatever its own says.
 func TestALongTimeOutIsCut(t *testing.T) {
 	st := newStand(t, nil)
-	st.s.giveUp[0] = time.Second
+	st.s.maxClientWait[0] = time.Second
 	c := st.dial()
 	c.write(strings.Replace(query("a", "", goodBody), "480", "3000000", 1))
 	if q := st.next(); q.Due.Sub(q.Received) != time.Second {
@@ -410,7 +410,7 @@
 	idle.status(200)
 	done := make(chan struct{})
 	go func() { st.s.Drain(context.Background()); close(done) }()
-	for !st.s.ending.Load() {
+	for !st.s.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	idle.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -12,7 +12,7 @@
 	"birchcart/internal/exchange"
 )
 
-// Guards against megabytes of a body that is refused: the error goes out at once, and of the rest little is read.
+// Guards against megabytes of a body that is rejected: the error goes out at once, and of the rest little is read.
 func TestAHugeBodyIsNotRead(t *testing.T) {
 	st := newStand(t, func(l *config.Limits) { l.Linger = 100 * time.Millisecond })
 	c := st.dial()
@@ -63,7 +63,7 @@
 }
 
 // Guards against many bodies at once that a small memory does not hold: past the budget for all connections a
-// large request is refused while small ones pass, and what is over is given back.
+// large request is rejected while small ones pass, and what is over is given back.
 func TestUnreadRequestsHaveABudget(t *testing.T) {
 	st := newStand(t, func(l *config.Limits) { l.UnreadBytes = 20 << 10 })
 	large := func() *conn {
@@ -73,9 +73,9 @@
 		return c
 	}
 	first := large()
-	for end := time.Now().Add(patience); st.s.unread.Load() < 12<<10; time.Sleep(time.Millisecond) { // it is booked
+	for end := time.Now().Add(patience); st.s.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // it is booked
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are booked", st.s.unread.Load())
+			t.Fatalf("%d bytes are booked", st.s.partialBytes.Load())
 		}
 	}
 	second := large()
@@ -86,9 +86,9 @@
 	st.next().Reply(exchange.Reply{})
 	small.status(200)
 	first.nc.Close()
-	for end := time.Now().Add(patience); st.s.unread.Load() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); st.s.partialBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are still booked", st.s.unread.Load())
+			t.Fatalf("%d bytes are still booked", st.s.partialBytes.Load())
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	})
 	done := make(chan struct{})
 	go func() { st.s.Drain(context.Background()); close(done) }()
-	for !st.s.ending.Load() {
+	for !st.s.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	for range 10 {
@@ -236,7 +236,7 @@
 	c.status(200)
 }
 
-// A client that came past the limit makes room for those behind it, not for itself: it is refused, however late its
+// A client that came past the limit makes room for those behind it, not for itself: it is rejected, however late its
 // request is taken.
 func TestNoRoomByOneself(t *testing.T) {
 	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 3, time.Millisecond })
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -29,71 +29,73 @@
 }
 
 const (
-	microsecond = 1e-6
-	partSlip    = 1e-3 // of the whole: shares may be rounded
-	seedDigits  = 16
-	deepest     = 16 // objects and arrays within each other
+	microsecond     = 1e-6
+	weightTolerance = 1e-3 // of the whole: shares may be rounded
+	seedDigits      = 16
+	maxDepth        = 16 // objects and arrays within each other
 )
 
-func unfit(status int, reason string) error { return &h1.Error{Status: status, Reason: reason} }
+func invalidRequest(status int, reason string) error {
+	return &h1.Error{Status: status, Reason: reason}
+}
 
 // parse reads a query; whatever is not of the form is told apart here, before anything is sent. A replica drops the
 // whole connection over what it can't read, so nothing that is in doubt passes.
 func (s *Server) parse(r *h1.Request, at time.Time) (*exchange.Query, error) {
 	class := settings.Place(s.names.Classes, h1.FirstSegment(r.Target))
 	if class < 0 {
-		return nil, unfit(404, "unknown class")
+		return nil, invalidRequest(404, "unknown class")
 	}
 	if r.Method != "POST" {
-		return nil, unfit(405, "method "+r.Method)
+		return nil, invalidRequest(405, "method "+r.Method)
 	}
-	if s.keyed[class] && r.Header.Get("Idempotency-Key") != "" {
+	if s.idempotencyKeyed[class] && r.Header.Get("Idempotency-Key") != "" {
 		// The frames have no field for it, and replicas close the connection, with all that is out on it, over
 		// a part that comes without.
-		return nil, unfit(501, "the frames can't carry the key of this class")
+		return nil, invalidRequest(501, "the frames can't carry the key of this class")
 	}
 	for _, name := range []string{"X-Request-ID", "X-Tenant-Id", "X-Timeout-Ms", "X-Retried"} {
 		if r.Header.Count(name) > 1 { // which one holds?
-			return nil, unfit(400, name+" twice")
+			return nil, invalidRequest(400, name+" twice")
 		}
 	}
 	q := &exchange.Query{ID: r.Header.Get("X-Request-ID"), Class: class, Tenant: -1, Received: at}
 	if !validID(q.ID, s.limits.IDBytes) {
-		return nil, unfit(400, "request id")
+		return nil, invalidRequest(400, "request id")
 	}
 	if len(s.names.Tenants) > 0 {
 		if q.Tenant = settings.Place(s.names.Tenants, r.Header.Get("X-Tenant-Id")); q.Tenant < 0 {
-			return nil, unfit(400, "unknown tenant")
+			return nil, invalidRequest(400, "unknown tenant")
 		}
 	}
 	ms, err := strconv.ParseUint(r.Header.Get("X-Timeout-Ms"), 10, 32)
 	wait := time.Duration(ms) * time.Millisecond
 	if err != nil || ms == 0 || wait > s.limits.Longest {
-		return nil, unfit(400, "time-out")
+		return nil, invalidRequest(400, "time-out")
 	}
-	if most := s.giveUp[class]; most > 0 { // guards against queries that are held for an hour
+	if most := s.maxClientWait[class]; most > 0 { // guards against queries that are held for an hour
 		wait = min(wait, most)
 	}
 	q.Due = at.Add(wait)
-	if end := s.lastBy.Load(); end != nil && q.Due.After(*end) {
+	if end := s.lastReplyBy.Load(); end != nil && q.Due.After(*end) {
 		q.Due = *end
 	}
 	q.Retry = r.Header.Get("X-Retried") == "1"
-	if s.pinned != "" {
-		switch n := r.Header.Count(s.pinned); {
+	if s.sessionHeader != "" {
+		switch n := r.Header.Count(s.sessionHeader); {
 		case n > 1: // which one holds?
-			return nil, unfit(400, s.pinned+" twice")
+			return nil, invalidRequest(400, s.sessionHeader+" twice")
 		case n == 1:
-			if q.Session = r.Header.Get(s.pinned); q.Session == "" {
-				return nil, unfit(400, "empty key of a session")
+			if q.Session = r.Header.Get(s.sessionHeader); q.Session == "" {
+				return nil, invalidRequest(400, "empty key of a session")
 			}
 		}
 	}
-	if s.marked != "" {
-		if r.Header.Count(s.marked) > 1 { // which one holds?
-			return nil, unfit(400, s.marked+" twice")
+	if s.laneHeader != "" {
+		if r.Header.Count(s.laneHeader) > 1 { // which one holds?
+			return nil, invalidRequest(400, s.laneHeader+" twice")
 		}
-		q.Mark = r.Header.Get(s.marked)
+		q.Mark = r.Header.Get(s.laneHeader)
 	}
 	if err := s.readBody(q, r.Body); err != nil {
 		return nil, err
@@ -104,20 +106,20 @@
 // readBody takes the parts and the text.
 func (s *Server) readBody(q *exchange.Query, raw []byte) error {
 	if !utf8.Valid(raw) {
-		return unfit(400, "body is not text")
+		return invalidRequest(400, "body is not text")
 	}
 	if err := once(raw); err != nil {
-		return unfit(400, "body: "+err.Error())
+		return invalidRequest(400, "body: "+err.Error())
 	}
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return unfit(400, "body: "+err.Error())
+		return invalidRequest(400, "body: "+err.Error())
 	}
 	if len(b.Buckets) == 0 || b.Body == nil {
-		return unfit(400, "body lacks buckets or text")
+		return invalidRequest(400, "body lacks buckets or text")
 	}
 	if strings.ContainsRune(*b.Body, utf8.RuneError) && !bytes.ContainsRune(raw, utf8.RuneError) {
-		return unfit(400, "text that can't be had unchanged") // half of a pair of escapes
+		return invalidRequest(400, "text that can't be had unchanged") // half of a pair of escapes
 	}
 	q.Text = []byte(*b.Body)
 	seen := make(map[int]bool, len(b.Buckets))
@@ -125,24 +127,24 @@
 	for _, p := range b.Buckets {
 		switch {
 		case p.Bucket == nil || *p.Bucket < 0 || *p.Bucket >= s.shards || seen[*p.Bucket]:
-			return unfit(400, "bucket unknown or twice")
-		case p.Part == nil || !(*p.Part > 0 && *p.Part <= 1+partSlip):
-			return unfit(400, "part of a bucket")
+			return invalidRequest(400, "bucket unknown or twice")
+		case p.Part == nil || !(*p.Part > 0 && *p.Part <= 1+weightTolerance):
+			return invalidRequest(400, "part of a bucket")
 		case p.Seed != nil && !isSeed(*p.Seed):
-			return unfit(400, "seed of a bucket")
+			return invalidRequest(400, "seed of a bucket")
 		}
 		part := exchange.Part{Shard: *p.Bucket, Weight: *p.Part}
 		if p.Effort != nil {
 			if part.Work = *p.Effort * microsecond; !(part.Work >= 0 && part.Work <= s.limits.MostWork) {
-				return unfit(400, "effort of a bucket")
+				return invalidRequest(400, "effort of a bucket")
 			}
 		}
 		seen[*p.Bucket] = true
 		sum += *p.Part
 		q.Parts = append(q.Parts, part)
 	}
-	if math.Abs(sum-1) > partSlip {
-		return unfit(400, "parts are not a whole")
+	if math.Abs(sum-1) > weightTolerance {
+		return invalidRequest(400, "parts are not a whole")
 	}
 	return nil
 }
@@ -167,8 +169,8 @@
 		}
 		top := len(open) - 1
 		switch d, _ := t.(json.Delim); {
-		case (d == '{' || d == '[') && top+1 >= deepest:
-			return unfit(400, "too deep")
+		case (d == '{' || d == '[') && top+1 >= maxDepth:
+			return invalidRequest(400, "too deep")
 		case d == '{':
 			open = append(open, level{keys: map[string]bool{}})
 			continue
@@ -188,7 +190,7 @@
 		}
 		key := strings.ToLower(t.(string))
 		if open[top].keys[key] {
-			return unfit(400, "key "+strconv.Quote(key)+" twice")
+			return invalidRequest(400, "key "+strconv.Quote(key)+" twice")
 		}
 		open[top].keys[key], open[top].value = true, true
 	}
@@ -199,7 +201,7 @@
 	return err == nil && len(s) == seedDigits
 }
 
-// validID tells whether an id can stand in a frame's line, where a part's id is the query's, a dot and the shard: a
+// validID says whether an id can stand in a frame's line, where a part's id is the query's, a dot and the shard: a
 // dot or a sign of the list within it could make it another's.
 func validID(id string, most int) bool {
 	if id == "" || len(id) > most {
--- a/internal/front/room_test.go
+++ b/internal/front/room_test.go
@@ -12,13 +12,13 @@
 	"birchcart/internal/exchange"
 )
 
-// hungUp counts the clients that were asked to go.
+// hungUp counts the clients that were asked to close.
 func (st *stand) hungUp() (n int) {
 	st.s.mu.Lock()
 	defer st.s.mu.Unlock()
 	for c := range st.s.conns {
 		c.mu.Lock()
-		if c.hung {
+		if c.closeRequested {
 			n++
 		}
 		c.mu.Unlock()
@@ -26,11 +26,11 @@
 	return n
 }
 
-// While all places are taken, as many clients are asked to go as there are places wanted, however late they come round
+// While all places are taken, as many clients are asked to close as there are places wanted, however late they come round
 // to it; once they have gone, the next ones are.
 func TestNoMoreAreAskedToGoThanPlacesAreWanted(t *testing.T) {
 	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 4, 1, time.Millisecond })
-	var idle []*client
+	var idle []*clientConn
 	for range 5 { // their goroutines have not had the processor
 		c, _ := st.unstarted()
 		idle = append(idle, c)
@@ -42,7 +42,7 @@
 	st.s.mu.Unlock()
 	var looks atomic.Int64
 	st.s.mu.Lock()
-	st.s.looked = func() { looks.Add(1) }
+	st.s.onEvict = func() { looks.Add(1) }
 	st.s.mu.Unlock()
 	st.dial() // accepted into a sixth place: two have to go before the next
 	st.until("Serve looks for room many times", func() bool { return looks.Load() > 20 })
@@ -121,7 +121,7 @@
 	st, l := newSpent(t, nil)
 	st.until("some tries", func() bool { return l.tries.Load() >= 3 })
 	st.drained(st.draining())
-	if !st.s.hasTaken() {
+	if !st.s.acceptHasEnded() {
 		t.Error("still accepting")
 	}
 	if _, err := net.Dial("tcp", st.s.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/front/turns_test.go
+++ b/internal/front/turns_test.go
@@ -59,7 +59,7 @@
 	}
 	a = st.next()
 	st.leaves(a)
-	held.reply(a, exchange.Reply{})
+	held.queueReply(a, exchange.Reply{})
 	go held.run()
 	peer.status(400)
 	peer.ended()
--- a/internal/replica/blocked_test.go
+++ b/internal/replica/blocked_test.go
@@ -84,10 +84,10 @@
 }
 
 // link is the one connection of the replica.
-func (s *stand) link(look func(l *link) bool) bool {
+func (s *stand) link(look func(l *replicaConn) bool) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	links := s.pool.targets[1].links
+	links := s.pool.targets[1].conns
 	return len(links) > 0 && look(links[0])
 }
 
@@ -103,7 +103,7 @@
 
 func (s *stand) untilBlocked() {
 	s.Helper()
-	s.eventually("the writer is not blocked", func() bool { return s.link(func(l *link) bool { return l.blocked }) })
+	s.eventually("the writer is not blocked", func() bool { return s.link(func(l *replicaConn) bool { return l.blocked }) })
 }
 
 // A call that waits behind another, of which a replica that hangs has taken a part, has not begun: it can be taken back,
@@ -145,10 +145,10 @@
 		s.pool.Send(1, []*exchange.Attempt{a})
 		blocked := false
 		s.eventually("a part neither went nor waits", func() bool {
-			return s.link(func(l *link) bool {
+			return s.link(func(l *replicaConn) bool {
 				blocked = l.blocked
 				en := s.pool.entries[a]
-				return blocked || en != nil && en.written && en.end <= l.wrote
+				return blocked || en != nil && en.written && en.frameEnd <= l.writtenBytes
 			})
 		})
 		if blocked {
@@ -167,7 +167,7 @@
 	s.fillSockets(&filled)
 	a := s.sendUnbegun()
 	p := s.accept()
-	s.link(func(l *link) bool { filled += l.wrote; return true })
+	s.link(func(l *replicaConn) bool { filled += l.writtenBytes; return true })
 	s.set(policy.Draining)
 	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Moot {
 		t.Errorf("%+v", r)
@@ -263,7 +263,7 @@
 			s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
-			l := s.pool.targets[1].links[0] // its own goroutine is held: the test plays it
+			l := s.pool.targets[1].conns[0] // its own goroutine is held: the test plays it
 			if out, _, _ := l.Pull(nil); len(out) == 0 {
 				t.Fatal("nothing was pulled")
 			}
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -11,76 +11,76 @@
 // Pull builds what is to be written: calls one by one, then parts that are given up and probes. It is asked by the
 // connection's goroutine just before it writes, so what was taken back by then never goes; nor does a call wait in
 // the buffer behind another of which a peer that is busy takes no more.
-func (l *link) Pull(buf []byte) ([]byte, time.Time, error) {
-	p := l.p
+func (c *replicaConn) Pull(buf []byte) ([]byte, time.Time, error) {
+	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	start := len(buf)
-	if !l.begun.IsZero() && len(l.queue) > 0 && !l.anyWritten() {
-		l.finished = true
-		return buf, now, errStray
-	}
-	if buf = l.appendNextCall(buf, now); len(buf) == start {
-		buf = l.appendAsides(buf)
-	} else if len(l.queue) > 0 || len(l.giveUps) > 0 || len(l.probes) > 0 && !l.probes[len(l.probes)-1].written {
-		l.wake() // for the rest
-	}
-	l.pulled += int64(len(buf) - start)
-	if !l.begun.IsZero() && !l.idle() { // what trickles counts from its first byte
-		until := l.begun.Add(p.limits.FrameTime)
+	if !c.frameStartedAt.IsZero() && len(c.queue) > 0 && !c.anyWritten() {
+		c.finished = true
+		return buf, now, errUnknownPart
+	}
+	if buf = c.appendNextCall(buf, now); len(buf) == start {
+		buf = c.appendAsides(buf)
+	} else if len(c.queue) > 0 || len(c.cancels) > 0 || len(c.healthChecks) > 0 && !c.healthChecks[len(c.healthChecks)-1].written {
+		c.wake() // for the rest
+	}
+	c.queuedBytes += int64(len(buf) - start)
+	if !c.frameStartedAt.IsZero() && !c.isIdle() { // what trickles counts from its first byte
+		until := c.frameStartedAt.Add(p.limits.FrameTime)
 		if !now.Before(until) {
 			return buf, until, errStalled
 		}
 		return buf, until, nil
 	}
-	if !l.idle() {
+	if !c.isIdle() {
 		return buf, time.Time{}, nil
 	}
-	until := l.idleAt.Add(p.limits.ReplicaIdle)
-	if l.doubt() > 0 {
-		until = l.doubtAt.Add(p.limits.Silence)
+	until := c.idleSince.Add(p.limits.ReplicaIdle)
+	if c.suspect() > 0 {
+		until = c.suspectSince.Add(p.limits.Silence)
 	}
-	if l.retired || l.silent || !now.Before(until) {
-		l.finished = true // chosen no more; a part that came first is seen above
+	if c.retired || c.silent || !now.Before(until) {
+		c.finished = true // chosen no more; a part that came first is seen above
 		return buf, until, errIdle
 	}
 	return buf, until, nil
 }
 
 // appendNextCall appends the first call in the queue of which a part is still to be sent.
-func (l *link) appendNextCall(buf []byte, now time.Time) []byte {
-	l.unbegun, l.unbegunBytes = nil, 0
-	if l.t.State != policy.Up {
-		clear(l.queue)
-		l.queue = l.queue[:0]
+func (c *replicaConn) appendNextCall(buf []byte, now time.Time) []byte {
+	c.unstarted, c.unstartedBytes = nil, 0
+	if c.target.State != policy.Up {
+		clear(c.queue)
+		c.queue = c.queue[:0]
 	}
 	start := len(buf)
-	for len(l.queue) > 0 && len(buf) == start {
-		call := l.queue[0]
-		l.queue = slices.Delete(l.queue, 0, 1)
-		buf = l.appendCall(buf, start, call, now)
+	for len(c.queue) > 0 && len(buf) == start {
+		call := c.queue[0]
+		c.queue = slices.Delete(c.queue, 0, 1)
+		buf = c.appendCall(buf, start, call, now)
 	}
 	return buf
 }
 
 // appendAsides appends what is not a call: the ids of parts that are given up, and probes.
-func (l *link) appendAsides(buf []byte) []byte {
-	for _, id := range l.giveUps {
+func (c *replicaConn) appendAsides(buf []byte) []byte {
+	for _, id := range c.cancels {
 		buf = frame.AppendGiveUp(buf, id)
 	}
-	l.giveUps = l.giveUps[:0]
-	for _, pr := range l.probes {
+	c.cancels = c.cancels[:0]
+	for _, pr := range c.healthChecks {
 		if !pr.written {
 			pr.written = true
-			buf = frame.AppendProbe(buf, l.p.probeLetter())
+			buf = frame.AppendProbe(buf, c.pool.healthCheckFrame())
 		}
 	}
 	return buf
 }
 
-func (p *Pool) probeLetter() byte {
-	if p.byProbe {
+func (p *Pool) healthCheckFrame() byte {
+	if p.reportsByHealthCheck {
 		return frame.Load
 	}
 	return frame.Probe
@@ -89,14 +89,14 @@
 // appendCall appends one call without what was taken back meanwhile, and without what is not due after now: after a stop
 // between the turn and the write a part whose time is over would go out with a millisecond, and run for nobody. Its
 // timer takes it back as one that was never written.
-func (l *link) appendCall(buf []byte, start int, call []*entry, now time.Time) []byte {
+func (c *replicaConn) appendCall(buf []byte, start int, call []*pendingAttempt, now time.Time) []byte {
 	parts := make([]frame.Part, 0, len(call))
 	live := call[:0]
 	for _, en := range call {
-		if l.p.entries[en.a] != en {
+		if c.pool.entries[en.request] != en {
 			continue
 		}
-		a := en.a
+		a := en.request
 		if !a.Due.After(now) {
 			continue
 		}
@@ -110,18 +110,18 @@
 		return buf
 	}
 	buf = frame.AppendCall(buf, parts)
-	if !l.anyWritten() {
-		l.heardAt = now // until now it had nothing to say
+	if !c.anyWritten() {
+		c.lastReadAt = now // until now it had nothing to say
 	}
 	for _, en := range live {
-		en.written, en.end, en.at = true, l.pulled+int64(len(buf)-start), now
+		en.written, en.frameEnd, en.writtenAt = true, c.queuedBytes+int64(len(buf)-start), now
 	}
-	l.unbegun, l.unbegunBytes = live, int64(len(buf)-start)
+	c.unstarted, c.unstartedBytes = live, int64(len(buf)-start)
 	return buf
 }
 
-func (l *link) anyWritten() bool {
-	for _, en := range l.parts {
+func (c *replicaConn) anyWritten() bool {
+	for _, en := range c.parts {
 		if en.written {
 			return true
 		}
--- a/internal/replica/collect.go
+++ b/internal/replica/collect.go
@@ -16,103 +16,103 @@
 }
 
 // reader tells what was read before it reads on.
-type reader struct{ l *link }
+type reader struct{ l *replicaConn }
 
 func (r reader) Read(p []byte) (int, error) {
-	r.l.tell()
+	r.l.reportAnswers()
 	return r.l.conn.Read(p)
 }
 
 // split notes whether a frame has begun that is not whole.
-func (l *link) split(f bufio.SplitFunc) bufio.SplitFunc {
+func (c *replicaConn) split(f bufio.SplitFunc) bufio.SplitFunc {
 	return func(data []byte, atEOF bool) (int, []byte, error) {
 		n, token, err := f(data, atEOF)
-		l.p.mu.Lock()
+		c.pool.mu.Lock()
 		if token != nil || len(data) == 0 {
-			l.begun = time.Time{}
-		} else if l.begun.IsZero() {
-			l.begun = l.conn.ReadAt()
+			c.frameStartedAt = time.Time{}
+		} else if c.frameStartedAt.IsZero() {
+			c.frameStartedAt = c.conn.ReadAt()
 		}
-		l.p.mu.Unlock()
+		c.pool.mu.Unlock()
 		return n, token, err
 	}
 }
 
 // collect takes in one frame from the replica. An error ends the connection.
-func (l *link) collect(f []byte) error {
-	l.p.mu.Lock()
-	l.heardAt, l.silent, l.doubtAt = l.conn.ReadAt(), false, time.Time{}
-	l.p.mu.Unlock()
+func (c *replicaConn) collect(f []byte) error {
+	c.pool.mu.Lock()
+	c.lastReadAt, c.silent, c.suspectSince = c.conn.ReadAt(), false, time.Time{}
+	c.pool.mu.Unlock()
 	switch letter, rest := f[0], f[1:]; letter {
 	case frame.Answer:
-		return l.answered(rest)
+		return c.answered(rest)
 	case frame.Probe, frame.Load:
-		return l.probed(rest)
+		return c.handleHealthReport(rest)
 	case frame.Unfit:
 		return fmt.Errorf("the replica could not use a frame: %q", rest[:min(len(rest), 200)])
 	default:
-		return &spoilt{why: fmt.Sprintf("unknown frame %q", letter)}
+		return &malformedFrame{reason: fmt.Sprintf("unknown frame %q", letter)}
 	}
 }
 
-func (l *link) answered(rest []byte) error {
+func (c *replicaConn) answered(rest []byte) error {
 	r, err := frame.ParseAnswer(rest)
 	if err != nil {
-		return &spoilt{id: string(r.ID), why: err.Error()}
+		return &malformedFrame{id: string(r.ID), reason: err.Error()}
 	}
-	report, err := frame.ParseReport(r.Report, l.p.reports)
+	report, err := frame.ParseReport(r.Report, c.pool.reportNames)
 	if err != nil {
-		l.p.log.Warn("a load report is passed over", map[string]any{"error": err})
+		c.pool.log.Warn("a load report is passed over", map[string]any{"error": err})
 	}
-	p := l.p
+	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	en := l.parts[string(r.ID)]
+	en := c.parts[string(r.ID)]
 	if en == nil || !en.written || en.answer != nil {
-		if _, expected := l.ghosts[string(r.ID)]; expected || en != nil && en.answer != nil {
+		if _, expected := c.lateParts[string(r.ID)]; expected || en != nil && en.answer != nil {
 			return nil
 		}
-		return &spoilt{why: fmt.Sprintf("an answer to a part that was not asked: %q", r.ID[:min(len(r.ID), 200)])}
+		return &malformedFrame{reason: fmt.Sprintf("an answer to a part that was not asked: %q", r.ID[:min(len(r.ID), 200)])}
 	}
 	en.answer = &exchange.Result{
-		Attempt: en.a, Outcome: outcomes[string(r.End)], At: l.conn.ReadAt(), Score: r.Score, Report: report,
+		Attempt: en.request, Outcome: outcomes[string(r.End)], At: c.conn.ReadAt(), Score: r.Score, Report: report,
 		Value: slices.Clone(r.Value),
 	}
-	l.read = append(l.read, en)
+	c.answeredAttempts = append(c.answeredAttempts, en)
 	return nil
 }
 
-// tell passes on what was read, once all that came with it has been looked at: a connection on which more came
+// report passes on what was read, once all that came with it has been looked at: a connection on which more came
 // than belongs to its answers gets no new part, and is closed.
-func (l *link) tell() {
-	p := l.p
+func (c *replicaConn) reportAnswers() {
+	p := c.pool
 	p.mu.Lock()
 	var out []exchange.Result
-	for _, en := range l.read {
-		if p.entries[en.a] == en { // else it was given up meanwhile
-			p.forget(en)
-			l.expect(en.a.ID, en.answer.At)
+	for _, en := range c.answeredAttempts {
+		if p.entries[en.request] == en { // else it was given up meanwhile
+			p.dropAttempt(en)
+			c.expect(en.request.ID, en.answer.At)
 			out = append(out, *en.answer)
 		}
 	}
-	clear(l.read)
-	l.read = l.read[:0]
-	if !l.begun.IsZero() && l.idle() {
-		l.retired = true
+	clear(c.answeredAttempts)
+	c.answeredAttempts = c.answeredAttempts[:0]
+	if !c.frameStartedAt.IsZero() && c.isIdle() {
+		c.retired = true
 	}
 	p.mu.Unlock()
-	p.tell(out)
+	p.report(out)
 }
 
-func (l *link) probed(rest []byte) error {
-	l.p.mu.Lock()
-	if len(l.probes) == 0 || !l.probes[0].written {
-		l.p.mu.Unlock()
-		return &spoilt{why: "an answer to a probe that was not asked"}
+func (c *replicaConn) handleHealthReport(rest []byte) error {
+	c.pool.mu.Lock()
+	if len(c.healthChecks) == 0 || !c.healthChecks[0].written {
+		c.pool.mu.Unlock()
+		return &malformedFrame{reason: "an answer to a probe that was not asked"}
 	}
-	pr := l.probes[0]
-	l.probes = l.probes[1:]
-	l.p.mu.Unlock()
+	pr := c.healthChecks[0]
+	c.healthChecks = c.healthChecks[1:]
+	c.pool.mu.Unlock()
 	o, report := policy.OK, []float64(nil)
 	switch string(rest) {
 	case frame.Hit, "-":
@@ -120,10 +120,10 @@
 		o = policy.Failed
 	default:
 		var err error
-		if report, err = frame.ParseReport(rest, l.p.reports); err != nil {
-			l.p.log.Warn("a load report is passed over", map[string]any{"error": err})
+		if report, err = frame.ParseReport(rest, c.pool.reportNames); err != nil {
+			c.pool.log.Warn("a load report is passed over", map[string]any{"error": err})
 		}
 	}
-	l.p.probeEnded(pr, o, report)
+	c.pool.healthCheckEnded(pr, o, report)
 	return nil
 }
--- a/internal/replica/collect_test.go
+++ b/internal/replica/collect_test.go
@@ -120,7 +120,7 @@
 			t.Errorf("%q: %+v", report, r)
 		}
 	}
-	s.pool.byProbe = true
+	s.pool.reportsByHealthCheck = true
 	s.pool.CheckHealth(1)
 	p.frame()
 	p.say("Dcpu=NaN")
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -12,7 +12,7 @@
 	"time"
 	"unsafe"
 
-	"birchcart/internal/duplex"
+	"birchcart/internal/duplexconn"
 	"birchcart/internal/exchange"
 	"birchcart/policy"
 )
@@ -82,7 +82,7 @@
 	s.sink.next(t)
 	a, b := attempt("q.2"), attempt("q.3")
 	s.untilParked()
-	s.link(func(l *link) bool { // with the lock: the connection's goroutine can't take the end in yet
+	s.link(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't take the end in yet
 		p.nc.Close()
 		s.eventually("the end does not come", func() bool { return !l.conn.Open() })
 		s.pool.enqueue(l, []*exchange.Attempt{a, b})
@@ -112,7 +112,7 @@
 		nc, err := dial(ctx, address)
 		p := s.accept()
 		p.nc.Close()
-		for end := time.Now().Add(patience); err == nil && !duplex.Waits(nc) && time.Now().Before(end); {
+		for end := time.Now().Add(patience); err == nil && !duplexconn.Waits(nc) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		dialled++
@@ -196,7 +196,7 @@
 		stacks := make([]byte, 1<<20)
 		found := false
 		for stack := range strings.SplitSeq(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
-			if !strings.Contains(stack, "replica.(*link).run(") {
+			if !strings.Contains(stack, "replica.(*replicaConn).run(") {
 				continue
 			}
 			if head, _, _ := strings.Cut(stack, "\n"); !strings.Contains(head, "[IO wait") {
@@ -232,7 +232,7 @@
 	p.say("Eq.1 hit 1 -\nv")
 	s.sink.next(t)
 	s.untilParked()
-	s.link(func(l *link) bool { // with the lock: the connection's goroutine can't look at it yet
+	s.link(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't look at it yet
 		io.WriteString(p.nc, "\x00\x00\x00\x0eEq.9 ")
 		s.eventually("the bytes do not come", p.acknowledged)
 		s.pool.enqueue(l, []*exchange.Attempt{attempt("q.2")})
--- a/internal/replica/featureserver/featureserver.go
+++ b/internal/replica/featureserver/featureserver.go
@@ -26,7 +26,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchcart/internal/config"
-	"birchcart/internal/duplex"
+	"birchcart/internal/duplexconn"
 	"birchcart/internal/exchange"
 	"birchcart/internal/feature"
 	"birchcart/internal/logs"
@@ -264,7 +264,7 @@
 }
 
 // alive tells whether a kept connection is still good: nothing has come on it, not even its end.
-func (l *link) alive() bool { return l.in.Buffered() == 0 && !duplex.Waits(l.Conn) }
+func (l *link) alive() bool { return l.in.Buffered() == 0 && !duplexconn.Waits(l.Conn) }
 
 // run takes one attempt from its connection to its end.
 func (p *Pool) run(en *entry, l *link) {
--- a/internal/replica/links_test.go
+++ b/internal/replica/links_test.go
@@ -77,7 +77,7 @@
 		s.eventually("the second is not up", func() bool {
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
-			return len(s.pool.targets[1].links) == 2 && s.pool.targets[1].links[1].conn != nil
+			return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
 		})
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.3")})
 		second.frame()
@@ -148,7 +148,7 @@
 	s.eventually("the second is not up", func() bool {
 		s.pool.mu.Lock()
 		defer s.pool.mu.Unlock()
-		return len(s.pool.targets[1].links) == 2 && s.pool.targets[1].links[1].conn != nil
+		return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
 	})
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.3")})
 	second.frame()
@@ -186,8 +186,8 @@
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if k := s.pool.targets[1].links[0]; len(k.ghosts) > 2 || len(k.passing) != len(k.ghosts) {
-		t.Errorf("%d and %d are remembered", len(k.ghosts), len(k.passing))
+	if k := s.pool.targets[1].conns[0]; len(k.lateParts) > 2 || len(k.lateOrder) != len(k.lateParts) {
+		t.Errorf("%d and %d are remembered", len(k.lateParts), len(k.lateOrder))
 	}
 }
 
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -17,7 +17,7 @@
 	"birchcart/policy"
 )
 
-// Sink takes what came of attempts and probes.
+// Sink takes the outcome of attempts and health checks.
 type Sink interface {
 	AttemptEnded(exchange.Result)
 	HealthChecked(exchange.HealthCheck)
@@ -25,43 +25,43 @@
 
 // Pool holds the connections to all replicas. Its lock is held for bookkeeping only, never across I/O.
 type Pool struct {
-	limits  config.Limits
-	reports []string // names of the values in a load report
-	byProbe bool     // load is reported to probes only
-	sink    Sink
-	log     *logs.Limited
-	dial    func(ctx context.Context, address string) (*net.TCPConn, error)
+	limits               config.Limits
+	reportNames          []string // names of the values in a load report
+	reportsByHealthCheck bool     // load is reported to health checks only
+	sink                 Sink
+	log                  *logs.Limited
+	dial                 func(ctx context.Context, address string) (*net.TCPConn, error)
 
-	mu      sync.Mutex
-	targets map[uint64]*target
-	entries map[*exchange.Attempt]*entry
-	links   int
+	mu        sync.Mutex
+	targets   map[uint64]*target
+	entries   map[*exchange.Attempt]*pendingAttempt
+	openConns int
 }
 
 // target is one replica.
 type target struct {
 	exchange.Target
-	links []*link
+	conns []*replicaConn
 }
 
-// entry is one attempt that has not ended.
-type entry struct {
-	a       *exchange.Attempt
-	l       *link
-	moved   bool             // waited on another connection before, which ended
-	written bool             // handed to the connection's writer
-	dropped bool             // its query is over; the rest of its frame need not go out
-	end     int64            // then: where its frame ends among the bytes of the connection
-	at      time.Time        // and when
-	answer  *exchange.Result // read, and told once what came with it has been looked at
+// attempt is one attempt that has not ended.
+type pendingAttempt struct {
+	request   *exchange.Attempt
+	conn      *replicaConn
+	requeued  bool             // waited on another connection before, which ended
+	written   bool             // handed to the connection's writer
+	cancelled bool             // its query is over; the rest of its frame need not go out
+	frameEnd  int64            // then: where its frame ends among the bytes of the connection
+	writtenAt time.Time        // and when
+	answer    *exchange.Result // read, and reported once what came with it has been looked at
 }
 
 // New returns an empty pool.
 func New(cfg *config.Config, sink Sink, log *logrus.Entry) *Pool {
 	return &Pool{
-		limits: cfg.Limits, reports: cfg.Policy.ReportNames, byProbe: cfg.Report == "on_probe", sink: sink,
+		limits: cfg.Limits, reportNames: cfg.Policy.ReportNames, reportsByHealthCheck: cfg.Report == "on_probe", sink: sink,
 		log: logs.Limit(log, cfg.Limits.LogEvery), targets: map[uint64]*target{},
-		entries: map[*exchange.Attempt]*entry{},
+		entries: map[*exchange.Attempt]*pendingAttempt{},
 		dial:    dialer(cfg.Limits.ConnectTime),
 	}
 }
@@ -84,7 +84,7 @@
 func (p *Pool) Update(changed []exchange.Target) {
 	p.mu.Lock()
 	var back []exchange.Result
-	var unasked []*probe
+	var unasked []*healthCheck
 	for _, c := range changed {
 		t := p.targets[c.Replica]
 		if t == nil {
@@ -96,23 +96,23 @@
 		if c.State == policy.Up && !moved {
 			continue
 		}
-		for _, l := range t.links {
+		for _, l := range t.conns {
 			back = append(back, l.unqueue(policy.Moot)...)
-			unasked = append(unasked, l.unask()...)
+			unasked = append(unasked, l.dropHealthChecks()...)
 			l.retire()
 		}
-		if c.State == policy.Removed && len(t.links) == 0 {
+		if c.State == policy.Removed && len(t.conns) == 0 {
 			delete(p.targets, c.Replica)
 		}
 	}
 	p.mu.Unlock()
-	p.tell(back)
+	p.report(back)
 	for _, pr := range unasked {
-		p.probeEnded(pr, policy.Moot, nil)
+		p.healthCheckEnded(pr, policy.Moot, nil)
 	}
 }
 
-func (p *Pool) tell(results []exchange.Result) {
+func (p *Pool) report(results []exchange.Result) {
 	for _, r := range results {
 		p.sink.AttemptEnded(r)
 	}
@@ -122,7 +122,7 @@
 func (p *Pool) Send(replica uint64, call []*exchange.Attempt) {
 	p.mu.Lock()
 	t := p.targets[replica]
-	var l *link
+	var l *replicaConn
 	if t != nil && t.State == policy.Up {
 		l = p.choose(t, call)
 	}
@@ -139,10 +139,10 @@
 }
 
 // enqueue has a call wait to be written on a connection.
-func (p *Pool) enqueue(l *link, call []*exchange.Attempt) {
-	entries := make([]*entry, len(call))
+func (p *Pool) enqueue(l *replicaConn, call []*exchange.Attempt) {
+	entries := make([]*pendingAttempt, len(call))
 	for i, a := range call {
-		entries[i] = &entry{a: a, l: l}
+		entries[i] = &pendingAttempt{request: a, conn: l}
 		p.entries[a] = entries[i]
 		l.parts[a.ID] = entries[i]
 	}
@@ -154,10 +154,10 @@
 // new one, and one that is silent, or takes no bytes for now, only where no more may be opened. Among open ones those go first on which nothing is
 // out, of these the ones that have answered since, then the least loaded, then the one that has been idle longest:
 // what comes late behind an answer shows by then.
-func (p *Pool) choose(t *target, call []*exchange.Attempt) *link {
+func (p *Pool) choose(t *target, call []*exchange.Attempt) *replicaConn {
 	now := time.Now()
-	var best *link
-	rank := func(l *link) int {
+	var best *replicaConn
+	rank := func(l *replicaConn) int {
 		switch {
 		case l.conn == nil:
 			return 1
@@ -167,42 +167,42 @@
 		return 0
 	}
 	coming := false
-	for _, l := range t.links {
+	for _, l := range t.conns {
 		coming = coming || l.conn == nil
-		if !l.fits(call, now) {
+		if !l.hasCapacity(call, now) {
 			continue
 		}
 		if best == nil || cmp.Or(cmp.Compare(rank(l), rank(best)), cmp.Compare(min(1, len(l.parts)), min(1, len(best.parts))),
-			cmp.Compare(l.doubt(), best.doubt()), cmp.Compare(len(l.parts), len(best.parts)),
-			l.idleAt.Compare(best.idleAt)) < 0 {
+			cmp.Compare(l.suspect(), best.suspect()), cmp.Compare(len(l.parts), len(best.parts)),
+			l.idleSince.Compare(best.idleSince)) < 0 {
 			best = l
 		}
 	}
 	if best != nil && rank(best) < 2 {
 		// One answer that can't be read takes with it all that is out on its connection, so parts share one only
 		// while others are coming up.
-		if (len(best.parts) > 0 || best.doubt() > 0) && !coming && len(t.links) < p.spread() && p.links < p.limits.ReplicaLinks {
+		if (len(best.parts) > 0 || best.suspect() > 0) && !coming && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
 			p.open(t)
 		}
 		return best
 	}
-	if len(t.links) < p.limits.PerReplica && (p.links < p.limits.ReplicaLinks || p.evict(now)) {
+	if len(t.conns) < p.limits.PerReplica && (p.openConns < p.limits.ReplicaLinks || p.evict(now)) {
 		return p.open(t)
 	}
 	return best
 }
 
-// spread is how many connections a replica gets so that parts need not share one: its part of all of them.
-func (p *Pool) spread() int {
+// connsPerReplica is how many connections a replica gets so that parts need not share one: its part of all of them.
+func (p *Pool) connsPerReplica() int {
 	return min(p.limits.Spread, p.limits.ReplicaLinks/max(1, len(p.targets)))
 }
 
 // evict closes the connection that has stood idle longest, to make room for another.
 func (p *Pool) evict(now time.Time) bool {
-	var oldest *link
+	var oldest *replicaConn
 	for _, t := range p.targets {
-		for _, l := range t.links {
-			if l.conn != nil && l.idle() && !l.retired && (oldest == nil || l.idleAt.Before(oldest.idleAt)) {
+		for _, l := range t.conns {
+			if l.conn != nil && l.isIdle() && !l.retired && (oldest == nil || l.idleSince.Before(oldest.idleSince)) {
 				oldest = l
 			}
 		}
@@ -223,18 +223,18 @@
 		return false, false
 	}
 	if !en.written {
-		p.forget(en)
+		p.dropAttempt(en)
 		return true, false
 	}
-	l := en.l
+	l := en.conn
 	if now := time.Now(); l.isSilent(now) {
 		l.silent = true
-	} else if !l.heardAt.After(en.at) && l.doubtAt.IsZero() {
-		l.doubtAt = now
+	} else if !l.lastReadAt.After(en.writtenAt) && l.suspectSince.IsZero() {
+		l.suspectSince = now
 	}
-	p.forget(en)
+	p.dropAttempt(en)
 	l.expect(a.ID, time.Now())
-	l.giveUps = append(l.giveUps, a.ID)
+	l.cancels = append(l.cancels, a.ID)
 	l.cutFrame()
 	l.wake()
 	return true, true
@@ -250,20 +250,20 @@
 	case en == nil:
 		return false
 	case en.written:
-		en.dropped = true
-		en.l.cutFrame()
+		en.cancelled = true
+		en.conn.cutFrame()
 		return false
 	}
-	p.forget(en)
+	p.dropAttempt(en)
 	return true
 }
 
-// forget takes an entry out of all books.
-func (p *Pool) forget(en *entry) {
-	delete(p.entries, en.a)
-	delete(en.l.parts, en.a.ID)
-	if len(en.l.parts) == 0 {
-		en.l.idleAt = time.Now()
+// dropAttempt takes an entry out of all books.
+func (p *Pool) dropAttempt(en *pendingAttempt) {
+	delete(p.entries, en.request)
+	delete(en.conn.parts, en.request.ID)
+	if len(en.conn.parts) == 0 {
+		en.conn.idleSince = time.Now()
 	}
 }
 
@@ -271,16 +271,16 @@
 func (p *Pool) CheckHealth(replica uint64) {
 	p.mu.Lock()
 	t := p.targets[replica]
-	var l *link
+	var l *replicaConn
 	if t != nil && t.State == policy.Up {
 		l = p.choose(t, nil)
 	}
 	now := time.Now()
 	if l != nil {
-		pr := &probe{replica: replica, at: now}
-		l.probes = append(l.probes, pr)
+		pr := &healthCheck{replica: replica, at: now}
+		l.healthChecks = append(l.healthChecks, pr)
 		l.wake()
-		time.AfterFunc(p.limits.ProbeTime, func() { p.probeEnded(pr, policy.TimedOut, nil) })
+		time.AfterFunc(p.limits.ProbeTime, func() { p.healthCheckEnded(pr, policy.TimedOut, nil) })
 	}
 	p.mu.Unlock()
 	if l == nil {
@@ -288,15 +288,15 @@
 	}
 }
 
-// probe is one that is out. Answers come in the order of the questions, so one that is late keeps its place.
-type probe struct {
+// healthCheck is one that is out. Answers come in the order of the questions, so one that is late keeps its place.
+type healthCheck struct {
 	replica uint64
 	at      time.Time
 	written bool
 	ended   bool
 }
 
-func (p *Pool) probeEnded(pr *probe, o policy.Outcome, report []float64) {
+func (p *Pool) healthCheckEnded(pr *healthCheck, o policy.Outcome, report []float64) {
 	p.mu.Lock()
 	over := pr.ended
 	pr.ended = true
@@ -311,7 +311,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.targets {
-		for _, l := range t.links {
+		for _, l := range t.conns {
 			l.retire()
 		}
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -147,7 +147,7 @@
 func (s *stand) links() int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.pool.links
+	return s.pool.openConns
 }
 
 func (s *stand) eventually(what string, ok func() bool) {
@@ -406,7 +406,7 @@
 	if r := <-s.sink.probes; r.Outcome != policy.Failed {
 		t.Fatalf("%+v", r)
 	}
-	s.pool.byProbe = true
+	s.pool.reportsByHealthCheck = true
 	s.pool.CheckHealth(1)
 	if f := p.frame(); f != "D" {
 		t.Fatalf("%q", f)
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -7,7 +7,7 @@
 	"slices"
 	"syscall"
 
-	"birchcart/internal/duplex"
+	"birchcart/internal/duplexconn"
 	"birchcart/internal/exchange"
 	"birchcart/policy"
 )
@@ -17,7 +17,7 @@
 // the peer takes bytes again.
 type writer struct {
 	*net.TCPConn
-	l *link
+	l *replicaConn
 }
 
 // Write writes what was pulled, or, where the peer took nothing of it at first, what is pulled when it does.
@@ -30,7 +30,7 @@
 	var failed error
 	err = raw.Write(func(fd uintptr) bool {
 		if tries++; tries > 1 {
-			if duplex.Waits(w.TCPConn) { // perhaps its end, which is to be seen before anything is written
+			if duplexconn.Waits(w.TCPConn) { // perhaps its end, which is to be seen before anything is written
 				pulled = nil
 			} else {
 				pulled, _, _ = w.l.Pull(pulled[:0])
@@ -51,7 +51,7 @@
 	case wrote == len(pulled):
 		return wrote, nil
 	}
-	w.l.block()
+	w.l.markBlocked()
 	rest, err := w.TCPConn.Write(pulled[wrote:])
 	return wrote + rest, err
 }
@@ -68,53 +68,53 @@
 
 // putBack returns the call that was pulled last to the head of the queue, as one that is not written. It tells
 // whether there was one. Where the replica drains, moved or restarted since the pull, its parts are taken back.
-func (l *link) putBack() bool {
-	l.p.mu.Lock()
-	if len(l.unbegun) == 0 {
-		l.p.mu.Unlock()
+func (c *replicaConn) putBack() bool {
+	c.pool.mu.Lock()
+	if len(c.unstarted) == 0 {
+		c.pool.mu.Unlock()
 		return false
 	}
-	for _, en := range l.unbegun {
+	for _, en := range c.unstarted {
 		en.written = false
 	}
-	l.queue = slices.Insert(l.queue, 0, l.unbegun)
-	l.pulled -= l.unbegunBytes
-	l.unbegun, l.unbegunBytes, l.blocked = nil, 0, true
+	c.queue = slices.Insert(c.queue, 0, c.unstarted)
+	c.queuedBytes -= c.unstartedBytes
+	c.unstarted, c.unstartedBytes, c.blocked = nil, 0, true
 	var back []exchange.Result
-	if l.retired {
-		back = l.unqueue(policy.Moot)
+	if c.retired {
+		back = c.unqueue(policy.Moot)
 	}
-	l.p.mu.Unlock()
-	l.p.tell(back)
+	c.pool.mu.Unlock()
+	c.pool.report(back)
 	return true
 }
 
-// block notes that the peer has taken a part of what was pulled, and takes nothing for now.
-func (l *link) block() {
-	l.p.mu.Lock()
-	l.blocked, l.halfway = true, true
-	l.p.mu.Unlock()
+// markBlocked notes that the peer has taken a part of what was pulled, and takes nothing for now.
+func (c *replicaConn) markBlocked() {
+	c.pool.mu.Lock()
+	c.blocked, c.partlyWritten = true, true
+	c.pool.mu.Unlock()
 }
 
 // cutFrame ends the connection if it is in the middle of a frame of which the replica takes no more for now, and nobody
 // waits for any part of that frame: what went out later would begin an attempt for a client that has left. Where other
 // parts are out on the connection it goes on, since they would be lost with it. The pool's lock is held.
-func (l *link) cutFrame() {
-	if !l.halfway || len(l.unbegun) == 0 {
+func (c *replicaConn) cutFrame() {
+	if !c.partlyWritten || len(c.unstarted) == 0 {
 		return
 	}
-	for _, en := range l.parts {
-		if en.written && !en.dropped {
+	for _, en := range c.parts {
+		if en.written && !en.cancelled {
 			return
 		}
 	}
-	l.conn.CutWrite()
+	c.conn.CutWrite()
 }
 
 // Wrote counts what went out.
-func (l *link) Wrote(n int) {
-	l.p.mu.Lock()
-	l.wrote += int64(n)
-	l.blocked, l.halfway = false, false
-	l.p.mu.Unlock()
+func (c *replicaConn) Wrote(n int) {
+	c.pool.mu.Lock()
+	c.writtenBytes += int64(n)
+	c.blocked, c.partlyWritten = false, false
+	c.pool.mu.Unlock()
 }
--- a/internal/serve/coordinator.go
+++ b/internal/serve/coordinator.go
@@ -134,10 +134,10 @@
 	c.front = front.New(c.config, c.exchange, c.ready, c.log)
 	if c.operator != nil && c.operator.Fleet != nil {
 		if s := c.operator.Fleet.Sessions; s != nil {
-			c.front.Pin(s.Header, s.Owner)
+			c.front.SetSessionHeader(s.Header, s.Owner)
 		}
 		if l := c.operator.Fleet.Lanes; l != nil {
-			c.front.Mark(l.Header)
+			c.front.SetLaneHeader(l.Header)
 		}
 	}
 	if c.withFeatures() {
