--- a/cmd/birchctl/lanes.go
+++ b/cmd/birchctl/lanes.go
@@ -55,29 +55,29 @@
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return err
 	}
-	s, err := laneconfig.Of(l.Operator.Fleet.Lanes, l.Operator.Fleet.Revision, names, routes)
+	s, err := laneconfig.Compile(l.Operator.Fleet.Lanes, l.Operator.Fleet.Revision, names, routes)
 	if err != nil {
 		return err
 	}
-	at := s.Account(tenant, route, c.Mark)
-	res := &explainedLane{Lane: s.Lanes[s.Lane(at)].Name, By: "nothing: it is in no account"}
+	at := s.AccountOf(tenant, route, c.Mark)
+	res := &explainedLane{Lane: s.Lanes[s.LaneOf(at)].Name, By: "nothing: it is in no account"}
 	if at >= 0 {
 		a := s.Accounts[at]
-		res.Account, res.Guarantee, res.Most, res.Home = a.Name, a.Guarantee, a.Most, a.Guarantee/float64(max(1, l.Config.Policy.Aggregators))
+		res.Account, res.Guarantee, res.Most, res.Home = a.Name, a.Guarantee, a.MaxShare, a.Guarantee/float64(max(1, l.Config.Policy.Aggregators))
 		switch at {
-		case s.Account(-1, -1, c.Mark):
+		case s.AccountOf(-1, -1, c.Mark):
 			res.By = "its mark"
-		case s.Account(-1, route, ""):
+		case s.AccountOf(-1, route, ""):
 			res.By = "its route"
 		default:
 			res.By = "its tenant"
 		}
 	}
 	if class >= 0 {
-		res.Come, res.ClassLeft = &s.Classes[class].ComeBack, s.Classes[class].Floor
+		res.Come, res.ClassLeft = &s.Classes[class].SendRetryAfter, s.Classes[class].Floor
 	}
 	for i := len(s.Lanes) - 1; i >= 0; i-- {
-		one := shedLane{s.Lanes[i].Name, s.Lanes[i].Floor, s.Lanes[i].Most, s.Lanes[i].Lend, 0}
+		one := shedLane{s.Lanes[i].Name, s.Lanes[i].Floor, s.Lanes[i].MaxShare, s.Lanes[i].Lend, 0}
 		for _, a := range s.Accounts {
 			if a.Lane == i {
 				one.Guarantee += a.Guarantee
--- a/cmd/birchctl/main_test.go
+++ b/cmd/birchctl/main_test.go
@@ -274,7 +274,7 @@
 		t.Fatal(err)
 	}
 	lanes := laneconfig.New()
-	set, err := laneconfig.Body(&operator.Lanes{}, 1)
+	set, err := laneconfig.NewSetBody(&operator.Lanes{}, 1)
 	raw, _ = json.Marshal(set)
 	if err = errors.Join(err, lanes.Apply(0, nil, laneconfig.KindSet, raw)); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/agreedstate/copy.go
+++ b/internal/fleet/agreedstate/copy.go
@@ -22,7 +22,7 @@
 	Machine     *statemachine.Machine
 	Maintenance *maintenance.State
 	Sessions    *session.Book
-	Lanes       *laneconfig.Agreed
+	Lanes       *laneconfig.State
 }
 
 // Names of the parts in the state machine; they are stored, so they keep the words of earlier versions.
--- a/internal/fleet/fleetsim/shedding/co.go
+++ b/internal/fleet/fleetsim/shedding/co.go
@@ -28,7 +28,7 @@
 	stalled    time.Duration // until then
 	queries    map[uint64]*query
 	parts      map[uint64]*part
-	own        pressure.Own
+	own        pressure.LocalLoad
 	sheds      *shed
 	wallOff    time.Duration
 	lie        int // -1: none
--- a/internal/fleet/fleetsim/shedding/faults.go
+++ b/internal/fleet/fleetsim/shedding/faults.go
@@ -88,7 +88,7 @@
 			from += 5 * time.Second
 		}
 		for k, set := range []*laneconfig.Set{w.sets[2], w.sets[1]} {
-			w.q.At([]time.Duration{from, at + laneconfig.MixFor}[k], func() {
+			w.q.At([]time.Duration{from, at + laneconfig.OverlapDuration}[k], func() {
 				if c.up && c.sheds != nil && w.plan.Way == Lanes {
 					c.sheds.use(set)
 				}
--- a/internal/fleet/fleetsim/shedding/shed.go
+++ b/internal/fleet/fleetsim/shedding/shed.go
@@ -25,19 +25,19 @@
 	life  int
 	cost  lanes.Cost
 	meter pressure.Meter
-	news  pressure.News
+	news  pressure.Reports
 	ctl   *lanes.Control
 	gate  *lanes.Gate
 	lent  *shares.Shares
 	set   *laneconfig.Set
 	seq   uint64
-	words []pressure.Word
+	words []pressure.Report
 	in    []shares.Input
 	rates []float64 // asked, by account
 	asked []float64 // since the last step
 	even  int64
 	parts map[uint32]int64
-	fleet pressure.Fleet
+	fleet pressure.FleetLoad
 	heard time.Duration // when the fleet was known
 }
 
@@ -52,7 +52,7 @@
 	s.gate = lanes.New(s.now(), s.set, c.w.plan.Coordinators)
 	s.lent = shares.New(shares.Options{Name: c.name, Incarnation: uint64(c.life), Fleet: c.w.plan.Coordinators, Seed: c.w.plan.Seed})
 	s.rates, s.asked = make([]float64, len(s.set.Accounts)), make([]float64, len(s.set.Accounts))
-	s.news.Members(c.w.names)
+	s.news.SetMembers(c.w.names)
 	c.w.q.After(time.Duration(c.w.rng.Int64N(int64(every))), s.step)
 	return s
 }
@@ -70,12 +70,12 @@
 		if !v.Admitted {
 			v.How = lanes.Cut
 		}
-		s.meter.Asked(now, v.Lane, false, cost)
+		s.meter.RecordQuery(now, v.Lane, false, cost)
 		return v
 	}
-	account := s.set.Account(a.tenant, -1, "")
+	account := s.set.AccountOf(a.tenant, -1, "")
 	v := s.gate.Admit(now, lanes.Ask{Account: account, Class: a.class, Key: a.stream.key, Cost: cost, Retry: a.try > 0 && !s.c.w.plan.Unmarked})
-	s.meter.Asked(now, v.Lane, v.Sure(), cost)
+	s.meter.RecordQuery(now, v.Lane, v.Sure(), cost)
 	if account >= 0 && account < len(s.asked) {
 		s.asked[account] += cost
 	}
@@ -83,8 +83,8 @@
 }
 
 func (s *shed) over(q *query, e end) {
-	to := map[end]pressure.End{inTime: pressure.InTime, late: pressure.Late, refused: pressure.Refused, failed: pressure.Left}[e]
-	s.meter.Ended(s.now(), q.cost, to, s.c.w.q.Now-q.came, seconds(promise))
+	to := map[end]pressure.Outcome{inTime: pressure.InTime, late: pressure.Late, refused: pressure.Refused, failed: pressure.Abandoned}[e]
+	s.meter.RecordOutcome(s.now(), q.cost, to, s.c.w.q.Now-q.came, seconds(promise))
 }
 
 func (s *shed) step() {
@@ -100,14 +100,14 @@
 	now := s.now()
 	c.own = s.meter.Step(now, s.ctl.Level())
 	for _, word := range s.words {
-		s.news.Hear(now, word)
+		s.news.Add(now, word)
 	}
 	s.words = s.words[:0]
 	s.seq++
-	word := pressure.Word{From: c.name, Incarnation: uint64(c.life), Seq: s.seq, Zone: c.name[len(c.name)-1:], Own: c.own, Level: s.ctl.Level(), Revision: s.set.Revision}
-	s.news.Hear(now, word)
+	word := pressure.Report{From: c.name, Incarnation: uint64(c.life), Seq: s.seq, Zone: c.name[len(c.name)-1:], LocalLoad: c.own, Level: s.ctl.Level(), Revision: s.set.Revision}
+	s.news.Add(now, word)
 	s.tell(now, word)
-	s.fleet = s.news.Fleet(now)
+	s.fleet = s.news.Estimate(now)
 	if s.fleet.Known {
 		s.heard = w.q.Now
 	}
@@ -121,17 +121,17 @@
 }
 
 // tell sends the own word, true or not, and some of others.
-func (s *shed) tell(now time.Duration, word pressure.Word) {
+func (s *shed) tell(now time.Duration, word pressure.Report) {
 	c, w := s.c, s.c.w
 	switch c.lie {
 	case 0:
-		word.Own, word.Level = pressure.Own{Known: true, Asked: word.Asked, InTime: word.Asked, Done: word.Asked, ByLane: word.ByLane}, 0
+		word.LocalLoad, word.Level = pressure.LocalLoad{Known: true, Offered: word.Offered, InTime: word.Offered, Completed: word.Offered, ByLane: word.ByLane}, 0
 	case 1:
-		word.Known, word.Pressure, word.InTime, word.Done, word.Level = true, 1, 0, 0, 1
+		word.Known, word.Pressure, word.InTime, word.Completed, word.Level = true, 1, 0, 0, 1
 	case 2:
-		word.Known, word.Pressure, word.Asked, word.Level = true, math.NaN(), math.Inf(1), math.NaN()
+		word.Known, word.Pressure, word.Offered, word.Level = true, math.NaN(), math.Inf(1), math.NaN()
 	case 3:
-		word.Known, word.Pressure, word.Asked, word.InTime, word.Level = true, 1e300, 1e300, 1e300, 1e300
+		word.Known, word.Pressure, word.Offered, word.InTime, word.Level = true, 1e300, 1e300, 1e300, 1e300
 		word.ByLane[0] = 1e300
 	}
 	for range fanout {
@@ -139,7 +139,7 @@
 		if to == c {
 			continue
 		}
-		out := append([]pressure.Word{word}, s.news.Some(now, c.name, passed)...)
+		out := append([]pressure.Report{word}, s.news.SelectForForwarding(now, c.name, passed)...)
 		var raw []byte
 		for i := range out {
 			raw = out[i].Append(raw)
@@ -150,7 +150,7 @@
 		}
 		w.link(c, to, func(s *shed, late time.Duration) {
 			for rest := raw; len(rest) > 0; {
-				got, next, err := pressure.Take(rest)
+				got, next, err := pressure.DecodeReport(rest)
 				if err != nil {
 					return
 				}
--- a/internal/fleet/fleetsim/shedding/sizes.go
+++ b/internal/fleet/fleetsim/shedding/sizes.go
@@ -58,7 +58,7 @@
 			sum += 1 + float64(i%4)
 		}
 		for i := range n {
-			s := stream{account: -1, lane: lane, key: laneconfig.Key(fmt.Sprint("t", len(out))), share: (1 + float64(i%4)) / sum, ensured: ensured}
+			s := stream{account: -1, lane: lane, key: laneconfig.HashName(fmt.Sprint("t", len(out))), share: (1 + float64(i%4)) / sum, ensured: ensured}
 			if lane == premium {
 				s.share = 1 / float64(n)
 			}
@@ -89,7 +89,7 @@
 	for i := range streams() {
 		names.Tenants = append(names.Tenants, fmt.Sprint("t", i))
 	}
-	return laneconfig.Of(l, revision, names, nil)
+	return laneconfig.Compile(l, revision, names, nil)
 }
 
 // moved is the section in which the first account is in the last lane, without a guarantee.
--- a/internal/fleet/fleetsim/shedding/windows.go
+++ b/internal/fleet/fleetsim/shedding/windows.go
@@ -16,7 +16,7 @@
 	// sureSlack: of what is asked within guarantees this part at most is refused by lanes in a window.
 	sureSlack = 0.10
 	// aloneAfter is how long after the last word a level has faded: news are fresh for so long, then it fades.
-	aloneAfter = pressure.FreshFor + lanes.FadeFor + time.Second
+	aloneAfter = pressure.FreshWindow + lanes.FadeFor + time.Second
 	// calmAfter is how long after the last ends that were no good a calm co-ordinator that is alone refuses nothing.
 	calmAfter = 4 * time.Second
 )
--- a/internal/fleet/laneconfig/agreed_test.go
+++ b/internal/fleet/laneconfig/agreed_test.go
@@ -15,16 +15,16 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// body carries any text.
-func body(t rapid.TB, revision int, text string) SetBody {
+// packText carries any text.
+func packText(t rapid.TB, revision int, text string) SetBody {
 	z, err := compress.Pack([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return SetBody{revision, sumOf([]byte(text)), z}
+	return SetBody{revision, checksum([]byte(text)), z}
 }
 
-func raw(t rapid.TB, b any) []byte {
+func mustJSON(t rapid.TB, b any) []byte {
 	out, err := json.Marshal(b)
 	if err != nil {
 		t.Fatal(err)
@@ -34,51 +34,51 @@
 
 const start = 1000 * time.Second
 
-func (a *Agreed) must(t rapid.TB, now time.Duration, b SetBody) {
+func (a *State) mustApply(t rapid.TB, now time.Duration, b SetBody) {
 	a.Tick(now)
-	if err := errors.Join(a.Apply(now, nil, KindSet, raw(t, b)), a.Check()); err != nil {
+	if err := errors.Join(a.Apply(now, nil, KindSet, mustJSON(t, b)), a.Check()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestTwoAreInForceForMixForAtMost(t *testing.T) {
+func TestPreviousSectionEndsAfterOverlapDuration(t *testing.T) {
 	a := New()
-	if f, b := a.InForce(start); f != nil || b != nil || !a.Empty() || !a.Takes(1, start) {
+	if f, b := a.InForce(start); f != nil || b != nil || !a.Empty() || !a.Accepts(1, start) {
 		t.Error("something of nothing")
 	}
-	a.must(t, start, body(t, 4, "first"))
-	if f, b := a.InForce(start); f.Revision != 4 || b != nil || a.Takes(4, start) || !a.Takes(5, start) {
+	a.mustApply(t, start, packText(t, 4, "first"))
+	if f, b := a.InForce(start); f.Revision != 4 || b != nil || a.Accepts(4, start) || !a.Accepts(5, start) {
 		t.Error("the first one is in force alone, at once")
 	}
-	a.must(t, start+time.Second, body(t, 6, "second"))
-	end := start + time.Second + MixFor
-	if f, b := a.InForce(end - 1); f.Revision != 6 || b.Revision != 4 || a.Takes(7, end-1) {
+	a.mustApply(t, start+time.Second, packText(t, 6, "second"))
+	end := start + time.Second + OverlapDuration
+	if f, b := a.InForce(end - 1); f.Revision != 6 || b.Revision != 4 || a.Accepts(7, end-1) {
 		t.Error("the one before counts as well")
 	}
-	if f, b := a.InForce(end); f.Revision != 6 || b != nil || !a.Takes(7, end) {
+	if f, b := a.InForce(end); f.Revision != 6 || b != nil || !a.Accepts(7, end) {
 		t.Error("two without a command that tells the time")
 	}
-	if err := a.Apply(end-1, nil, KindSet, raw(t, body(t, 7, "third"))); err == nil || !strings.Contains(err.Error(), "in force together") {
+	if err := a.Apply(end-1, nil, KindSet, mustJSON(t, packText(t, 7, "third"))); err == nil || !strings.Contains(err.Error(), "in force together") {
 		t.Error("three:", err)
 	}
 	a.Tick(end)
-	if err := a.Check(); err != nil || a.before != nil {
+	if err := a.Check(); err != nil || a.previous != nil {
 		t.Error("two past their time:", err)
 	}
-	a.must(t, end, body(t, 7, "third"))
+	a.mustApply(t, end, packText(t, 7, "third"))
 }
 
-func TestWhatIsRefused(t *testing.T) {
+func TestApplyRejectsInvalidCommands(t *testing.T) {
 	a := New()
-	a.must(t, start, body(t, 4, "first"))
+	a.mustApply(t, start, packText(t, 4, "first"))
 	before, _ := a.Save()
-	damaged, long, deep := body(t, 5, "x"), body(t, 5, "x"), body(t, 5, strings.Repeat("x", TextMost+1))
-	damaged.Sum, long.Z = long.Sum[:63]+"-", make([]byte, PackedMost+1)
+	damaged, long, deep := packText(t, 5, "x"), packText(t, 5, "x"), packText(t, 5, strings.Repeat("x", MaxTextSize+1))
+	damaged.Sum, long.Packed = long.Sum[:63]+"-", make([]byte, MaxPackedSize+1)
 	for want, b := range map[string]any{
-		"revision 4, 4 is": body(t, 4, "other"), "revision 3, 4 is": body(t, 3, "other"), "revision 0": body(t, 0, ""), "and says": damaged,
-		"262145 bytes packed": long, "4194304 at most": deep, "revision 1099511627777": body(t, RevisionMost+1, "x"), "cannot unmarshal": 3,
+		"revision 4, 4 is": packText(t, 4, "other"), "revision 3, 4 is": packText(t, 3, "other"), "revision 0": packText(t, 0, ""), "and says": damaged,
+		"262145 bytes packed": long, "4194304 at most": deep, "revision 1099511627777": packText(t, MaxRevision+1, "x"), "cannot unmarshal": 3,
 	} {
-		if err := a.Apply(start, nil, KindSet, raw(t, b)); err == nil || errors.Is(err, statemachine.ErrUnknown) || !strings.Contains(err.Error(), want) {
+		if err := a.Apply(start, nil, KindSet, mustJSON(t, b)); err == nil || errors.Is(err, statemachine.ErrUnknown) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -92,27 +92,27 @@
 	}
 }
 
-func copyOf(t rapid.TB) (*statemachine.Machine, *Agreed) {
+func newCopy(t rapid.TB) (*statemachine.Machine, *State) {
 	a := New()
 	return statemachine.New(map[string]statemachine.Part{Part: a}), a
 }
 
 // Whatever commands come in whatever order, some twice, and wherever a copy goes on from a snapshot of another: two copies
-// are alike, rules hold, revisions only rise, and two are never in force for longer than MixFor.
+// are alike, rules hold, revisions only rise, and two are never in force for longer than OverlapDuration.
 func TestAnyOrderOfCommands(t *testing.T) {
 	texts := make([]SetBody, 8)
 	for i := range texts {
-		texts[i] = body(t, i+1, fmt.Sprint("text ", i))
+		texts[i] = packText(t, i+1, fmt.Sprint("text ", i))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		one, a := copyOf(t)
-		two, _ := copyOf(t)
+		one, a := newCopy(t)
+		two, _ := newCopy(t)
 		now, last := start, 0
 		mixing := map[string]time.Duration{} // pair, to when it was first seen
 		for i := range rapid.IntRange(1, 30).Draw(t, "commands") {
 			now += time.Duration(rapid.IntRange(-5, 10).Draw(t, "later")) * time.Second
 			c := statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")), Part: Part, Kind: KindSet, At: now,
-				Body: raw(t, rapid.SampledFrom(texts).Draw(t, "section"))}
+				Body: mustJSON(t, rapid.SampledFrom(texts).Draw(t, "section"))}
 			entry, err := c.Encode()
 			if err != nil {
 				t.Fatal(err)
@@ -133,7 +133,7 @@
 				if _, seen := mixing[pair]; !seen {
 					mixing[pair] = one.Now()
 				}
-				if one.Now() >= mixing[pair]+MixFor {
+				if one.Now() >= mixing[pair]+OverlapDuration {
 					t.Fatalf("%s in force from %v to %v", pair, mixing[pair], one.Now())
 				}
 			}
@@ -142,7 +142,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				two, _ = copyOf(t)
+				two, _ = newCopy(t)
 				if err := two.Load(saved); err != nil {
 					t.Fatal(err)
 				}
@@ -155,16 +155,16 @@
 func FuzzLoad(f *testing.F) {
 	a := New()
 	empty, _ := a.Save()
-	a.must(f, start, body(f, 1, "first"))
+	a.mustApply(f, start, packText(f, 1, "first"))
 	first, _ := a.Save()
-	a.must(f, start+1, body(f, 2, "second"))
+	a.mustApply(f, start+1, packText(f, 2, "second"))
 	second, _ := a.Save()
 	for _, seed := range [][]byte{empty, first, second, []byte(`{"v":2}`), []byte(`{"v":1,"before":{"revision":1}}`), second[:40]} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b := New()
-		b.must(t, start, body(t, 9, "kept"))
+		b.mustApply(t, start, packText(t, 9, "kept"))
 		before, _ := b.Save()
 		err := b.Load(raw)
 		after, serr := b.Save()
@@ -181,7 +181,7 @@
 		force, _ := b.InForce(start)
 		if force != nil {
 			if l, err := force.Section(); err == nil {
-				_, _ = Of(l, force.Revision, names, routes)
+				_, _ = Compile(l, force.Revision, names, routes)
 			}
 		}
 	})
--- a/internal/fleet/laneconfig/mix.go
+++ b/internal/fleet/laneconfig/mix.go
@@ -7,130 +7,132 @@
 	"birchcart/internal/settings"
 )
 
-// Look is what is known at a moment.
-type Look struct {
-	Now           time.Duration // own monotonic time
-	Agreed        time.Duration // agreed time, as the newest command here tells it
-	Force, Before *Version      // of Agreed's InForce
-	Own           *SetBody      // of the own file; nil: it has no section, and there are no lanes here
-	Heard         int           // the highest revision that others say they have applied; 0: none
+// SelectorInput is what is known at a moment.
+type SelectorInput struct {
+	Now               time.Duration // lookupAccount monotonic time
+	AgreedTime        time.Duration // agreed time, as the newest command here tells it
+	Current, Previous *Version      // of Agreed's InForce
+	FileSection       *SetBody      // of the own file; nil: it has no section, and there are no lanes here
+	PeerRevision      int           // the highest revision that others say they have applied; 0: none
 }
 
-// Mix is what one co-ordinator goes by: what is in force, the stricter where it is two. One that hears of a higher
+// Selector is what one co-ordinator goes by: what is in force, the stricter where it is two. One that hears of a higher
 // revision than was applied to its copy is behind: it goes by the stricter of its own and that revision where its file has
 // it, and else by what it has. Where nothing was agreed on yet it goes by its own file.
-type Mix struct {
+type Selector struct {
 	names  *settings.Names
 	routes []string
 
-	began bool
-	force string        // in force, as last seen
-	since time.Duration // own time at which it was seen first
-	key   mixed
-	set   *Set
-	wrong string // why key can't be used
-	sets  []compiled
+	started      bool
+	currentID    string        // in force, as last seen
+	currentSince time.Duration // lookupAccount time at which it was seen first
+	sources      sourceIDs
+	set          *Set
+	failure      string // why key can't be used
+	cache        []compiledSet
 }
 
-// mixed says which sections a set is of.
-type mixed struct{ force, before, own string }
+// sourceIDs says which sections a set is of.
+type sourceIDs struct{ current, previous, file string }
 
-type compiled struct {
-	key string
+type compiledSet struct {
+	id  string
 	set *Set
 }
 
-// keptMost is the compiled sets that are kept: force, before and the own one.
-const keptMost = 3
+// maxCachedSets is the compiled sets that are kept: force, before and the own one.
+const maxCachedSets = 3
 
-// NewMix is one for these settings and routes.
-func NewMix(names *settings.Names, routes []string) *Mix { return &Mix{names: names, routes: routes} }
+// NewSelector is one for these settings and routes.
+func NewSelector(names *settings.Names, routes []string) *Selector {
+	return &Selector{names: names, routes: routes}
+}
 
-// Step tells what to go by, nil for no lanes, whether it is another one than at the last call, and in words what is not as it
+// Select tells what to go by, nil for no lanes, whether it is another one than at the last call, and in words what is not as it
 // should be: "" for nothing.
-func (m *Mix) Step(l Look) (set *Set, changed bool, note string) {
-	want, note := m.want(l)
-	if !m.began || want != m.key {
-		m.began, m.key, m.wrong = true, want, "" // what is wrong is not tried again: the same would come of it
-		next, err := m.mix(l, want)
+func (m *Selector) Select(l SelectorInput) (set *Set, changed bool, note string) {
+	want, note := m.wantedSources(l)
+	if !m.started || want != m.sources {
+		m.started, m.sources, m.failure = true, want, "" // what is wrong is not tried again: the same would come of it
+		next, err := m.build(l, want)
 		if err != nil {
-			m.wrong = fmt.Sprintf("lanes can't be used here, so this co-ordinator stays with what it has: %v", err)
+			m.failure = fmt.Sprintf("lanes can't be used here, so this co-ordinator stays with what it has: %v", err)
 		} else {
 			changed, m.set = next != m.set, next
 		}
 	}
-	if m.wrong != "" {
-		note = m.wrong
+	if m.failure != "" {
+		note = m.failure
 	}
 	return m.set, changed, note
 }
 
-// want says which sections count.
-func (m *Mix) want(l Look) (w mixed, note string) {
-	if l.Own == nil {
-		return mixed{}, ""
+// wantedSources says which sections count.
+func (m *Selector) wantedSources(l SelectorInput) (w sourceIDs, note string) {
+	if l.FileSection == nil {
+		return sourceIDs{}, ""
 	}
-	if l.Force == nil {
+	if l.Current == nil {
 		note = "no lanes are agreed on yet, as far as is known here: those of the own file count"
-		if l.Heard > l.Own.Revision {
-			note += fmt.Sprintf("; it is of revision %d, others go by %d", l.Own.Revision, l.Heard)
+		if l.PeerRevision > l.FileSection.Revision {
+			note += fmt.Sprintf("; it is of revision %d, others go by %d", l.FileSection.Revision, l.PeerRevision)
 		}
-		return mixed{own: l.Own.key()}, note
+		return sourceIDs{file: l.FileSection.id()}, note
 	}
-	w.force = l.Force.key()
-	if w.force != m.force {
-		m.force, m.since = w.force, l.Now
+	w.current = l.Current.id()
+	if w.current != m.currentID {
+		m.currentID, m.currentSince = w.current, l.Now
 	}
-	// Agreed time stands still while nothing is agreed on; the own clock ends it then.
-	if l.Before != nil && l.Agreed < l.Force.Since+MixFor && l.Now < m.since+MixFor {
-		w.before = l.Before.key()
+	// AgreedTime time stands still while nothing is agreed on; the own clock ends it then.
+	if l.Previous != nil && l.AgreedTime < l.Current.Since+OverlapDuration && l.Now < m.currentSince+OverlapDuration {
+		w.previous = l.Previous.id()
 	}
-	if l.Heard > l.Force.Revision {
-		note = fmt.Sprintf("this co-ordinator is behind: lanes of revision %d are applied here, others go by %d", l.Force.Revision, l.Heard)
-		if l.Own.Revision > l.Force.Revision && l.Own.Revision <= l.Heard {
-			w.own = l.Own.key()
-			note += fmt.Sprintf("; the stricter of it and the own file's revision %d counts", l.Own.Revision)
+	if l.PeerRevision > l.Current.Revision {
+		note = fmt.Sprintf("this co-ordinator is behind: lanes of revision %d are applied here, others go by %d", l.Current.Revision, l.PeerRevision)
+		if l.FileSection.Revision > l.Current.Revision && l.FileSection.Revision <= l.PeerRevision {
+			w.file = l.FileSection.id()
+			note += fmt.Sprintf("; the stricter of it and the own file's revision %d counts", l.FileSection.Revision)
 		}
 	}
 	return w, note
 }
 
-func (b *SetBody) key() string { return fmt.Sprintf("%d %s", b.Revision, b.Sum) }
+func (b *SetBody) id() string { return fmt.Sprintf("%d %s", b.Revision, b.Sum) }
 
-func (m *Mix) mix(l Look, w mixed) (*Set, error) {
+func (m *Selector) build(l SelectorInput, w sourceIDs) (*Set, error) {
 	var out *Set
-	var used []compiled
-	bodies := [keptMost]*SetBody{nil, nil, l.Own}
-	if l.Force != nil {
-		bodies[1] = &l.Force.SetBody
+	var used []compiledSet
+	bodies := [maxCachedSets]*SetBody{nil, nil, l.FileSection}
+	if l.Current != nil {
+		bodies[1] = &l.Current.SetBody
 	}
-	if l.Before != nil {
-		bodies[0] = &l.Before.SetBody
+	if l.Previous != nil {
+		bodies[0] = &l.Previous.SetBody
 	}
-	for i, key := range []string{w.before, w.force, w.own} {
+	for i, key := range []string{w.previous, w.current, w.file} {
 		if key == "" {
 			continue
 		}
-		set := m.kept(key)
+		set := m.cached(key)
 		if set == nil {
 			section, err := bodies[i].Section()
 			if err == nil {
-				set, err = Of(section, bodies[i].Revision, m.names, m.routes)
+				set, err = Compile(section, bodies[i].Revision, m.names, m.routes)
 			}
 			if err != nil {
 				return nil, err
 			}
 		}
-		used = append(used, compiled{key, set})
+		used = append(used, compiledSet{key, set})
 		out = Stricter(out, set)
 	}
-	m.sets = used
+	m.cache = used
 	return out, nil
 }
 
-func (m *Mix) kept(key string) *Set {
-	for _, c := range m.sets {
-		if c.key == key {
+func (m *Selector) cached(key string) *Set {
+	for _, c := range m.cache {
+		if c.id == key {
 			return c.set
 		}
 	}
--- a/internal/fleet/laneconfig/save.go
+++ b/internal/fleet/laneconfig/save.go
@@ -12,20 +12,20 @@
 
 // saved is the state. The time is the state machine's.
 type saved struct {
-	V      int      `json:"v"`
-	Force  *Version `json:"force,omitempty"`
-	Before *Version `json:"before,omitempty"`
+	V        int      `json:"v"`
+	Current  *Version `json:"force,omitempty"`
+	Previous *Version `json:"before,omitempty"`
 }
 
 // Empty implements statemachine.Optional.
-func (a *Agreed) Empty() bool { return a.force == nil }
+func (a *State) Empty() bool { return a.current == nil }
 
 // Clear implements statemachine.Optional.
-func (a *Agreed) Clear() { *a = Agreed{} }
+func (a *State) Clear() { *a = State{} }
 
 // Save implements statemachine.Part: the same bytes for the same state.
-func (a *Agreed) Save() ([]byte, error) {
-	raw, err := json.Marshal(saved{savedVersion, a.force, a.before})
+func (a *State) Save() ([]byte, error) {
+	raw, err := json.Marshal(saved{savedVersion, a.current, a.previous})
 	if err != nil {
 		return nil, fmt.Errorf("laneconfig: save: %w", err)
 	}
@@ -33,7 +33,7 @@
 }
 
 // Load implements statemachine.Part: all of raw is taken, or nothing and the reason is told.
-func (a *Agreed) Load(raw []byte) error {
+func (a *State) Load(raw []byte) error {
 	var head struct {
 		V int `json:"v"`
 	}
@@ -47,9 +47,9 @@
 	if err := statemachine.Strict(raw, &v); err != nil {
 		return fmt.Errorf("laneconfig: what was saved can not be read: %w", err)
 	}
-	n := Agreed{force: v.Force, before: v.Before}
-	if n.force != nil {
-		n.now = n.force.Since
+	n := State{current: v.Current, previous: v.Previous}
+	if n.current != nil {
+		n.now = n.current.Since
 	}
 	if err := n.Check(); err != nil {
 		return fmt.Errorf("laneconfig: saved: %w", err)
--- a/internal/fleet/laneconfig/set.go
+++ b/internal/fleet/laneconfig/set.go
@@ -14,11 +14,11 @@
 	"birchcart/internal/settings"
 )
 
-// UnknownMost of the section's names that this co-ordinator doesn't know are told of.
-const UnknownMost = 8
+// MaxUnknown of the section's names that this co-ordinator doesn't know are told of.
+const MaxUnknown = 8
 
-// slack is what sums of shares as they are written may be over 1.
-const slack = 1e-9
+// sumTolerance is what sums of shares as they are written may be over 1.
+const sumTolerance = 1e-9
 
 // Set is a section, compiled. It is read only, by any number of goroutines.
 type Set struct {
@@ -30,44 +30,44 @@
 	Tenants  []uint64  // keys of tenants by their places, for queries of no account
 	Unknown  []string  // some names of the section that settings or routes here don't have
 
-	tenants, routes []int32 // account by place, -1 for none
-	marks           map[string]int32
-	older           *older // of a mixed set
+	accountByTenant, accountByRoute []int32 // account by place, -1 for none
+	accountByMark                   map[string]int32
+	previous                        *previousSet // of a mixed set
 }
 
-// Lane is one lane. Shares are of the fleet's capacity.
+// LaneOf is one lane. Shares are of the fleet's capacity.
 type Lane struct {
-	Name        string
-	Floor, Most float64 // Most 0: none
-	Lend        bool
+	Name            string
+	Floor, MaxShare float64 // MaxShare 0: none
+	Lend            bool
 }
 
-// Account is one account.
+// AccountOf is one account.
 type Account struct {
-	Name            string
-	Lane            int
-	Guarantee, Most float64 // Most 0: none
-	Key             uint64  // of its name, the same at all co-ordinators
+	Name                string
+	Lane                int
+	Guarantee, MaxShare float64 // MaxShare 0: none
+	Key                 uint64  // of its name, the same at all co-ordinators
 }
 
 // Class is what holds for a class's queries in all lanes.
 type Class struct {
-	Floor    float64
-	ComeBack bool // a refusal names a time to come back, where settings allow
+	Floor          float64
+	SendRetryAfter bool // a refusal names a time to come back, where settings allow
 }
 
-// Last is the standard lane.
-func (s *Set) Last() int { return len(s.Lanes) - 1 }
+// LastLane is the standard lane.
+func (s *Set) LastLane() int { return len(s.Lanes) - 1 }
 
-// Of compiles a section for a co-ordinator's settings and routes, both by name. Tenants, routes and classes that these
+// Compile compiles a section for a co-ordinator's settings and routes, both by name. Tenants, routes and classes that these
 // don't have are passed over, since another co-ordinator's may: see Unknown. An error says what no section can mean.
-func Of(section *operator.Lanes, revision int, names *settings.Names, routes []string) (*Set, error) {
-	if err := valid(section); err != nil {
+func Compile(section *operator.Lanes, revision int, names *settings.Names, routes []string) (*Set, error) {
+	if err := validate(section); err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", revision, err)
 	}
 	s := &Set{
 		Revision: revision, Slot: time.Duration(section.Slot * float64(time.Second)),
-		tenants: none(len(names.Tenants)), routes: none(len(routes)), marks: map[string]int32{},
+		accountByTenant: unassigned(len(names.Tenants)), accountByRoute: unassigned(len(routes)), accountByMark: map[string]int32{},
 	}
 	lanes := map[string]int{}
 	for i := range section.Lanes {
@@ -75,15 +75,15 @@
 		lanes[l.Name] = i
 		s.Lanes = append(s.Lanes, Lane{l.Name, l.Floor, l.Most, l.Lends()})
 	}
-	tenantAt, routeAt := places(names.Tenants), places(routes)
+	tenantAt, routeAt := indexByName(names.Tenants), indexByName(routes)
 	s.Accounts = make([]Account, len(section.Accounts))
 	for i := range section.Accounts {
 		a := &section.Accounts[i]
-		s.Accounts[i] = Account{a.Name, lanes[a.Lane], a.Guarantee, a.Most, Key(a.Name)}
-		s.put(s.tenants, tenantAt, a.Tenants, i)
-		s.put(s.routes, routeAt, a.Routes, i)
+		s.Accounts[i] = Account{a.Name, lanes[a.Lane], a.Guarantee, a.Most, HashName(a.Name)}
+		s.assignAccount(s.accountByTenant, tenantAt, a.Tenants, i)
+		s.assignAccount(s.accountByRoute, routeAt, a.Routes, i)
 		for _, mark := range a.Marks {
-			s.marks[mark] = int32(i)
+			s.accountByMark[mark] = int32(i)
 		}
 	}
 	for _, name := range names.Classes {
@@ -91,56 +91,56 @@
 		s.Classes = append(s.Classes, Class{c.Floor, c.Names()})
 	}
 	for _, name := range names.Tenants {
-		s.Tenants = append(s.Tenants, Key(name))
+		s.Tenants = append(s.Tenants, HashName(name))
 	}
 	return s, nil
 }
 
-func (s *Set) put(to []int32, at map[string]int, list []string, account int) {
+func (s *Set) assignAccount(to []int32, at map[string]int, list []string, account int) {
 	for _, name := range list {
 		if i, ok := at[name]; ok {
 			to[i] = int32(account)
-		} else if len(s.Unknown) < UnknownMost {
+		} else if len(s.Unknown) < MaxUnknown {
 			s.Unknown = append(s.Unknown, name)
 		}
 	}
 }
 
-// Account is the place of the account that a query belongs to, -1 for none: by its mark, else by its route, else by its
+// AccountOf is the place of the account that a query belongs to, -1 for none: by its mark, else by its route, else by its
 // tenant. Tenant and route are places, -1 for none; mark is "" for none.
-func (s *Set) Account(tenant, route int, mark string) int {
-	at := s.own(tenant, route, mark)
-	if s.older == nil {
+func (s *Set) AccountOf(tenant, route int, mark string) int {
+	at := s.lookupAccount(tenant, route, mark)
+	if s.previous == nil {
 		return at
 	}
-	return s.older.stricter(s, at, s.older.set.Account(tenant, route, mark))
+	return s.previous.stricterAccount(s, at, s.previous.set.AccountOf(tenant, route, mark))
 }
 
-func (s *Set) own(tenant, route int, mark string) int {
+func (s *Set) lookupAccount(tenant, route int, mark string) int {
 	if mark != "" {
-		if at, ok := s.marks[mark]; ok {
+		if at, ok := s.accountByMark[mark]; ok {
 			return int(at)
 		}
 	}
-	if uint(route) < uint(len(s.routes)) && s.routes[route] >= 0 {
-		return int(s.routes[route])
+	if uint(route) < uint(len(s.accountByRoute)) && s.accountByRoute[route] >= 0 {
+		return int(s.accountByRoute[route])
 	}
-	if uint(tenant) < uint(len(s.tenants)) {
-		return int(s.tenants[tenant])
+	if uint(tenant) < uint(len(s.accountByTenant)) {
+		return int(s.accountByTenant[tenant])
 	}
 	return -1
 }
 
-// Lane is the lane of an account, the last one of none.
-func (s *Set) Lane(account int) int {
+// LaneOf is the lane of an account, the last one of none.
+func (s *Set) LaneOf(account int) int {
 	if account < 0 {
-		return s.Last()
+		return s.LastLane()
 	}
 	return s.Accounts[account].Lane
 }
 
-// Key of a name is the same at all co-ordinators: 64-bit FNV-1a, mixed once more so that short names differ in all bits.
-func Key(name string) uint64 {
+// HashName of a name is the same at all co-ordinators: 64-bit FNV-1a, mixed once more so that short names differ in all bits.
+func HashName(name string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
 		h = (h ^ uint64(name[i])) * 1099511628211
@@ -149,9 +149,9 @@
 	return h ^ h>>32
 }
 
-func none(n int) []int32 { return slices.Repeat([]int32{-1}, n) }
+func unassigned(n int) []int32 { return slices.Repeat([]int32{-1}, n) }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	at := make(map[string]int, len(names))
 	for i, name := range names {
 		at[name] = i
@@ -159,9 +159,9 @@
 	return at
 }
 
-// valid refuses what can't be compiled. A section that was read from a file has been looked at in words; one that was
+// validate refuses what can't be compiled. A section that was read from a file has been looked at in words; one that was
 // agreed comes from another program.
-func valid(l *operator.Lanes) error {
+func validate(l *operator.Lanes) error {
 	if n := len(l.Lanes); n < 1 || n > operator.LanesMost {
 		return fmt.Errorf("%d lanes, 1 to %d are right", n, operator.LanesMost)
 	}
@@ -202,7 +202,7 @@
 	if keys > operator.KeysMost {
 		return fmt.Errorf("%d tenants, marks and routes, %d at most", keys, operator.KeysMost)
 	}
-	if bad || sum > 1+slack {
+	if bad || sum > 1+sumTolerance {
 		return errors.New("guarantees and floors that are no shares, or over 1 in all")
 	}
 	return nil
--- a/internal/fleet/laneconfig/set_test.go
+++ b/internal/fleet/laneconfig/set_test.go
@@ -34,14 +34,14 @@
 
 func compile(t testing.TB, l *operator.Lanes, revision int) *Set {
 	t.Helper()
-	s, err := Of(l, revision, names, routes)
+	s, err := Compile(l, revision, names, routes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestAccounts(t *testing.T) {
+func TestAccountLookup(t *testing.T) {
 	s := compile(t, section(), 3)
 	for _, c := range []struct {
 		tenant, route int
@@ -51,12 +51,12 @@
 		{0, 1, "", -1}, {-1, -1, "", -1}, {7, 9, "k3", -1}, {2, 1, "", 0}, {1, -1, "", 2},
 		{2, 0, "", 2}, {2, 0, "k1", 1}, {1, 0, "k2", 1}, {2, 1, "K2", 0},
 	} {
-		if got := s.Account(c.tenant, c.route, c.mark); got != c.want {
+		if got := s.AccountOf(c.tenant, c.route, c.mark); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
-	if s.Lane(-1) != 2 || s.Lane(1) != 0 || s.Lane(2) != 1 || s.Last() != 2 {
-		t.Errorf("lanes %d, %d, %d", s.Lane(-1), s.Lane(1), s.Lane(2))
+	if s.LaneOf(-1) != 2 || s.LaneOf(1) != 0 || s.LaneOf(2) != 1 || s.LastLane() != 2 {
+		t.Errorf("lanes %d, %d, %d", s.LaneOf(-1), s.LaneOf(1), s.LaneOf(2))
 	}
 	if fmt.Sprint(s.Classes) != "[{0.02 true} {0.06 false}]" || fmt.Sprint(s.Lanes) != "[{gold 0.05 0.8 true} {silver 0.04 0 false} {rest 0.03 0 true}]" ||
 		fmt.Sprint(s.Unknown) != "[west]" || s.Tenants[2] != s.Accounts[0].Key || s.Accounts[0].Key == s.Accounts[1].Key {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestSectionsThatNoneCanMean(t *testing.T) {
+func TestCompileRejectsInvalidSections(t *testing.T) {
 	for want, spoil := range map[string]func(*operator.Lanes){
 		"0 lanes":            func(l *operator.Lanes) { l.Lanes = nil },
 		"two lanes":          func(l *operator.Lanes) { l.Lanes[1].Name = "gold" },
@@ -78,14 +78,14 @@
 	} {
 		l := section()
 		spoil(l)
-		if _, err := Of(l, 1, names, routes); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Compile(l, 1, names, routes); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q: %v", want, err)
 		}
 	}
 }
 
-// large has as many accounts as may be, each with a mark of 32 random digits.
-func large() *operator.Lanes {
+// largestSection has as many accounts as may be, each with a mark of 32 random digits.
+func largestSection() *operator.Lanes {
 	l, rng := section(), rand.New(rand.NewPCG(1, 2))
 	for i := len(l.Accounts); i < operator.AccountsMost; i++ {
 		mark := fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
@@ -94,39 +94,39 @@
 	return l
 }
 
-func TestTextOfASection(t *testing.T) {
-	b, err := Body(large(), 1)
-	if err != nil || len(b.Z) < PackedMost/2 {
-		t.Fatalf("%d bytes, %v", len(b.Z), err)
+func TestSectionRoundTripAndSizeLimits(t *testing.T) {
+	b, err := NewSetBody(largestSection(), 1)
+	if err != nil || len(b.Packed) < MaxPackedSize/2 {
+		t.Fatalf("%d bytes, %v", len(b.Packed), err)
 	}
-	t.Logf("10,000 accounts: %d bytes packed", len(b.Z))
+	t.Logf("10,000 accounts: %d bytes packed", len(b.Packed))
 	l, err := b.Section()
-	if again, err2 := Body(l, 1); err != nil || err2 != nil || again.Sum != b.Sum || len(l.Accounts) != operator.AccountsMost {
+	if again, err2 := NewSetBody(l, 1); err != nil || err2 != nil || again.Sum != b.Sum || len(l.Accounts) != operator.AccountsMost {
 		t.Error(err, err2)
 	}
-	wide := large()
+	wide := largestSection()
 	for i := range wide.Accounts {
-		wide.Accounts[i].Name = fmt.Sprint(i, Key(fmt.Sprint(i)), Key(fmt.Sprint(-i)))
+		wide.Accounts[i].Name = fmt.Sprint(i, HashName(fmt.Sprint(i)), HashName(fmt.Sprint(-i)))
 	}
-	if _, err := Body(wide, 1); err == nil || !strings.Contains(err.Error(), "fewer accounts") {
+	if _, err := NewSetBody(wide, 1); err == nil || !strings.Contains(err.Error(), "fewer accounts") {
 		t.Error("as large a section as there may not be:", err)
 	}
 	b.Sum = strings.Repeat("0", 64)
 	if _, err := b.Section(); err == nil {
 		t.Error("another sum")
 	}
-	newer := body(t, 1, `{"lanes":[{"name":"a","colour":"red"}]}`)
+	newer := packText(t, 1, `{"lanes":[{"name":"a","colour":"red"}]}`)
 	if _, err := newer.Section(); !errors.Is(err, statemachine.ErrUnknown) {
 		t.Error("a field of a newer program:", err)
 	}
 }
 
 // No lookup allocates, of a plain set or a mixed one.
-func TestLookupsAllocateNothing(t *testing.T) {
-	s := compile(t, large(), 1)
-	mark := large().Accounts[7000].Marks[0]
+func TestLookupsDoNotAllocate(t *testing.T) {
+	s := compile(t, largestSection(), 1)
+	mark := largestSection().Accounts[7000].Marks[0]
 	for name, set := range map[string]*Set{"plain": s, "mixed": Stricter(compile(t, section(), 1), s)} {
-		if n := testing.AllocsPerRun(100, func() { sink = set.Account(1, 1, mark) + set.Lane(sink) + set.Account(2, 0, "other") }); n != 0 {
+		if n := testing.AllocsPerRun(100, func() { sink = set.AccountOf(1, 1, mark) + set.LaneOf(sink) + set.AccountOf(2, 0, "other") }); n != 0 {
 			t.Errorf("%s: %v", name, n)
 		}
 	}
@@ -135,32 +135,32 @@
 var sink int
 
 func BenchmarkAccount(b *testing.B) {
-	l := large()
+	l := largestSection()
 	s := compile(b, l, 1)
 	for name, set := range map[string]*Set{"plain": s, "mixed": Stricter(compile(b, l, 1), s)} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				sink = set.Account(1, 1, l.Accounts[3+i*7919%9000].Marks[0])
+				sink = set.AccountOf(1, 1, l.Accounts[3+i*7919%9000].Marks[0])
 			}
 		})
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
-	for l := large(); b.Loop(); {
+func BenchmarkCompile(b *testing.B) {
+	for l := largestSection(); b.Loop(); {
 		compile(b, l, 1)
 	}
 }
 
 // The summary checks all parts every few seconds, while nothing can be applied.
 func BenchmarkCheck(b *testing.B) {
-	body, err := Body(large(), 1)
+	body, err := NewSetBody(largestSection(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	a := New()
-	a.must(b, start, body)
+	a.mustApply(b, start, body)
 	for b.Loop() {
 		if err := a.Check(); err != nil {
 			b.Fatal(err)
--- a/internal/fleet/laneconfig/stricter.go
+++ b/internal/fleet/laneconfig/stricter.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// older is the set that a mixed one is held to as well.
-type older struct {
-	set *Set
-	at  []int32 // by place in set.Accounts: place in the mixed set's
+// previous is the set that a mixed one is held to as well.
+type previousSet struct {
+	set          *Set
+	accountIndex []int32 // by place in set.Accounts: place in the mixed set's
 }
 
 // Stricter is next, held to old as well: a query has what both give it. Lanes, slot and order are next's; a lane or an
@@ -27,37 +27,37 @@
 	for i, o := range old.Lanes {
 		at, same := laneAt[o.Name]
 		if !same {
-			moved[i] = min(i, s.Last())
-			if i == old.Last() {
-				moved[i] = s.Last()
+			moved[i] = min(i, s.LastLane())
+			if i == old.LastLane() {
+				moved[i] = s.LastLane()
 			}
 			continue
 		}
 		moved[i] = at
 		l := &s.Lanes[at]
-		l.Floor, l.Most, l.Lend = min(l.Floor, o.Floor), least(l.Most, o.Most), l.Lend && o.Lend
+		l.Floor, l.MaxShare, l.Lend = min(l.Floor, o.Floor), stricterLimit(l.MaxShare, o.MaxShare), l.Lend && o.Lend
 	}
 	for i := range min(len(s.Classes), len(old.Classes)) {
 		c, o := &s.Classes[i], old.Classes[i]
-		c.Floor, c.ComeBack = min(c.Floor, o.Floor), c.ComeBack && o.ComeBack
+		c.Floor, c.SendRetryAfter = min(c.Floor, o.Floor), c.SendRetryAfter && o.SendRetryAfter
 	}
 	byName := map[string]int{}
 	for i := range next.Accounts {
 		byName[next.Accounts[i].Name] = i
 	}
 	both := make([]bool, len(next.Accounts))
-	s.older = &older{old, make([]int32, len(old.Accounts))}
+	s.previous = &previousSet{old, make([]int32, len(old.Accounts))}
 	for i, o := range old.Accounts {
 		at, same := byName[o.Name]
 		if !same {
 			at = len(s.Accounts)
-			s.Accounts = append(s.Accounts, Account{o.Name, moved[o.Lane], 0, o.Most, o.Key})
+			s.Accounts = append(s.Accounts, Account{o.Name, moved[o.Lane], 0, o.MaxShare, o.Key})
 		} else {
 			a := &s.Accounts[at]
-			a.Lane, a.Guarantee, a.Most = max(a.Lane, moved[o.Lane]), min(a.Guarantee, o.Guarantee), least(a.Most, o.Most)
+			a.Lane, a.Guarantee, a.MaxShare = max(a.Lane, moved[o.Lane]), min(a.Guarantee, o.Guarantee), stricterLimit(a.MaxShare, o.MaxShare)
 			both[at] = true
 		}
-		s.older.at[i] = int32(at)
+		s.previous.accountIndex[i] = int32(at)
 	}
 	for i, is := range both {
 		if !is {
@@ -67,16 +67,16 @@
 	return &s
 }
 
-// stricter picks the account of a query that is of account n by the mixed set's own lists, and of account o of the older
+// stricterAccount picks the account of a query that is of account n by the mixed set's own lists, and of account o of the older
 // set.
-func (x *older) stricter(s *Set, n, o int) int {
+func (x *previousSet) stricterAccount(s *Set, n, o int) int {
 	if o >= 0 {
-		o = int(x.at[o])
+		o = int(x.accountIndex[o])
 	}
 	if o == n {
 		return n
 	}
-	down, up := s.Lane(o)-s.Lane(n), s.guarantee(n)-s.guarantee(o) // over 0: the older set's is the stricter
+	down, up := s.LaneOf(o)-s.LaneOf(n), s.guaranteeOf(n)-s.guaranteeOf(o) // over 0: the older set's is the stricter
 	switch {
 	case down < 0 && up > 0 || down > 0 && up < 0:
 		return -1
@@ -86,15 +86,15 @@
 	return n
 }
 
-func (s *Set) guarantee(account int) float64 {
+func (s *Set) guaranteeOf(account int) float64 {
 	if account < 0 {
 		return 0
 	}
 	return s.Accounts[account].Guarantee
 }
 
-// least is the lesser of two mosts, of which 0 is none.
-func least(a, b float64) float64 {
+// stricterLimit is the lesser of two mosts, of which 0 is none.
+func stricterLimit(a, b float64) float64 {
 	if a == 0 || b > 0 && b < a {
 		return b
 	}
--- a/internal/fleet/laneconfig/stricter_test.go
+++ b/internal/fleet/laneconfig/stricter_test.go
@@ -9,7 +9,7 @@
 	"birchcart/internal/operator"
 )
 
-func TestWhoMovesDownDoesSoAtOnceAndWhoMovesUpLater(t *testing.T) {
+func TestStricterDemotesAtOnceAndPromotesLater(t *testing.T) {
 	old := compile(t, section(), 1)
 	l := section()
 	l.Slot = 20
@@ -36,10 +36,10 @@
 		{0, 1, "", "none"},
 		{1, 1, "", "south2 silver 0 0"}, // the same lane under another name, with no guarantee till then
 	} {
-		at, got := s.Account(c.tenant, c.route, c.mark), "none"
+		at, got := s.AccountOf(c.tenant, c.route, c.mark), "none"
 		if at >= 0 {
 			a := s.Accounts[at]
-			got = fmt.Sprint(a.Name, " ", s.Lanes[a.Lane].Name, " ", a.Guarantee, " ", a.Most)
+			got = fmt.Sprint(a.Name, " ", s.Lanes[a.Lane].Name, " ", a.Guarantee, " ", a.MaxShare)
 		}
 		if got != c.want {
 			t.Errorf("%+v: %s", c, got)
@@ -50,8 +50,8 @@
 	}
 }
 
-// drawn is any section over the lanes and accounts of a small world.
-func drawn(t *rapid.T) *operator.Lanes {
+// drawSection is any section over the lanes and accounts of a small world.
+func drawSection(t *rapid.T) *operator.Lanes {
 	l := &operator.Lanes{Slot: 10}
 	share := func(of string) float64 { return float64(rapid.IntRange(0, 8).Draw(t, of)) / 100 }
 	most := func(of string, least float64) float64 {
@@ -81,13 +81,13 @@
 	return l
 }
 
-// Of any two sets the mixed one gives no query a better lane, guarantee, most or floor than either, and promises no more than
+// Compile any two sets the mixed one gives no query a better lane, guarantee, most or floor than either, and promises no more than
 // either; a third over it gives no more than any.
 func TestTheStricterOfTwo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*Set
 		for i := range 3 {
-			s, err := Of(drawn(t), i+1, names, routes)
+			s, err := Compile(drawSection(t), i+1, names, routes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,50 +98,50 @@
 		for tenant := -1; tenant < 3; tenant++ {
 			for route := -1; route < 2; route++ {
 				for _, mark := range []string{"", "k1", "k2", "k3"} {
-					at := two.Account(tenant, route, mark)
+					at := two.AccountOf(tenant, route, mark)
 					for _, s := range all[1:] {
-						held(t, two, at, s, s.Account(tenant, route, mark))
+						checkNotMore(t, two, at, s, s.AccountOf(tenant, route, mark))
 					}
-					if at := mixed.Account(tenant, route, mark); mixed.Lane(at) < all[2].Lane(all[2].Account(tenant, route, mark)) ||
-						mixed.guarantee(at) > all[2].guarantee(all[2].Account(tenant, route, mark)) {
+					if at := mixed.AccountOf(tenant, route, mark); mixed.LaneOf(at) < all[2].LaneOf(all[2].AccountOf(tenant, route, mark)) ||
+						mixed.guaranteeOf(at) > all[2].guaranteeOf(all[2].AccountOf(tenant, route, mark)) {
 						t.Fatalf("three: %d %d %q", tenant, route, mark)
 					}
 				}
 			}
 		}
 		for _, s := range all[1:] {
-			if guaranteed(two) > guaranteed(s)+slack {
-				t.Fatalf("%v guaranteed, %v by %d alone", guaranteed(two), guaranteed(s), s.Revision)
+			if totalGuarantee(two) > totalGuarantee(s)+sumTolerance {
+				t.Fatalf("%v guaranteed, %v by %d alone", totalGuarantee(two), totalGuarantee(s), s.Revision)
 			}
 		}
 	})
 }
 
-// held says that a of the mixed set has no more than b of one of the two.
-func held(t *rapid.T, mixed *Set, a int, one *Set, b int) {
-	if mixed.guarantee(a) > one.guarantee(b) {
-		t.Fatalf("a guarantee of %v, of %v by %d alone", mixed.guarantee(a), one.guarantee(b), one.Revision)
+// checkNotMore says that a of the mixed set has no more than b of one of the two.
+func checkNotMore(t *rapid.T, mixed *Set, a int, one *Set, b int) {
+	if mixed.guaranteeOf(a) > one.guaranteeOf(b) {
+		t.Fatalf("a guarantee of %v, of %v by %d alone", mixed.guaranteeOf(a), one.guaranteeOf(b), one.Revision)
 	}
-	have, had := mixed.Lanes[mixed.Lane(a)], one.Lanes[one.Lane(b)]
-	if one.Revision == mixed.Revision && mixed.Lane(a) < one.Lane(b) {
+	have, had := mixed.Lanes[mixed.LaneOf(a)], one.Lanes[one.LaneOf(b)]
+	if one.Revision == mixed.Revision && mixed.LaneOf(a) < one.LaneOf(b) {
 		t.Fatalf("lane %s, of %s by %d alone", have.Name, had.Name, one.Revision)
 	}
-	if have.Name == had.Name && (have.Floor > had.Floor || have.Lend && !had.Lend || had.Most > 0 && (have.Most == 0 || have.Most > had.Most)) {
+	if have.Name == had.Name && (have.Floor > had.Floor || have.Lend && !had.Lend || had.MaxShare > 0 && (have.MaxShare == 0 || have.MaxShare > had.MaxShare)) {
 		t.Fatalf("%+v, of %+v by %d alone", have, had, one.Revision)
 	}
 	for i, l := range mixed.Lanes { // the older one's lane, if both have it
-		if one.Revision != mixed.Revision && l.Name == had.Name && mixed.Lane(a) < i {
+		if one.Revision != mixed.Revision && l.Name == had.Name && mixed.LaneOf(a) < i {
 			t.Fatalf("lane %s, of %s by %d alone", have.Name, had.Name, one.Revision)
 		}
 	}
 	if a >= 0 && b >= 0 && mixed.Accounts[a].Name == one.Accounts[b].Name {
-		if m, most := mixed.Accounts[a].Most, one.Accounts[b].Most; most > 0 && (m == 0 || m > most) {
+		if m, most := mixed.Accounts[a].MaxShare, one.Accounts[b].MaxShare; most > 0 && (m == 0 || m > most) {
 			t.Fatalf("a most of %v, of %v by %d alone", m, most, one.Revision)
 		}
 	}
 }
 
-func guaranteed(s *Set) (sum float64) {
+func totalGuarantee(s *Set) (sum float64) {
 	for _, a := range s.Accounts {
 		sum += a.Guarantee
 	}
--- a/internal/fleet/laneconfig/text.go
+++ b/internal/fleet/laneconfig/text.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// PackedMost bytes of a section, packed: 10,000 accounts with a mark of 32 random digits each have some 210 KB.
-	PackedMost = 256 << 10
-	// TextMost bytes of a section as it is, which is what an operators' file may render to.
-	TextMost = 4 << 20
+	// MaxPackedSize bytes of a section, packed: 10,000 accounts with a mark of 32 random digits each have some 210 KB.
+	MaxPackedSize = 256 << 10
+	// MaxTextSize bytes of a section as it is, which is what an operators' file may render to.
+	MaxTextSize = 4 << 20
 )
 
 // SetBody is the command that puts a section in force.
 type SetBody struct {
 	Revision int    `json:"revision"`
 	Sum      string `json:"sum"` // SHA-256 of the text
-	Z        []byte `json:"z"`   // the text, packed
+	Packed   []byte `json:"z"`   // the text, packed
 }
 
-// Body is the command for a section. It fails for one that is too large to be agreed on.
-func Body(section *operator.Lanes, revision int) (SetBody, error) {
+// NewSetBody is the command for a section. It fails for one that is too large to be agreed on.
+func NewSetBody(section *operator.Lanes, revision int) (SetBody, error) {
 	text, err := json.Marshal(section) // fields in their order, maps by key
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
-	if len(text) > TextMost {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, %d at most", len(text), TextMost)
+	if len(text) > MaxTextSize {
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, %d at most", len(text), MaxTextSize)
 	}
 	z, err := compress.Pack(text)
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
-	if len(z) > PackedMost {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes packed, %d at most: fewer accounts, or shorter marks", len(z), PackedMost)
+	if len(z) > MaxPackedSize {
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes packed, %d at most: fewer accounts, or shorter marks", len(z), MaxPackedSize)
 	}
-	return SetBody{revision, sumOf(text), z}, nil
+	return SetBody{revision, checksum(text), z}, nil
 }
 
 // Section is the one that the command carries. ErrUnknown of the state machine is in the error if a newer program wrote it.
@@ -58,20 +58,20 @@
 }
 
 func (b SetBody) text() ([]byte, error) {
-	if len(b.Z) > PackedMost {
-		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes packed, %d at most", b.Revision, len(b.Z), PackedMost)
+	if len(b.Packed) > MaxPackedSize {
+		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes packed, %d at most", b.Revision, len(b.Packed), MaxPackedSize)
 	}
-	text, err := compress.Unpack(b.Z, TextMost)
+	text, err := compress.Unpack(b.Packed, MaxTextSize)
 	if err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", b.Revision, err)
 	}
-	if sum := sumOf(text); sum != b.Sum {
+	if sum := checksum(text); sum != b.Sum {
 		return nil, fmt.Errorf("laneconfig: revision %d has the sum %.16s, and says %.16q", b.Revision, sum, b.Sum)
 	}
 	return text, nil
 }
 
-func sumOf(text []byte) string {
+func checksum(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/fleet/lanepart/part.go
+++ b/internal/fleet/lanepart/part.go
@@ -27,7 +27,7 @@
 )
 
 // MessageKind is the first byte of the messages between co-ordinators that Receive takes.
-const MessageKind = loadshed.Kind
+const MessageKind = loadshed.MessageKind
 
 // Host is what this part needs of the node. Functions must not block.
 type Host struct {
@@ -47,9 +47,9 @@
 	Wake func()
 }
 
-// Turn is what a step of the node's loop goes by.
-type Turn struct {
-	Now   time.Duration    // own monotonic
+// StepInput is what a step of the node's loop goes by.
+type StepInput struct {
+	Now   time.Duration    // fileSection monotonic
 	Term  uint64           // in which this co-ordinator leads; 0: it does not
 	Group *raftgroup.Group // nil: without a vote
 }
@@ -57,19 +57,19 @@
 // Part is one co-ordinator's part. What is not under mu belongs to the node's loop.
 type Part struct {
 	host          Host
-	shed          *loadshed.Shed
+	shed          *loadshed.Shedder
 	sequence      uint64        // of the newest proposal in this term
 	term          uint64        // of it
-	notBefore     time.Duration // own time before which nothing is proposed
+	notBefore     time.Duration // fileSection time before which nothing is proposed
 	loggedInForce string        // sum of the configuration that was logged as in force
 
-	mu       sync.Mutex
-	own      *laneconfig.SetBody // of the file; nil: it can't be encoded, which was logged
-	mix      *laneconfig.Mix
-	routes   []string // that it was made for
-	pending  bool     // a proposal is under way
-	rejected bool     // the newest one was, for good
-	note     string
+	mu          sync.Mutex
+	fileSection *laneconfig.SetBody // of the file; nil: it can't be encoded, which was logged
+	selector    *laneconfig.Selector
+	routes      []string // that it was made for
+	pending     bool     // a proposal is under way
+	rejected    bool     // the newest one was, for good
+	warning     string
 }
 
 // Validate rejects a section that can't be agreed on, since it is too large.
@@ -78,9 +78,9 @@
 	if l == nil {
 		return nil
 	}
-	_, err := laneconfig.Body(l, f.Fleet.Revision)
+	_, err := laneconfig.NewSetBody(l, f.Fleet.Revision)
 	if err == nil {
-		_, err = laneconfig.Of(l, f.Fleet.Revision, names, routeNames(f))
+		_, err = laneconfig.Compile(l, f.Fleet.Revision, names, routeNames(f))
 	}
 	if err != nil {
 		return fmt.Errorf("$.fleet.lanes: %w", err)
@@ -102,13 +102,13 @@
 	return p
 }
 
-// Join has the exchange's queries go through the lanes. It comes before the exchange runs; Run runs the load shedding.
-func (p *Part) Join(e *exchange.Exchange) {
-	r := &roster{host: &p.host}
+// Attach has the exchange's queries go through the lanes. It comes before the exchange runs; Run runs the load shedding.
+func (p *Part) Attach(e *exchange.Exchange) {
+	r := &membershipCache{host: &p.host}
 	p.shed = loadshed.New(loadshed.Options{
-		Name: p.host.Name, Zone: p.host.Zone, Incarnation: uint64(p.host.StartTime.UnixMilli()), Start: p.host.StartTime,
-		Fleet: p.host.Policy.Aggregators, Seed: p.host.Policy.Seed, Policy: p.host.Policy, Log: p.host.Log,
-		Set: p.inForce, Crew: r.current, Agreed: p.agreedTime,
+		Name: p.host.Name, Zone: p.host.Zone, Incarnation: uint64(p.host.StartTime.UnixMilli()), StartTime: p.host.StartTime,
+		FleetSize: p.host.Policy.Aggregators, Seed: p.host.Policy.Seed, Policy: p.host.Policy, Log: p.host.Log,
+		CurrentSet: p.inForce, Membership: r.current, AgreedTime: p.agreedTime,
 		Send: func(to string, raw []byte) {
 			if err := p.host.Send(to, raw); err != nil {
 				p.host.Log.WithError(err).Debug("a letter of lanes is not sent")
@@ -122,7 +122,7 @@
 func (p *Part) Run(ctx context.Context) { p.shed.Run(ctx) }
 
 // Receive takes a message of another co-ordinator. Any goroutine may call it.
-func (p *Part) Receive(from string, raw []byte) { p.shed.Hear(from, raw) }
+func (p *Part) Receive(from string, raw []byte) { p.shed.Receive(from, raw) }
 
 func (p *Part) agreedTime() (at time.Duration) {
 	p.host.State.WithLock(func() { at = p.host.State.Machine.Now() })
@@ -131,40 +131,40 @@
 
 // Reload takes a file that was read again.
 func (p *Part) Reload(f *operator.File) {
-	b, err := laneconfig.Body(f.Fleet.Lanes, f.Fleet.Revision)
+	b, err := laneconfig.NewSetBody(f.Fleet.Lanes, f.Fleet.Revision)
 	if err != nil {
 		p.host.Log.WithError(err).Error("the section of lanes can't be agreed on")
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if names := routeNames(f); p.mix == nil || !slices.Equal(names, p.routes) { // queries come with places in this list
-		p.mix, p.routes = laneconfig.NewMix(p.host.Names, names), names
+	if names := routeNames(f); p.selector == nil || !slices.Equal(names, p.routes) { // queries come with places in this list
+		p.selector, p.routes = laneconfig.NewSelector(p.host.Names, names), names
 	}
-	if p.own == nil || p.own.Revision != b.Revision || p.own.Sum != b.Sum {
-		p.own, p.notBefore = &b, 0
+	if p.fileSection == nil || p.fileSection.Revision != b.Revision || p.fileSection.Sum != b.Sum {
+		p.fileSection, p.notBefore = &b, 0
 	}
 }
 
 // inForce is the configuration to go by now, whether that is another one than at the last call, and the revision that was applied
 // here, 0 for none. heard is the highest one that others say they have applied. Any goroutine may call it.
 func (p *Part) inForce(now time.Duration, heard int) (set *laneconfig.Set, changed bool, applied int) {
-	look := laneconfig.Look{Now: now, Heard: heard}
+	look := laneconfig.SelectorInput{Now: now, PeerRevision: heard}
 	state := p.host.State
 	state.WithLock(func() {
-		look.Agreed = state.Machine.Now()
-		look.Force, look.Before = state.Lanes.InForce(look.Agreed)
+		look.AgreedTime = state.Machine.Now()
+		look.Current, look.Previous = state.Lanes.InForce(look.AgreedTime)
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	look.Own = p.own
-	set, changed, note := p.mix.Step(look)
-	if note != "" && note != p.note {
+	look.FileSection = p.fileSection
+	set, changed, note := p.selector.Select(look)
+	if note != "" && note != p.warning {
 		p.host.Log.Warn(note)
 	}
-	p.note = note
-	if look.Force != nil {
-		applied = look.Force.Revision
+	p.warning = note
+	if look.Current != nil {
+		applied = look.Current.Revision
 	}
 	return set, changed, applied
 }
@@ -182,7 +182,7 @@
 }
 
 // Step proposes the own file's section while this co-ordinator leads and a lower revision is in force.
-func (p *Part) Step(t Turn) {
+func (p *Part) Step(t StepInput) {
 	p.logInForce()
 	at, may := p.host.MayPropose()
 	if t.Term == 0 || !may || t.Group == nil {
@@ -191,8 +191,8 @@
 	if p.term != t.Term {
 		p.term, p.sequence, p.notBefore = t.Term, 0, 0
 	}
-	own := p.due(t.Now)
-	if own == nil || !p.stateTakes(t.Now, at, own) {
+	own := p.sectionToPropose(t.Now)
+	if own == nil || !p.stateAccepts(t.Now, at, own) {
 		return
 	}
 	p.sequence++
@@ -209,10 +209,10 @@
 	go p.propose(t.Group, raw, own.Revision)
 }
 
-// due is the own section if it may be proposed now, else nil.
-func (p *Part) due(now time.Duration) *laneconfig.SetBody {
+// sectionToPropose is the own section if it may be proposed now, else nil.
+func (p *Part) sectionToPropose(now time.Duration) *laneconfig.SetBody {
 	p.mu.Lock()
-	own, pending, rejected := p.own, p.pending, p.rejected
+	own, pending, rejected := p.fileSection, p.pending, p.rejected
 	p.rejected = false
 	p.mu.Unlock()
 	if rejected {
@@ -224,12 +224,12 @@
 	return own
 }
 
-// stateTakes says whether the agreed state would take the own section, and logs one that differs under the same revision.
-func (p *Part) stateTakes(now, at time.Duration, own *laneconfig.SetBody) bool {
+// stateAccepts says whether the agreed state would take the own section, and logs one that differs under the same revision.
+func (p *Part) stateAccepts(now, at time.Duration, own *laneconfig.SetBody) bool {
 	var takes, differs bool
 	state := p.host.State
 	state.WithLock(func() {
-		takes = state.Lanes.Takes(own.Revision, at)
+		takes = state.Lanes.Accepts(own.Revision, at)
 		force, _ := state.Lanes.InForce(at)
 		differs = force != nil && force.Revision == own.Revision && force.Sum != own.Sum
 	})
@@ -281,7 +281,7 @@
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.note != "" {
-		f["lanes_note"] = p.note
+	if p.warning != "" {
+		f["lanes_note"] = p.warning
 	}
 }
--- a/internal/fleet/lanepart/part_test.go
+++ b/internal/fleet/lanepart/part_test.go
@@ -15,7 +15,7 @@
 )
 
 // A co-ordinator goes by what its copy has, and tells what it has applied; a file too large to agree on is refused.
-func TestLanesOfACopy(t *testing.T) {
+func TestInForceFollowsAgreedState(t *testing.T) {
 	names := &settings.Names{Classes: []string{"q"}}
 	f := &operator.File{Fleet: &operator.Fleet{Revision: 4, Lanes: &operator.Lanes{Slot: 10, Lanes: []operator.Lane{{Name: "all", Floor: 0.1}}}}}
 	var out bytes.Buffer
@@ -29,7 +29,7 @@
 	if set, changed, applied := p.inForce(1, 0); set == nil || !changed || applied != 0 || !strings.Contains(out.String(), "no lanes are agreed on yet") {
 		t.Errorf("%v %v %d: %s", set, changed, applied, out.String())
 	}
-	b, err := laneconfig.Body(f.Fleet.Lanes, 4)
+	b, err := laneconfig.NewSetBody(f.Fleet.Lanes, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	if p.AddSummary(fields); fields["lanes_revision"] != 4 {
 		t.Error(fields)
 	}
-	f.Fleet.Lanes.Header = strings.Repeat("x", laneconfig.TextMost)
+	f.Fleet.Lanes.Header = strings.Repeat("x", laneconfig.MaxTextSize)
 	if err := Validate(f, names); err == nil || !strings.HasPrefix(err.Error(), "$.fleet.lanes: ") {
 		t.Error(err)
 	}
--- a/internal/fleet/lanepart/roster.go
+++ b/internal/fleet/lanepart/roster.go
@@ -9,36 +9,36 @@
 	"birchcart/internal/fleet/member"
 )
 
-// RosterInterval is between looks at who there is.
-const RosterInterval = time.Second
+// MembershipInterval is between looks at who there is.
+const MembershipInterval = time.Second
 
-// roster is who there is, for the load shedding's steps alone.
-type roster struct {
-	host *Host
-	at   time.Duration
-	last loadshed.Crew
+// membershipCache is who there is, for the load shedding's steps alone.
+type membershipCache struct {
+	host       *Host
+	updatedAt  time.Duration
+	membership loadshed.Membership
 }
 
 // current is who is agreed to be there and not gone, and who gossip hears of. What is agreed stays while this one is cut off, so
 // that it knows of how few it hears.
-func (r *roster) current() loadshed.Crew {
+func (r *membershipCache) current() loadshed.Membership {
 	now := time.Since(r.host.StartTime)
-	if r.last.Names != nil && now < r.at+RosterInterval {
-		return r.last
+	if r.membership.Names != nil && now < r.updatedAt+MembershipInterval {
+		return r.membership
 	}
-	r.at = now
+	r.updatedAt = now
 	var agreed []maintenance.Machine
 	r.host.State.WithLock(func() { agreed = r.host.State.Maintenance.Machines() })
-	r.last = rosterOf(r.host.Name, agreed, r.host.Members())
-	return r.last
+	r.membership = membershipOf(r.host.Name, agreed, r.host.Members())
+	return r.membership
 }
 
-func rosterOf(self string, agreed []maintenance.Machine, heard []member.Member) (out loadshed.Crew) {
+func membershipOf(self string, agreed []maintenance.Machine, heard []member.Member) (out loadshed.Membership) {
 	out.Names = []string{self}
 	for _, m := range agreed {
 		if m.Kind == maintenance.Coordinator && m.Status != maintenance.Gone {
 			out.Names = append(out.Names, m.Name)
-			out.Agreed++
+			out.AgreedCount++
 		}
 	}
 	for _, m := range heard {
--- a/internal/fleet/lanepart/roster_test.go
+++ b/internal/fleet/lanepart/roster_test.go
@@ -9,12 +9,12 @@
 )
 
 // Who is agreed to be there counts as there, heard of or not; messages go to who is heard of.
-func TestRoster(t *testing.T) {
-	c := rosterOf("a", []maintenance.Machine{
+func TestMembershipFromAgreedStateAndGossip(t *testing.T) {
+	c := membershipOf("a", []maintenance.Machine{
 		{Name: "r1", Kind: maintenance.Replica, Status: maintenance.Up}, {Name: "a", Kind: maintenance.Coordinator, Status: maintenance.Up},
 		{Name: "b", Kind: maintenance.Coordinator, Status: maintenance.Unknown}, {Name: "c", Kind: maintenance.Coordinator, Status: maintenance.Gone},
 	}, []member.Member{{Name: "a", State: member.Alive}, {Name: "b", State: member.Dead}, {Name: "d", State: member.Suspect}, {Name: "e", State: member.Alive}})
-	if c.Agreed != 2 || !slices.Equal(c.Names, []string{"a", "b", "d", "e"}) || !slices.Equal(c.Live, []string{"e"}) {
+	if c.AgreedCount != 2 || !slices.Equal(c.Names, []string{"a", "b", "d", "e"}) || !slices.Equal(c.Live, []string{"e"}) {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -18,7 +18,7 @@
 		Name: n.name, Zone: zone(s), StartTime: n.start, State: n.state, Names: s.Config.Names, Policy: &s.Config.Policy,
 		Log: n.log, MayPropose: n.controller.Time, Members: n.member.Members, Send: n.member.Send, Wake: n.wakeUp,
 	}, n.file)
-	n.lanes.Join(s.Exchange)
+	n.lanes.Attach(s.Exchange)
 	n.laneReceiver.Store(n.lanes)
 	n.done.Go(func() { n.lanes.Run(ctx) })
 }
--- a/internal/fleet/lanes/admit.go
+++ b/internal/fleet/lanes/admit.go
@@ -103,12 +103,12 @@
 			v.How = Guaranteed
 			return v
 		}
-		if of.Most > 0 {
+		if of.MaxShare > 0 {
 			m := g.mostRate(a, of)
 			overMost = a.most.fill(now, m, sureBurst(m)) <= 0
 		}
 	}
-	if l := &g.lanes[v.Lane]; guaranteed || g.set.Lanes[v.Lane].Most > 0 && l.most.fill(now, l.mostRate, burst(l.mostRate)) <= 0 {
+	if l := &g.lanes[v.Lane]; guaranteed || g.set.Lanes[v.Lane].MaxShare > 0 && l.most.fill(now, l.mostRate, burst(l.mostRate)) <= 0 {
 		v.Lane = last
 	}
 	l := &g.lanes[v.Lane]
@@ -150,9 +150,9 @@
 // mostRate is the own part of an account's most: as large as that of its guarantee.
 func (g *Gate) mostRate(a *account, of *laneconfig.Account) float64 {
 	if of.Guarantee > 0 {
-		return of.Most * g.bears * a.share / of.Guarantee
+		return of.MaxShare * g.bears * a.share / of.Guarantee
 	}
-	return of.Most * g.bears / g.members
+	return of.MaxShare * g.bears / g.members
 }
 
 // charge takes an admitted query out of each bucket that it counts in.
@@ -162,12 +162,12 @@
 		if v.How == Guaranteed {
 			a.sure.tokens -= q.Cost
 		}
-		if of.Most > 0 {
+		if of.MaxShare > 0 {
 			a.most.pay(q.Cost, sureBurst(g.mostRate(a, of)))
 		}
 	}
 	l := &g.lanes[v.Lane]
-	if g.set.Lanes[v.Lane].Most > 0 {
+	if g.set.Lanes[v.Lane].MaxShare > 0 {
 		l.most.pay(q.Cost, burst(l.mostRate))
 	}
 	if v.How == Guaranteed || g.level == 0 {
@@ -195,7 +195,7 @@
 // after is a time to come back: when this slot is over, or a bucket that lacks so much has some again; spread over a slot or
 // over as long again, so that those who are refused together don't come together.
 func (g *Gate) after(now time.Duration, q *Ask, lack, rate float64) time.Duration {
-	if q.Class >= 0 && q.Class < len(g.set.Classes) && !g.set.Classes[q.Class].ComeBack {
+	if q.Class >= 0 && q.Class < len(g.set.Classes) && !g.set.Classes[q.Class].SendRetryAfter {
 		return 0
 	}
 	g.seq++
--- a/internal/fleet/lanes/check.go
+++ b/internal/fleet/lanes/check.go
@@ -10,7 +10,7 @@
 // books follow what the gate does by counts of their own, and keep the first rule that was broken. They know what each floor and
 // guarantee brings, and what was admitted; the gate's buckets they don't look at.
 type books struct {
-	lanes    [pressure.LanesMost]due
+	lanes    [pressure.MaxLanes]due
 	accounts []due
 	names    map[string]int
 	admitted uint64
--- a/internal/fleet/lanes/control.go
+++ b/internal/fleet/lanes/control.go
@@ -102,7 +102,7 @@
 	cool     time.Duration // since when it is under Aim
 	past     [remembered]float64
 	steps    int
-	own      pressure.Own
+	own      pressure.LocalLoad
 	calmed   time.Duration // when most others last shed nothing
 	stirred  time.Duration // when there was cause to shed
 }
@@ -137,7 +137,7 @@
 }
 
 // Step gives the level of now, from the fleet's figures or, without fresh ones, from the own.
-func (c *Control) Step(now time.Duration, fl pressure.Fleet, own pressure.Own) float64 {
+func (c *Control) Step(now time.Duration, fl pressure.FleetLoad, own pressure.LocalLoad) float64 {
 	if !c.begun {
 		c.begun, c.now, c.cool, c.calmed, c.stirred = true, now, now, now, now-time.Hour
 	}
@@ -171,47 +171,47 @@
 }
 
 // figures are the fleet's, or the own in their place.
-func (c *Control) figures(fl pressure.Fleet, own pressure.Own) (pressure.Fleet, bool) {
+func (c *Control) figures(fl pressure.FleetLoad, own pressure.LocalLoad) (pressure.FleetLoad, bool) {
 	if fl.Known && good(fl) {
 		if c.alone >= 0 { // back: what one bears is no measure of the fleet
-			c.alone, c.asked = -1, fl.Asked
-			c.bears = (1 - c.level) * fl.Asked
+			c.alone, c.asked = -1, fl.Offered
+			c.bears = (1 - c.level) * fl.Offered
 		}
 		return fl, true
 	}
 	if c.alone < 0 {
-		c.alone, c.left, c.asked = c.now, c.level, own.Asked
-		c.bears = (1 - c.level) * own.Asked
+		c.alone, c.left, c.asked = c.now, c.level, own.Offered
+		c.bears = (1 - c.level) * own.Offered
 	}
-	return pressure.Fleet{Known: own.Known, Pressure: own.Pressure, Asked: own.Asked, InTime: own.InTime, Done: own.Done, Members: 1}, false
+	return pressure.FleetLoad{Known: own.Known, Pressure: own.Pressure, Offered: own.Offered, InTime: own.InTime, Completed: own.Completed, Members: 1}, false
 }
 
-func good(fl pressure.Fleet) bool {
-	sum := fl.Pressure + fl.Asked + fl.InTime + fl.Done + fl.Level
+func good(fl pressure.FleetLoad) bool {
+	sum := fl.Pressure + fl.Offered + fl.InTime + fl.Completed + fl.Level
 	return !math.IsNaN(sum) && !math.IsInf(sum, 0)
 }
 
 // asks is the level that a co-ordinator's own figures ask for: what part of the queries that it let in it could not answer in
 // time. What its lanes shed is no part of that, or a level would hold itself.
-func asks(own pressure.Own) float64 {
-	if !own.Known || own.Pressure <= Aim || own.Asked <= 0 {
+func asks(own pressure.LocalLoad) float64 {
+	if !own.Known || own.Pressure <= Aim || own.Offered <= 0 {
 		return 0
 	}
 	return min(1, own.Pressure)
 }
 
 // estimate moves what is borne by the figures.
-func (c *Control) estimate(fl pressure.Fleet, dt time.Duration, fresh bool) {
+func (c *Control) estimate(fl pressure.FleetLoad, dt time.Duration, fresh bool) {
 	s, p := dt.Seconds(), fl.Pressure
 	if c.asked <= 0 {
-		c.asked = fl.Asked
+		c.asked = fl.Offered
 	}
-	off := min(1, math.Abs(fl.Asked/max(c.asked, 1e-9)-1)/AskedOff)
+	off := min(1, math.Abs(fl.Offered/max(c.asked, 1e-9)-1)/AskedOff)
 	span := float64(AskedSpan) / max(off*off, float64(AskedSpan)/float64(AskedSlow))
-	c.asked += (fl.Asked - c.asked) * (1 - math.Exp(-float64(dt)/span))
+	c.asked += (fl.Offered - c.asked) * (1 - math.Exp(-float64(dt)/span))
 	c.push += (p - c.push) * (1 - math.Exp(-float64(dt)/float64(PushSpan)))
-	part := max(fl.InTime, fl.Done) / max(fl.Asked, 1e-9)
-	asked := c.asked + min(1, 3*off)*(fl.Asked-c.asked) // while load steps, what is smoothed is short of it
+	part := max(fl.InTime, fl.Completed) / max(fl.Offered, 1e-9)
+	asked := c.asked + min(1, 3*off)*(fl.Offered-c.asked) // while load steps, what is smoothed is short of it
 	c.comes += (part*asked - c.comes) * (1 - math.Exp(-float64(dt)/float64(ComesSpan)))
 	if p <= Blind {
 		c.came *= math.Exp(-float64(dt) / float64(PeakFor))
@@ -229,10 +229,10 @@
 			c.calmed = c.now
 		}
 		cause := fresh && c.own.Known && c.own.Pressure > Aim || c.now-c.calmed >= JoinFor || !fresh
-		if c.bears = c.asked; !cause || max(p, fl.Young) <= Onset {
+		if c.bears = c.asked; !cause || max(p, fl.RecentPressure) <= Onset {
 			return
 		}
-		c.storm, p, c.knee, c.kneeSure, c.cutAt = true, max(p, fl.Young), c.came, false, c.now-CutFor-1
+		c.storm, p, c.knee, c.kneeSure, c.cutAt = true, max(p, fl.RecentPressure), c.came, false, c.now-CutFor-1
 	}
 	if p > Aim {
 		c.stirred = c.now
@@ -262,12 +262,12 @@
 	} else if p > Aim && c.comes < c.bears {
 		bears = min(bears, c.bears+(c.comes-c.bears)*min(1, s/KneeIn.Seconds()))
 	} else if bears > c.bears {
-		bears = max(c.bears, min(bears, (1+Headroom)*c.asked*fl.InTime/max(fl.Asked, 1e-9)))
+		bears = max(c.bears, min(bears, (1+Headroom)*c.asked*fl.InTime/max(fl.Offered, 1e-9)))
 	}
 	if fresh { // without news what came back is another's
 		bears = max(bears, c.comes) // what comes back is borne, whatever the pressure
 	}
-	if back := int(fl.Age / Every); fresh && back < min(c.steps, remembered) && (c.level > 0 || fl.Level > LevelLeast) {
+	if back := int(fl.MeanAge / Every); fresh && back < min(c.steps, remembered) && (c.level > 0 || fl.Level > LevelLeast) {
 		bears -= Draw * s * (fl.Level - c.past[(c.steps-1-back)%remembered]) * c.asked
 	}
 	c.bears = min((1+Headroom)*c.asked, max((1-c.most)*c.asked, bears))
--- a/internal/fleet/lanes/control_test.go
+++ b/internal/fleet/lanes/control_test.go
@@ -62,7 +62,7 @@
 
 // What the own lanes shed is no cause to shed: alone, a level that nothing but itself asks for would never go.
 func TestALevelDoesNotAskForItself(t *testing.T) {
-	own := pressure.Own{Known: true, Pressure: 2 * Aim, Asked: 100, InTime: 60, Done: 60}
+	own := pressure.LocalLoad{Known: true, Pressure: 2 * Aim, Offered: 100, InTime: 60, Completed: 60}
 	if level := asks(own); level > 2*Aim {
 		t.Errorf("asks for %.2f, though of what it let in a part of %.2f was not in time", level, own.Pressure)
 	}
@@ -154,13 +154,13 @@
 // Lies of a tenth: what they say, and how far the level may be off for them.
 func TestATenthThatLiesDoesNotMoveTheLevel(t *testing.T) {
 	n, long := sizes(t)
-	huge := pressure.Own{Known: true, Pressure: 1, Asked: 1e9, Sure: 1e9}
-	for name, lie := range map[string]func(w *pressure.Word){
-		"all is lost, for ever": func(w *pressure.Word) { w.Pressure, w.InTime, w.Done, w.Level, w.Known = 1, 0, 0, 1, true },
-		"nothing, for ever":     func(w *pressure.Word) { w.Pressure, w.Level, w.Asked, w.InTime, w.Done = 0, 0, 0, 0, 0 },
-		"calm, for ever":        func(w *pressure.Word) { w.Pressure, w.Level, w.InTime, w.Done = 0, 0, w.Asked, w.Asked },
-		"no number":             func(w *pressure.Word) { w.Pressure, w.Asked, w.Level = math.NaN(), math.Inf(1), math.NaN() },
-		"huge":                  func(w *pressure.Word) { w.Own, w.Level = huge, 1 },
+	huge := pressure.LocalLoad{Known: true, Pressure: 1, Offered: 1e9, Guaranteed: 1e9}
+	for name, lie := range map[string]func(w *pressure.Report){
+		"all is lost, for ever": func(w *pressure.Report) { w.Pressure, w.InTime, w.Completed, w.Level, w.Known = 1, 0, 0, 1, true },
+		"nothing, for ever":     func(w *pressure.Report) { w.Pressure, w.Level, w.Offered, w.InTime, w.Completed = 0, 0, 0, 0, 0 },
+		"calm, for ever":        func(w *pressure.Report) { w.Pressure, w.Level, w.InTime, w.Completed = 0, 0, w.Offered, w.Offered },
+		"no number":             func(w *pressure.Report) { w.Pressure, w.Offered, w.Level = math.NaN(), math.Inf(1), math.NaN() },
+		"huge":                  func(w *pressure.Report) { w.LocalLoad, w.Level = huge, 1 },
 	} {
 		if !long && name != "all is lost, for ever" && name != "huge" && name != "nothing, for ever" {
 			continue
@@ -169,7 +169,7 @@
 			for _, load := range []float64{0.8, 1.5} {
 				p := newPlant(n, 5)
 				p.load = started(load)
-				p.lie = func(i int, _ float64, w *pressure.Word) {
+				p.lie = func(i int, _ float64, w *pressure.Report) {
 					if i%10 == 3 {
 						lie(w)
 					}
@@ -205,7 +205,7 @@
 			p.cut = func(i, to int, t float64) bool {
 				if c := p.cos[i]; t > 20 && i%10 < 7 && c.seq > 0 && c.seq < 1<<40 {
 					*c = co{name: c.name, rate: c.rate, ctl: NewControl(0.9), seq: 1 << 40}
-					c.news.Members(p.names())
+					c.news.SetMembers(p.names())
 				}
 				return false
 			}
@@ -229,8 +229,8 @@
 
 func TestWithoutNewsTheLevelFadesToTheOwn(t *testing.T) {
 	c := NewControl(0.9)
-	hard := pressure.Fleet{Known: true, Pressure: 0.5, Young: 0.5, Asked: 100, InTime: 50, Done: 50, Level: 0.5}
-	busy := pressure.Own{Known: true, Pressure: 0.5, Asked: 10, InTime: 5, Done: 5}
+	hard := pressure.FleetLoad{Known: true, Pressure: 0.5, RecentPressure: 0.5, Offered: 100, InTime: 50, Completed: 50, Level: 0.5}
+	busy := pressure.LocalLoad{Known: true, Pressure: 0.5, Offered: 10, InTime: 5, Completed: 5}
 	now := time.Duration(0)
 	for range 20 {
 		now += Every
@@ -239,16 +239,16 @@
 	if l := c.Level(); l < 0.4 {
 		t.Fatalf("level %.3f", l)
 	}
-	calm := pressure.Own{Known: true, Asked: 10, InTime: 10, Done: 10}
+	calm := pressure.LocalLoad{Known: true, Offered: 10, InTime: 10, Completed: 10}
 	for at := now + FadeFor; now <= at; now += Every {
-		c.Step(now, pressure.Fleet{}, calm)
+		c.Step(now, pressure.FleetLoad{}, calm)
 	}
-	if l := c.Step(now, pressure.Fleet{}, calm); l != 0 || c.Check() != nil {
+	if l := c.Step(now, pressure.FleetLoad{}, calm); l != 0 || c.Check() != nil {
 		t.Errorf("%.3f is left after %v: %v", l, FadeFor, c.Check())
 	}
 	for range 40 { // pressed itself it sheds by itself, no more than that asks
 		now += Every
-		c.Step(now, pressure.Fleet{}, busy)
+		c.Step(now, pressure.FleetLoad{}, busy)
 		if err := c.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -260,7 +260,7 @@
 
 // Guards taken out: what should be found is.
 func TestLevelsThatNothingAsksForAreFound(t *testing.T) {
-	calm := pressure.Own{Known: true, Asked: 10, InTime: 10, Done: 10}
+	calm := pressure.LocalLoad{Known: true, Offered: 10, InTime: 10, Completed: 10}
 	for rule, c := range map[string]*Control{
 		"L4": {most: 0.9, begun: true, now: 20 * sec, alone: 0, level: 0.4, own: calm, stirred: 19 * sec},
 		"L6": {most: 0.9, begun: true, now: 100 * sec, alone: -1, level: 0.4, own: calm},
@@ -277,7 +277,7 @@
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
 		for range 10 {
 			now += Every
-			l := c.Step(now, pressure.Fleet{Known: true, Pressure: v, Asked: v, InTime: v, Done: v, Level: v}, pressure.Own{Known: true, Pressure: 0, Asked: 1, InTime: 1})
+			l := c.Step(now, pressure.FleetLoad{Known: true, Pressure: v, Offered: v, InTime: v, Completed: v, Level: v}, pressure.LocalLoad{Known: true, Pressure: 0, Offered: 1, InTime: 1})
 			if !(l >= 0 && l <= 0.9) {
 				t.Fatalf("level %v by %v", l, v)
 			}
@@ -288,14 +288,14 @@
 // Guards against an estimate that is cut at a storm's first moment, while rates still fill, and stays there: what comes back is borne.
 func TestTheEstimateIsNotUnderWhatComesBack(t *testing.T) {
 	c := NewControl(0.95)
-	own := pressure.Own{Known: true, Pressure: 0.5}
+	own := pressure.LocalLoad{Known: true, Pressure: 0.5}
 	for i, step := range []struct{ asked, done, pressure float64 }{ // a second's rates of 250 a second that begin at once, of which 120 are borne
 		{32, 11, 0}, {48, 20, 0.23}, {109, 46, 0.5}, {169, 75, 0.5}, {229, 103, 0.57}, {249, 125, 0.4},
 		{245, 125, 0.43}, {245, 120, 0.36}, {245, 115, 0.2}, {243, 110, 0}, {245, 110, 0}, {245, 110, 0},
 	} {
-		own.Asked = step.asked / 3
-		c.Step(time.Duration(i)*Every, pressure.Fleet{
-			Known: true, Pressure: step.pressure, Young: step.pressure, Asked: step.asked, InTime: step.done, Done: step.done, Fresh: 3, Members: 3, Level: c.Level(),
+		own.Offered = step.asked / 3
+		c.Step(time.Duration(i)*Every, pressure.FleetLoad{
+			Known: true, Pressure: step.pressure, RecentPressure: step.pressure, Offered: step.asked, InTime: step.done, Completed: step.done, FreshReports: 3, Members: 3, Level: c.Level(),
 		}, own)
 		if e := c.Estimate(); e.Storm && e.Bears < 0.9*e.ComesBack {
 			t.Errorf("step %d: %.0f a second come back, %.0f are thought to be borne", i, e.ComesBack, e.Bears)
--- a/internal/fleet/lanes/gate.go
+++ b/internal/fleet/lanes/gate.go
@@ -85,7 +85,7 @@
 	bears    float64       // cost a second, of the fleet
 	slot     uint64
 	slotEnds time.Duration
-	lanes    [pressure.LanesMost]lane
+	lanes    [pressure.MaxLanes]lane
 	classes  []class
 	accounts []account
 	idle     bucket
@@ -97,8 +97,8 @@
 
 // Counts are queries and their cost by lane and reason, since the start.
 type Counts struct {
-	Queries [pressure.LanesMost][Reasons]uint64
-	Cost    [pressure.LanesMost][Reasons]float64
+	Queries [pressure.MaxLanes][Reasons]uint64
+	Cost    [pressure.MaxLanes][Reasons]float64
 	Retries uint64
 }
 
@@ -173,8 +173,8 @@
 	Level    float64
 	Bears    float64 // Control.Bears
 	Members  int
-	Fleet    pressure.Fleet
-	Own      pressure.Own
+	Fleet    pressure.FleetLoad
+	Own      pressure.LocalLoad
 	Slot     uint64        // number of the time slot
 	SlotLeft time.Duration // until the next one
 }
@@ -189,11 +189,11 @@
 	g.level, g.slot, g.slotEnds = min(1, max(0, s.Level)), s.Slot, now+max(0, min(s.SlotLeft, g.set.Slot))
 	fl, own := s.Fleet, s.Own
 	if !fl.Known { // as if the others fared alike
-		fl = pressure.Fleet{Asked: own.Asked * g.members, Sure: own.Sure * g.members, ByLane: own.ByLane}
+		fl = pressure.FleetLoad{Offered: own.Offered * g.members, Guaranteed: own.Guaranteed * g.members, ByLane: own.ByLane}
 		for j := range fl.ByLane {
 			fl.ByLane[j] *= g.members
 		}
-		s.Bears = (1 - g.level) * fl.Asked
+		s.Bears = (1 - g.level) * fl.Offered
 	}
 	if !(s.Bears >= 0) || math.IsInf(s.Bears, 0) {
 		s.Bears = 0
@@ -203,7 +203,7 @@
 		a.sure.fill(now, a.share*g.bears, sureBurst(a.share*g.bears))
 	}
 	g.bears = s.Bears
-	n, asked := len(g.set.Lanes), fl.Sure
+	n, asked := len(g.set.Lanes), fl.Guaranteed
 	for _, rate := range fl.ByLane {
 		asked += rate
 	}
@@ -222,13 +222,13 @@
 		part := (own.ByLane[j] + quiet) / (max(fl.ByLane[j], own.ByLane[j]) + g.members*quiet)
 		l.floor.fill(now, l.floorRate, burst(l.floorRate))
 		l.most.fill(now, l.mostRate, burst(l.mostRate))
-		l.floorRate, l.mostRate = of.Floor*g.bears*part, of.Most*g.bears*part
+		l.floorRate, l.mostRate = of.Floor*g.bears*part, of.MaxShare*g.bears*part
 		l.yieldBy = 1
 		if g.level > 0 {
 			l.yieldBy = 1 + (YieldMost-1)*float64(j+1)/float64(n)
 		}
 	}
-	part := (own.Asked + quiet) / (max(fl.Asked, own.Asked) + g.members*quiet)
+	part := (own.Offered + quiet) / (max(fl.Offered, own.Offered) + g.members*quiet)
 	for k := range g.classes {
 		c := &g.classes[k]
 		c.floor.fill(now, c.rate, burst(c.rate))
--- a/internal/fleet/lanes/gate_test.go
+++ b/internal/fleet/lanes/gate_test.go
@@ -19,10 +19,10 @@
 func three(more int) *laneconfig.Set {
 	lane := func(name string) laneconfig.Lane { return laneconfig.Lane{Name: name, Floor: 0.02, Lend: true} }
 	account := func(name string, lane int, guarantee, most float64) laneconfig.Account {
-		return laneconfig.Account{Name: name, Lane: lane, Guarantee: guarantee, Most: most, Key: laneconfig.Key(name)}
+		return laneconfig.Account{Name: name, Lane: lane, Guarantee: guarantee, MaxShare: most, Key: laneconfig.HashName(name)}
 	}
 	s := &laneconfig.Set{Slot: 10 * sec, Lanes: []laneconfig.Lane{lane("premium"), lane("plus"), lane("standard")},
-		Classes:  []laneconfig.Class{{Floor: 0.02, ComeBack: true}, {Floor: 0.02}},
+		Classes:  []laneconfig.Class{{Floor: 0.02, SendRetryAfter: true}, {Floor: 0.02}},
 		Accounts: []laneconfig.Account{account("gold", 0, 0.2, 0), account("silver", 1, 0.1, 0.15), account("copper", 1, 0, 0)}}
 	for i := range more {
 		name := fmt.Sprint("account", i)
@@ -33,8 +33,8 @@
 
 // pressed is a fleet of ten that is asked 1500 and bears 1000, a tenth of all here.
 func pressed(level float64) State {
-	own := pressure.Own{Known: true, Asked: 150, ByLane: [pressure.LanesMost]float64{0, 30, 120}}
-	fl := pressure.Fleet{Known: true, Asked: 1500, ByLane: [pressure.LanesMost]float64{0, 300, 1200}, Members: 10}
+	own := pressure.LocalLoad{Known: true, Offered: 150, ByLane: [pressure.MaxLanes]float64{0, 30, 120}}
+	fl := pressure.FleetLoad{Known: true, Offered: 1500, ByLane: [pressure.MaxLanes]float64{0, 300, 1200}, Members: 10}
 	return State{Level: level, Bears: 1000, Members: 10, Fleet: fl, Own: own, Slot: 7, SlotLeft: 4 * sec}
 }
 
@@ -126,7 +126,7 @@
 func TestARateOfNoLaneShedsNothing(t *testing.T) {
 	cut := func(asked float64) uint64 {
 		g, s := gate(t, 0), pressed(0.3)
-		s.Fleet.Asked = asked
+		s.Fleet.Offered = asked
 		g.Level(2*sec, s)
 		if g.lanes[2].full {
 			return math.MaxUint64
@@ -171,7 +171,7 @@
 	}
 	share := func(g *Gate) (n float64) {
 		for k := range 10_000 {
-			if cut(g, -1, laneconfig.Key(fmt.Sprint(k))) {
+			if cut(g, -1, laneconfig.HashName(fmt.Sprint(k))) {
 				n += 1e-4
 			}
 		}
@@ -235,7 +235,7 @@
 		t.Errorf("over its most: %v", n)
 	}
 	set := three(0)
-	set.Lanes[1].Most = 0.1 // 10/s here
+	set.Lanes[1].MaxShare = 0.1 // 10/s here
 	g.Set(20*sec, set)
 	g.Level(20*sec, pressed(0.7))
 	g.Level(21*sec, pressed(0.7)) // 0.7 of 1500 is under the last lane's 1200
--- a/internal/fleet/lanes/plant_test.go
+++ b/internal/fleet/lanes/plant_test.go
@@ -17,7 +17,7 @@
 	module   bool
 	load     func(t float64) float64 // of the capacity at rest
 	capacity func(t float64) float64 // share of it
-	lie      func(i int, t float64, w *pressure.Word)
+	lie      func(i int, t float64, w *pressure.Report)
 	cut      func(from, to int, t float64) bool // no word comes
 	late     func(t float64) (least, most float64)
 
@@ -35,7 +35,7 @@
 	name  string
 	rate  float64
 	meter pressure.Meter
-	news  pressure.News
+	news  pressure.Reports
 	ctl   *Control
 	seq   uint64
 	took  float64 // of the latest answers
@@ -51,7 +51,7 @@
 type letter struct {
 	at float64
 	to int
-	w  pressure.Word
+	w  pressure.Report
 }
 
 type moment struct {
@@ -79,7 +79,7 @@
 	}
 	for _, c := range p.cos {
 		c.rate *= float64(n) * each / sum
-		c.news.Members(names)
+		c.news.SetMembers(names)
 	}
 	return p
 }
@@ -108,14 +108,14 @@
 		now := dur(p.now)
 		for i, c := range p.cos {
 			for range p.poisson(c.rate * p.load(p.now) * tick) {
-				c.meter.Asked(now, 0, false, 1)
+				c.meter.RecordQuery(now, 0, false, 1)
 				m.asked++
 				if p.rng.Float64() < c.level {
 					m.shed++
 					continue
 				}
 				if known := c.took * math.Exp(c.at-p.now); p.module && known > 0.6*promise {
-					c.meter.Ended(now, 1, pressure.Refused, 0, dur(promise))
+					c.meter.RecordOutcome(now, 1, pressure.Refused, 0, dur(promise))
 					m.refused++
 					continue
 				}
@@ -129,13 +129,13 @@
 			c, took := p.cos[j.co], p.now-j.came+bareTime
 			switch {
 			case took <= promise:
-				c.meter.Ended(now, 1, pressure.InTime, dur(took), dur(promise))
+				c.meter.RecordOutcome(now, 1, pressure.InTime, dur(took), dur(promise))
 				m.inTime++
 			case took <= giveUp:
-				c.meter.Ended(now, 1, pressure.Late, dur(took), dur(promise))
+				c.meter.RecordOutcome(now, 1, pressure.Late, dur(took), dur(promise))
 				m.late++
 			default:
-				c.meter.Ended(now, 1, pressure.Left, dur(giveUp), dur(promise))
+				c.meter.RecordOutcome(now, 1, pressure.Abandoned, dur(giveUp), dur(promise))
 				m.fail++
 			}
 			c.took += 0.3 * (took - c.took)
@@ -170,7 +170,7 @@
 	keep := p.words[:0]
 	for _, l := range p.words {
 		if l.at <= p.now {
-			p.cos[l.to].news.Hear(now, l.w)
+			p.cos[l.to].news.Add(now, l.w)
 		} else {
 			keep = append(keep, l)
 		}
@@ -181,9 +181,9 @@
 func (p *plant) step(i int, c *co, now time.Duration) {
 	own := c.meter.Step(now, c.level)
 	c.seq++
-	w := pressure.Word{From: c.name, Incarnation: 1, Seq: c.seq, Own: own, Level: c.level}
-	c.news.Hear(now, w)
-	c.level = c.ctl.Step(now, c.news.Fleet(now), own)
+	w := pressure.Report{From: c.name, Incarnation: 1, Seq: c.seq, LocalLoad: own, Level: c.level}
+	c.news.Add(now, w)
+	c.level = c.ctl.Step(now, c.news.Estimate(now), own)
 	if err := c.ctl.Check(); err != nil {
 		panic(fmt.Sprintf("%s at %v: %v", c.name, now, err))
 	}
@@ -191,19 +191,19 @@
 	if p.lie != nil {
 		p.lie(i, p.now, &w)
 	}
-	some := c.news.Some(now, c.name, 3)
+	some := c.news.SelectForForwarding(now, c.name, 3)
 	least, most := p.late(p.now)
 	for k := range 3 {
 		to := p.rng.IntN(p.n)
 		if p.cut != nil && p.cut(i, to, p.now) {
 			continue
 		}
-		out := []pressure.Word{w}
+		out := []pressure.Report{w}
 		if k < len(some) {
 			out = append(out, some[k])
 		}
 		for _, w := range out {
-			b, rest, err := pressure.Take(w.Append(nil))
+			b, rest, err := pressure.DecodeReport(w.Append(nil))
 			if err != nil || len(rest) > 0 {
 				continue
 			}
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -12,50 +12,50 @@
 	"birchcart/internal/fleet/shares"
 )
 
-func word(from string) pressure.Word {
-	return pressure.Word{From: from, Incarnation: 3, Seq: 9, Zone: "z", Own: pressure.Own{Known: true, Asked: 10, InTime: 9}, Level: 0.25, Revision: 2}
+func exampleReport(from string) pressure.Report {
+	return pressure.Report{From: from, Incarnation: 3, Seq: 9, Zone: "z", LocalLoad: pressure.LocalLoad{Known: true, Offered: 10, InTime: 9}, Level: 0.25, Revision: 2}
 }
 
 // A letter holds asks, answers and words; of one that is cut short, of another version or with something behind nothing counts.
-func TestLetters(t *testing.T) {
+func TestMessageRoundTripAndDamage(t *testing.T) {
 	var said []byte
 	said = shares.Append(said, shares.SendAsk{To: "b", Ask: shares.Ask{From: "a", Incarnation: 1, No: 2, Revision: 2, Account: 7, Want: 5}})
 	said = shares.Append(said, shares.SendLent{To: "b", Lent: shares.Lent{From: "a", To: "b", Incarnation: 4, No: 5, Revision: 2, Account: 6, Amount: 9}})
-	raw := encode(said, word("a"), word("c"))
-	words, in, err := decode(raw, "a", "b")
+	raw := encodeMessage(said, exampleReport("a"), exampleReport("c"))
+	words, in, err := decodeMessage(raw, "a", "b")
 	if err != nil || len(words) != 2 || words[1].From != "c" || len(in) != 2 || in[0].(shares.Ask).Want != 5 {
 		t.Fatal(words, in, err)
 	}
 	if raw[0] == peerproto.Version {
 		t.Error("a letter of lanes passes for one of peerproto's")
 	}
-	two := len(encode(said, word("a"))) // a whole one too
+	two := len(encodeMessage(said, exampleReport("a"))) // a whole one too
 	for n := range raw {
-		if _, _, err := decode(raw[:n], "a", "b"); err == nil && n != two && n != len(encode(said)) {
+		if _, _, err := decodeMessage(raw[:n], "a", "b"); err == nil && n != two && n != len(encodeMessage(said)) {
 			t.Errorf("%d of %d bytes are read", n, len(raw))
 		}
 	}
-	for _, b := range [][]byte{append(bytes.Clone(raw), 1), {Kind, 2, 0}, {Kind, letterVersion, 9}} {
-		if _, _, err := decode(b, "a", "b"); err == nil {
+	for _, b := range [][]byte{append(bytes.Clone(raw), 1), {MessageKind, 2, 0}, {MessageKind, messageVersion, 9}} {
+		if _, _, err := decodeMessage(b, "a", "b"); err == nil {
 			t.Errorf("%v is read", b)
 		}
 	}
 }
 
 // However many letters come, and whatever is in them, a bounded number waits, and what can't be read is said.
-func TestLettersAreBounded(t *testing.T) {
-	s := newSite(t, 3, "n%d", compile(t, section(1), 1))
-	p := s.sheds[0]
-	for range 2 * LettersMost {
-		p.Hear("n1", encode(nil, word("n1")))
+func TestInboxIsBounded(t *testing.T) {
+	s := newTestFleet(t, 3, "n%d", compile(t, section(1), 1))
+	p := s.shedders[0]
+	for range 2 * MaxQueuedMessages {
+		p.Receive("n1", encodeMessage(nil, exampleReport("n1")))
 	}
-	p.Hear("n1", make([]byte, LetterMost+1))
-	if len(p.mail.letters) != LettersMost || p.mail.dropped != LettersMost+1 {
-		t.Error(len(p.mail.letters), p.mail.dropped)
+	p.Receive("n1", make([]byte, MaxMessageSize+1))
+	if len(p.inbox.messages) != MaxQueuedMessages || p.inbox.dropped != MaxQueuedMessages+1 {
+		t.Error(len(p.inbox.messages), p.inbox.dropped)
 	}
 	p.step(s.now)
-	p.Hear("n1", []byte{Kind, 77, 0})
-	p.Hear("n1", encode(nil, word("n0"))) // of this one itself: not heard
+	p.Receive("n1", []byte{MessageKind, 77, 0})
+	p.Receive("n1", encodeMessage(nil, exampleReport("n0"))) // of this one itself: not heard
 	s.now += 20 * time.Second
 	p.step(s.now)
 	if !bytes.Contains(s.log.Bytes(), []byte("letters of lanes are left out")) || !bytes.Contains(s.log.Bytes(), []byte("version 77")) {
@@ -66,16 +66,16 @@
 	}
 }
 
-func FuzzLetter(f *testing.F) {
-	f.Add(encode(nil, word("a")))
-	f.Add(encode(shares.Append(nil, shares.SendAsk{Ask: shares.Ask{No: 1, Want: 2}}), word("a"), word("b")))
+func FuzzMessage(f *testing.F) {
+	f.Add(encodeMessage(nil, exampleReport("a")))
+	f.Add(encodeMessage(shares.Append(nil, shares.SendAsk{Ask: shares.Ask{No: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s := newSite(t, 3, "n%d", compile(t, section(1), 1))
-		p := s.sheds[0]
+		s := newTestFleet(t, 3, "n%d", compile(t, section(1), 1))
+		p := s.shedders[0]
 		for range 3 {
-			p.Hear("n1", raw)
+			p.Receive("n1", raw)
 			p.step(s.now)
-			s.now += Every
+			s.now += StepInterval
 		}
 		if p.control.Level() != 0 {
 			t.Errorf("level %v by one letter", p.control.Level())
@@ -84,38 +84,38 @@
 }
 
 // Slots are by agreed time while it moves on, whatever the wall's clock shows, and by that while it stands.
-func TestSlots(t *testing.T) {
-	var s slots
+func TestSlotClock(t *testing.T) {
+	var s slotClock
 	slot := 10 * time.Second
 	now, agreed := time.Second, 1000*time.Second
-	if n, _ := s.at(now, agreed, 5*slot, slot); n != 5 {
+	if n, _ := s.slotAt(now, agreed, 5*slot, slot); n != 5 {
 		t.Errorf("slot %d by a time that may be old", n)
 	}
 	for i := range 200 { // readings up to 1 s old
-		now += Every
-		if n, left := s.at(now, agreed+now-time.Duration(i%4)*Every, 5*slot, slot); i > 8 && (n != uint64((agreed+now)/slot) || left != slot-(agreed+now)%slot) {
+		now += StepInterval
+		if n, left := s.slotAt(now, agreed+now-time.Duration(i%4)*StepInterval, 5*slot, slot); i > 8 && (n != uint64((agreed+now)/slot) || left != slot-(agreed+now)%slot) {
 			t.Fatalf("at %v: slot %d, %v left", now, n, left)
 		}
 	}
 	agreed += now
-	now += BlindFor + time.Second
-	if n, _ := s.at(now, 0, 7*slot, slot); n != 7 {
+	now += AgreedTimeTimeout + time.Second
+	if n, _ := s.slotAt(now, 0, 7*slot, slot); n != 7 {
 		t.Errorf("slot %d while agreed time stands", n)
 	}
 }
 
 // A query's way through the lanes takes no memory and under 2 us, with 10,000 accounts; their part of a step keeps turns waiting
 // for a millisecond at the most.
-func TestCostOfAQuery(t *testing.T) {
-	s := newSite(t, 1, "n%d", compile(t, section(10_000), 1))
-	p := s.sheds[0]
+func TestAdmitAllocationsAndLatency(t *testing.T) {
+	s := newTestFleet(t, 1, "n%d", compile(t, section(10_000), 1))
+	p := s.shedders[0]
 	p.step(s.now)
 	var qs []*exchange.Query
 	for i := range 500 {
 		qs = append(qs, &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
 			&exchange.Query{ID: fmt.Sprint(i), Tenant: -1, Client: fmt.Sprint("c", i%20), Parts: make([]exchange.Part, 4)}) // of no account
 	}
-	at, i := began.Add(s.now), 0
+	at, i := startTime.Add(s.now), 0
 	one := func() {
 		i++
 		if e := p.Admit(at, qs[i%len(qs)], -1); !e.Rejected {
@@ -138,7 +138,7 @@
 	}
 	step := time.Hour
 	for range 10 {
-		s.now += Every
+		s.now += StepInterval
 		from := time.Now()
 		p.step(s.now)
 		step = min(step, time.Since(from))
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -19,9 +19,9 @@
 	"birchcart/policy"
 )
 
-var began = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
-var names = &settings.Names{Classes: []string{"q"}, Tenants: []string{"gold", "other"}}
+var settingsNames = &settings.Names{Classes: []string{"q"}, Tenants: []string{"gold", "other"}}
 
 func section(accounts int) *operator.Lanes {
 	l := &operator.Lanes{Slot: 10, Lanes: []operator.Lane{{Name: "premium", Floor: 0.05}, {Name: "standard", Floor: 0.05}}}
@@ -33,39 +33,39 @@
 }
 
 func compile(t testing.TB, l *operator.Lanes, revision int) *laneconfig.Set {
-	s, err := laneconfig.Of(l, revision, names, nil)
+	s, err := laneconfig.Compile(l, revision, settingsNames, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// site is a fleet in one goroutine, by a clock of its own, whose replicas bear so much in all and refuse the rest.
-type site struct {
+// testFleet is a fleet in one goroutine, by a clock of its own, whose replicas bear so much in all and refuse the rest.
+type testFleet struct {
 	testing.TB
-	now   time.Duration
-	set   *laneconfig.Set
-	sheds []*Shed
-	names []string
-	bytes []int               // sent, by place, with heads
-	cut   func(i, j int) bool // nil: no link is
-	late  func() time.Duration
-	way   []sent
-	rng   *rand.Rand
-	bears float64
-	left  float64 // of what they bear now
-	log   bytes.Buffer
+	now          time.Duration
+	set          *laneconfig.Set
+	shedders     []*Shedder
+	names        []string
+	bytes        []int               // sent, by place, with heads
+	cut          func(i, j int) bool // nil: no link is
+	latency      func() time.Duration
+	inFlight     []packet
+	rng          *rand.Rand
+	capacity     float64
+	capacityLeft float64 // of what they bear now
+	log          bytes.Buffer
 }
 
-type sent struct {
-	at       time.Duration
-	from, to int
-	raw      []byte
+type packet struct {
+	arrivesAt time.Duration
+	from, to  int
+	raw       []byte
 }
 
-func newSite(t testing.TB, n int, name string, set *laneconfig.Set) *site {
-	s := &site{TB: t, set: set, rng: rand.New(rand.NewPCG(1, 2)), bytes: make([]int, n), now: time.Second}
-	s.late = func() time.Duration { return time.Duration(s.rng.Int64N(int64(50 * time.Millisecond))) }
+func newTestFleet(t testing.TB, n int, name string, set *laneconfig.Set) *testFleet {
+	s := &testFleet{TB: t, set: set, rng: rand.New(rand.NewPCG(1, 2)), bytes: make([]int, n), now: time.Second}
+	s.latency = func() time.Duration { return time.Duration(s.rng.Int64N(int64(50 * time.Millisecond))) }
 	log := logrus.New()
 	log.Out = &s.log
 	place := map[string]int{}
@@ -75,59 +75,59 @@
 	}
 	for i := range n {
 		first := true
-		p := from(Options{
-			Name: s.names[i], Zone: name[:min(len(name), 2)], Incarnation: 1, Start: began, Fleet: n, Seed: 7, Log: logrus.NewEntry(log),
+		p := newShedder(Options{
+			Name: s.names[i], Zone: name[:min(len(name), 2)], Incarnation: 1, StartTime: startTime, FleetSize: n, Seed: 7, Log: logrus.NewEntry(log),
 			Policy: &policy.Config{Classes: []policy.Class{{Promise: 1}}},
-			Set: func(time.Duration, int) (*laneconfig.Set, bool, int) {
-				changed := first || s.sheds[i].set != s.set
+			CurrentSet: func(time.Duration, int) (*laneconfig.Set, bool, int) {
+				changed := first || s.shedders[i].set != s.set
 				first = false
 				return s.set, changed, s.set.Revision
 			},
-			Crew:   func() Crew { return Crew{Agreed: n, Names: s.names, Live: s.names} },
-			Agreed: func() time.Duration { return 0 },
-			Wall:   func() time.Duration { return s.now },
+			Membership: func() Membership { return Membership{AgreedCount: n, Names: s.names, Live: s.names} },
+			AgreedTime: func() time.Duration { return 0 },
+			WallTime:   func() time.Duration { return s.now },
 			Send: func(to string, raw []byte) {
 				j := place[to]
-				s.bytes[i] += headsOf + len(s.names[i]) + len(raw)
-				if len(raw) > LetterMost {
+				s.bytes[i] += headerOverhead + len(s.names[i]) + len(raw)
+				if len(raw) > MaxMessageSize {
 					t.Fatalf("a letter of %d bytes", len(raw))
 				}
 				if s.cut == nil || !s.cut(i, j) {
-					s.way = append(s.way, sent{s.now + s.late(), i, j, raw})
+					s.inFlight = append(s.inFlight, packet{s.now + s.latency(), i, j, raw})
 				}
 			},
 		}, func() time.Duration { return s.now })
-		s.sheds = append(s.sheds, p)
+		s.shedders = append(s.shedders, p)
 	}
 	return s
 }
 
 // run plays the fleet for so long; each asks for what comes of rates, by co-ordinator, and tells how many were admitted of how many.
-func (s *site) run(span time.Duration, ask func(i int) (gold, other float64)) (gold, other [][2]int) {
+func (s *testFleet) run(span time.Duration, ask func(i int) (gold, other float64)) (gold, other [][2]int) {
 	const tick = 10 * time.Millisecond
-	n := len(s.sheds)
+	n := len(s.shedders)
 	gold, other = make([][2]int, n), make([][2]int, n)
 	for end := s.now + span; s.now < end; s.now += tick {
-		s.left = min(s.left+s.bears*tick.Seconds(), 0.1*s.bears+1)
-		keep := s.way[:0]
-		for _, l := range s.way {
-			if l.at <= s.now {
-				s.sheds[l.to].Hear(s.names[l.from], l.raw)
+		s.capacityLeft = min(s.capacityLeft+s.capacity*tick.Seconds(), 0.1*s.capacity+1)
+		keep := s.inFlight[:0]
+		for _, l := range s.inFlight {
+			if l.arrivesAt <= s.now {
+				s.shedders[l.to].Receive(s.names[l.from], l.raw)
 			} else {
 				keep = append(keep, l)
 			}
 		}
-		s.way = keep
+		s.inFlight = keep
 		type one struct{ at, tenant int }
 		var come []one
-		for i, p := range s.sheds {
+		for i, p := range s.shedders {
 			if (int(s.now/tick)+7*i)%25 == 0 {
 				p.step(s.now)
 			}
 			if ask != nil {
 				g, o := ask(i)
 				for tenant, rate := range []float64{g, o} {
-					for range s.many(rate * tick.Seconds()) {
+					for range s.randomRound(rate * tick.Seconds()) {
 						come = append(come, one{i, tenant})
 					}
 				}
@@ -136,7 +136,7 @@
 		s.rng.Shuffle(len(come), func(i, j int) { come[i], come[j] = come[j], come[i] })
 		for _, c := range come {
 			to := &[][][2]int{gold, other}[c.tenant][c.at]
-			if to[1]++; s.query(s.sheds[c.at], c.tenant) {
+			if to[1]++; s.query(s.shedders[c.at], c.tenant) {
 				to[0]++
 			}
 		}
@@ -144,7 +144,7 @@
 	return gold, other
 }
 
-func (s *site) many(mean float64) (k int) {
+func (s *testFleet) randomRound(mean float64) (k int) {
 	for k = int(mean); s.rng.Float64() < mean-float64(int(mean)); k++ {
 		mean = float64(int(mean))
 	}
@@ -152,8 +152,8 @@
 }
 
 // query asks one, and ends it at once as the replicas do.
-func (s *site) query(p *Shed, tenant int) (admitted bool) {
-	at := began.Add(s.now)
+func (s *testFleet) query(p *Shedder, tenant int) (admitted bool) {
+	at := startTime.Add(s.now)
 	q := &exchange.Query{ID: fmt.Sprint(s.rng.Uint64()), Tenant: tenant, Parts: []exchange.Part{{}}, Received: at}
 	if tenant > 0 {
 		q.Tenant, q.Client = -1, fmt.Sprint("c", s.rng.IntN(1000))
@@ -163,23 +163,23 @@
 		return false
 	}
 	o := exchange.LaneOutcome{Status: exchange.Served, Took: 100 * time.Millisecond}
-	if s.left < e.Cost {
+	if s.capacityLeft < e.Cost {
 		o = exchange.LaneOutcome{Status: exchange.Rejected}
 	} else {
-		s.left -= e.Cost
+		s.capacityLeft -= e.Cost
 	}
 	p.QueryEnded(at, e, o)
 	return true
 }
 
-func (s *site) sound() {
+func (s *testFleet) checkInvariantsHeld() {
 	s.Helper()
 	if text := s.log.String(); strings.Contains(text, "does not hold") {
 		s.Error(text)
 	}
 }
 
-func sum(of [][2]int) (admitted, asked int) {
+func total(of [][2]int) (admitted, asked int) {
 	for _, x := range of {
 		admitted, asked = admitted+x[0], asked+x[1]
 	}
@@ -188,14 +188,14 @@
 
 // While a flood of the standard lane at one of them presses the whole fleet, premium within its guarantee is admitted by all; the
 // fleet sheds with one level, and no more once it is over. The log tells of it by lane, and says nothing at rest.
-func TestAFloodIsShedAndPremiumKeepsItsOwn(t *testing.T) {
-	s := newSite(t, 5, "n%d", compile(t, section(1), 1))
-	s.bears = 450
+func TestFloodIsShedAndPremiumIsAdmitted(t *testing.T) {
+	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
+	s.capacity = 450
 	// Of one that has most of the traffic sums count what the next one has: the guarantee comes to less, and gold asks for less.
 	calm := func(int) (float64, float64) { return 8, 50 }
 	gold, other := s.run(10*time.Second, calm)
 	for _, of := range [][][2]int{gold, other} {
-		if admitted, asked := sum(of); admitted != asked {
+		if admitted, asked := total(of); admitted != asked {
 			t.Errorf("calm: %d of %d", admitted, asked)
 		}
 	}
@@ -207,13 +207,13 @@
 	}
 	s.run(20*time.Second, flood)
 	gold, other = s.run(20*time.Second, flood)
-	g, gAll := sum(gold)
-	o, oAll := sum(other)
+	g, gAll := total(gold)
+	o, oAll := total(other)
 	low, high := 1.0, 0.0
-	for _, p := range s.sheds {
+	for _, p := range s.shedders {
 		low, high = min(low, p.control.Level()), max(high, p.control.Level())
-		if p.fleet.Fresh != 5 {
-			t.Errorf("%d fresh words of 5", p.fleet.Fresh)
+		if p.fleet.FreshReports != 5 {
+			t.Errorf("%d fresh words of 5", p.fleet.FreshReports)
 		}
 	}
 	t.Logf("1.8 x: gold %d of %d, standard %d of %d, levels %.2f to %.2f", g, gAll, o, oAll, low, high)
@@ -228,7 +228,7 @@
 	}
 	s.run(30*time.Second, calm)
 	_, other = s.run(5*time.Second, calm)
-	if admitted, asked := sum(other); admitted != asked {
+	if admitted, asked := total(other); admitted != asked {
 		t.Errorf("calm again: %d of %d", admitted, asked)
 	}
 	s.run(12*time.Second, nil)
@@ -237,17 +237,17 @@
 	if s.log.Len() > 0 {
 		t.Errorf("at rest: %s", s.log.String())
 	}
-	s.sound()
+	s.checkInvariantsHeld()
 }
 
 // One that is cut off goes on: it sheds no more than its own queries ask for, and its guarantee's even part stays.
-func TestOneThatIsCutOffGoesByItself(t *testing.T) {
-	s := newSite(t, 5, "n%d", compile(t, section(1), 1))
-	s.bears = 500
+func TestPartitionedNodeShedsByLocalLoad(t *testing.T) {
+	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
+	s.capacity = 500
 	flood := func(int) (float64, float64) { return 20, 250 }
 	s.run(15*time.Second, flood)
-	if s.sheds[4].control.Level() < 0.3 {
-		t.Fatalf("level %v", s.sheds[4].control.Level())
+	if s.shedders[4].control.Level() < 0.3 {
+		t.Fatalf("level %v", s.shedders[4].control.Level())
 	}
 	s.cut = func(i, j int) bool { return i == 4 || j == 4 }
 	own := func(i int) (float64, float64) {
@@ -258,7 +258,7 @@
 	}
 	s.run(25*time.Second, own)
 	gold, other := s.run(10*time.Second, own)
-	p := s.sheds[4]
+	p := s.shedders[4]
 	t.Logf("cut off: gold %v, standard %v, level %.2f, news known %v", gold[4], other[4], p.control.Level(), p.fleet.Known)
 	if p.fleet.Known || p.control.Level() > 0 || gold[4][0] != gold[4][1] || other[4][0] != other[4][1] {
 		t.Error("cut off")
@@ -268,13 +268,13 @@
 	if !p.fleet.Known {
 		t.Error("back, and nothing known")
 	}
-	s.sound()
+	s.checkInvariantsHeld()
 }
 
 // An account that asks for most of its guarantee at one of them gets it there: parts move with demand.
-func TestAGuaranteeGoesWhereItIsAskedFor(t *testing.T) {
-	s := newSite(t, 5, "n%d", compile(t, section(1), 1))
-	s.bears = 500
+func TestGuaranteeMovesToDemand(t *testing.T) {
+	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
+	s.capacity = 500
 	ask := func(i int) (float64, float64) {
 		if i == 0 {
 			return 70, 230
@@ -285,15 +285,15 @@
 	gold, _ := s.run(20*time.Second, ask)
 	t.Logf("%v of a home part of 30 a second", gold[0])
 	if gold[0][0] < gold[0][1]*85/100 {
-		t.Errorf("%v: shares %v of %v", gold[0], s.sheds[0].shares.Use(0), s.sheds[0].shares.Home())
+		t.Errorf("%v: shares %v of %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
 	}
-	s.sound()
+	s.checkInvariantsHeld()
 }
 
 // Who asks is cut or not for a slot, but for one behind whom most of the traffic is: that one by pieces.
-func TestOneAddressIsNotCutWhole(t *testing.T) {
+func TestHeavyClientIsShedInPieces(t *testing.T) {
 	set := compile(t, section(1), 1)
-	var c crowd
+	var c shedKeys
 	keys := map[string]map[uint64]bool{}
 	for i := range 5000 {
 		client := fmt.Sprint("c", i%50)
@@ -308,39 +308,39 @@
 			keys[client][key] = true
 		}
 		if i%100 == 0 {
-			c.fade()
+			c.decay()
 		}
 	}
-	if len(keys["gateway"]) != pieces || len(keys["c1"]) != 1 || len(keys["c49"]) != 1 {
+	if len(keys["gateway"]) != pieceCount || len(keys["c1"]) != 1 || len(keys["c49"]) != 1 {
 		t.Error(len(keys["gateway"]), len(keys["c1"]), len(keys["c49"]))
 	}
 }
 
 // Guards against replicas that idle while the fleet sheds: an account that asks for most of the load is cut by pieces, so that
 // what is let in is what the level allows.
-func TestALargeAccountIsNotCutWhole(t *testing.T) {
+func TestHeavyAccountIsShedInPieces(t *testing.T) {
 	lanes := section(1)
 	lanes.Accounts[0].Lane, lanes.Accounts[0].Guarantee = "standard", 0
-	s := newSite(t, 5, "n%d", compile(t, lanes, 1))
-	s.bears = 500
+	s := newTestFleet(t, 5, "n%d", compile(t, lanes, 1))
+	s.capacity = 500
 	storm := func(int) (float64, float64) { return 180, 20 } // 2 x
 	s.run(15*time.Second, storm)
 	const window = 5 * time.Second // half of a slot
 	for range 4 {
 		gold, other := s.run(window, storm)
-		g, gAll := sum(gold)
-		o, oAll := sum(other)
-		if float64(g+o) < 0.5*s.bears*window.Seconds() {
-			t.Errorf("%d of %d of the account and %d of %d of others are let in, of %.0f that the replicas bear", g, gAll, o, oAll, s.bears*window.Seconds())
+		g, gAll := total(gold)
+		o, oAll := total(other)
+		if float64(g+o) < 0.5*s.capacity*window.Seconds() {
+			t.Errorf("%d of %d of the account and %d of %d of others are let in, of %.0f that the replicas bear", g, gAll, o, oAll, s.capacity*window.Seconds())
 		}
 	}
-	s.sound()
+	s.checkInvariantsHeld()
 }
 
 // Another configuration comes into force at all in the middle of a storm: who moved down is cut, nothing else breaks.
-func TestAnotherConfigurationInAStorm(t *testing.T) {
-	s := newSite(t, 5, "n%d", compile(t, section(1), 1))
-	s.bears = 500
+func TestConfigurationChangeDuringOverload(t *testing.T) {
+	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
+	s.capacity = 500
 	flood := func(int) (float64, float64) { return 20, 250 }
 	s.run(15*time.Second, flood)
 	next := section(3)
@@ -348,37 +348,37 @@
 	s.set = compile(t, next, 2)
 	s.run(time.Second, flood)
 	gold, _ := s.run(10*time.Second, flood)
-	if admitted, asked := sum(gold); admitted > asked*9/10 {
+	if admitted, asked := total(gold); admitted > asked*9/10 {
 		t.Errorf("%d of %d of who moved down", admitted, asked)
 	}
-	e := s.sheds[2].Admit(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
+	e := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
 	if e.Rejected || e.Lane != 0 || e.Account != 1 {
 		t.Errorf("an account that is new with it: %+v", e)
 	}
 	s.set = compile(t, section(1), 3)
 	s.run(15*time.Second, flood)
 	gold, _ = s.run(10*time.Second, flood)
-	if admitted, asked := sum(gold); admitted < asked*98/100 {
+	if admitted, asked := total(gold); admitted < asked*98/100 {
 		t.Errorf("%d of %d of who moved up", admitted, asked)
 	}
-	s.sound()
+	s.checkInvariantsHeld()
 }
 
 // What 300 co-ordinators send stays within its bound each second, with long names and with hundreds of accounts that are short, and
 // news come all the same.
-func TestBytesOf300(t *testing.T) {
+func TestSendRateOf300Coordinators(t *testing.T) {
 	if raceOn {
 		t.Skip("one goroutine, and ten times as long")
 	}
 	for _, name := range []string{"n%d", "eu-west-1a-coord-%03d"} {
-		s := newSite(t, 300, name, compile(t, section(400), 1))
-		s.bears = 1e6
+		s := newTestFleet(t, 300, name, compile(t, section(400), 1))
+		s.capacity = 1e6
 		i := 0
 		ask := func(int) (float64, float64) { return 4, 0 }
-		for _, p := range s.sheds { // all want more than their part of some
+		for _, p := range s.shedders { // total want more than their part of some
 			for range 100 {
 				i++
-				p.Admit(began.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
+				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
 			}
 		}
 		s.run(1500*time.Millisecond, ask)
@@ -386,8 +386,8 @@
 		const span = 3
 		s.run(span*time.Second, ask)
 		most, fresh := 0, 300
-		for i, p := range s.sheds {
-			most, fresh = max(most, s.bytes[i]/span), min(fresh, p.fleet.Fresh)
+		for i, p := range s.shedders {
+			most, fresh = max(most, s.bytes[i]/span), min(fresh, p.fleet.FreshReports)
 			if !p.fleet.Known {
 				t.Errorf("%s knows nothing", s.names[i])
 			}
@@ -396,30 +396,30 @@
 		if most > 2048 || fresh < 13 {
 			t.Error("bytes, or too few words")
 		}
-		s.sound()
+		s.checkInvariantsHeld()
 	}
 }
 
-func TestNamesFitALetter(t *testing.T) {
-	if LetterMost+2+member.MaxNameLength > member.MaxPacketMessage || LetterMost < 1000 {
-		t.Error(LetterMost)
+func TestLongestNameFitsMessage(t *testing.T) {
+	if MaxMessageSize+2+member.MaxNameLength > member.MaxPacketMessage || MaxMessageSize < 1000 {
+		t.Error(MaxMessageSize)
 	}
 }
 
 // Steps, turns of the exchange and letters come in goroutines of their own.
-func TestGoroutines(t *testing.T) {
+func TestShedderConcurrentUse(t *testing.T) {
 	set, first := compile(t, section(20), 1), true
 	letters := make(chan []byte, 100)
 	p := New(Options{
-		Name: "n0", Incarnation: 1, Start: time.Now(), Fleet: 2, Policy: &policy.Config{Classes: []policy.Class{{Promise: 1}}},
-		Log: logrus.NewEntry(logrus.New()), Agreed: func() time.Duration { return 0 },
-		Set: func(time.Duration, int) (*laneconfig.Set, bool, int) {
+		Name: "n0", Incarnation: 1, StartTime: time.Now(), FleetSize: 2, Policy: &policy.Config{Classes: []policy.Class{{Promise: 1}}},
+		Log: logrus.NewEntry(logrus.New()), AgreedTime: func() time.Duration { return 0 },
+		CurrentSet: func(time.Duration, int) (*laneconfig.Set, bool, int) {
 			changed := first
 			first = false
 			return set, changed, 1
 		},
-		Crew: func() Crew { return Crew{Names: []string{"n0", "n1"}, Live: []string{"n1"}} },
-		Send: func(to string, raw []byte) { letters <- raw },
+		Membership: func() Membership { return Membership{Names: []string{"n0", "n1"}, Live: []string{"n1"}} },
+		Send:       func(to string, raw []byte) { letters <- raw },
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -428,11 +428,11 @@
 	for got, i := 0, 0; got < 2; i++ {
 		e := p.Admit(time.Now(), &exchange.Query{Tenant: i % 2, Parts: make([]exchange.Part, 1)}, -1)
 		p.QueryEnded(time.Now(), e, exchange.LaneOutcome{})
-		p.Hear("n1", encode(nil, word("n1")))
+		p.Receive("n1", encodeMessage(nil, exampleReport("n1")))
 		select {
 		case raw := <-letters:
 			got++
-			if words, _, err := decode(raw, "n0", "n1"); err != nil || len(words) == 0 || words[0].From != "n0" {
+			if words, _, err := decodeMessage(raw, "n0", "n1"); err != nil || len(words) == 0 || words[0].From != "n0" {
 				t.Error(words, err)
 			}
 		case <-time.After(10 * time.Millisecond):
--- a/internal/fleet/pressure/fleet.go
+++ b/internal/fleet/pressure/fleet.go
@@ -7,139 +7,139 @@
 )
 
 const (
-	// FreshLeast is of which share of the members there must be fresh words, freshWords how many at least (of a small fleet: all but
+	// MinFreshShare is of which share of the members there must be fresh words, minFreshReports how many at least (of a small fleet: all but
 	// one).
-	FreshLeast = 0.04
-	freshWords = 3
-	// Trim is the share of weight at either end whose figures count as the first that is within.
-	Trim = 0.3
-	// capAt is the share of members, by traffic, that weigh the same, the busiest; rates above are counted as theirs. It is what
-	// bounds a word: a share x of liars that claim any traffic holds at most x/(1-capAt) of all weight, so that up to Trim*(1-capAt)
+	MinFreshShare   = 0.04
+	minFreshReports = 3
+	// TrimShare is the share of weight at either end whose figures count as the first that is within.
+	TrimShare = 0.3
+	// weightCapQuantile is the share of members, by traffic, that weigh the same, the busiest; rates above are counted as theirs. It is what
+	// bounds a word: a share x of liars that claim any traffic holds at most x/(1-weightCapQuantile) of all weight, so that up to Trim*(1-weightCapQuantile)
 	// of the words, three in twenty, may be false.
-	capAt = 0.5
-	// sumTrim is the share of words, the busiest, whose rates are cut down in sums to that of the next one, and sumMost how many
+	weightCapQuantile = 0.5
+	// sumClipShare is the share of words, the busiest, whose rates are cut down in sums to that of the next one, and maxMedianMultiple how many
 	// times the median's rate that may be.
-	sumTrim = 0.25
-	sumMost = 3
-	// ZonesMost is how many zones are told apart.
-	ZonesMost = 16
+	sumClipShare      = 0.25
+	maxMedianMultiple = 3
+	// MaxZones is how many zones are told apart.
+	MaxZones = 16
 )
 
-// Fleet is what is known of all co-ordinators from the fresh words.
-type Fleet struct {
-	Known    bool // of enough of them
-	Pressure float64
-	Young    float64 // the same of the youngest words alone: sooner, and easier to mislead; of too few it is Pressure
-	Asked    float64 // all co-ordinators', as all rates here
-	InTime   float64
-	Done     float64
-	Sure     float64
-	ByLane   [LanesMost]float64
-	Level    float64 // the middle of what they shed at
-	Fresh    int     // words
-	Members  int
-	Age      time.Duration // of the words, on the mean
-	ByZone   []Zone        // in order
+// Estimate is what is known of all co-ordinators from the fresh words.
+type FleetLoad struct {
+	Known          bool // of enough of them
+	Pressure       float64
+	RecentPressure float64 // the same of the youngest words alone: sooner, and easier to mislead; of too few it is Pressure
+	Offered        float64 // totalCost co-ordinators', as all rates here
+	InTime         float64
+	Completed      float64
+	Guaranteed     float64
+	ByLane         [MaxLanes]float64
+	Level          float64 // the middle of what they shed at
+	FreshReports   int     // words
+	Members        int
+	MeanAge        time.Duration // of the words, on the mean
+	ByZone         []Zone        // in order
 }
 
 // Zone is the same of one zone.
 type Zone struct {
-	Name     string
-	Pressure float64
-	Asked    float64 // from its fresh words alone
-	Fresh    int
+	Name         string
+	Pressure     float64
+	Offered      float64 // bucketStart its fresh words alone
+	FreshReports int
 }
 
-type figure struct{ value, weight float64 }
+type weightedValue struct{ value, weight float64 }
 
 type scratch struct {
-	fresh []int
-	rates []float64
-	f     []figure
+	fresh    []int
+	rates    []float64
+	weighted []weightedValue
 }
 
-// Fleet works out the figures of now from words not older than FreshFor.
-func (n *News) Fleet(now time.Duration) (fl Fleet) {
+// Estimate works out the figures of now from words not older than FreshWindow.
+func (n *Reports) Estimate(now time.Duration) (fl FleetLoad) {
 	s := &n.scratch
 	s.fresh, s.rates = s.fresh[:0], s.rates[:0]
-	fl.Members = len(n.words)
-	for i := range n.words {
-		if h := &n.words[i]; h.has && now-h.at <= FreshFor {
+	fl.Members = len(n.entries)
+	for i := range n.entries {
+		if h := &n.entries[i]; h.present && now-h.measuredAt <= FreshWindow {
 			s.fresh = append(s.fresh, i)
-			fl.Age += max(0, now-h.at)
+			fl.MeanAge += max(0, now-h.measuredAt)
 			if h.Known {
-				s.rates = append(s.rates, h.Asked)
+				s.rates = append(s.rates, h.Offered)
 			}
 		}
 	}
-	fl.Fresh = len(s.fresh)
-	if fl.Fresh == 0 {
+	fl.FreshReports = len(s.fresh)
+	if fl.FreshReports == 0 {
 		return fl
 	}
-	fl.Age /= time.Duration(fl.Fresh)
-	fl.Known = float64(fl.Fresh) >= max(FreshLeast*float64(fl.Members), float64(min(freshWords, fl.Members-1))) && len(s.rates) > 0
+	fl.MeanAge /= time.Duration(fl.FreshReports)
+	fl.Known = float64(fl.FreshReports) >= max(MinFreshShare*float64(fl.Members), float64(min(minFreshReports, fl.Members-1))) && len(s.rates) > 0
 	if len(s.rates) == 0 {
 		return fl
 	}
 	slices.Sort(s.rates)
-	even := s.rates[int(capAt*float64(len(s.rates)))]
-	weigh := func(of func(h *heard) float64) float64 {
-		s.f = s.f[:0]
+	even := s.rates[int(weightCapQuantile*float64(len(s.rates)))]
+	weigh := func(of func(h *receivedReport) float64) float64 {
+		s.weighted = s.weighted[:0]
 		for _, i := range s.fresh {
-			if h := &n.words[i]; h.Known {
-				s.f = append(s.f, figure{of(h), min(h.Asked, even)})
+			if h := &n.entries[i]; h.Known {
+				s.weighted = append(s.weighted, weightedValue{of(h), min(h.Offered, even)})
 			}
 		}
-		return middle(s.f)
+		return winsorizedMean(s.weighted)
 	}
-	fl.Pressure = weigh(func(h *heard) float64 { return h.Pressure })
-	if fl.Young = fl.Pressure; n.young(now, even) >= freshWords {
-		fl.Young = middle(s.f)
+	fl.Pressure = weigh(func(h *receivedReport) float64 { return h.Pressure })
+	if fl.RecentPressure = fl.Pressure; n.collectRecent(now, even) >= minFreshReports {
+		fl.RecentPressure = winsorizedMean(s.weighted)
 	}
-	part := func(of float64, h *heard) float64 { return min(2, of/max(h.Asked, rateUnit)) }
-	inTime := weigh(func(h *heard) float64 { return part(h.InTime, h) })
-	done := weigh(func(h *heard) float64 { return part(h.Done, h) })
-	most := n.sums(&fl)
-	fl.InTime, fl.Done = inTime*fl.Asked, done*fl.Asked
-	s.f = s.f[:0]
+	part := func(of float64, h *receivedReport) float64 { return min(2, of/max(h.Offered, minRate)) }
+	inTime := weigh(func(h *receivedReport) float64 { return part(h.InTime, h) })
+	done := weigh(func(h *receivedReport) float64 { return part(h.Completed, h) })
+	most := n.sumRates(&fl)
+	fl.InTime, fl.Completed = inTime*fl.Offered, done*fl.Offered
+	s.weighted = s.weighted[:0]
 	for _, i := range s.fresh {
-		s.f = append(s.f, figure{n.words[i].Level, 1})
+		s.weighted = append(s.weighted, weightedValue{n.entries[i].Level, 1})
 	}
-	fl.Level = middle(s.f)
-	n.zones(&fl, even, most)
+	fl.Level = winsorizedMean(s.weighted)
+	n.estimateZones(&fl, even, most)
 	return fl
 }
 
-// young gathers the pressure that the youngest words tell of.
-func (n *News) young(now time.Duration, even float64) int {
+// collectRecent gathers the pressure that the youngest words tell of.
+func (n *Reports) collectRecent(now time.Duration, even float64) int {
 	s := &n.scratch
-	s.f = s.f[:0]
+	s.weighted = s.weighted[:0]
 	for _, i := range s.fresh {
-		if h := &n.words[i]; h.Known && now-h.at <= youngFor {
-			s.f = append(s.f, figure{h.Pressure, min(h.Asked, even)})
+		if h := &n.entries[i]; h.Known && now-h.measuredAt <= recentWindow {
+			s.weighted = append(s.weighted, weightedValue{h.Pressure, min(h.Offered, even)})
 		}
 	}
-	return len(s.f)
+	return len(s.weighted)
 }
 
-// sums are rates over all words, each cut down to what the busiest fourth of them have, and scaled to all members.
-func (n *News) sums(fl *Fleet) (most float64) {
+// sumRates are rates over all words, each cut down to what the busiest fourth of them have, and scaled to all members.
+func (n *Reports) sumRates(fl *FleetLoad) (most float64) {
 	s := &n.scratch
 	s.rates = s.rates[:0]
 	for _, i := range s.fresh {
-		s.rates = append(s.rates, n.words[i].Asked)
+		s.rates = append(s.rates, n.entries[i].Offered)
 	}
 	slices.Sort(s.rates)
-	most = min(s.rates[len(s.rates)-1-int(sumTrim*float64(len(s.rates)))], sumMost*s.rates[len(s.rates)/2])
+	most = min(s.rates[len(s.rates)-1-int(sumClipShare*float64(len(s.rates)))], maxMedianMultiple*s.rates[len(s.rates)/2])
 	scale := float64(fl.Members) / float64(len(s.fresh))
 	for _, i := range s.fresh {
-		h := &n.words[i]
+		h := &n.entries[i]
 		by := scale
-		if h.Asked > most {
-			by *= most / h.Asked
+		if h.Offered > most {
+			by *= most / h.Offered
 		}
-		fl.Asked += by * h.Asked
-		fl.Sure += by * min(h.Sure, h.Asked)
+		fl.Offered += by * h.Offered
+		fl.Guaranteed += by * min(h.Guaranteed, h.Offered)
 		for j := range fl.ByLane {
 			fl.ByLane[j] += by * h.ByLane[j]
 		}
@@ -147,35 +147,35 @@
 	return most
 }
 
-func (n *News) zones(fl *Fleet, even, most float64) {
+func (n *Reports) estimateZones(fl *FleetLoad, even, most float64) {
 	s := &n.scratch
 	for _, i := range s.fresh {
-		h := &n.words[i]
+		h := &n.entries[i]
 		k, ok := slices.BinarySearchFunc(fl.ByZone, h.Zone, func(z Zone, name string) int { return cmp.Compare(z.Name, name) })
 		if !ok {
-			if len(fl.ByZone) == ZonesMost {
+			if len(fl.ByZone) == MaxZones {
 				continue
 			}
 			fl.ByZone = slices.Insert(fl.ByZone, k, Zone{Name: h.Zone})
 		}
-		fl.ByZone[k].Asked += min(h.Asked, most)
-		fl.ByZone[k].Fresh++
+		fl.ByZone[k].Offered += min(h.Offered, most)
+		fl.ByZone[k].FreshReports++
 	}
 	for k := range fl.ByZone {
-		s.f = s.f[:0]
+		s.weighted = s.weighted[:0]
 		for _, i := range s.fresh {
-			if h := &n.words[i]; h.Known && h.Zone == fl.ByZone[k].Name {
-				s.f = append(s.f, figure{h.Pressure, min(h.Asked, even)})
+			if h := &n.entries[i]; h.Known && h.Zone == fl.ByZone[k].Name {
+				s.weighted = append(s.weighted, weightedValue{h.Pressure, min(h.Offered, even)})
 			}
 		}
-		fl.ByZone[k].Pressure = middle(s.f)
+		fl.ByZone[k].Pressure = winsorizedMean(s.weighted)
 	}
 }
 
-// middle is the mean by weight, with what is in the lowest and highest Trim of the weight taken as the first value within. As
+// winsorizedMean is the mean by weight, with what is in the lowest and highest Trim of the weight taken as the first value within. As
 // long as false figures hold at most Trim of the weight it lies between the lowest and the highest of the true ones, whatever
 // they are: the value at either end of the middle is a true one, or has true ones on both sides.
-func middle(f []figure) float64 {
+func winsorizedMean(f []weightedValue) float64 {
 	all := 0.0
 	for _, x := range f {
 		all += x.weight
@@ -183,15 +183,17 @@
 	if all <= 0 {
 		return 0
 	}
-	slices.SortFunc(f, func(a, b figure) int { return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.weight, b.weight)) })
+	slices.SortFunc(f, func(a, b weightedValue) int {
+		return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.weight, b.weight))
+	})
 	low, high, seen := f[0].value, f[len(f)-1].value, 0.0
 	lowSet, highSet := false, false
 	for _, x := range f {
 		seen += x.weight
-		if !lowSet && seen > Trim*all*(1+1e-9) {
+		if !lowSet && seen > TrimShare*all*(1+1e-9) {
 			low, lowSet = x.value, true
 		}
-		if !highSet && seen >= (1-Trim)*all*(1-1e-9) {
+		if !highSet && seen >= (1-TrimShare)*all*(1-1e-9) {
 			high, highSet = x.value, true
 		}
 	}
--- a/internal/fleet/pressure/pressure_test.go
+++ b/internal/fleet/pressure/pressure_test.go
@@ -8,12 +8,12 @@
 
 const promise = time.Second
 
-// meter of one that is asked ten a second for five seconds, of which each ends as end says.
-func meter(end func(m *Meter, now time.Duration, i int)) (*Meter, Own) {
+// runMeter of one that is asked ten a second for five seconds, of which each ends as end says.
+func runMeter(end func(m *Meter, now time.Duration, i int)) (*Meter, LocalLoad) {
 	m := &Meter{}
 	for i := range 50 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		m.Asked(now, 1, i%5 == 0, 1)
+		m.RecordQuery(now, 1, i%5 == 0, 1)
 		end(m, now, i)
 		if i%5 == 4 {
 			m.Step(now, 0)
@@ -22,42 +22,42 @@
 	return m, m.Step(5*time.Second, 0)
 }
 
-func TestOwnPressureIsOfOutcomes(t *testing.T) {
+func TestMeterPressureFromOutcomes(t *testing.T) {
 	took := func(share float64) time.Duration { return time.Duration(share * float64(promise)) }
 	for name, x := range map[string]struct {
 		end         func(m *Meter, now time.Duration, i int)
 		least, most float64
 		known       bool
 	}{
-		"all in time": {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, InTime, took(0.2), promise) }, 0, 0, true},
+		"all in time": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, InTime, took(0.2), promise) }, 0, 0, true},
 		// with short queues: a module that refuses keeps them short
 		"a third refused": {func(m *Meter, now time.Duration, i int) {
 			if i%3 == 0 {
-				m.Ended(now, 1, Refused, 0, promise)
+				m.RecordOutcome(now, 1, Refused, 0, promise)
 			} else {
-				m.Ended(now, 1, InTime, took(0.2), promise)
+				m.RecordOutcome(now, 1, InTime, took(0.2), promise)
 			}
 		}, 0.25, 0.45, true},
-		"all late": {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Late, took(1.5), promise) }, 0.9, 1, true},
+		"all late": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Late, took(1.5), promise) }, 0.9, 1, true},
 		"queues": {func(m *Meter, now time.Duration, i int) {
-			m.Ended(now, 1, InTime, took(0.2+0.7*float64(i)/50), promise)
+			m.RecordOutcome(now, 1, InTime, took(0.2+0.7*float64(i)/50), promise)
 		}, 0.1, 0.25, true},
-		"clients leave":             {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Left, took(0.1), promise) }, 0, 0, false},
-		"clients leave after it":    {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Left, took(2), promise) }, 0.9, 1, true},
-		"failures at once":          {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Failed, took(0.1), promise) }, 0, 0, false},
-		"failures past the promise": {func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Failed, took(1.1), promise) }, 0.9, 1, true},
+		"clients leave":             {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, took(0.1), promise) }, 0, 0, false},
+		"clients leave after it":    {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, took(2), promise) }, 0.9, 1, true},
+		"failures at once":          {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, took(0.1), promise) }, 0, 0, false},
+		"failures past the promise": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, took(1.1), promise) }, 0.9, 1, true},
 		"nothing ends":              {func(m *Meter, now time.Duration, i int) {}, 0, 0, false},
 	} {
-		_, o := meter(x.end)
-		if o.Known != x.known || o.Pressure < x.least || o.Pressure > x.most || math.Abs(o.Asked-10) > 1.5 || math.Abs(o.Sure+o.ByLane[1]-o.Asked) > 1e-9 {
+		_, o := runMeter(x.end)
+		if o.Known != x.known || o.Pressure < x.least || o.Pressure > x.most || math.Abs(o.Offered-10) > 1.5 || math.Abs(o.Guaranteed+o.ByLane[1]-o.Offered) > 1e-9 {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
 }
 
-func TestAStandstillLeavesNothingOfBefore(t *testing.T) {
-	m, _ := meter(func(m *Meter, now time.Duration, i int) { m.Ended(now, 1, Late, 2*promise, promise) })
-	if o := m.Step(time.Minute, 0); o.Known || o.Pressure != 0 || o.Asked != 0 {
+func TestMeterDiscardsCountsAfterPause(t *testing.T) {
+	m, _ := runMeter(func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Late, 2*promise, promise) })
+	if o := m.Step(time.Minute, 0); o.Known || o.Pressure != 0 || o.Offered != 0 {
 		t.Errorf("%+v", o)
 	}
 	if o := m.Step(time.Second, 0); o.Known { // time that goes back is no time
@@ -66,7 +66,7 @@
 }
 
 // What is always late a little is calm after a while, and none is learned while lanes shed.
-func TestCalmIsLearnedInCalm(t *testing.T) {
+func TestMeterLearnsBaselineOnlyWhenNotShedding(t *testing.T) {
 	for _, shed := range []float64{0, 0.2} {
 		var m Meter
 		sum, n := 0.0, 0.0
@@ -76,7 +76,7 @@
 			if i%20 == 0 {
 				e = Late
 			}
-			m.Ended(now, 1, e, promise/4, promise)
+			m.RecordOutcome(now, 1, e, promise/4, promise)
 			if i%12 == 0 {
 				if o := m.Step(now, shed); i > 80_000 {
 					sum, n = sum+o.Pressure, n+1
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -82,16 +82,16 @@
 
 	for revision := range 2 { // two sections of lanes in force, as large as may be
 		var text []byte
-		for range laneconfig.PackedMost * 29 / 30 {
+		for range laneconfig.MaxPackedSize * 29 / 30 {
 			text = append(text, byte(rnd.Uint32()))
 		}
 		sum := sha256.Sum256(text)
 		z, err := compress.Pack(text)
-		if err != nil || len(z) < laneconfig.PackedMost*9/10 {
+		if err != nil || len(z) < laneconfig.MaxPackedSize*9/10 {
 			t.Fatalf("%d bytes, %v", len(z), err)
 		}
 		index++
-		body, err := json.Marshal(laneconfig.SetBody{Revision: revision + 1, Sum: hex.EncodeToString(sum[:]), Z: z})
+		body, err := json.Marshal(laneconfig.SetBody{Revision: revision + 1, Sum: hex.EncodeToString(sum[:]), Packed: z})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if n.lanes != nil {
-		n.lanes.Step(lanepart.Turn{Now: now, Term: n.term, Group: n.raftGroup})
+		n.lanes.Step(lanepart.StepInput{Now: now, Term: n.term, Group: n.raftGroup})
 	}
 	n.agreedRevision = r.limitsRevision
 	n.reportFile(now, r.limitsRevision, r.requestsRevision)
