--- a/internal/fleet/fleetsim/shedding/co.go
+++ b/internal/fleet/fleetsim/shedding/co.go
@@ -45,7 +45,7 @@
 	ask     *ask
 	class   int
 	cost    float64
-	verdict lanes.Verdict
+	verdict lanes.Decision
 	came    time.Duration
 	due     time.Duration
 	over    bool
@@ -190,14 +190,14 @@
 }
 
 // take lets a query in to the module.
-func (c *coordinator) take(a *ask, cost float64, v lanes.Verdict) {
+func (c *coordinator) take(a *ask, cost float64, v lanes.Decision) {
 	w := c.w
 	w.ids++
 	q := &query{id: w.ids, ask: a, class: a.class, cost: cost, verdict: v, came: w.q.Now, due: w.q.Now + 3*time.Second}
 	c.queries[q.id] = q
 	var limits *policy.Limits
-	if v.YieldBy > 1 {
-		limits = &policy.Limits{YieldBy: v.YieldBy}
+	if v.PromiseDivisor > 1 {
+		limits = &policy.Limits{YieldBy: v.PromiseDivisor}
 	}
 	hints := 0.0
 	for _, h := range a.hints {
--- a/internal/fleet/fleetsim/shedding/judge.go
+++ b/internal/fleet/fleetsim/shedding/judge.go
@@ -72,7 +72,7 @@
 	for i := range j.ensured {
 		// What the fleet bears is less than what its replicas could do if none of them ever waited.
 		j.ensured[i].rate = w.streams[i].ensured * 0.9 * w.capacity()
-		j.ensured[i].tokens = lanes.BurstFor * j.ensured[i].rate
+		j.ensured[i].tokens = lanes.BurstSeconds * j.ensured[i].rate
 	}
 	j.windows.begin(w)
 }
@@ -87,7 +87,7 @@
 	if b.rate == 0 {
 		return false
 	}
-	b.tokens = min(lanes.BurstFor*b.rate, b.tokens+b.rate*(j.w.q.Now-b.at).Seconds())
+	b.tokens = min(lanes.BurstSeconds*b.rate, b.tokens+b.rate*(j.w.q.Now-b.at).Seconds())
 	b.at = j.w.q.Now
 	if b.tokens < a.cost {
 		return false
@@ -156,9 +156,9 @@
 	}
 }
 
-func (j *judge) shed(c *coordinator, a *ask, v *lanes.Verdict)     { j.windows.shed(c, a, v) }
-func (j *judge) admitted(c *coordinator, a *ask, v *lanes.Verdict) { j.windows.admitted(c, a, v) }
-func (j *judge) ended(c *coordinator, q *query, e end)             { j.windows.ended(c, q, e) }
+func (j *judge) shed(c *coordinator, a *ask, v *lanes.Decision)     { j.windows.shed(c, a, v) }
+func (j *judge) admitted(c *coordinator, a *ask, v *lanes.Decision) { j.windows.admitted(c, a, v) }
+func (j *judge) ended(c *coordinator, q *query, e end)              { j.windows.ended(c, q, e) }
 
 // look ends a quarter of a second.
 func (j *judge) look() {
@@ -180,7 +180,7 @@
 		n++
 		m.Level += level
 		m.Low, m.High = min(m.Low, level), max(m.High, level)
-		m.Bears += c.sheds.ctl.Bears() / j.w.capacity()
+		m.Bears += c.sheds.ctl.Capacity() / j.w.capacity()
 		m.Pressure += c.sheds.fleet.Pressure
 		if c.sheds.fleet.Known {
 			m.Known++
--- a/internal/fleet/fleetsim/shedding/load.go
+++ b/internal/fleet/fleetsim/shedding/load.go
@@ -144,7 +144,7 @@
 }
 
 func (w *World) admit(c *coordinator, a *ask) {
-	v := lanes.Verdict{Admitted: true, Lane: a.stream.lane, YieldBy: 1}
+	v := lanes.Decision{Admitted: true, Lane: a.stream.lane, PromiseDivisor: 1}
 	cost := a.cost
 	switch {
 	case w.plan.Way == Quotas:
@@ -158,7 +158,7 @@
 	}
 	if !v.Admitted {
 		w.judge.shed(c, a, &v)
-		w.client(c, a, shedded, v.After)
+		w.client(c, a, shedded, v.RetryAfter)
 		return
 	}
 	w.judge.admitted(c, a, &v)
@@ -172,7 +172,7 @@
 func (c *coordinator) quota(a *ask) bool {
 	b := &c.countQuota[a.stream.lane]
 	rate := quotaShares[a.stream.lane] * c.w.capacity() / float64(c.w.plan.Coordinators)
-	b.tokens = min(max(1, lanes.BurstFor*rate), b.tokens+rate*(c.w.q.Now-b.at).Seconds())
+	b.tokens = min(max(1, lanes.BurstSeconds*rate), b.tokens+rate*(c.w.q.Now-b.at).Seconds())
 	b.at = c.w.q.Now
 	if b.tokens <= 0 {
 		return false
--- a/internal/fleet/fleetsim/shedding/shed.go
+++ b/internal/fleet/fleetsim/shedding/shed.go
@@ -23,7 +23,7 @@
 type shed struct {
 	c     *coordinator
 	life  int
-	cost  lanes.Cost
+	cost  lanes.CostEstimator
 	meter pressure.Meter
 	news  pressure.Reports
 	ctl   *lanes.Control
@@ -50,7 +50,7 @@
 		s.set = c.w.sets[1]
 	}
 	s.gate = lanes.New(s.now(), s.set, c.w.plan.Coordinators)
-	s.lent = shares.New(shares.Options{Name: c.name, Incarnation: uint64(c.life), Fleet: c.w.plan.Coordinators, Seed: c.w.plan.Seed})
+	s.lent = shares.New(shares.Options{Name: c.name, Incarnation: uint64(c.life), FleetSize: c.w.plan.Coordinators, Seed: c.w.plan.Seed})
 	s.rates, s.asked = make([]float64, len(s.set.Accounts)), make([]float64, len(s.set.Accounts))
 	s.news.SetMembers(c.w.names)
 	c.w.q.After(time.Duration(c.w.rng.Int64N(int64(every))), s.step)
@@ -63,19 +63,19 @@
 }
 
 // admit asks the gate.
-func (s *shed) admit(a *ask, cost float64) lanes.Verdict {
+func (s *shed) admit(a *ask, cost float64) lanes.Decision {
 	now := s.now()
 	if s.c.w.plan.Way == Even {
-		v := lanes.Verdict{Admitted: s.c.w.rng.Float64() >= s.ctl.Level(), Lane: a.stream.lane, YieldBy: 1}
+		v := lanes.Decision{Admitted: s.c.w.rng.Float64() >= s.ctl.Level(), Lane: a.stream.lane, PromiseDivisor: 1}
 		if !v.Admitted {
-			v.How = lanes.Cut
+			v.Reason = lanes.Shed
 		}
 		s.meter.RecordQuery(now, v.Lane, false, cost)
 		return v
 	}
 	account := s.set.AccountOf(a.tenant, -1, "")
-	v := s.gate.Admit(now, lanes.Ask{Account: account, Class: a.class, Key: a.stream.key, Cost: cost, Retry: a.try > 0 && !s.c.w.plan.Unmarked})
-	s.meter.RecordQuery(now, v.Lane, v.Sure(), cost)
+	v := s.gate.Admit(now, lanes.Query{Account: account, Class: a.class, Key: a.stream.key, Cost: cost, Retry: a.try > 0 && !s.c.w.plan.Unmarked})
+	s.meter.RecordQuery(now, v.Lane, v.WithinGuarantee(), cost)
 	if account >= 0 && account < len(s.asked) {
 		s.asked[account] += cost
 	}
@@ -114,7 +114,7 @@
 	level := s.ctl.Step(now, s.fleet, c.own)
 	if w.plan.Way == Lanes {
 		slot := time.Duration(1<<50) + w.q.Now + c.wallOff
-		s.gate.Level(now, lanes.State{Level: level, Bears: s.ctl.Bears(), Members: len(w.names), Fleet: s.fleet, Own: c.own,
+		s.gate.SetLevel(now, lanes.LevelUpdate{Level: level, Capacity: s.ctl.Capacity(), Members: len(w.names), Fleet: s.fleet, Own: c.own,
 			Slot: uint64(slot / s.set.Slot), SlotLeft: s.set.Slot - slot%s.set.Slot})
 		s.share(now)
 	}
@@ -164,30 +164,30 @@
 // share moves guarantees.
 func (s *shed) share(now time.Duration) {
 	c, w := s.c, s.c.w
-	bears := s.ctl.Bears()
+	bears := s.ctl.Capacity()
 	accounts := len(s.set.Accounts)
-	in := append(s.in, shares.Set{Revision: s.set.Revision, Accounts: accounts}, shares.Members{Agreed: len(w.names), Live: w.names})
+	in := append(s.in, shares.Config{Revision: s.set.Revision, Accounts: accounts}, shares.Membership{Agreed: len(w.names), Live: w.names})
 	s.in = nil
 	for i := range accounts {
 		by := 1 - math.Exp(-every.Seconds()/wantSpan)
 		s.rates[i] += (s.asked[i]/every.Seconds() - s.rates[i]) * by
 		s.asked[i] = 0
 		if g := s.set.Accounts[i].Guarantee; g > 0 && bears > 0 {
-			in = append(in, shares.Demand{Account: uint32(i), Want: int64(min(1, s.rates[i]/(g*bears)) * shares.Whole)})
+			in = append(in, shares.Demand{Account: uint32(i), Want: int64(min(1, s.rates[i]/(g*bears)) * shares.GuaranteeUnits)})
 		}
 	}
 	for _, o := range s.lent.Step(now, in) {
 		switch o := o.(type) {
-		case shares.SendAsk:
+		case shares.SendRequest:
 			w.letters++
-			w.link(c, w.byName[o.To], func(s *shed, _ time.Duration) { s.in = append(s.in, o.Ask) })
-		case shares.SendLent:
+			w.link(c, w.byName[o.To], func(s *shed, _ time.Duration) { s.in = append(s.in, o.Request) })
+		case shares.SendReply:
 			w.letters++
-			w.link(c, w.byName[o.To], func(s *shed, _ time.Duration) { s.in = append(s.in, o.Lent) })
-		case shares.Even:
-			s.even = o.Part
-		case shares.Part:
-			if s.parts[o.Account] = o.Part; o.Part == shares.Evenly {
+			w.link(c, w.byName[o.To], func(s *shed, _ time.Duration) { s.in = append(s.in, o.Reply) })
+		case shares.DefaultShare:
+			s.even = o.Share
+		case shares.AccountShare:
+			if s.parts[o.Account] = o.Share; o.Share == shares.UseDefault {
 				delete(s.parts, o.Account)
 			}
 		}
@@ -197,14 +197,14 @@
 		if !named {
 			part = s.even
 		}
-		s.gate.Share(now, i, s.set.Accounts[i].Guarantee*float64(part)/shares.Whole)
+		s.gate.SetShare(now, i, s.set.Accounts[i].Guarantee*float64(part)/shares.GuaranteeUnits)
 	}
 }
 
 // use goes by another set of lanes.
 func (s *shed) use(set *laneconfig.Set) {
 	s.set = set
-	s.gate.Set(s.now(), set)
+	s.gate.SetConfig(s.now(), set)
 	clear(s.parts)
 }
 
--- a/internal/fleet/fleetsim/shedding/windows.go
+++ b/internal/fleet/fleetsim/shedding/windows.go
@@ -16,7 +16,7 @@
 	// sureSlack: of what is asked within guarantees this part at most is refused by lanes in a window.
 	sureSlack = 0.10
 	// aloneAfter is how long after the last word a level has faded: news are fresh for so long, then it fades.
-	aloneAfter = pressure.FreshWindow + lanes.FadeFor + time.Second
+	aloneAfter = pressure.FreshWindow + lanes.FadeTime + time.Second
 	// calmAfter is how long after the last ends that were no good a calm co-ordinator that is alone refuses nothing.
 	calmAfter = 4 * time.Second
 )
@@ -47,20 +47,20 @@
 	x.ask[a.stream.lane] += a.cost
 }
 
-func (x *windows) shed(c *coordinator, a *ask, v *lanes.Verdict) {
+func (x *windows) shed(c *coordinator, a *ask, v *lanes.Decision) {
 	w, now := x.w, x.w.q.Now
 	x.sheds[a.stream.lane] += a.cost
 	x.account[a.tenant].shed += a.cost
 	if w.plan.Way != Lanes {
 		return
 	}
-	if v.After < 0 || v.After > lanes.AfterMost {
-		w.broken("L3: told to come back in %v", v.After)
+	if v.RetryAfter < 0 || v.RetryAfter > lanes.MaxRetryAfter {
+		w.broken("L3: told to come back in %v", v.RetryAfter)
 	}
 	if now-c.sheds.heard > aloneAfter && now-max(c.refusedAt, c.stalled) > calmAfter {
 		w.broken("L4: %s sheds at level %.3f, without news for %v, while all its queries end in time", c.name, c.sheds.ctl.Level(), now-c.sheds.heard)
 	}
-	if now-x.trouble > lanes.CauseFor || w.plan.Load <= 0.75 && len(x.troubles()) == 0 {
+	if now-x.trouble > lanes.MaxCauseAge || w.plan.Load <= 0.75 && len(x.troubles()) == 0 {
 		x.CalmShed += a.cost
 		w.broken("L6: %s sheds at level %.3f in a calm fleet", c.name, c.sheds.ctl.Level())
 	}
@@ -76,10 +76,10 @@
 	return out
 }
 
-func (x *windows) admitted(_ *coordinator, a *ask, v *lanes.Verdict) {
+func (x *windows) admitted(_ *coordinator, a *ask, v *lanes.Decision) {
 	x.account[a.tenant].admitted += a.cost
 	x.admit[a.stream.lane] += a.cost
-	if v.How != lanes.Guaranteed && !a.conform {
+	if v.Reason != lanes.Guaranteed && !a.conform {
 		x.beyond += a.cost
 	}
 }
--- a/internal/fleet/fleetsim/shedding/world.go
+++ b/internal/fleet/fleetsim/shedding/world.go
@@ -99,7 +99,7 @@
 			w.broken("%v", err)
 		}
 		for i := range use {
-			use[i] += c.sheds.lent.Use(uint32(i))
+			use[i] += c.sheds.lent.Usable(uint32(i))
 		}
 	}
 	w.judge.leases(use)
--- a/internal/fleet/fleetsim/shedding/world_test.go
+++ b/internal/fleet/fleetsim/shedding/world_test.go
@@ -78,7 +78,7 @@
 		return w.Broken
 	}
 	a := func(w *World, tenant int) *ask { return &ask{stream: &w.streams[tenant], tenant: tenant, cost: 100} }
-	cut := &lanes.Verdict{How: lanes.Cut}
+	cut := &lanes.Decision{Reason: lanes.Shed}
 	for rule, do := range map[string]func(w *World, x *windows, c *coordinator){
 		"L1": func(w *World, x *windows, c *coordinator) {
 			x.trouble, x.inTime = w.q.Now, 10_000
@@ -91,13 +91,13 @@
 			x.trouble, x.inTime, x.admit[premium] = w.q.Now, 10_000, 1000
 			x.asked(a(w, 0))
 			x.shed(c, a(w, 0), cut)
-			x.admitted(c, a(w, 25), &lanes.Verdict{Admitted: true})
+			x.admitted(c, a(w, 25), &lanes.Decision{Admitted: true})
 			x.begun = -time.Hour
 			x.look()
 		},
 		"L3": func(w *World, x *windows, c *coordinator) {
 			x.trouble = w.q.Now
-			x.shed(c, a(w, 25), &lanes.Verdict{How: lanes.Cut, After: -1})
+			x.shed(c, a(w, 25), &lanes.Decision{Reason: lanes.Shed, RetryAfter: -1})
 		},
 		"L4": func(w *World, x *windows, c *coordinator) {
 			x.trouble, c.sheds.heard, c.refusedAt, c.stalled = w.q.Now, -time.Hour, -time.Hour, -time.Hour
--- a/internal/fleet/lanes/check.go
+++ b/internal/fleet/lanes/check.go
@@ -7,122 +7,122 @@
 	"birchcart/internal/fleet/pressure"
 )
 
-// books follow what the gate does by counts of their own, and keep the first rule that was broken. They know what each floor and
+// auditor follow what the gate does by counts of their own, and keep the first rule that was broken. They know what each floor and
 // guarantee brings, and what was admitted; the gate's buckets they don't look at.
-type books struct {
-	lanes    [pressure.MaxLanes]due
-	accounts []due
-	names    map[string]int
-	admitted uint64
-	refused  uint64
-	broken   error
+type auditor struct {
+	lanes       [pressure.MaxLanes]allowance
+	accounts    []allowance
+	indexByName map[string]int
+	admitted    uint64
+	refused     uint64
+	violation   error
 }
 
-// due is what a rate has brought and nobody used, up to a burst.
-type due struct {
-	rate, left float64
-	sure       bool // of a guarantee
-	at         time.Duration
+// allowance is what a rate has brought and nobody used, up to a burst.
+type allowance struct {
+	rate, remaining float64
+	ofGuarantee     bool // of a guarantee
+	updatedAt       time.Duration
 }
 
-// slack is by how much two sums of the same may differ.
-const slack = 1e-6
+// tolerance is by how much two sums of the same may differ.
+const tolerance = 1e-6
 
-func (d *due) until(now time.Duration) {
-	if now > d.at {
-		most := max(1, BurstFor*d.rate)
-		if d.sure {
-			most = max(most, min(SureLeast, SureFor*d.rate))
+func (a *allowance) refill(now time.Duration) {
+	if now > a.updatedAt {
+		limit := max(1, BurstSeconds*a.rate)
+		if a.ofGuarantee {
+			limit = max(limit, min(MinGuaranteeBurst, MinGuaranteeBurstSeconds*a.rate))
 		}
-		d.left = min(most, d.left+d.rate*(now-d.at).Seconds())
-		d.at = now
+		a.remaining = min(limit, a.remaining+a.rate*(now-a.updatedAt).Seconds())
+		a.updatedAt = now
 	}
 }
 
-func (b *books) set(now time.Duration, g *Gate) {
+func (au *auditor) configure(now time.Duration, g *Gate) {
 	set := g.set
-	first := b.names == nil
-	accounts, names := make([]due, len(set.Accounts)), make(map[string]int, len(set.Accounts))
+	first := au.indexByName == nil
+	accounts, names := make([]allowance, len(set.Accounts)), make(map[string]int, len(set.Accounts))
 	for i := range accounts {
 		name := set.Accounts[i].Name
 		names[name] = i
-		if j, ok := b.names[name]; ok {
-			accounts[i] = b.accounts[j]
-			accounts[i].until(now)
+		if j, ok := au.indexByName[name]; ok {
+			accounts[i] = au.accounts[j]
+			accounts[i].refill(now)
 		} else {
-			accounts[i] = due{left: SureLeast, sure: true, at: now}
+			accounts[i] = allowance{remaining: MinGuaranteeBurst, ofGuarantee: true, updatedAt: now}
 		}
-		accounts[i].rate = g.accounts[i].share * g.bears
+		accounts[i].rate = g.accounts[i].share * g.capacity
 	}
-	b.accounts, b.names = accounts, names
-	for j := range b.lanes {
+	au.accounts, au.indexByName = accounts, names
+	for j := range au.lanes {
 		if first {
-			b.lanes[j] = due{left: 1, at: now}
+			au.lanes[j] = allowance{remaining: 1, updatedAt: now}
 		}
 	}
 }
 
-// level takes the rates of floors from now on.
-func (b *books) level(now time.Duration, g *Gate) {
-	for j := range b.lanes {
-		b.lanes[j].until(now)
-		b.lanes[j].rate = g.lanes[j].floorRate
+// updateRates takes the rates of floors from now on.
+func (au *auditor) updateRates(now time.Duration, g *Gate) {
+	for j := range au.lanes {
+		au.lanes[j].refill(now)
+		au.lanes[j].rate = g.lanes[j].floorRate
 	}
-	for i := range b.accounts {
-		b.accounts[i].until(now)
-		b.accounts[i].rate = g.accounts[i].share * g.bears
+	for i := range au.accounts {
+		au.accounts[i].refill(now)
+		au.accounts[i].rate = g.accounts[i].share * g.capacity
 	}
 }
 
-// seen looks at a verdict.
-func (b *books) seen(now time.Duration, g *Gate, q *Ask, v *Verdict) {
-	l := &b.lanes[v.Lane]
-	l.until(now)
-	var a *due
-	if q.Account >= 0 && q.Account < len(b.accounts) {
-		a = &b.accounts[q.Account]
-		a.until(now)
+// observe looks at a verdict.
+func (au *auditor) observe(now time.Duration, g *Gate, q *Query, v *Decision) {
+	l := &au.lanes[v.Lane]
+	l.refill(now)
+	var a *allowance
+	if q.Account >= 0 && q.Account < len(au.accounts) {
+		a = &au.accounts[q.Account]
+		a.refill(now)
 	}
 	if !v.Admitted {
-		b.refused++
-		b.look(g, q, v, l, a)
+		au.refused++
+		au.checkRefusal(g, q, v, l, a)
 		return
 	}
-	b.admitted++
-	if v.How == Guaranteed {
-		a.left -= q.Cost
+	au.admitted++
+	if v.Reason == Guaranteed {
+		a.remaining -= q.Cost
 	} else if g.level > 0 {
-		low := min(l.left, 0)
-		if v.How == Floor {
-			low = -q.Cost
+		lowest := min(l.remaining, 0)
+		if v.Reason == Floor {
+			lowest = -q.Cost
 		}
-		l.left = max(l.left-q.Cost, low)
+		l.remaining = max(l.remaining-q.Cost, lowest)
 	}
 }
 
-func (b *books) look(g *Gate, q *Ask, v *Verdict, l, a *due) {
-	if b.broken != nil {
+func (au *auditor) checkRefusal(g *Gate, q *Query, v *Decision, l, a *allowance) {
+	if au.violation != nil {
 		return
 	}
 	name := g.set.Lanes[v.Lane].Name
 	switch {
 	case g.level == 0:
-		b.broken = fmt.Errorf("L6: a query of cost %.2f in lane %s is %s at level 0", q.Cost, name, v.How)
-	case v.How == Cut && l.left > slack:
-		b.broken = fmt.Errorf("L1: a query of cost %.2f in lane %s is refused with %.3f left of its floor of %.3f/s", q.Cost, name, l.left, l.rate)
-	case a != nil && a.rate > 0 && a.left > slack && !g.stale(g.now):
-		b.broken = fmt.Errorf("L2: a query of cost %.2f of account %s is %s with %.3f left of its guarantee of %.3f/s", q.Cost,
-			g.set.Accounts[q.Account].Name, v.How, a.left, a.rate)
-	case v.After < 0 || v.After > AfterMost:
-		b.broken = fmt.Errorf("L3: a query in lane %s is told to come back in %v", name, v.After)
+		au.violation = fmt.Errorf("L6: a query of cost %.2f in lane %s is %s at level 0", q.Cost, name, v.Reason)
+	case v.Reason == Shed && l.remaining > tolerance:
+		au.violation = fmt.Errorf("L1: a query of cost %.2f in lane %s is refused with %.3f left of its floor of %.3f/s", q.Cost, name, l.remaining, l.rate)
+	case a != nil && a.rate > 0 && a.remaining > tolerance && !g.stale(g.now):
+		au.violation = fmt.Errorf("L2: a query of cost %.2f of account %s is %s with %.3f left of its guarantee of %.3f/s", q.Cost,
+			g.set.Accounts[q.Account].Name, v.Reason, a.remaining, a.rate)
+	case v.RetryAfter < 0 || v.RetryAfter > MaxRetryAfter:
+		au.violation = fmt.Errorf("L3: a query in lane %s is told to come back in %v", name, v.RetryAfter)
 	}
 }
 
 // Check names the first of L1 (no lane refused with its floor not used up), L2 (no account within its guarantee), L3 (refused at
 // once and for nothing: a refusal is counted, and no more) and L6 (none at level 0) that did not hold, with the evidence.
 func (g *Gate) Check() error {
-	if g.books.broken != nil {
-		return g.books.broken
+	if g.auditor.violation != nil {
+		return g.auditor.violation
 	}
 	admitted, refused := uint64(0), uint64(0)
 	for j := range g.counts.Queries {
@@ -134,8 +134,8 @@
 			}
 		}
 	}
-	if admitted != g.books.admitted || refused != g.books.refused {
-		return fmt.Errorf("L3: %d admitted and %d refused by reason, %d and %d by verdict", admitted, refused, g.books.admitted, g.books.refused)
+	if admitted != g.auditor.admitted || refused != g.auditor.refused {
+		return fmt.Errorf("L3: %d admitted and %d refused by reason, %d and %d by verdict", admitted, refused, g.auditor.admitted, g.auditor.refused)
 	}
 	return nil
 }
--- a/internal/fleet/lanes/gate_test.go
+++ b/internal/fleet/lanes/gate_test.go
@@ -15,8 +15,8 @@
 
 const sec = time.Second
 
-// three lanes; gold is guaranteed 0.2, silver 0.1, of copper nobody is guaranteed anything.
-func three(more int) *laneconfig.Set {
+// newTestSet lanes; gold is guaranteed 0.2, silver 0.1, of copper nobody is guaranteed anything.
+func newTestSet(extraAccounts int) *laneconfig.Set {
 	lane := func(name string) laneconfig.Lane { return laneconfig.Lane{Name: name, Floor: 0.02, Lend: true} }
 	account := func(name string, lane int, guarantee, most float64) laneconfig.Account {
 		return laneconfig.Account{Name: name, Lane: lane, Guarantee: guarantee, MaxShare: most, Key: laneconfig.HashName(name)}
@@ -24,42 +24,42 @@
 	s := &laneconfig.Set{Slot: 10 * sec, Lanes: []laneconfig.Lane{lane("premium"), lane("plus"), lane("standard")},
 		Classes:  []laneconfig.Class{{Floor: 0.02, SendRetryAfter: true}, {Floor: 0.02}},
 		Accounts: []laneconfig.Account{account("gold", 0, 0.2, 0), account("silver", 1, 0.1, 0.15), account("copper", 1, 0, 0)}}
-	for i := range more {
+	for i := range extraAccounts {
 		name := fmt.Sprint("account", i)
-		s.Accounts = append(s.Accounts, account(name, i%3, 0.5/float64(more), 0))
+		s.Accounts = append(s.Accounts, account(name, i%3, 0.5/float64(extraAccounts), 0))
 	}
 	return s
 }
 
-// pressed is a fleet of ten that is asked 1500 and bears 1000, a tenth of all here.
-func pressed(level float64) State {
+// overloadedFleet is a fleet of ten that is asked 1500 and bears 1000, a tenth of all here.
+func overloadedFleet(level float64) LevelUpdate {
 	own := pressure.LocalLoad{Known: true, Offered: 150, ByLane: [pressure.MaxLanes]float64{0, 30, 120}}
 	fl := pressure.FleetLoad{Known: true, Offered: 1500, ByLane: [pressure.MaxLanes]float64{0, 300, 1200}, Members: 10}
-	return State{Level: level, Bears: 1000, Members: 10, Fleet: fl, Own: own, Slot: 7, SlotLeft: 4 * sec}
+	return LevelUpdate{Level: level, Capacity: 1000, Members: 10, Fleet: fl, Own: own, Slot: 7, SlotLeft: 4 * sec}
 }
 
-func gate(t testing.TB, level float64) *Gate {
-	g := New(sec, three(0), 10)
-	g.Level(sec, pressed(level))
+func newTestGate(t testing.TB, level float64) *Gate {
+	g := New(sec, newTestSet(0), 10)
+	g.SetLevel(sec, overloadedFleet(level))
 	return g
 }
 
-// play asks n times a second for some seconds and gives counts by reason.
-func play(g *Gate, from time.Duration, secs float64, rate int, q Ask) (n [Reasons]int) {
-	for i := range int(secs * float64(rate)) {
+// admitRepeatedly asks n times a second for some seconds and gives counts by reason.
+func admitRepeatedly(g *Gate, from time.Duration, duration float64, rate int, q Query) (n [NumReasons]int) {
+	for i := range int(duration * float64(rate)) {
 		v := g.Admit(from+time.Duration(i)*sec/time.Duration(rate), q)
-		n[v.How]++
+		n[v.Reason]++
 	}
 	return n
 }
 
-func TestWithinItsGuaranteeAnAccountIsAdmittedAndNoFurther(t *testing.T) {
-	g := gate(t, 0.9) // 0.2 of 1000 over ten: 20/s
-	if n := play(g, sec, 10, 20, Ask{Account: 0, Cost: 1}); n[Guaranteed] != 200 {
+func TestAccountIsAdmittedUpToItsGuarantee(t *testing.T) {
+	g := newTestGate(t, 0.9) // 0.2 of 1000 over ten: 20/s
+	if n := admitRepeatedly(g, sec, 10, 20, Query{Account: 0, Cost: 1}); n[Guaranteed] != 200 {
 		t.Errorf("at its guarantee: %v", n)
 	}
-	n := play(g, 12*sec, 10, 100, Ask{Account: 0, Cost: 1})
-	if n[Guaranteed] < 200 || n[Guaranteed] > 245 || n[Cut] < 650 {
+	n := admitRepeatedly(g, 12*sec, 10, 100, Query{Account: 0, Cost: 1})
+	if n[Guaranteed] < 200 || n[Guaranteed] > 245 || n[Shed] < 650 {
 		t.Errorf("at five times of it: %v", n)
 	}
 	if err := g.Check(); err != nil {
@@ -69,21 +69,21 @@
 
 // Two queries of some parts in a row, and then none for long, are within a guarantee of a part in two seconds; who has next to
 // nothing of one here can't spend a storm's worth at once.
-func TestTwoQueriesInARowAreWithinAGuarantee(t *testing.T) {
-	g := gate(t, 0.9)
-	g.Share(sec, 0, 0.0005) // 0.5/s
+func TestGuaranteeAllowsTwoQueriesInARow(t *testing.T) {
+	g := newTestGate(t, 0.9)
+	g.SetShare(sec, 0, 0.0005) // 0.5/s
 	for i := range 20 {
 		at := time.Duration(10+20*i) * sec
 		for range 2 {
-			if v := g.Admit(at, Ask{Account: 0, Cost: 4}); v.How != Guaranteed {
-				t.Fatalf("at %v: %s", at, v.How)
+			if v := g.Admit(at, Query{Account: 0, Cost: 4}); v.Reason != Guaranteed {
+				t.Fatalf("at %v: %s", at, v.Reason)
 			}
 		}
 	}
-	g.Share(500*sec, 0, 0.00001) // 0.01/s
+	g.SetShare(500*sec, 0, 0.00001) // 0.01/s
 	n := 0
 	for i := range 40 {
-		if v := g.Admit(time.Duration(1000+i)*sec, Ask{Account: 0, Cost: 1}); v.How == Guaranteed {
+		if v := g.Admit(time.Duration(1000+i)*sec, Query{Account: 0, Cost: 1}); v.Reason == Guaranteed {
 			n++
 		}
 	}
@@ -96,16 +96,16 @@
 }
 
 // Guards against one that wakes from a standstill with a part that it borrowed and that has been its lender's for seconds (L5).
-func TestWhoWakesHasItsEvenPart(t *testing.T) {
-	ask := func(steps bool) (n int) {
-		g := gate(t, 0.9)
-		g.Share(sec, 0, 0.2) // all of it, 200/s; the even part is a tenth
+func TestStalledCoordinatorUsesItsEvenShare(t *testing.T) {
+	admitAfterStall := func(setLevel bool) (n int) {
+		g := newTestGate(t, 0.9)
+		g.SetShare(sec, 0, 0.2) // samples of it, 200/s; the even part is a tenth
 		at := 11 * sec
-		if steps {
-			g.Level(at, pressed(0.9))
+		if setLevel {
+			g.SetLevel(at, overloadedFleet(0.9))
 		}
 		for i := range 600 {
-			if v := g.Admit(at+time.Duration(i)*5*time.Millisecond/3, Ask{Account: 0, Cost: 1}); v.How == Guaranteed {
+			if v := g.Admit(at+time.Duration(i)*5*time.Millisecond/3, Query{Account: 0, Cost: 1}); v.Reason == Guaranteed {
 				n++
 			}
 		}
@@ -114,34 +114,34 @@
 		}
 		return n
 	}
-	if n := ask(false); n > 65 {
+	if n := admitAfterStall(false); n > 65 {
 		t.Errorf("%d parts within a second, its even part is 20 a second and two seconds' worth at once", n)
 	}
-	if n := ask(true); n < 550 {
+	if n := admitAfterStall(true); n < 550 {
 		t.Errorf("%d after a step, of 200 a second and as much again", n)
 	}
 }
 
 // A false word with a huge rate of which no lane has its part has nothing more shed of the lanes that are known.
-func TestARateOfNoLaneShedsNothing(t *testing.T) {
+func TestRateWithoutLaneDoesNotRaiseShedding(t *testing.T) {
 	cut := func(asked float64) uint64 {
-		g, s := gate(t, 0), pressed(0.3)
+		g, s := newTestGate(t, 0), overloadedFleet(0.3)
 		s.Fleet.Offered = asked
-		g.Level(2*sec, s)
-		if g.lanes[2].full {
+		g.SetLevel(2*sec, s)
+		if g.lanes[2].shedAll {
 			return math.MaxUint64
 		}
-		return g.lanes[2].cut
+		return g.lanes[2].shedBelow
 	}
 	if a, b := cut(1500), cut(150_000); a != b {
 		t.Errorf("the last lane is cut at %x, and with a huge rate at %x", a, b)
 	}
 }
 
-func TestAQueryLargerThanTheBurstPassesAndIsPaidLater(t *testing.T) {
-	g := gate(t, 1)
-	g.Share(sec, 0, 0.002) // 2/s, burst 4
-	n := play(g, sec, 100, 1, Ask{Account: 0, Cost: 10})
+func TestQueryLargerThanBurstIsAdmittedOnCredit(t *testing.T) {
+	g := newTestGate(t, 1)
+	g.SetShare(sec, 0, 0.002) // 2/s, burst 4
+	n := admitRepeatedly(g, sec, 100, 1, Query{Account: 0, Cost: 10})
 	if all := n[Guaranteed] + n[Floor] + n[ClassFloor]; n[Guaranteed] < 19 || n[Guaranteed] > 22 || all > 62 {
 		t.Errorf("2/s in queries of 10, for 100 s: %v", n)
 	}
@@ -150,13 +150,13 @@
 	}
 }
 
-func TestNoLaneStarvesAndClassesKeepTheirFloor(t *testing.T) {
-	g := gate(t, 1)
-	n := play(g, sec, 10, 120, Ask{Account: -1, Cost: 1, Key: 3}) // floor of lane and class: about 2/s each here
-	if n[Floor] < 18 || n[Floor] > 24 || n[ClassFloor] < 16 || n[ClassFloor] > 24 || n[Cut] < 1100 {
+func TestLaneAndClassFloorsHoldAtFullLevel(t *testing.T) {
+	g := newTestGate(t, 1)
+	n := admitRepeatedly(g, sec, 10, 120, Query{Account: -1, Cost: 1, Key: 3}) // floor of lane and class: about 2/s each here
+	if n[Floor] < 18 || n[Floor] > 24 || n[ClassFloor] < 16 || n[ClassFloor] > 24 || n[Shed] < 1100 {
 		t.Errorf("a lane that is all shed: %v", n)
 	}
-	if n := play(g, 12*sec, 10, 30, Ask{Account: 2, Cost: 1}); n[Floor] < 18 {
+	if n := admitRepeatedly(g, 12*sec, 10, 30, Query{Account: 2, Cost: 1}); n[Floor] < 18 {
 		t.Errorf("another: %v", n)
 	}
 	if err := g.Check(); err != nil {
@@ -164,10 +164,10 @@
 	}
 }
 
-func TestTheLastLaneGivesWayFirstAndByAccountsAndSlots(t *testing.T) {
+func TestLastLaneIsShedFirstByKeyAndSlot(t *testing.T) {
 	cut := func(g *Gate, account int, key uint64) bool {
-		v := g.judge(2*sec, &Ask{Account: account, Key: key, Class: -1, Cost: 1})
-		return v.How != Free
+		v := g.decide(2*sec, &Query{Account: account, Key: key, Class: -1, Cost: 1})
+		return v.Reason != Free
 	}
 	share := func(g *Gate) (n float64) {
 		for k := range 10_000 {
@@ -177,7 +177,7 @@
 		}
 		return n
 	}
-	a, b := gate(t, 0.4), gate(t, 0.4) // half of the last lane's 1200 are 600
+	a, b := newTestGate(t, 0.4), newTestGate(t, 0.4) // half of the last lane's 1200 are 600
 	if s := share(a); math.Abs(s-0.5) > 0.02 || cut(a, 2, 0) {
 		t.Errorf("of the last lane %.3f is cut, of the middle one %v", s, cut(a, 2, 0))
 	}
@@ -190,9 +190,9 @@
 			same++
 		}
 	}
-	s := pressed(0.4)
+	s := overloadedFleet(0.4)
 	s.Slot++
-	b.Level(sec, s)
+	b.SetLevel(sec, s)
 	for k := range uint64(1000) {
 		if cut(a, -1, k) && cut(b, -1, k) {
 			same--
@@ -201,49 +201,49 @@
 	if same < 150 {
 		t.Errorf("%d were cut in one slot and not in the next", same)
 	}
-	c := gate(t, 0.9) // 1350 of 1200 and 300: half of the middle one as well
-	if s := share(c); s < 0.999 || math.Abs(float64(c.lanes[1].cut)/math.MaxUint64-0.5) > 0.01 || c.lanes[0].cut != 0 || c.lanes[0].full {
+	c := newTestGate(t, 0.9) // 1350 of 1200 and 300: half of the middle one as well
+	if s := share(c); s < 0.999 || math.Abs(float64(c.lanes[1].shedBelow)/math.MaxUint64-0.5) > 0.01 || c.lanes[0].shedBelow != 0 || c.lanes[0].shedAll {
 		t.Errorf("%.3f of the last lane, %v", s, c.lanes[:3])
 	}
 }
 
-func TestWhatOthersLeaveIdleIsBorrowed(t *testing.T) {
-	g := gate(t, 1)
-	if n := play(g, sec, 10, 100, Ask{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
+func TestIdleGuaranteesAreBorrowed(t *testing.T) {
+	g := newTestGate(t, 1)
+	if n := admitRepeatedly(g, sec, 10, 100, Query{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
 		t.Errorf("nothing was known to be idle: %v", n)
 	}
-	g.Level(20*sec, pressed(1))
-	play(g, 20*sec, 1, 100, Ask{Account: 0, Class: 1, Cost: 1}) // its own were idle as well
-	g.Level(21*sec, pressed(1))
-	n := play(g, 21*sec, 1, 100, Ask{Account: 0, Class: 1, Cost: 1})
+	g.SetLevel(20*sec, overloadedFleet(1))
+	admitRepeatedly(g, 20*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1}) // its own were idle as well
+	g.SetLevel(21*sec, overloadedFleet(1))
+	n := admitRepeatedly(g, 21*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1})
 	if n[Borrowed] < 8 || n[Borrowed] > 21 { // silver's 10/s
 		t.Errorf("of 10/s that are idle: %v", n)
 	}
 	for j := range g.set.Lanes {
 		g.set.Lanes[j].Lend = false
 	}
-	g.Level(40*sec, pressed(1))
-	if n := play(g, 40*sec, 1, 100, Ask{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
+	g.SetLevel(40*sec, overloadedFleet(1))
+	if n := admitRepeatedly(g, 40*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
 		t.Errorf("nobody lends: %v", n)
 	}
 }
 
-func TestMostOfLaneAndAccount(t *testing.T) {
-	g := gate(t, 0.3)
-	n := play(g, sec, 10, 100, Ask{Account: 1, Cost: 1}) // guaranteed 10/s, at most 15/s
-	if in := n[Guaranteed] + n[Free] + n[Floor] + n[ClassFloor] + n[Borrowed]; in < 140 || in > 185 || n[OverMost] < 600 {
+func TestLaneAndAccountLimits(t *testing.T) {
+	g := newTestGate(t, 0.3)
+	n := admitRepeatedly(g, sec, 10, 100, Query{Account: 1, Cost: 1}) // guaranteed 10/s, at most 15/s
+	if in := n[Guaranteed] + n[Free] + n[Floor] + n[ClassFloor] + n[Borrowed]; in < 140 || in > 185 || n[OverLimit] < 600 {
 		t.Errorf("over its most: %v", n)
 	}
-	set := three(0)
+	set := newTestSet(0)
 	set.Lanes[1].MaxShare = 0.1 // 10/s here
-	g.Set(20*sec, set)
-	g.Level(20*sec, pressed(0.7))
-	g.Level(21*sec, pressed(0.7)) // 0.7 of 1500 is under the last lane's 1200
+	g.SetConfig(20*sec, set)
+	g.SetLevel(20*sec, overloadedFleet(0.7))
+	g.SetLevel(21*sec, overloadedFleet(0.7)) // 0.7 of 1500 is under the last lane's 1200
 	for i := range 1000 {
-		g.Admit(21*sec+time.Duration(i)*10*time.Millisecond, Ask{Account: 2, Cost: 1})
+		g.Admit(21*sec+time.Duration(i)*10*time.Millisecond, Query{Account: 2, Cost: 1})
 	}
 	c := g.Counts()
-	if own, last := c.Queries[1][Free], c.Queries[2][Cut]+c.Queries[2][Free]; own < 90 || own > 140 || last < 800 {
+	if own, last := c.Queries[1][Free], c.Queries[2][Shed]+c.Queries[2][Free]; own < 90 || own > 140 || last < 800 {
 		t.Errorf("%d in its lane, %d as of the last", own, last)
 	}
 	if err := g.Check(); err != nil {
@@ -251,46 +251,46 @@
 	}
 }
 
-func TestRefusalsNameATimeAndYieldingIsOnlyWhileLevelsAre(t *testing.T) {
-	g := gate(t, 1)
+func TestRefusalsSetRetryAfterAndAdmissionsYieldWhileShedding(t *testing.T) {
+	g := newTestGate(t, 1)
 	seen := map[time.Duration]bool{}
 	for i := range 200 {
-		v := g.Admit(sec, Ask{Account: -1, Class: i % 2, Cost: 5, Key: 5})
+		v := g.Admit(sec, Query{Account: -1, Class: i % 2, Cost: 5, Key: 5})
 		if v.Admitted {
 			continue
 		}
-		if i%2 == 1 && v.After != 0 || i%2 == 0 && (v.After < 4*sec || v.After > 14*sec) {
-			t.Fatalf("class %d: come back in %v", i%2, v.After)
+		if i%2 == 1 && v.RetryAfter != 0 || i%2 == 0 && (v.RetryAfter < 4*sec || v.RetryAfter > 14*sec) {
+			t.Fatalf("class %d: come back in %v", i%2, v.RetryAfter)
 		}
-		seen[v.After] = true
+		seen[v.RetryAfter] = true
 	}
 	if len(seen) < 80 {
 		t.Errorf("%d times to come back", len(seen))
 	}
-	if v := g.Admit(sec, Ask{Account: 0, Cost: 1}); v.YieldBy != 1 || v.How != Guaranteed {
+	if v := g.Admit(sec, Query{Account: 0, Cost: 1}); v.PromiseDivisor != 1 || v.Reason != Guaranteed {
 		t.Errorf("%+v", v)
 	}
-	g.Level(2*sec, pressed(0.1))
-	free := g.judge(2*sec, &Ask{Account: 2, Cost: 1})
-	if free.How != Free || free.YieldBy <= 1 || free.YieldBy > YieldMost {
+	g.SetLevel(2*sec, overloadedFleet(0.1))
+	free := g.decide(2*sec, &Query{Account: 2, Cost: 1})
+	if free.Reason != Free || free.PromiseDivisor <= 1 || free.PromiseDivisor > MaxPromiseDivisor {
 		t.Errorf("%+v", free)
 	}
-	g.Level(3*sec, pressed(0))
-	if v := g.Admit(3*sec, Ask{Account: 2, Cost: 1}); v.YieldBy != 1 || v.How != Free {
+	g.SetLevel(3*sec, overloadedFleet(0))
+	if v := g.Admit(3*sec, Query{Account: 2, Cost: 1}); v.PromiseDivisor != 1 || v.Reason != Free {
 		t.Errorf("%+v", v)
 	}
 }
 
-func TestAnAccountThatMovesDownIsHeldToTheStricterAtOnce(t *testing.T) {
-	old := three(0)
-	next := three(0)
+func TestDowngradedAccountGetsTheStricterGuaranteeAtOnce(t *testing.T) {
+	old := newTestSet(0)
+	next := newTestSet(0)
 	next.Accounts[0].Lane, next.Accounts[0].Guarantee = 2, 0.02
 	g := New(sec, old, 10)
-	g.Level(sec, pressed(1))
-	play(g, sec, 10, 100, Ask{Account: 0, Cost: 1})
-	g.Set(11*sec, laneconfig.Stricter(old, next))
-	g.Level(11*sec, pressed(1))
-	if n := play(g, 11*sec, 10, 100, Ask{Account: 0, Class: -1, Cost: 1}); n[Guaranteed] < 18 || n[Guaranteed] > 26 {
+	g.SetLevel(sec, overloadedFleet(1))
+	admitRepeatedly(g, sec, 10, 100, Query{Account: 0, Cost: 1})
+	g.SetConfig(11*sec, laneconfig.Stricter(old, next))
+	g.SetLevel(11*sec, overloadedFleet(1))
+	if n := admitRepeatedly(g, 11*sec, 10, 100, Query{Account: 0, Class: -1, Cost: 1}); n[Guaranteed] < 18 || n[Guaranteed] > 26 {
 		t.Errorf("of 2/s: %v", n)
 	}
 	if err := g.Check(); err != nil {
@@ -299,55 +299,58 @@
 }
 
 // Each guard is taken out: what should be found is.
-func TestEachRuleIsFoundBroken(t *testing.T) {
-	for rule, breakIt := range map[string]func(g *Gate){
+func TestCheckReportsEachBrokenRule(t *testing.T) {
+	for rule, corrupt := range map[string]func(g *Gate){
 		"L1": func(g *Gate) { g.lanes[2].floor.tokens, g.classes[0].floor.tokens = -1e9, -1e9 },
-		"L2": func(g *Gate) { g.accounts[0].sure.tokens = -1e9; play(g, 2*sec, 10, 100, Ask{Account: -1, Cost: 1}) },
-		"L3": func(g *Gate) { g.counts.Queries[0][Cut]++ },
+		"L2": func(g *Gate) {
+			g.accounts[0].guaranteed.tokens = -1e9
+			admitRepeatedly(g, 2*sec, 10, 100, Query{Account: -1, Cost: 1})
+		},
+		"L3": func(g *Gate) { g.counts.Queries[0][Shed]++ },
 	} {
-		g := gate(t, 1)
-		breakIt(g)
-		g.Level(12*sec, pressed(1)) // it has not stood still
+		g := newTestGate(t, 1)
+		corrupt(g)
+		g.SetLevel(12*sec, overloadedFleet(1)) // it has not stood still
 		for range 20 {
-			g.Admit(12*sec, Ask{Account: 0, Class: 0, Cost: 1})
-			g.Admit(12*sec, Ask{Account: -1, Class: 0, Cost: 1})
+			g.Admit(12*sec, Query{Account: 0, Class: 0, Cost: 1})
+			g.Admit(12*sec, Query{Account: -1, Class: 0, Cost: 1})
 		}
 		if err := g.Check(); err == nil || !strings.HasPrefix(err.Error(), rule) {
 			t.Errorf("%s: %v", rule, err)
 		}
 	}
-	g := gate(t, 0)
-	g.books.seen(sec, g, &Ask{Account: -1}, &Verdict{How: Cut, Lane: 2})
+	g := newTestGate(t, 0)
+	g.auditor.observe(sec, g, &Query{Account: -1}, &Decision{Reason: Shed, Lane: 2})
 	if err := g.Check(); err == nil || !strings.HasPrefix(err.Error(), "L6") {
 		t.Errorf("L6: %v", err)
 	}
 }
 
 // Whatever comes, the rules hold by the books, buckets stay within bounds, and who is beyond gets no more than the rates.
-func TestRulesHoldWhateverComes(t *testing.T) {
+func TestRulesHoldForRandomInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := three(5)
+		set := newTestSet(5)
 		g, now := New(0, set, 10), time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(-100, 3000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				s := pressed(rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.9, 1, math.NaN(), -1, 7}).Draw(t, "level"))
-				s.Bears = rapid.SampledFrom([]float64{0, 10, 1000, 1e9, math.Inf(1), math.NaN()}).Draw(t, "bears")
+				s := overloadedFleet(rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.9, 1, math.NaN(), -1, 7}).Draw(t, "level"))
+				s.Capacity = rapid.SampledFrom([]float64{0, 10, 1000, 1e9, math.Inf(1), math.NaN()}).Draw(t, "bears")
 				s.Members = rapid.IntRange(0, 300).Draw(t, "members")
 				s.Fleet.Known = rapid.Bool().Draw(t, "known")
-				g.Level(now, s)
+				g.SetLevel(now, s)
 			case 1:
-				g.Share(now, rapid.IntRange(-1, 9).Draw(t, "account"), rapid.Float64Range(-1, 2).Draw(t, "share"))
+				g.SetShare(now, rapid.IntRange(-1, 9).Draw(t, "account"), rapid.Float64Range(-1, 2).Draw(t, "share"))
 			case 2:
-				next := three(rapid.IntRange(0, 8).Draw(t, "accounts"))
+				next := newTestSet(rapid.IntRange(0, 8).Draw(t, "accounts"))
 				next.Accounts[0].Guarantee = rapid.Float64Range(0, 0.3).Draw(t, "guarantee")
-				g.Set(now, next)
+				g.SetConfig(now, next)
 			default:
-				q := Ask{Account: rapid.IntRange(-1, 9).Draw(t, "of"), Class: rapid.IntRange(-1, 3).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
+				q := Query{Account: rapid.IntRange(-1, 9).Draw(t, "of"), Class: rapid.IntRange(-1, 3).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
 					Cost: rapid.SampledFrom([]float64{0, 0.1, 1, 1, 50, math.NaN(), -3}).Draw(t, "cost"), Retry: rapid.Bool().Draw(t, "retry")}
 				v := g.Admit(now, q)
-				if v.Admitted == v.How.Refused() || v.After < 0 || !(v.YieldBy >= 1 && v.YieldBy <= YieldMost) || v.Admitted && v.After != 0 {
+				if v.Admitted == v.Reason.Refused() || v.RetryAfter < 0 || !(v.PromiseDivisor >= 1 && v.PromiseDivisor <= MaxPromiseDivisor) || v.Admitted && v.RetryAfter != 0 {
 					t.Fatalf("%+v", v)
 				}
 			}
--- a/internal/fleet/lanes/norace_test.go
+++ b/internal/fleet/lanes/norace_test.go
@@ -2,4 +2,4 @@
 
 package lanes
 
-const race = false
+const raceEnabled = false
--- a/internal/fleet/loadshed/letters.go
+++ b/internal/fleet/loadshed/letters.go
@@ -108,7 +108,7 @@
 	}
 	said, rest := b[2+size:2+size+int(n)], b[2+size+int(n):]
 	if n > 0 {
-		if in, err = shares.Take(said, from, to); err != nil {
+		if in, err = shares.Decode(said, from, to); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -206,12 +206,12 @@
 			to = append(to, name)
 		}
 	}
-	var asks []shares.SendAsk
+	var asks []shares.SendRequest
 	for _, o := range out {
 		switch o := o.(type) {
-		case shares.SendLent:
+		case shares.SendReply:
 			put(o.To, o)
-		case shares.SendAsk:
+		case shares.SendRequest:
 			asks = append(asks, o)
 		}
 	}
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -19,11 +19,11 @@
 // A letter holds asks, answers and words; of one that is cut short, of another version or with something behind nothing counts.
 func TestMessageRoundTripAndDamage(t *testing.T) {
 	var said []byte
-	said = shares.Append(said, shares.SendAsk{To: "b", Ask: shares.Ask{From: "a", Incarnation: 1, No: 2, Revision: 2, Account: 7, Want: 5}})
-	said = shares.Append(said, shares.SendLent{To: "b", Lent: shares.Lent{From: "a", To: "b", Incarnation: 4, No: 5, Revision: 2, Account: 6, Amount: 9}})
+	said = shares.Append(said, shares.SendRequest{To: "b", Request: shares.LoanRequest{From: "a", Incarnation: 1, Seq: 2, Revision: 2, Account: 7, Want: 5}})
+	said = shares.Append(said, shares.SendReply{To: "b", Reply: shares.LoanReply{From: "a", To: "b", Incarnation: 4, Seq: 5, Revision: 2, Account: 6, Amount: 9}})
 	raw := encodeMessage(said, exampleReport("a"), exampleReport("c"))
 	words, in, err := decodeMessage(raw, "a", "b")
-	if err != nil || len(words) != 2 || words[1].From != "c" || len(in) != 2 || in[0].(shares.Ask).Want != 5 {
+	if err != nil || len(words) != 2 || words[1].From != "c" || len(in) != 2 || in[0].(shares.LoanRequest).Want != 5 {
 		t.Fatal(words, in, err)
 	}
 	if raw[0] == peerproto.Version {
@@ -68,7 +68,7 @@
 
 func FuzzMessage(f *testing.F) {
 	f.Add(encodeMessage(nil, exampleReport("a")))
-	f.Add(encodeMessage(shares.Append(nil, shares.SendAsk{Ask: shares.Ask{No: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
+	f.Add(encodeMessage(shares.Append(nil, shares.SendRequest{Request: shares.LoanRequest{Seq: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := newTestFleet(t, 3, "n%d", compile(t, section(1), 1))
 		p := s.shedders[0]
--- a/internal/fleet/loadshed/share.go
+++ b/internal/fleet/loadshed/share.go
@@ -42,8 +42,8 @@
 	if s.set == nil {
 		return nil
 	}
-	news := []shares.Input{shares.Set{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Members{Agreed: crew.AgreedCount, Live: crew.Live}}
-	by, bears := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Bears()
+	news := []shares.Input{shares.Config{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Membership{Agreed: crew.AgreedCount, Live: crew.Live}}
+	by, bears := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Capacity()
 	w := &s.accountDemand
 	keep := w.accounts[:0]
 	for _, a := range w.accounts {
@@ -55,7 +55,7 @@
 			keep = append(keep, a)
 		}
 		if g := s.set.Accounts[a].Guarantee; g > 0 && bears > 0 {
-			news = append(news, shares.Demand{Account: uint32(a), Want: int64(min(1, w.rates[a]/(g*bears)) * shares.Whole)})
+			news = append(news, shares.Demand{Account: uint32(a), Want: int64(min(1, w.rates[a]/(g*bears)) * shares.GuaranteeUnits)})
 		}
 	}
 	w.accounts = keep
@@ -76,30 +76,30 @@
 	var list []accountShare
 	add := func(account uint32, amount int64) {
 		if int(account) < len(s.set.Accounts) { // a mixed set has some more
-			list = append(list, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
+			list = append(list, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.GuaranteeUnits})
 		}
 	}
 	for _, o := range out {
 		switch o := o.(type) {
-		case shares.Even:
-			if o.Part != s.evenShare {
-				s.evenShare = o.Part
+		case shares.DefaultShare:
+			if o.Share != s.evenShare {
+				s.evenShare = o.Share
 				for a := range s.set.Accounts {
-					add(uint32(a), s.shares.Use(uint32(a)))
+					add(uint32(a), s.shares.Usable(uint32(a)))
 				}
 			}
-		case shares.Part:
-			if o.Part == shares.Evenly {
-				o.Part = s.evenShare
+		case shares.AccountShare:
+			if o.Share == shares.UseDefault {
+				o.Share = s.evenShare
 			}
-			add(o.Account, o.Part)
+			add(o.Account, o.Share)
 		}
 	}
 	for len(list) > 0 {
 		n := min(len(list), sharesPerLock)
 		s.mu.Lock()
 		for _, p := range list[:n] {
-			s.gate.Share(now, p.account, p.share)
+			s.gate.SetShare(now, p.account, p.share)
 		}
 		s.mu.Unlock()
 		list = list[n:]
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -285,7 +285,7 @@
 	gold, _ := s.run(20*time.Second, ask)
 	t.Logf("%v of a home part of 30 a second", gold[0])
 	if gold[0][0] < gold[0][1]*85/100 {
-		t.Errorf("%v: shares %v of %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
+		t.Errorf("%v: shares %v of %v", gold[0], s.shedders[0].shares.Usable(0), s.shedders[0].shares.HomeShare())
 	}
 	s.checkInvariantsHeld()
 }
--- a/internal/fleet/pressure/pressure.go
+++ b/internal/fleet/pressure/pressure.go
@@ -2,7 +2,7 @@
 // it gives of it to others (Word), what it heard of them (News), and the whole fleet's figures from that (Fleet), which a tenth of
 // false words cannot move beyond what honest ones say.
 //
-// Pure: time comes in, order never comes from a map, all is bounded. Cost is counted in mean parts (see lanes.Cost), rates are cost
+// Pure: time comes in, order never comes from a map, all is bounded. Cost is counted in mean parts (see lanes.CostEstimator), rates are cost
 // a second.
 package pressure
 
--- a/internal/fleet/shares/loans.go
+++ b/internal/fleet/shares/loans.go
@@ -5,126 +5,128 @@
 	"slices"
 )
 
-// lend answers a peer's ask out of what is idle of the home part.
-func (s *Shares) lend(a Ask) {
-	if a.Revision != s.revision || a.Account >= uint32(s.accounts) || a.From == s.o.Name || a.From == "" || a.Want <= 0 {
+// handleRequest answers a peer's ask out of what is idle of the home part.
+func (s *Shares) handleRequest(request LoanRequest) {
+	if request.Revision != s.revision || request.Account >= uint32(s.accounts) || request.From == s.options.Name || request.From == "" || request.Want <= 0 {
 		return
 	}
-	k := key{a.From, a.Account}
-	answer := Lent{From: s.o.Name, To: a.From, Incarnation: a.Incarnation, No: a.No, Revision: s.revision, Account: a.Account}
+	k := loanKey{request.From, request.Account}
+	reply := LoanReply{From: s.options.Name, To: request.From, Incarnation: request.Incarnation, Seq: request.Seq, Revision: s.revision, Account: request.Account}
 	l := s.lent[k]
 	switch {
 	case l == nil:
-		amount := min(a.Want, s.Home()/StepPart, s.idle(a.Account))
-		if amount > 0 && len(s.lent) < LoansMost {
-			l = &loan{peer: a.From, incarnation: a.Incarnation, account: a.Account, no: a.No, amount: amount, until: s.now + lenderFor}
+		amount := min(request.Want, s.HomeShare()/LoanDivisor, s.lendable(request.Account))
+		if amount > 0 && len(s.lent) < MaxLoans {
+			l = &loan{peer: request.From, incarnation: request.Incarnation, account: request.Account, seq: request.Seq, amount: amount, expiresAt: s.now + lenderLoanDuration}
 			s.lent[k] = l
-			s.lentSum[a.Account] += amount
-			answer.Amount = amount
+			s.lentTotal[request.Account] += amount
+			reply.Amount = amount
 		}
-	case a.Incarnation != l.incarnation: // the process before may have it, and this one doesn't know
-	case a.No < l.no: // late: a newer one was answered
+	case request.Incarnation != l.incarnation: // the process before may have it, and this one doesn't know
+	case request.Seq < l.seq: // late: a newer one was answered
 		return
-	case a.No == l.no: // repeated: it is the same loan, which ends when it did
-		answer.Amount = l.amount
-	case s.idle(a.Account) >= 0: // it goes on, as long as nothing of it is missed here
-		l.no, l.until = a.No, s.now+lenderFor
-		answer.Amount = l.amount
+	case request.Seq == l.seq: // repeated: it is the same loan, which ends when it did
+		reply.Amount = l.amount
+	case s.lendable(request.Account) >= 0: // it goes on, as long as nothing of it is missed here
+		l.seq, l.expiresAt = request.Seq, s.now+lenderLoanDuration
+		reply.Amount = l.amount
 	}
-	s.out = append(s.out, SendLent{To: a.From, Lent: answer})
+	s.out = append(s.out, SendReply{To: request.From, Reply: reply})
 }
 
-// idle is what of an account may be lent beyond what is: what is neither in use here, with some to spare, nor more than the part
+// lendable is what of an account may be lent beyond what is: what is neither in use here, with some to spare, nor more than the part
 // of it that may be lent at all. Below 0: what is lent is missed.
-func (s *Shares) idle(account uint32) int64 {
-	want := s.want[account]
-	lent := s.lentSum[account]
-	left := min(s.Home()/LendPart-lent, s.Home()-lent-want-want/Spare)
-	if s.young() {
-		return min(left, 0) // its own half is all there is for sure
+func (s *Shares) lendable(account uint32) int64 {
+	wanted := s.wanted[account]
+	lent := s.lentTotal[account]
+	free := min(s.HomeShare()/LendDivisor-lent, s.HomeShare()-lent-wanted-wanted/ReserveDivisor)
+	if s.recovering() {
+		return min(free, 0) // its own half is all there is for sure
 	}
-	return left
+	return free
 }
 
-func (s *Shares) unlend(k key, l *loan) {
+func (s *Shares) removeLent(k loanKey, l *loan) {
 	delete(s.lent, k)
-	if s.lentSum[l.account] -= l.amount; s.lentSum[l.account] == 0 {
-		delete(s.lentSum, l.account)
+	if s.lentTotal[l.account] -= l.amount; s.lentTotal[l.account] == 0 {
+		delete(s.lentTotal, l.account)
 	}
 }
 
-// take notes what a peer lent, if it answers an ask that is still known. Its time counts from the sending of that ask.
-func (s *Shares) take(r Lent) {
-	k := key{r.From, r.Account}
-	a, ok := s.asks[k]
-	if !ok || r.To != s.o.Name || r.Incarnation != s.o.Incarnation || r.Revision != s.revision || r.No != a.no || r.Account != a.account {
+// handleReply notes what a peer lent, if it answers an ask that is still known. Its time counts from the sending of that ask.
+func (s *Shares) handleReply(reply LoanReply) {
+	k := loanKey{reply.From, reply.Account}
+	request, ok := s.pending[k]
+	if !ok || reply.To != s.options.Name || reply.Incarnation != s.options.Incarnation || reply.Revision != s.revision || reply.Seq != request.seq || reply.Account != request.account {
 		return
 	}
-	delete(s.asks, k)
-	if r.Amount <= 0 || r.Amount > Whole || a.at+borrowerFor <= s.now {
+	delete(s.pending, k)
+	if reply.Amount <= 0 || reply.Amount > GuaranteeUnits || request.sentAt+borrowerLoanDuration <= s.now {
 		return
 	}
 	if l := s.borrowed[k]; l != nil {
-		l.no, l.until, l.amount = r.No, a.at+borrowerFor, r.Amount
-	} else if len(s.borrowed) < LoansMost {
-		s.borrowed[k] = &loan{peer: r.From, account: r.Account, no: r.No, amount: r.Amount, until: a.at + borrowerFor}
+		l.seq, l.expiresAt, l.amount = reply.Seq, request.sentAt+borrowerLoanDuration, reply.Amount
+	} else if len(s.borrowed) < MaxLoans {
+		s.borrowed[k] = &loan{peer: reply.From, account: reply.Account, seq: reply.Seq, amount: reply.Amount, expiresAt: request.sentAt + borrowerLoanDuration}
 	}
-	s.sumUp()
+	s.updateBorrowedTotal()
 }
 
-// short is an account of which more is wanted than may be used.
-type short struct {
+// shortage is an account of which more is wanted than may be used.
+type shortage struct {
 	account uint32
-	lacks   int64
+	amount  int64
 }
 
-// ask keeps what is borrowed and still wanted, and looks for more at peers drawn anew each time.
-func (s *Shares) ask() {
-	if s.stepped && s.askedAt > 0 && s.now < s.askedAt+AskEvery {
+// requestLoans keeps what is borrowed and still wanted, and looks for more at peers drawn anew each time.
+func (s *Shares) requestLoans() {
+	if s.stepped && s.lastRoundAt > 0 && s.now < s.lastRoundAt+RequestInterval {
 		return
 	}
-	s.askedAt = s.now
-	var lacking []short
-	for a, want := range s.want {
-		if lacks := want - s.Use(a); lacks > 0 {
-			lacking = append(lacking, short{a, lacks})
+	s.lastRoundAt = s.now
+	var shortages []shortage
+	for a, wanted := range s.wanted {
+		if missing := wanted - s.Usable(a); missing > 0 {
+			shortages = append(shortages, shortage{a, missing})
 		}
 	}
-	slices.SortFunc(lacking, func(a, b short) int { return cmp.Or(cmp.Compare(b.lacks, a.lacks), cmp.Compare(a.account, b.account)) })
-	lacking = lacking[:min(len(lacking), ShortMost)]
-	s.renew()
-	for range min(AskPeers, len(s.peers)) {
+	slices.SortFunc(shortages, func(a, b shortage) int {
+		return cmp.Or(cmp.Compare(b.amount, a.amount), cmp.Compare(a.account, b.account))
+	})
+	shortages = shortages[:min(len(shortages), MaxRequestsPerPeer)]
+	s.renewLoans()
+	for range min(PeersPerRound, len(s.peers)) {
 		peer := s.peers[s.rng.IntN(len(s.peers))]
-		for _, l := range lacking {
-			k := key{peer, l.account}
-			if a, waits := s.asks[k]; s.borrowed[k] == nil && !(waits && s.now < a.at+askAgain) {
-				s.send(k, l.lacks)
+		for _, l := range shortages {
+			k := loanKey{peer, l.account}
+			if request, waiting := s.pending[k]; s.borrowed[k] == nil && !(waiting && s.now < request.sentAt+requestTimeout) {
+				s.sendRequest(k, l.amount)
 			}
 		}
 	}
 }
 
-// renew asks for what is borrowed before it fades, where it is wanted still.
-func (s *Shares) renew() {
-	var due []key
+// renewLoans asks for what is borrowed before it fades, where it is wanted still.
+func (s *Shares) renewLoans() {
+	var expiring []loanKey
 	for k, l := range s.borrowed {
-		a, waits := s.asks[k]
-		if s.now < l.until-borrowerFor/2 || waits && s.now < a.at+askAgain || s.want[k.account] <= s.Home()-s.lentSum[k.account] {
+		request, waiting := s.pending[k]
+		if s.now < l.expiresAt-borrowerLoanDuration/2 || waiting && s.now < request.sentAt+requestTimeout || s.wanted[k.account] <= s.HomeShare()-s.lentTotal[k.account] {
 			continue
 		}
-		due = append(due, k)
+		expiring = append(expiring, k)
 	}
-	slices.SortFunc(due, func(a, b key) int {
-		return cmp.Or(cmp.Compare(s.borrowed[a].until, s.borrowed[b].until), cmp.Compare(a.peer, b.peer), cmp.Compare(a.account, b.account))
+	slices.SortFunc(expiring, func(a, b loanKey) int {
+		return cmp.Or(cmp.Compare(s.borrowed[a].expiresAt, s.borrowed[b].expiresAt), cmp.Compare(a.peer, b.peer), cmp.Compare(a.account, b.account))
 	})
-	for _, k := range due[:min(len(due), ShortMost)] {
-		s.send(k, s.borrowed[k].amount)
+	for _, k := range expiring[:min(len(expiring), MaxRequestsPerPeer)] {
+		s.sendRequest(k, s.borrowed[k].amount)
 	}
 }
 
-func (s *Shares) send(k key, want int64) {
-	s.last++
-	s.asks[k] = asked{no: s.last, at: s.now, account: k.account}
-	s.out = append(s.out, SendAsk{To: k.peer, Ask: Ask{From: s.o.Name, Incarnation: s.o.Incarnation, No: s.last, Revision: s.revision,
-		Account: k.account, Want: min(want, Whole)}})
+func (s *Shares) sendRequest(k loanKey, amount int64) {
+	s.lastSeq++
+	s.pending[k] = pendingRequest{seq: s.lastSeq, sentAt: s.now, account: k.account}
+	s.out = append(s.out, SendRequest{To: k.peer, Request: LoanRequest{From: s.options.Name, Incarnation: s.options.Incarnation, Seq: s.lastSeq, Revision: s.revision,
+		Account: k.account, Want: min(amount, GuaranteeUnits)}})
 }
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -17,39 +17,39 @@
 	"time"
 )
 
-// Whole is the whole of one account's guarantee; all amounts are parts of it.
-const Whole = 1_000_000
+// GuaranteeUnits is the whole of one account's guarantee; all amounts are parts of it.
+const GuaranteeUnits = 1_000_000
 
 // Times and bounds.
 const (
-	// LoanFor is how long a loan lasts for its borrower.
-	LoanFor = 10 * time.Second
-	// Drift is by how much two clocks may run apart: one part of so many.
-	Drift = 100
-	// AskEvery is between asks for one account.
-	AskEvery = 250 * time.Millisecond
-	// AskPeers are asked each time.
-	AskPeers = 2
-	// LendPart: of its home part each lends at most one part of so many, in all. More would leave a new process, which may not use it
+	// LoanDuration is how long a loan lasts for its borrower.
+	LoanDuration = 10 * time.Second
+	// DriftDivisor is by how much two clocks may run apart: one part of so many.
+	DriftDivisor = 100
+	// RequestInterval is between asks for one account.
+	RequestInterval = 250 * time.Millisecond
+	// PeersPerRound are asked each time.
+	PeersPerRound = 2
+	// LendDivisor: of its home part each lends at most one part of so many, in all. More would leave a new process, which may not use it
 	// while old loans last, too little; less moves less to where traffic lands.
-	LendPart = 2
-	// StepPart: one loan is at most one part of so many of the home part.
-	StepPart = 4
-	// Spare is left to a lender above its own use of late: one part of so many of it.
-	Spare = 4
-	// RaiseAfter is how long fewer co-ordinators are agreed before home parts grow.
-	RaiseAfter = LoanFor
-	// ShortMost accounts are asked for in one message, the shortest first.
-	ShortMost = 64
-	// LoansMost are kept as a lender, and as many as a borrower; further ones are not made.
-	LoansMost = 65_536
+	LendDivisor = 2
+	// LoanDivisor: one loan is at most one part of so many of the home part.
+	LoanDivisor = 4
+	// ReserveDivisor is left to a lender above its own use of late: one part of so many of it.
+	ReserveDivisor = 4
+	// GrowAfter is how long fewer co-ordinators are agreed before home parts grow.
+	GrowAfter = LoanDuration
+	// MaxRequestsPerPeer accounts are asked for in one message, the shortest first.
+	MaxRequestsPerPeer = 64
+	// MaxLoans are kept as a lender, and as many as a borrower; further ones are not made.
+	MaxLoans = 65_536
 )
 
 // Options of one co-ordinator's part.
 type Options struct {
 	Name        string
 	Incarnation uint64 // of the process, greater than that of any process before of the same name
-	Fleet       int    // co-ordinators of the settings, until Members says what is agreed
+	FleetSize   int    // co-ordinators of the settings, until Members says what is agreed
 	Seed        uint64 // of whom it asks
 }
 
@@ -58,210 +58,212 @@
 	peer        string
 	incarnation uint64 // of the borrower's process
 	account     uint32
-	no          uint64 // of the ask
+	seq         uint64 // of the ask
 	amount      int64
-	until       time.Duration
+	expiresAt   time.Duration
 }
 
-type key struct {
+type loanKey struct {
 	peer    string
 	account uint32
 }
 
-// asked is an ask of ours that may still be answered.
-type asked struct {
-	no      uint64
-	at      time.Duration
+// pendingRequest is an ask of ours that may still be answered.
+type pendingRequest struct {
+	seq     uint64
+	sentAt  time.Duration
 	account uint32
 }
 
 // Shares is one co-ordinator's part. Not for several goroutines at once.
 type Shares struct {
-	o        Options
-	rng      *rand.Rand
-	began    time.Duration
-	stepped  bool
-	now      time.Duration
-	revision int // of the lanes in force; messages of another are passed over
-	accounts int
+	options         Options
+	rng             *rand.Rand
+	recoveringSince time.Duration
+	stepped         bool
+	now             time.Duration
+	revision        int // of the lanes in force; messages of another are passed over
+	accounts        int
 
-	members  int // by which home parts are counted
-	fewest   int // by which they were counted ever: loans of then may last
-	fewer    int // agreed since fewerAt, and to be counted by from RaiseAfter on; 0: none
-	fewerAt  time.Duration
-	peers    []string
-	last     uint64 // number of the newest ask
-	asks     map[key]asked
-	want     map[uint32]int64 // of late, by account
-	askedAt  time.Duration
-	lent     map[key]*loan
-	lentSum  map[uint32]int64
-	borrowed map[key]*loan
-	hasSum   map[uint32]int64 // of borrowed, as of now
-	out      []Output
-	told     map[uint32]int64 // what the gate was last told, where it is not the home part
+	members          int // by which home parts are counted
+	minMembers       int // by which they were counted ever: loans of then may last
+	pendingMembers   int // agreed since pendingMembersAt, and to be counted by from GrowAfter on; 0: none
+	pendingMembersAt time.Duration
+	peers            []string
+	lastSeq          uint64 // number of the newest ask
+	pending          map[loanKey]pendingRequest
+	wanted           map[uint32]int64 // of late, by account
+	lastRoundAt      time.Duration
+	lent             map[loanKey]*loan
+	lentTotal        map[uint32]int64
+	borrowed         map[loanKey]*loan
+	borrowedTotal    map[uint32]int64 // of borrowed, as of now
+	out              []Output
+	reported         map[uint32]int64 // what the gate was last told, where it is not the home part
 }
 
 // New makes it. Without a Set it holds no account.
 func New(o Options) *Shares {
 	h := fnv.New64a()
 	h.Write([]byte(o.Name)) // or all would ask the same two
-	return &Shares{o: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)), members: max(1, o.Fleet), fewest: max(1, o.Fleet), asks: map[key]asked{}, want: map[uint32]int64{},
-		lent: map[key]*loan{}, lentSum: map[uint32]int64{}, borrowed: map[key]*loan{}, hasSum: map[uint32]int64{}, told: map[uint32]int64{}}
+	return &Shares{options: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)), members: max(1, o.FleetSize), minMembers: max(1, o.FleetSize), pending: map[loanKey]pendingRequest{}, wanted: map[uint32]int64{},
+		lent: map[loanKey]*loan{}, lentTotal: map[uint32]int64{}, borrowed: map[loanKey]*loan{}, borrowedTotal: map[uint32]int64{}, reported: map[uint32]int64{}}
 }
 
-// Home is the own even part of each account, before loans.
-func (s *Shares) Home() int64 { return Whole / int64(s.members) }
+// HomeShare is the own even part of each account, before loans.
+func (s *Shares) HomeShare() int64 { return GuaranteeUnits / int64(s.members) }
 
-// free is what of a home part is never lent and what a new process may use, while loans of the one before may last.
-func (s *Shares) free() int64 { return s.Home() - s.Home()/LendPart }
+// unlendableShare is what of a home part is never lent and what a new process may use, while loans of the one before may last.
+func (s *Shares) unlendableShare() int64 { return s.HomeShare() - s.HomeShare()/LendDivisor }
 
-// young says that loans of the process before this one may last. Its lender's side ended them LoanFor and the drift after it
+// recovering says that loans of the process before this one may last. Its lender's side ended them LoanDuration and the drift after it
 // was heard; their borrowers began to count before that.
-func (s *Shares) young() bool { return s.now < s.began+LoanFor+LoanFor/Drift }
+func (s *Shares) recovering() bool {
+	return s.now < s.recoveringSince+LoanDuration+LoanDuration/DriftDivisor
+}
 
-// Use is what this co-ordinator may use of an account's guarantee now.
-func (s *Shares) Use(account uint32) int64 {
+// Usable is what this co-ordinator may use of an account's guarantee now.
+func (s *Shares) Usable(account uint32) int64 {
 	if account >= uint32(s.accounts) {
 		return 0
 	}
-	use := s.Home() - s.lentSum[account]
-	if s.young() {
-		use = min(use, s.free())
+	usable := s.HomeShare() - s.lentTotal[account]
+	if s.recovering() {
+		usable = min(usable, s.unlendableShare())
 	}
-	return max(0, use) + s.hasSum[account]
+	return max(0, usable) + s.borrowedTotal[account]
 }
 
-// sumUp adds up what is borrowed of each account. In its last third a loan fades, so that one that is cut off comes back to its
+// updateBorrowedTotal adds up what is borrowed of each account. In its last third a loan fades, so that one that is cut off comes back to its
 // home part by steps.
-func (s *Shares) sumUp() {
-	clear(s.hasSum)
+func (s *Shares) updateBorrowedTotal() {
+	clear(s.borrowedTotal)
 	for _, l := range s.borrowed {
-		s.hasSum[l.account] += l.worth(s.now)
+		s.borrowedTotal[l.account] += l.usable(s.now)
 	}
 }
 
-func (l *loan) worth(now time.Duration) int64 {
-	return l.amount * int64(max(0, min(l.until-now, LoanFor/3))) / int64(LoanFor/3)
+func (l *loan) usable(now time.Duration) int64 {
+	return l.amount * int64(max(0, min(l.expiresAt-now, LoanDuration/3))) / int64(LoanDuration/3)
 }
 
 // Step takes news at the own monotonic time and says what is to be sent and told. A time before the last one counts as the
 // last one. The result holds until the next call.
 func (s *Shares) Step(now time.Duration, in []Input) []Output {
 	if !s.stepped {
-		s.stepped, s.began = true, now
+		s.stepped, s.recoveringSince = true, now
 	}
 	s.now, s.out = max(now, s.now), s.out[:0]
-	s.age()
+	s.expire()
 	for _, i := range in {
 		switch i := i.(type) {
-		case Set:
-			s.set(i)
-		case Members:
-			s.count(i)
+		case Config:
+			s.applyConfig(i)
+		case Membership:
+			s.applyMembership(i)
 		case Demand:
-			s.demand(i)
-		case Ask:
-			s.lend(i)
-		case Lent:
-			s.take(i)
+			s.applyDemand(i)
+		case LoanRequest:
+			s.handleRequest(i)
+		case LoanReply:
+			s.handleReply(i)
 		}
 	}
-	s.ask()
-	s.tell()
+	s.requestLoans()
+	s.reportShares()
 	return s.out
 }
 
-// set begins anew with other accounts: numbers of accounts mean others from now on. What was lent is still in use by borrowers
+// applyConfig begins anew with other accounts: numbers of accounts mean others from now on. What was lent is still in use by borrowers
 // that have not heard of it, which a young process bears in mind.
-func (s *Shares) set(i Set) {
+func (s *Shares) applyConfig(i Config) {
 	if i.Revision == s.revision {
 		return
 	}
-	lends := len(s.lent) > 0
+	hadLoans := len(s.lent) > 0
 	s.revision, s.accounts = i.Revision, i.Accounts
-	clear(s.asks)
-	clear(s.want)
+	clear(s.pending)
+	clear(s.wanted)
 	clear(s.lent)
-	clear(s.lentSum)
+	clear(s.lentTotal)
 	clear(s.borrowed)
-	clear(s.hasSum)
-	clear(s.told)
-	if lends {
-		s.began = s.now
+	clear(s.borrowedTotal)
+	clear(s.reported)
+	if hadLoans {
+		s.recoveringSince = s.now
 	}
 }
 
-// count takes the agreed number of co-ordinators: more of them lower the home parts at once, fewer raise them later.
-func (s *Shares) count(i Members) {
-	s.peers = slices.DeleteFunc(slices.Clone(i.Live), func(name string) bool { return name == s.o.Name })
+// applyMembership takes the agreed number of co-ordinators: more of them lower the home parts at once, fewer raise them later.
+func (s *Shares) applyMembership(i Membership) {
+	s.peers = slices.DeleteFunc(slices.Clone(i.Live), func(name string) bool { return name == s.options.Name })
 	switch n := max(1, i.Agreed); {
 	case i.Agreed <= 0: // not known: as it was
 	case n >= s.members:
-		s.members, s.fewer = n, 0
-	case s.fewer == 0 || n > s.fewer:
-		s.fewer, s.fewerAt = n, s.now
+		s.members, s.pendingMembers = n, 0
+	case s.pendingMembers == 0 || n > s.pendingMembers:
+		s.pendingMembers, s.pendingMembersAt = n, s.now
 	}
 }
 
-func (s *Shares) demand(i Demand) {
+func (s *Shares) applyDemand(i Demand) {
 	if i.Account >= uint32(s.accounts) || i.Want <= 0 {
-		delete(s.want, i.Account)
+		delete(s.wanted, i.Account)
 		return
 	}
-	s.want[i.Account] = min(i.Want, Whole)
+	s.wanted[i.Account] = min(i.Want, GuaranteeUnits)
 }
 
-// age ends what is over.
-func (s *Shares) age() {
-	if s.fewer > 0 && s.now >= s.fewerAt+RaiseAfter {
-		s.members, s.fewer = s.fewer, 0
-		s.fewest = min(s.fewest, s.members)
+// expire ends what is over.
+func (s *Shares) expire() {
+	if s.pendingMembers > 0 && s.now >= s.pendingMembersAt+GrowAfter {
+		s.members, s.pendingMembers = s.pendingMembers, 0
+		s.minMembers = min(s.minMembers, s.members)
 	}
 	for k, l := range s.lent { // in any order: each is on its own
-		if s.now >= l.until {
-			s.unlend(k, l)
+		if s.now >= l.expiresAt {
+			s.removeLent(k, l)
 		}
 	}
 	for k, l := range s.borrowed {
-		if s.now >= l.until {
+		if s.now >= l.expiresAt {
 			delete(s.borrowed, k)
 		}
 	}
-	for k, a := range s.asks {
-		if s.now >= a.at+LoanFor {
-			delete(s.asks, k)
+	for k, a := range s.pending {
+		if s.now >= a.sentAt+LoanDuration {
+			delete(s.pending, k)
 		}
 	}
-	s.sumUp()
+	s.updateBorrowedTotal()
 }
 
-// tell has the gate know the part of most accounts, and of each of which it is another.
-func (s *Shares) tell() {
-	even := s.Home()
-	if s.young() {
-		even = s.free()
+// reportShares has the gate know the part of most accounts, and of each of which it is another.
+func (s *Shares) reportShares() {
+	defaultShare := s.HomeShare()
+	if s.recovering() {
+		defaultShare = s.unlendableShare()
 	}
-	s.out = append(s.out, Even{Part: even})
-	named := map[uint32]bool{}
-	for _, loans := range []map[key]*loan{s.lent, s.borrowed} {
+	s.out = append(s.out, DefaultShare{Share: defaultShare})
+	accounts := map[uint32]bool{}
+	for _, loans := range []map[loanKey]*loan{s.lent, s.borrowed} {
 		for k := range loans {
-			named[k.account] = true
+			accounts[k.account] = true
 		}
 	}
-	for a := range s.told {
-		named[a] = true
+	for a := range s.reported {
+		accounts[a] = true
 	}
-	for _, a := range slices.Sorted(maps.Keys(named)) {
-		use := s.Use(a)
-		was, told := s.told[a]
+	for _, a := range slices.Sorted(maps.Keys(accounts)) {
+		usable := s.Usable(a)
+		previous, reported := s.reported[a]
 		switch {
-		case use == even && told:
-			delete(s.told, a)
-			s.out = append(s.out, Part{Account: a, Part: Evenly})
-		case use != even && (!told || was != use):
-			s.told[a] = use
-			s.out = append(s.out, Part{Account: a, Part: use})
+		case usable == defaultShare && reported:
+			delete(s.reported, a)
+			s.out = append(s.out, AccountShare{Account: a, Share: UseDefault})
+		case usable != defaultShare && (!reported || previous != usable):
+			s.reported[a] = usable
+			s.out = append(s.out, AccountShare{Account: a, Share: usable})
 		}
 	}
 }
--- a/internal/fleet/shares/types.go
+++ b/internal/fleet/shares/types.go
@@ -4,15 +4,15 @@
 type Input interface{ input() }
 
 type (
-	// Set says which lanes are in force, and how many accounts of them have a guarantee, by their numbers from 0.
-	Set struct {
+	// Config says which lanes are in force, and how many accounts of them have a guarantee, by their numbers from 0.
+	Config struct {
 		Revision int
 		Accounts int
 	}
-	// Members says how many co-ordinators are agreed to be there, 0 if that is not known, and who is heard of now. Where more
+	// Membership says how many co-ordinators are agreed to be there, 0 if that is not known, and who is heard of now. Where more
 	// serve than are agreed, as one does that all others count as gone, the sum of all parts is over the guarantee by as many
 	// home parts: that is the slack.
-	Members struct {
+	Membership struct {
 		Agreed int
 		Live   []string
 	}
@@ -21,69 +21,69 @@
 		Account uint32
 		Want    int64
 	}
-	// Ask is a peer's wish to borrow, or to keep what it has. Numbers of a process only grow.
-	Ask struct {
+	// Request is a peer's wish to borrow, or to keep what it has. Numbers of a process only grow.
+	LoanRequest struct {
 		From        string
 		Incarnation uint64
-		No          uint64
+		Seq         uint64
 		Revision    int
 		Account     uint32
 		Want        int64
 	}
-	// Lent answers an Ask; Amount 0: there is nothing to be had.
-	Lent struct {
+	// Reply answers an Ask; Amount 0: there is nothing to be had.
+	LoanReply struct {
 		From        string // the lender
 		To          string
 		Incarnation uint64 // of the borrower
-		No          uint64 // of its ask
+		Seq         uint64 // of its ask
 		Revision    int
 		Account     uint32
 		Amount      int64
 	}
 )
 
-func (Set) input()     {}
-func (Members) input() {}
-func (Demand) input()  {}
-func (Ask) input()     {}
-func (Lent) input()    {}
+func (Config) input()      {}
+func (Membership) input()  {}
+func (Demand) input()      {}
+func (LoanRequest) input() {}
+func (LoanReply) input()   {}
 
 // Output is something to be done before the next Step.
 type Output interface{ output() }
 
 type (
-	// SendAsk goes to a peer; nothing follows if it is lost.
-	SendAsk struct {
-		To  string
-		Ask Ask
+	// SendRequest goes to a peer; nothing follows if it is lost.
+	SendRequest struct {
+		To      string
+		Request LoanRequest
 	}
-	// SendLent answers one.
-	SendLent struct {
-		To   string
-		Lent Lent
+	// SendReply answers one.
+	SendReply struct {
+		To    string
+		Reply LoanReply
 	}
-	// Even is the part of each account that no Part names.
-	Even struct{ Part int64 }
-	// Part is what may be used of one account now, until the next one of it.
-	Part struct {
+	// DefaultShare is the part of each account that no Part names.
+	DefaultShare struct{ Share int64 }
+	// Share is what may be used of one account now, until the next one of it.
+	AccountShare struct {
 		Account uint32
-		Part    int64
+		Share   int64
 	}
 )
 
-func (SendAsk) output()  {}
-func (SendLent) output() {}
-func (Even) output()     {}
-func (Part) output()     {}
+func (SendRequest) output()  {}
+func (SendReply) output()    {}
+func (DefaultShare) output() {}
+func (AccountShare) output() {}
 
-// Evenly as the part of one account: that of all that are not named.
-const Evenly = -1
+// UseDefault as the part of one account: that of all that are not named.
+const UseDefault = -1
 
-// askAgain is how long an ask waits for its answer before the same peer is asked again.
-const askAgain = 4 * AskEvery
+// requestTimeout is how long an ask waits for its answer before the same peer is asked again.
+const requestTimeout = 4 * RequestInterval
 
-// lenderFor is how long a lender counts a loan: its borrower counted from before, by a clock that may be slower.
-const lenderFor = LoanFor + LoanFor/Drift*2
+// lenderLoanDuration is how long a lender counts a loan: its borrower counted from before, by a clock that may be slower.
+const lenderLoanDuration = LoanDuration + LoanDuration/DriftDivisor*2
 
-// borrowerFor is how long a borrower counts a loan from the sending of its ask.
-const borrowerFor = LoanFor - LoanFor/Drift
+// borrowerLoanDuration is how long a borrower counts a loan from the sending of its ask.
+const borrowerLoanDuration = LoanDuration - LoanDuration/DriftDivisor
