--- a/cmd/birchctl/explain.go
+++ b/cmd/birchctl/explain.go
@@ -139,15 +139,15 @@
 	}
 	for _, h := range v.Holders {
 		r, _ := l.Ring.Find(snap.Replica[h.Replica-1])
-		eh := explainHolder{Reader: r.Name, DataCentre: r.DataCentre, Calls: h.Calls, Candidate: h.Chosen}
+		eh := explainHolder{Reader: r.Name, DataCentre: r.DataCentre, Calls: h.Calls, Candidate: h.Candidate}
 		for _, why := range []struct {
 			so   bool
 			text string
 		}{
 			{h.State == policy.Draining, "draining: the list says so"}, {h.State == policy.Removed, "gone: the list says so"},
-			{h.Down, "took nothing when last tried"}, {h.Suspect && !h.Down, "suspect for this class: bad outcomes of late"},
-			{h.ColdShut, "cold, and has had what it may take by now"}, {h.Cold && !h.ColdShut, "cold"},
-			{h.Chosen, "fewest of our calls out among the fittest"},
+			{h.Unavailable, "took nothing when last tried"}, {h.Suspect && !h.Unavailable, "suspect for this class: bad outcomes of late"},
+			{h.ColdLimited, "cold, and has had what it may take by now"}, {h.Cold && !h.ColdLimited, "cold"},
+			{h.Candidate, "fewest of our calls out among the fittest"},
 		} {
 			if why.so {
 				eh.Why = append(eh.Why, why.text)
--- a/cmd/birchctl/lanes.go
+++ b/cmd/birchctl/lanes.go
@@ -63,7 +63,7 @@
 	res := &explainedLane{Lane: s.Lanes[s.LaneOf(at)].Name, By: "nothing: it is in no account"}
 	if at >= 0 {
 		a := s.Accounts[at]
-		res.Account, res.Guarantee, res.Most, res.Home = a.Name, a.Guarantee, a.MaxShare, a.Guarantee/float64(max(1, l.Config.Policy.Aggregators))
+		res.Account, res.Guarantee, res.Most, res.Home = a.Name, a.Guarantee, a.MaxShare, a.Guarantee/float64(max(1, l.Config.Policy.Coordinators))
 		switch at {
 		case s.AccountOf(-1, -1, c.Mark):
 			res.By = "its mark"
--- a/cmd/birchctl/route.go
+++ b/cmd/birchctl/route.go
@@ -109,16 +109,16 @@
 			out = append(out, limitLine{limit, other, otherFrom})
 		}
 	}
-	add("time for the query", l.Time > 0, ms(l.Time), "time_ms", ms(c.GiveUp), "settings: give_up_s; the client's own if less")
-	add("time for a step", l.Step > 0, ms(l.Step), "step_ms", "none", "")
-	add("time for an attempt", l.TryFor > 0, ms(l.TryFor), "attempt_ms", "as long as the query", "")
-	add("attempts for a part", l.Attempts > 0, fmt.Sprint(l.Attempts), "attempts", fmt.Sprint(cfg.MaxAttempts), "settings: attempts_cap")
+	add("time for the query", l.Timeout > 0, ms(l.Timeout), "time_ms", ms(c.GiveUp), "settings: give_up_s; the client's own if less")
+	add("time for a step", l.StepTimeout > 0, ms(l.StepTimeout), "step_ms", "none", "")
+	add("time for an attempt", l.AttemptTimeout > 0, ms(l.AttemptTimeout), "attempt_ms", "as long as the query", "")
+	add("attempts for a part", l.MaxAttempts > 0, fmt.Sprint(l.MaxAttempts), "attempts", fmt.Sprint(cfg.MaxAttempts), "settings: attempts_cap")
 	add("second copies", l.NoCopies || r.Copies, fmt.Sprint(!l.NoCopies), "copies", fmt.Sprint(cfg.SecondCopies), "settings: second_copies")
 	add("a copy not before", l.CopyAfter > 0, ms(l.CopyAfter), "copy_after_ms", "the part is late", "the decisions")
-	add("share of the budget", l.Share > 0, fmt.Sprint(l.Share), "budget_share", "1", "")
+	add("share of the budget", l.BudgetShare > 0, fmt.Sprint(l.BudgetShare), "budget_share", "1", "")
 	add("floor of an answer", l.Floor > c.Floor, fmt.Sprint(l.Floor), "floor", fmt.Sprint(c.Floor), "settings: floor_by_class")
 	add("yields when nearly full", l.Yield, "true", "yields", "false", "")
-	add("longest time to come back", l.ComeBack > 0, ms(l.ComeBack), "come_back_ms", ms(cfg.MaxRetryAfter), "settings: max_retry_after_s")
+	add("longest time to come back", l.MaxRetryAfter > 0, ms(l.MaxRetryAfter), "come_back_ms", ms(cfg.MaxRetryAfter), "settings: max_retry_after_s")
 	room := func(limit string, has bool, value any, key string) {
 		if has {
 			out = append(out, limitLine{limit, fmt.Sprint(value), place + ".room." + key})
--- a/cmd/birchctl/route_test.go
+++ b/cmd/birchctl/route_test.go
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	lim := &table.Routes[0].Limits
-	lim.Time, lim.Attempts, lim.Floor, lim.ComeBack, lim.TryFor = 100, 50, 3, 90, 0.2
+	lim.Timeout, lim.MaxAttempts, lim.Floor, lim.MaxRetryAfter, lim.AttemptTimeout = 100, 50, 3, 90, 0.2
 	d.Routes = table
 	survives(t, d, 1, 4*runs())
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,10 +27,10 @@
 
 // Reasons of admission: Taken admits the query, each other one rejects it.
 const (
-	Taken   Reason = iota
-	TooFast        // its rate
-	NoRoom         // its room
-	Retries        // its client's budget of retries
+	Admitted     Reason = iota
+	RateLimited         // its rate
+	NoCapacity          // its room
+	RetryLimited        // its client's budget of retries
 )
 
 // Reasons names them in logs.
@@ -43,10 +43,10 @@
 }
 
 const (
-	clientsMost = 4096                   // client keys remembered; beyond, the ones idle longest are forgotten
-	retryBurst  = 3                      // retries of one client that may come at once: an app's three tries
-	roomPause   = 250 * time.Millisecond // the middle of the times named where room lacks: some queries' length
-	spread      = 0.5                    // of a named time, either way, by chance
+	maxClients         = 4096                   // retryBudget keys remembered; beyond, the ones idle longest are forgotten
+	retryBurst         = 3                      // retries of one client that may come at once: an app's three tries
+	capacityRetryAfter = 250 * time.Millisecond // the middle of the times named where room lacks: some queries' length
+	jitterShare        = 0.5                    // of a named time, either way, by chance
 )
 
 // Gate is the state of all routes.
@@ -65,7 +65,7 @@
 
 // New returns a gate for these routes and so many tenants.
 func New(rules []Rule, tenants int, seed uint64) *Gate {
-	clients, err := simplelru.NewLRU[client, *rate.Limiter](clientsMost, nil)
+	clients, err := simplelru.NewLRU[client, *rate.Limiter](maxClients, nil)
 	if err != nil {
 		panic("admission: " + err.Error()) // of a size that is not over 0
 	}
@@ -86,29 +86,29 @@
 // that is taken counts as open until Done.
 func (g *Gate) Admit(now time.Time, route, tenant int, key string, retry bool) Decision {
 	r := &g.rules[route]
-	if !g.roomFor(route) {
-		return Decision{NoRoom, g.jitter(roomPause)}
+	if !g.hasCapacity(route) {
+		return Decision{NoCapacity, g.jitter(capacityRetryAfter)}
 	}
-	if retry && r.RetryRate > 0 && !g.client(client{route, key}, r.RetryRate).AllowN(now, 1) {
-		return Decision{Retries, g.jitter(time.Duration(float64(time.Second) / r.RetryRate))}
+	if retry && r.RetryRate > 0 && !g.retryBudget(client{route, key}, r.RetryRate).AllowN(now, 1) {
+		return Decision{RetryLimited, g.jitter(time.Duration(float64(time.Second) / r.RetryRate))}
 	}
 	if b := g.buckets[route][tenant+1]; b != nil && !b.AllowN(now, 1) {
 		lack := 1 - b.TokensAt(now)
-		return Decision{TooFast, g.jitter(time.Duration(lack / r.Rate * float64(time.Second)))}
+		return Decision{RateLimited, g.jitter(time.Duration(lack / r.Rate * float64(time.Second)))}
 	}
 	g.open[route]++
 	return Decision{}
 }
 
-// Done gives back the room of one query that was taken.
-func (g *Gate) Done(route int) { g.open[route]-- }
+// Release gives back the room of one query that was taken.
+func (g *Gate) Release(route int) { g.open[route]-- }
 
 // Open is how many queries of a route are open.
 func (g *Gate) Open(route int) int { return g.open[route] }
 
-// roomFor tells whether one more may open: within the route's own room, or in what others leave idle. Half of each
+// hasCapacity tells whether one more may open: within the route's own room, or in what others leave idle. Half of each
 // lender's room stays its own, so that a lender that comes back finds some at once.
-func (g *Gate) roomFor(route int) bool {
+func (g *Gate) hasCapacity(route int) bool {
 	r := &g.rules[route]
 	if r.Queries == 0 || g.open[route] < r.Queries {
 		return true
@@ -125,8 +125,8 @@
 	return g.open[route]-r.Queries < idle
 }
 
-// client finds a client's budget of retries. The number of those remembered is bounded; the one idle longest goes first.
-func (g *Gate) client(c client, perSecond float64) *rate.Limiter {
+// retryBudget finds a client's budget of retries. The number of those remembered is bounded; the one idle longest goes first.
+func (g *Gate) retryBudget(c client, perSecond float64) *rate.Limiter {
 	b, ok := g.clients.Get(c)
 	if !ok {
 		b = rate.NewLimiter(rate.Limit(perSecond), retryBurst)
@@ -137,5 +137,5 @@
 
 // jitter spreads the returners around a time.
 func (g *Gate) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - spread + 2*spread*g.rng.Float64()))
+	return time.Duration(float64(d) * (1 - jitterShare + 2*jitterShare*g.rng.Float64()))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,10 +13,10 @@
 	taken := [2]int{}
 	for i := range 1000 { // tenant 0 floods for a second, tenant 1 asks five times
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		if g.Admit(now, 0, 0, "", false).Reason == Taken {
+		if g.Admit(now, 0, 0, "", false).Reason == Admitted {
 			taken[0]++
 		}
-		if i%200 == 0 && g.Admit(now, 0, 1, "", false).Reason == Taken {
+		if i%200 == 0 && g.Admit(now, 0, 1, "", false).Reason == Admitted {
 			taken[1]++
 		}
 	}
@@ -26,12 +26,12 @@
 }
 
 // After a standstill a bucket holds its burst and no more.
-func TestStandstillDoesNotOverflow(t *testing.T) {
+func TestIdlePeriodRefillsBurstOnly(t *testing.T) {
 	g := New([]Rule{{Rate: 10, Burst: 5}}, 0, 1)
 	g.Admit(start, 0, -1, "", false)
 	taken := 0
 	for range 100 {
-		if g.Admit(start.Add(30*time.Second), 0, -1, "", false).Reason == Taken {
+		if g.Admit(start.Add(30*time.Second), 0, -1, "", false).Reason == Admitted {
 			taken++
 		}
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestRoomAndBorrowing(t *testing.T) {
+func TestCapacityAndBorrowing(t *testing.T) {
 	g := New([]Rule{{Queries: 2, Borrow: true}, {Queries: 6}, {}}, 0, 1)
-	admit := func(route int) bool { return g.Admit(start, route, -1, "", false).Reason == Taken }
+	admit := func(route int) bool { return g.Admit(start, route, -1, "", false).Reason == Admitted }
 	n := 0
 	for admit(0) {
 		n++
@@ -58,7 +58,7 @@
 	if admit(1) || admit(0) {
 		t.Error("taken over the room")
 	}
-	g.Done(1)
+	g.Release(1)
 	if !admit(1) || g.Open(1) != 6 {
 		t.Error("room that was given back is not there")
 	}
@@ -75,11 +75,11 @@
 	for i := range 10 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		for _, key := range []string{"a", "b"} {
-			if g.Admit(now, 0, -1, key, true).Reason == Taken {
+			if g.Admit(now, 0, -1, key, true).Reason == Admitted {
 				got[key]++
 			}
 		}
-		if g.Admit(now, 0, -1, "a", false).Reason != Taken {
+		if g.Admit(now, 0, -1, "a", false).Reason != Admitted {
 			t.Error("a query that is no retry is counted as one")
 		}
 	}
@@ -91,22 +91,22 @@
 // However many clients come, the memory is bounded.
 func TestClientsAreBounded(t *testing.T) {
 	g := New([]Rule{{RetryRate: 1}}, 0, 1)
-	for i := range 3 * clientsMost {
+	for i := range 3 * maxClients {
 		g.Admit(start.Add(time.Duration(i)*time.Millisecond), 0, -1, fmt.Sprint(i), true)
 	}
-	if n := g.clients.Len(); n > clientsMost {
+	if n := g.clients.Len(); n > maxClients {
 		t.Errorf("%d clients remembered", n)
 	}
 }
 
 // Those who are refused at once do not all come back at once.
-func TestReturnersAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	g := New([]Rule{{Rate: 1, Burst: 1}}, 0, 1)
 	g.Admit(start, 0, -1, "", false)
 	seen := map[time.Duration]int{}
 	for range 200 {
 		d := g.Admit(start, 0, -1, "", false)
-		if d.Reason != TooFast || d.After < 400*time.Millisecond || d.After > 1600*time.Millisecond {
+		if d.Reason != RateLimited || d.After < 400*time.Millisecond || d.After > 1600*time.Millisecond {
 			t.Fatalf("%+v", d)
 		}
 		seen[d.After/(100*time.Millisecond)]++
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -147,7 +147,7 @@
 	c.turn(now)
 	switch ev.Kind {
 	case policy.QueryArrived:
-		q := &Query{ID: ev.Query, Class: ev.Class, Due: ev.Due, Step: 1, group: ev.Group}
+		q := &Query{ID: ev.Query, Class: ev.Class, Due: ev.Deadline, Step: 1, group: ev.Group}
 		c.queries[ev.Query], c.groups[ev.Group] = q, q
 		c.reqs = c.trim(append(c.reqs, now), now)
 	case policy.PartArrived:
@@ -200,7 +200,7 @@
 	}
 	a := &pt.Attempts[ev.Attempt]
 	a.Ended = true
-	a.NeverRan = ev.Outcome == policy.Rejected || ev.Outcome == policy.Unreachable || ev.Outcome == policy.Moot
+	a.NeverRan = ev.Outcome == policy.Rejected || ev.Outcome == policy.Unreachable || ev.Outcome == policy.NotSent
 	pt.in = pt.in || ev.Outcome == policy.OK
 	pt.Query.attempts--
 	c.forget(pt.Query)
@@ -282,11 +282,11 @@
 		if in < class.Floor-weightSlip || q.Step == 2 && class.Floor >= class.Need && !all {
 			c.fault(now, 5, 0, q.ID, "query %d was answered from %.3f of step %d", q.ID, in, q.Step)
 		}
-		if a.Full && (q.Step == 1 && in < class.Need-weightSlip || q.Step == 2 && !(all && q.whole)) {
+		if a.Complete && (q.Step == 1 && in < class.Need-weightSlip || q.Step == 2 && !(all && q.whole)) {
 			c.fault(now, 5, 0, q.ID, "query %d was marked whole from %.3f of step %d", q.ID, in, q.Step)
 		}
 		if q.Step == 1 && class.FollowUp > 0 {
-			q.Step, q.whole = 2, a.Full
+			q.Step, q.whole = 2, a.Complete
 			return
 		}
 	}
@@ -324,7 +324,7 @@
 	if c.cfg.MaxAttempts > 0 && len(pt.Attempts) >= c.cfg.MaxAttempts {
 		c.fault(now, 6, a.Replica, q.ID, "part %d has had its %d attempts", a.Part, len(pt.Attempts))
 	}
-	if len(pt.Attempts) > 0 && c.cfg.ExtraSpan > 0 {
+	if len(pt.Attempts) > 0 && c.cfg.ExtraWindow > 0 {
 		c.extras, c.reqs = c.trim(append(c.extras, now), now), c.trim(c.reqs, now)
 		if limit := c.cfg.ExtraFree + c.cfg.ExtraPerRequest*float64(len(c.reqs)); float64(len(c.extras)) > limit+timeSlip {
 			c.fault(now, 6, a.Replica, q.ID, "%d further attempts in the window, %.2f earned", len(c.extras), limit)
@@ -339,25 +339,25 @@
 func (c *Checker) warm(now float64, replica, query uint64) {
 	start := c.started[replica]
 	age := now - start
-	if c.Capacity == nil || start <= 0 || age >= c.cfg.WarmUp || c.cfg.FallMultiple <= 0 {
+	if c.Capacity == nil || start <= 0 || age >= c.cfg.WarmUp || c.cfg.OverloadMultiple <= 0 {
 		return
 	}
 	sent := append(c.cold[replica], now)
-	for len(sent) > 0 && sent[0] <= now-c.cfg.TipAfter || len(sent) > sentMost {
+	for len(sent) > 0 && sent[0] <= now-c.cfg.OverloadWindow || len(sent) > sentMost {
 		sent = sent[1:]
 	}
 	c.cold[replica] = sent
-	level := c.cfg.ColdFrom + (1-c.cfg.ColdFrom)*math.Max(0, age-c.cfg.TipAfter)/c.cfg.WarmUp
-	share := c.cfg.FallMultiple * level * c.Capacity(replica) * c.cfg.TipAfter / float64(max(1, c.cfg.Aggregators))
+	level := c.cfg.ColdCapacity + (1-c.cfg.ColdCapacity)*math.Max(0, age-c.cfg.OverloadWindow)/c.cfg.WarmUp
+	share := c.cfg.OverloadMultiple * level * c.Capacity(replica) * c.cfg.OverloadWindow / float64(max(1, c.cfg.Coordinators))
 	if float64(len(sent)) > 1+share {
-		c.fault(now, 4, replica, query, "%d parts in %g s to replica %d, up for %.2f s; our share is %.2f", len(sent), c.cfg.TipAfter, replica, age, share)
+		c.fault(now, 4, replica, query, "%d parts in %g s to replica %d, up for %.2f s; our share is %.2f", len(sent), c.cfg.OverloadWindow, replica, age, share)
 	}
 }
 
 // trim drops what has left the budget's window.
 func (c *Checker) trim(at []float64, now float64) []float64 {
 	i := 0
-	for i < len(at) && at[i] < now-c.cfg.ExtraSpan {
+	for i < len(at) && at[i] < now-c.cfg.ExtraWindow {
 		i++
 	}
 	return at[i:]
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -9,8 +9,8 @@
 
 func config() Config {
 	return Config{
-		Aggregators: 2, MaxAttempts: 2, DrainGrace: 0.25, AnswerSlack: 0.02, ColdFrom: 0.5, WarmUp: 10, FallMultiple: 2, TipAfter: 1,
-		ExtraFree: 1, ExtraPerRequest: 0, ExtraSpan: 1,
+		Coordinators: 2, MaxAttempts: 2, DrainGrace: 0.25, AnswerSlack: 0.02, ColdCapacity: 0.5, WarmUp: 10, OverloadMultiple: 2, OverloadWindow: 1,
+		ExtraFree: 1, ExtraPerRequest: 0, ExtraWindow: 1,
 		Classes: []Class{
 			{Effect: Safe, Need: 1, Floor: 1}, {Effect: Unsafe, Need: 1, Floor: 1}, {Effect: Keyed, Window: 1, Need: 0.5, Floor: 0.5, FollowUp: 1},
 		},
@@ -23,7 +23,7 @@
 }
 
 func ask(q uint64, class int, parts ...uint64) []any {
-	out := []any{Event{Kind: QueryArrived, Query: q, Group: q, Class: class, Due: 105}}
+	out := []any{Event{Kind: QueryArrived, Query: q, Group: q, Class: class, Deadline: 105}}
 	for _, p := range parts {
 		out = append(out, Event{Kind: PartArrived, Part: p, Group: q, Class: class, Weight: 1 / float64(len(parts))})
 	}
@@ -37,7 +37,7 @@
 // Each rule broken in the plainest way is found, and the same stream without the break is not.
 func TestEachRule(t *testing.T) {
 	send := func(p, r uint64) Action { return Action{Verb: Send, Part: p, Replica: r} }
-	answer := Action{Verb: Answer, Query: 1, Full: true}
+	answer := Action{Verb: Answer, Query: 1, Complete: true}
 	list := func(s Readiness, started float64) Event {
 		return Event{Kind: ListChanged, List: []Entry{{Replica: 7, State: s, Started: started}}}
 	}
@@ -53,7 +53,7 @@
 		"none":                 {1, 0, []uint64{2}, []step{{100, send(2, 7)}}},
 		"sent after":           {1, 0, []uint64{2, 3}, []step{{100, send(2, 7)}, {101, Action{Verb: Refuse, Query: 1}}, {101, send(3, 7)}}},
 		"unsafe again":         {2, 1, []uint64{2}, []step{{100, send(2, 7)}, {101, end(2, 0, Failed)}, {101, send(2, 8)}, {102, Action{Verb: Fail, Query: 1}}}},
-		"unsafe proved":        {0, 1, []uint64{2}, []step{{100, send(2, 7)}, {101, end(2, 0, Moot)}, {101, send(2, 8)}, {102, Action{Verb: Fail, Query: 1}}}},
+		"unsafe proved":        {0, 1, []uint64{2}, []step{{100, send(2, 7)}, {101, end(2, 0, NotSent)}, {101, send(2, 8)}, {102, Action{Verb: Fail, Query: 1}}}},
 		"unsafe refused":       {2, 1, []uint64{2}, []step{{100, send(2, 7)}, {101, end(2, 0, Failed)}, {101, Action{Verb: Refuse, Query: 1}}}},
 		"keyed late":           {2, 2, []uint64{2}, []step{{100, send(2, 7)}, {101.5, end(2, 0, Failed)}, {101.5, send(2, 8)}, {102, Action{Verb: Fail, Query: 1}}}},
 		"keyed in time":        {0, 2, []uint64{2}, []step{{100, send(2, 7)}, {100.5, end(2, 0, Failed)}, {100.5, send(2, 8)}, {102, Action{Verb: Fail, Query: 1}}}},
@@ -64,8 +64,8 @@
 		"cold, our share":      {0, 0, []uint64{2, 3, 4}, []step{{100, list(Up, 99.9)}, {100, send(2, 7)}, {101, Action{Verb: Refuse, Query: 1}}}},
 		"under the floor":      {5, 0, []uint64{2, 3}, []step{{100, send(2, 7)}, {101, end(2, 0, OK)}, {101, Action{Verb: Answer, Query: 1}}}},
 		"step two not whole":   {5, 2, []uint64{2, 3}, []step{{100, send(2, 7)}, {101, end(2, 0, OK)}, {101, answer}, {101, Event{Kind: PartArrived, Part: 9, Group: 1, Weight: 0.5}}, {101, Event{Kind: PartArrived, Part: 10, Group: 1, Weight: 0.5}}, {101, send(9, 7)}, {102, end(9, 0, OK)}, {102, answer}}},
-		"over the cap":         {6, 0, []uint64{2}, []step{{100, send(2, 7)}, {100, end(2, 0, Moot)}, {102, send(2, 7)}, {102, end(2, 1, Moot)}, {104, send(2, 7)}, {104, Action{Verb: Refuse, Query: 1}}}},
-		"over the budget":      {6, 0, []uint64{2, 3}, []step{{100, send(2, 7)}, {100, send(3, 7)}, {100, end(2, 0, Moot)}, {100, end(3, 0, Moot)}, {100, send(2, 7)}, {100, send(3, 7)}, {101, Action{Verb: Refuse, Query: 1}}}},
+		"over the cap":         {6, 0, []uint64{2}, []step{{100, send(2, 7)}, {100, end(2, 0, NotSent)}, {102, send(2, 7)}, {102, end(2, 1, NotSent)}, {104, send(2, 7)}, {104, Action{Verb: Refuse, Query: 1}}}},
+		"over the budget":      {6, 0, []uint64{2, 3}, []step{{100, send(2, 7)}, {100, send(3, 7)}, {100, end(2, 0, NotSent)}, {100, end(3, 0, NotSent)}, {100, send(2, 7)}, {100, send(3, 7)}, {101, Action{Verb: Refuse, Query: 1}}}},
 		"a copy not permitted": {6, 0, []uint64{2}, []step{{100, send(2, 7)}, {101, send(2, 8)}, {101, Action{Verb: Refuse, Query: 1}}}},
 	} {
 		k := checker.New(config())
@@ -96,16 +96,16 @@
 // What has ended is forgotten: a long stream does not grow.
 func TestForgets(t *testing.T) {
 	cfg := config()
-	cfg.ExtraSpan = 1
+	cfg.ExtraWindow = 1
 	k := checker.New(cfg)
 	for i := range uint64(10000) {
 		now := 100 + float64(i)
 		q := 10 * i
-		k.Event(now, Event{Kind: QueryArrived, Query: q, Group: q, Due: now + 5})
+		k.Event(now, Event{Kind: QueryArrived, Query: q, Group: q, Deadline: now + 5})
 		k.Event(now, Event{Kind: PartArrived, Part: q + 1, Group: q, Weight: 1})
 		k.Action(now, Action{Verb: Send, Part: q + 1, Replica: 7})
 		k.Event(now+0.5, end(q+1, 0, OK))
-		k.Action(now+0.5, Action{Verb: Answer, Query: q, Full: true})
+		k.Action(now+0.5, Action{Verb: Answer, Query: q, Complete: true})
 	}
 	held := 0
 	for id := range uint64(100001) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	p := c.Policy
-	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || p.Seed != 0x8c1f30d27a5be964 || p.Zone != 1 || p.Aggregators != 3 {
+	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || p.Seed != 0x8c1f30d27a5be964 || p.Zone != 1 || p.Coordinators != 3 {
 		t.Errorf("%+v", c)
 	}
 	if len(p.Classes) != 2 || p.Classes[0].Need != 0.75 || p.Classes[1].FollowUp != 5 || p.Classes[1].Effect != policy.Unsafe {
--- a/internal/config/refuse.go
+++ b/internal/config/refuse.go
@@ -67,21 +67,21 @@
 func (r *refuser) negative() {
 	p, l := &r.config.Policy, &r.config.Limits
 	numbers := map[string]float64{
-		"resolution_s": p.Resolution, "over_share_worth": p.OverShareKeep,
+		"resolution_s": p.Resolution, "over_share_worth": p.OverShareValue,
 		"allowed.attempts_cap": float64(p.MaxAttempts), "allowed.open_cap": float64(p.MaxOpen),
 		"allowed.max_retry_after_s": p.MaxRetryAfter, "family_info.overhead_s": p.CallOverhead,
 		"allowed.connect_timeout_s": l.ConnectTime.Seconds(), "allowed.conn_idle_s": l.ReplicaIdle.Seconds(),
 		"invariants.answer_slack_s": p.AnswerSlack, "invariants.drain_grace_s": p.DrainGrace,
-		"invariants.warm_up_s": p.WarmUp, "invariants.fall_multiple": p.FallMultiple, "invariants.tip_after_s": p.TipAfter,
+		"invariants.warm_up_s": p.WarmUp, "invariants.fall_multiple": p.OverloadMultiple, "invariants.tip_after_s": p.OverloadWindow,
 		"invariants.extra_free": p.ExtraFree, "invariants.extra_per_request": p.ExtraPerRequest,
-		"invariants.ratio_span_s": p.ExtraSpan, "invariants.must_ask_in_s": p.MustAskIn,
+		"invariants.ratio_span_s": p.ExtraWindow, "invariants.must_ask_in_s": p.MaxSubscribeDelay,
 	}
 	for path, x := range numbers {
 		if x < 0 {
 			r.mistakes.Add("settings."+path, r.text(path), "at least 0 is right")
 		}
 	}
-	if !isShare(p.ColdFrom) {
+	if !isShare(p.ColdCapacity) {
 		r.mistakes.Add("settings.invariants.cold_from", r.text("invariants.cold_from"), "a share from 0 to 1 is right")
 	}
 }
@@ -94,8 +94,8 @@
 	} else if p.Shards < 1 {
 		r.mistakes.Add("settings.family_info.shards", fmt.Sprint(p.Shards), "at least 1 is right")
 	}
-	if p.Ordinal < 0 || p.Ordinal >= p.Aggregators {
-		r.mistakes.Add("settings.ordinal", fmt.Sprint(p.Ordinal), "with fleet_size %d, from 0 to %d is right", p.Aggregators, p.Aggregators-1)
+	if p.Ordinal < 0 || p.Ordinal >= p.Coordinators {
+		r.mistakes.Add("settings.ordinal", fmt.Sprint(p.Ordinal), "with fleet_size %d, from 0 to %d is right", p.Coordinators, p.Coordinators-1)
 	}
 }
 
@@ -119,7 +119,7 @@
 		r.mistakes.Add(at+".promise_s", r.text(path+"promise_s"), "more than 0 s is right")
 	}
 	for name, x := range map[string]float64{
-		"give_up_s": class.GiveUp, "window_s": class.Window, "late_worth": class.LateWorth, "points": class.Points,
+		"give_up_s": class.GiveUp, "window_s": class.Window, "late_worth": class.LateValue, "points": class.Points,
 	} {
 		if x < 0 {
 			r.mistakes.Add(at+"."+name, fmt.Sprint(x), "at least 0 is right")
@@ -137,8 +137,8 @@
 	if class.FollowUp < 0 {
 		r.mistakes.Add(row("follow_up"), fmt.Sprint(class.FollowUp), "at least 0 is right")
 	}
-	if class.ShortWorth < 0 {
-		r.mistakes.Add(row("short_worth"), fmt.Sprint(class.ShortWorth), "at least 0 is right")
+	if class.PartialValue < 0 {
+		r.mistakes.Add(row("short_worth"), fmt.Sprint(class.PartialValue), "at least 0 is right")
 	}
 }
 
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -122,21 +122,21 @@
 	span("settings.resolution_s", p.Resolution)
 	for path, x := range map[string]float64{
 		"invariants.answer_slack_s": p.AnswerSlack, "invariants.drain_grace_s": p.DrainGrace, "invariants.warm_up_s": p.WarmUp,
-		"invariants.tip_after_s": p.TipAfter, "invariants.ratio_span_s": p.ExtraSpan, "invariants.must_ask_in_s": p.MustAskIn,
+		"invariants.tip_after_s": p.OverloadWindow, "invariants.ratio_span_s": p.ExtraWindow, "invariants.must_ask_in_s": p.MaxSubscribeDelay,
 		"allowed.max_retry_after_s": p.MaxRetryAfter, "allowed.conn_idle_s": c.Limits.ReplicaIdle.Seconds(),
 		"allowed.connect_timeout_s": c.Limits.ConnectTime.Seconds(),
 	} {
 		span("settings."+path, x)
 	}
-	share("settings.invariants.cold_from", p.ColdFrom)
-	share("settings.over_share_worth", p.OverShareKeep)
-	if p.FallMultiple < 0 {
-		ms.Add("settings.invariants.fall_multiple", fmt.Sprint(p.FallMultiple), "at least 0 is right")
+	share("settings.invariants.cold_from", p.ColdCapacity)
+	share("settings.over_share_worth", p.OverShareValue)
+	if p.OverloadMultiple < 0 {
+		ms.Add("settings.invariants.fall_multiple", fmt.Sprint(p.OverloadMultiple), "at least 0 is right")
 	}
-	if p.FallMultiple > 0 {
-		for path, x := range map[string]float64{"warm_up_s": p.WarmUp, "tip_after_s": p.TipAfter, "cold_from": p.ColdFrom} {
+	if p.OverloadMultiple > 0 {
+		for path, x := range map[string]float64{"warm_up_s": p.WarmUp, "tip_after_s": p.OverloadWindow, "cold_from": p.ColdCapacity} {
 			if x == 0 {
-				ms.Add("settings.invariants."+path, "0", "with fall_multiple %g it is more than 0", p.FallMultiple)
+				ms.Add("settings.invariants."+path, "0", "with fall_multiple %g it is more than 0", p.OverloadMultiple)
 			}
 		}
 	}
@@ -149,8 +149,8 @@
 	if p.MaxAttempts < 0 || p.MaxOpen < 0 {
 		ms.Add("settings.allowed", "", "attempts_cap and open_cap are at least 0, which means no limit")
 	}
-	if p.Ordinal < 0 || p.Ordinal >= p.Aggregators {
-		ms.Add("settings.ordinal", fmt.Sprint(p.Ordinal), "with fleet_size %d, from 0 to %d is right", p.Aggregators, p.Aggregators-1)
+	if p.Ordinal < 0 || p.Ordinal >= p.Coordinators {
+		ms.Add("settings.ordinal", fmt.Sprint(p.Ordinal), "with fleet_size %d, from 0 to %d is right", p.Coordinators, p.Coordinators-1)
 	}
 	if p.Reach > p.Cells {
 		ms.Add("settings.family_info.reach", fmt.Sprint(p.Reach), "there are only %d cells", p.Cells)
@@ -189,8 +189,8 @@
 	span(at+".promise_s", k.Promise)
 	span(at+".give_up_s", k.GiveUp)
 	span(at+".window_s", k.Window)
-	share(at+".late_worth", k.LateWorth)
-	for name, x := range map[string]float64{"need_by_class": k.Need, "floor_by_class": k.Floor, "short_worth": k.ShortWorth} {
+	share(at+".late_worth", k.LateValue)
+	for name, x := range map[string]float64{"need_by_class": k.Need, "floor_by_class": k.Floor, "short_worth": k.PartialValue} {
 		share(fmt.Sprintf("settings.family_info.%s[%d]", name, i), x)
 	}
 	if k.Promise == 0 {
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -166,7 +166,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &sink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
-	c := New(&config.Config{Discovery: a.address(), Policy: policy.Config{MustAsk: true}, Limits: calm}, 5, s, logrus.NewEntry(log))
+	c := New(&config.Config{Discovery: a.address(), Policy: policy.Config{MustSubscribe: true}, Limits: calm}, 5, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.Run(ctx)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -49,9 +49,9 @@
 // moment in which many may start.
 func New(cfg *config.Config, index int64, sink Sink, log *logrus.Entry) *Client {
 	c := &Client{
-		onDemand: cfg.Policy.MustAsk, limits: cfg.Limits, sink: sink, log: log,
+		onDemand: cfg.Policy.MustSubscribe, limits: cfg.Limits, sink: sink, log: log,
 		limitedLog: logs.Limit(log, cfg.Limits.LogEvery), watchRequested: make(chan struct{}, 1),
-		retry: newRetryPolicy(cfg.Policy.MustAsk, &cfg.Limits),
+		retry: newRetryPolicy(cfg.Policy.MustSubscribe, &cfg.Limits),
 	}
 	c.active = &feed{client: c, address: cfg.Discovery, index: index, fullListNeeded: !c.retry.shared || index == NoIndex, confirmedAt: time.Now()}
 	return c
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -150,7 +150,7 @@
 	log := logrus.New()
 	log.SetOutput(out)
 	s := &sink{make(chan exchange.ReplicaList, 1000), make(chan struct{}, 1000)}
-	c = New(&config.Config{Discovery: address, Policy: policy.Config{MustAsk: ask}, Limits: limits}, NoIndex, s, logrus.NewEntry(log))
+	c = New(&config.Config{Discovery: address, Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, NoIndex, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -147,7 +147,7 @@
 	if ask { // else the watch is opened at once: see TestAHeldListIsWatchedAtOnce
 		held = NoIndex
 	}
-	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustAsk: ask}, Limits: limits}, held, s, logrus.NewEntry(log))
+	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, held, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -51,8 +51,8 @@
 		ID: pt.frameID, Shard: pt.shard, Text: pt.query.Text, Due: pt.query.Due, Previous: pt.previous, Complete: pt.complete,
 		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.decisionTime(e.turnAt),
 	}
-	if act.TryFor > 0 {
-		if due := e.turnAt.Add(duration(act.TryFor)); due.Before(a.Due) {
+	if act.AttemptTimeout > 0 {
+		if due := e.turnAt.Add(duration(act.AttemptTimeout)); due.Before(a.Due) {
 			a.Due = due
 		}
 	}
@@ -122,10 +122,10 @@
 		return
 	}
 	if n := e.config.Classes[q.Class].FollowUp; n > 0 && q.step == 1 {
-		e.secondStep(q, n, a.Full)
+		e.secondStep(q, n, a.Complete)
 		return
 	}
-	r := Reply{Complete: a.Full}
+	r := Reply{Complete: a.Complete}
 	for _, pt := range q.parts {
 		if pt.answered {
 			r.Values = append(r.Values, Value{pt.shard, pt.value})
--- a/internal/exchange/endings_test.go
+++ b/internal/exchange/endings_test.go
@@ -176,7 +176,7 @@
 		s := newStand(t, nil)
 		q := s.ask("q", 0, 1)
 		s.e.send(&policy.Action{
-			Verb: policy.Send, Part: s.e.byRequestID["q"].parts[0].id, Replica: s.e.replicasByName["r0"].Replica, TryFor: tryFor,
+			Verb: policy.Send, Part: s.e.byRequestID["q"].parts[0].id, Replica: s.e.replicasByName["r0"].Replica, AttemptTimeout: tryFor,
 		})
 		if a := s.e.outgoing[0].attempts[0]; a.Due.Equal(q.Due) != whole || a.Due.After(q.Due) {
 			t.Errorf("tried for %v s: due %v after the client", tryFor, a.Due.Sub(q.Due))
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -255,7 +255,7 @@
 	replies                 [Conflict + 1]int
 	reasons                 [policy.BreaksReplica + 1]int // of refusals and failures by the decisions
 	left                    int
-	outcomes                [policy.Moot + 1]int
+	outcomes                [policy.NotSent + 1]int
 }
 
 // notAdmitted counts the queries that the decisions refused at their arrival, for whatever reason.
@@ -276,8 +276,8 @@
 			"failed": s.replies[Failed], "left": s.left, "full": s.full, "open": len(e.queries), "held": e.openCount,
 			"attempts": s.attempts, "ok": s.outcomes[policy.OK], "fault": s.outcomes[policy.Failed],
 			"overload": s.outcomes[policy.Rejected], "unreachable": s.outcomes[policy.Unreachable],
-			"broken": s.outcomes[policy.Broken], "timed_out": s.outcomes[policy.TimedOut],
-			"given_up": s.outcomes[policy.Revoked], "not_admitted": s.notAdmitted(),
+			"broken": s.outcomes[policy.ConnectionBroken], "timed_out": s.outcomes[policy.TimedOut],
+			"given_up": s.outcomes[policy.Cancelled], "not_admitted": s.notAdmitted(),
 			"holders_busy": s.reasons[policy.HoldersBusy], "recent_latency": s.reasons[policy.RecentLatency],
 			"own_backlog": s.reasons[policy.OwnBacklog], "nearly_full": s.reasons[policy.NearlyFull],
 			"parts_lost": s.reasons[policy.PartsLost], "out_of_time": s.reasons[policy.OutOfTime],
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -64,8 +64,8 @@
 	t.Helper()
 	cfg := &config.Config{
 		Policy: policy.Config{
-			Resolution: 0.005, Aggregators: 1, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 1,
-			Cells: 2, Reach: 2, Shards: 4, CallParts: 2, ColdFrom: 1,
+			Resolution: 0.005, Coordinators: 1, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 1,
+			Cells: 2, Reach: 2, Shards: 4, MaxPartsPerCall: 2, ColdCapacity: 1,
 			Classes: []policy.Class{
 				{Promise: 1, GiveUp: 2, Need: 1, Floor: 1, Points: 1},
 				{Promise: 1, GiveUp: 2, Need: 1, Floor: 1, Points: 1, FollowUp: 2},
@@ -271,7 +271,7 @@
 	if r := s.reply(); string(r.Values[0].Item) != "v" {
 		t.Errorf("%+v", r)
 	}
-	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
+	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.ConnectionBroken, At: time.Now()})
 	s.empty()
 	if len(s.replies) != 0 {
 		t.Error("answered twice")
@@ -365,7 +365,7 @@
 		s.e.turnAt = time.Now().Add(3 * time.Second)
 		s.e.events = nil
 		s.e.fireTimers()
-		want := policy.Moot
+		want := policy.NotSent
 		if written {
 			want = policy.TimedOut
 		}
--- a/internal/exchange/lanes.go
+++ b/internal/exchange/lanes.go
@@ -100,7 +100,7 @@
 		if of != nil {
 			*l = *of
 		}
-		l.YieldBy = max(l.YieldBy, k.by)
+		l.PromiseDivisor = max(l.PromiseDivisor, k.by)
 		e.limitOverrides[k] = l
 	}
 	return l
--- a/internal/exchange/lanes_test.go
+++ b/internal/exchange/lanes_test.go
@@ -65,7 +65,7 @@
 		"served": {func(s *stand, q *Query, a *Attempt) { s.hit(a, 1, "v") }, LaneOutcome{Status: Served}},
 		"left":   {func(s *stand, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
 		"failed": {func(s *stand, q *Query, a *Attempt) {
-			s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Broken, At: time.Now()})
+			s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.ConnectionBroken, At: time.Now()})
 		}, LaneOutcome{Status: Failed}},
 		"overdue": {func(s *stand, q *Query, a *Attempt) { s.e.queryOverdue(s.e.byRequestID[q.ID]) }, LaneOutcome{Status: Failed}},
 	} {
@@ -107,16 +107,16 @@
 			}
 		}
 	})
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Time: 1.5}})
+	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}})
 	s.ask("a", 0, 1)
 	s.ask("b", 0, 2)
 	s.ask("c", 2, 1)
 	l.say.YieldBy = 1
 	s.ask("d", 0, 3)
-	if len(seen) != 4 || *seen[0].Limits != (policy.Limits{Time: 1.5, YieldBy: 4}) || seen[1].Limits != seen[0].Limits || seen[0].Route != 1 {
+	if len(seen) != 4 || *seen[0].Limits != (policy.Limits{Timeout: 1.5, PromiseDivisor: 4}) || seen[1].Limits != seen[0].Limits || seen[0].Route != 1 {
 		t.Fatalf("%+v", seen)
 	}
-	if *seen[2].Limits != (policy.Limits{YieldBy: 4}) || seen[3].Limits != &s.e.routes.table.Routes[0].Limits || seen[3].Limits.YieldBy != 0 {
+	if *seen[2].Limits != (policy.Limits{PromiseDivisor: 4}) || seen[3].Limits != &s.e.routes.table.Routes[0].Limits || seen[3].Limits.PromiseDivisor != 0 {
 		t.Errorf("%+v, %+v", seen[2].Limits, seen[3].Limits)
 	}
 	for i := range 2 * maxLimitOverrides {
--- a/internal/exchange/list.go
+++ b/internal/exchange/list.go
@@ -73,7 +73,7 @@
 		started = max(0, e.decisionTime(endpoint.Started))
 	}
 	return policy.Entry{
-		Replica: k.Replica, Common: common(endpoint.Name), Zone: settings.Place(e.names.Zones, endpoint.Zone), Cell: endpoint.Cell,
+		Replica: k.Replica, SharedID: common(endpoint.Name), Zone: settings.Place(e.names.Zones, endpoint.Zone), Cell: endpoint.Cell,
 		State: endpoint.State, Size: endpoint.Size, Started: started,
 	}
 }
--- a/internal/exchange/outcome.go
+++ b/internal/exchange/outcome.go
@@ -31,7 +31,7 @@
 	}
 	return policy.Event{
 		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: a.replica, Outcome: o,
-		Took: max(0, e.decisionTime(at)-a.sentAt), Report: report, Tenant: -1,
+		Latency: max(0, e.decisionTime(at)-a.sentAt), Report: report, Tenant: -1,
 	}
 }
 
@@ -46,7 +46,7 @@
 	case sent:
 		e.events = append(e.events, e.reportEnd(a, policy.TimedOut, e.turnAt, nil))
 	default:
-		e.events = append(e.events, e.reportEnd(a, policy.Moot, e.turnAt, nil))
+		e.events = append(e.events, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 	}
 }
 
@@ -56,23 +56,23 @@
 		return
 	}
 	if e.unqueue(a) {
-		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 		return
 	}
 	found, sent := e.replicas.Cancel(a)
 	switch {
 	case !found:
 	case sent:
-		e.deferred = append(e.deferred, e.reportEnd(a, policy.Revoked, e.turnAt, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.Cancelled, e.turnAt, nil))
 	default:
-		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 	}
 }
 
 // unsend takes back an attempt only if it has not been written.
 func (e *Exchange) unsend(a *Attempt) {
 	if e.unqueue(a) || e.replicas.CancelUnsent(a) {
-		e.deferred = append(e.deferred, e.reportEnd(a, policy.Moot, e.turnAt, nil))
+		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 	}
 }
 
@@ -91,7 +91,7 @@
 
 func (e *Exchange) handleHealthCheck(p HealthCheck) {
 	e.events = append(e.events, policy.Event{
-		Kind: policy.ProbeEnded, Replica: p.Replica, Outcome: p.Outcome, Took: p.Took.Seconds(), Report: p.Report,
+		Kind: policy.ProbeEnded, Replica: p.Replica, Outcome: p.Outcome, Latency: p.Took.Seconds(), Report: p.Report,
 		Tenant: -1,
 	})
 }
--- a/internal/exchange/query.go
+++ b/internal/exchange/query.go
@@ -43,7 +43,7 @@
 	e.openCount++
 	ev := policy.Event{
 		Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: m.Class, Tenant: m.Tenant,
-		Due: e.decisionTime(m.Due), Count: len(m.Parts), Retry: m.Retry,
+		Deadline: e.decisionTime(m.Due), Count: len(m.Parts), Retry: m.Retry,
 	}
 	if q.routes != nil {
 		ev.Route = q.route + 1
--- a/internal/exchange/routes.go
+++ b/internal/exchange/routes.go
@@ -70,7 +70,7 @@
 		return true
 	}
 	d := r.gate.Admit(e.turnAt, i, q.Tenant, q.Client, q.Retry)
-	if d.Reason != admission.Taken {
+	if d.Reason != admission.Admitted {
 		r.counters[i].turned[d.Reason]++
 		e.counters.replies[Rejected]++
 		e.leaveLane(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
@@ -85,7 +85,7 @@
 // releaseRoute gives back the room of a query that has ended.
 func (e *Exchange) releaseRoute(q *query) {
 	if q.routes != nil {
-		q.routes.gate.Done(q.route)
+		q.routes.gate.Release(q.route)
 	}
 }
 
@@ -121,7 +121,7 @@
 			"route": e.routes.table.Routes[i].Name, "taken": s.taken, "whole": s.whole, "short": s.short, "refused": s.refused, "failed": s.failed,
 			"open": e.routes.gate.Open(i),
 		}
-		for reason := admission.Taken + 1; int(reason) < len(admission.Reasons); reason++ {
+		for reason := admission.Admitted + 1; int(reason) < len(admission.Reasons); reason++ {
 			if n := s.turned[reason]; n > 0 {
 				f["turned_away_"+admission.Reasons[reason]] = n
 			}
--- a/internal/exchange/routes_test.go
+++ b/internal/exchange/routes_test.go
@@ -51,10 +51,10 @@
 // gets one answer.
 func TestRoutesReloadedUnderLoad(t *testing.T) {
 	s := newStand(t, nil)
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Time: 1.5}, Room: route.Room{Queries: 5}})
+	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}, Room: route.Room{Queries: 5}})
 	s.ask("old", 0, 1)
 	old := s.handle()[0]
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Time: 0.05}, Room: route.Room{Queries: 1}})
+	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 0.05}, Room: route.Room{Queries: 1}})
 	s.ask("new", 0, 2)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.e.turn()
@@ -75,7 +75,7 @@
 func TestRoutesReloadedAllTheTime(t *testing.T) {
 	s := newStand(t, func(c *config.Config) { c.Policy.Resolution = 0 })
 	for i := range 2000 {
-		s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Attempts: 1 + i%3}, Room: route.Room{Queries: 1 + i%7}})
+		s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{MaxAttempts: 1 + i%3}, Room: route.Room{Queries: 1 + i%7}})
 		s.ask(fmt.Sprint("q", i), 0, 1)
 		sent := s.handle()
 		if len(sent) != 1 {
--- a/internal/exchange/session.go
+++ b/internal/exchange/session.go
@@ -137,7 +137,7 @@
 func (q *query) attemptOver(o policy.Outcome) {
 	q.openAttempts--
 	switch o {
-	case policy.Moot, policy.Unreachable, policy.Rejected:
+	case policy.NotSent, policy.Unreachable, policy.Rejected:
 	case policy.OK, policy.Failed:
 		q.ran = true
 	default:
--- a/internal/exchange/sockets_test.go
+++ b/internal/exchange/sockets_test.go
@@ -34,7 +34,7 @@
 	}
 	cfg := &config.Config{
 		Policy: policy.Config{
-			Resolution: 0.001, Aggregators: 1, Cancel: true, Cells: 1, Reach: 1, Shards: 4, CallParts: 2, ColdFrom: 1,
+			Resolution: 0.001, Coordinators: 1, Cancel: true, Cells: 1, Reach: 1, Shards: 4, MaxPartsPerCall: 2, ColdCapacity: 1,
 			Classes: []policy.Class{
 				{Promise: 30, GiveUp: 60, Need: 1, Floor: 1, Points: 1},
 				{Promise: 30, GiveUp: 60, Need: 1, Floor: 1, Points: 1, FollowUp: 2},
--- a/internal/exchange/trace.go
+++ b/internal/exchange/trace.go
@@ -14,7 +14,7 @@
 
 var outcomeNames = map[policy.Outcome]string{
 	policy.OK: "ok", policy.Failed: "failed", policy.Rejected: "rejected", policy.TimedOut: "timed out",
-	policy.Unreachable: "unreachable", policy.Broken: "connection broken", policy.Revoked: "cancelled", policy.Moot: "not sent",
+	policy.Unreachable: "unreachable", policy.ConnectionBroken: "connection broken", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
 }
 
 // debug says whether lines for single queries and attempts are wanted.
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -26,12 +26,12 @@
 	return &Deployment{
 		Ring: ring, Names: &settings.Names{Classes: []string{"safe", "once"}, Zones: []string{"a", "b", "c"}},
 		Config: policy.Config{
-			Seed: 9, Resolution: 0.005, Aggregators: coordinators, MaxAttempts: 3, Cancel: true, SecondCopies: true, RetryAfter: true,
-			MaxRetryAfter: 0.5, Cells: shape.Cells, Reach: shape.Reach, Shards: shape.Shards, CallParts: 1, AnswerSlack: 0.02,
-			DrainGrace: 0.25, ColdFrom: 0.25, WarmUp: 10, FallMultiple: 2, TipAfter: 1, OverShareKeep: 1,
+			Seed: 9, Resolution: 0.005, Coordinators: coordinators, MaxAttempts: 3, Cancel: true, SecondCopies: true, RetryAfter: true,
+			MaxRetryAfter: 0.5, Cells: shape.Cells, Reach: shape.Reach, Shards: shape.Shards, MaxPartsPerCall: 1, AnswerSlack: 0.02,
+			DrainGrace: 0.25, ColdCapacity: 0.25, WarmUp: 10, OverloadMultiple: 2, OverloadWindow: 1, OverShareValue: 1,
 			Classes: []policy.Class{
-				{Promise: 0.8, GiveUp: 3, LateWorth: 0.1, Points: 1, Need: 0.75, Floor: 0.5, ShortWorth: 0.8},
-				{Promise: 1, GiveUp: 3, LateWorth: 0.1, Points: 1, Need: 1, Floor: 1, Effect: policy.Unsafe},
+				{Promise: 0.8, GiveUp: 3, LateValue: 0.1, Points: 1, Need: 0.75, Floor: 0.5, PartialValue: 0.8},
+				{Promise: 1, GiveUp: 3, LateValue: 0.1, Points: 1, Need: 1, Floor: 1, Effect: policy.Unsafe},
 			},
 		},
 	}
--- a/internal/expect/world.go
+++ b/internal/expect/world.go
@@ -191,7 +191,7 @@
 func (w *world) entry(i int) policy.Entry {
 	r := w.d.Ring.Replicas()[i]
 	return policy.Entry{
-		Replica: uint64(i) + 1, Common: uint64(i) + 1, Cell: r.Cell, Zone: settings.Place(w.d.Names.Zones, r.DataCentre), State: w.readers[i].told,
+		Replica: uint64(i) + 1, SharedID: uint64(i) + 1, Cell: r.Cell, Zone: settings.Place(w.d.Names.Zones, r.DataCentre), State: w.readers[i].told,
 		Size: 1, Started: w.readers[i].started,
 	}
 }
--- a/internal/expect/world_actions.go
+++ b/internal/expect/world_actions.go
@@ -15,7 +15,7 @@
 		}
 	case policy.Cancel:
 		if pt := w.parts[a.Part]; pt != nil && a.Attempt < len(pt.attempts) {
-			w.put(item{at: w.now, kind: endItem, attempt: pt.attempts[a.Attempt], outcome: policy.Revoked})
+			w.put(item{at: w.now, kind: endItem, attempt: pt.attempts[a.Attempt], outcome: policy.Cancelled})
 		}
 	case policy.Timer:
 		w.put(item{at: w.now + a.After, kind: timerItem, handle: a.Handle})
@@ -29,14 +29,14 @@
 			return
 		}
 		rec := &w.rec.queries[q.rec]
-		rec.ended, rec.end, rec.endAt, rec.whole, rec.comeBack = true, a.Verb, w.ms(), a.Full, a.After
+		rec.ended, rec.end, rec.endAt, rec.whole, rec.comeBack = true, a.Verb, w.ms(), a.Complete, a.After
 		w.close(q)
 	}
 }
 
 func (w *world) close(q *query) {
 	if q.route > 0 && !q.over {
-		w.gate.Done(q.route - 1)
+		w.gate.Release(q.route - 1)
 	}
 	q.over = true
 	delete(w.queries, q.id)
@@ -52,8 +52,8 @@
 	r, class := &w.readers[i], pt.q.class
 	r.out = append(r.out, at)
 	due := pt.q.due
-	if a.TryFor > 0 {
-		due = math.Min(due, w.now+a.TryFor)
+	if a.AttemptTimeout > 0 {
+		due = math.Min(due, w.now+a.AttemptTimeout)
 	}
 	took, outcome := (w.e.Readers.Least+w.e.Readers.Mean*w.latency.ExpFloat64())/1000*r.slow[class], policy.OK
 	answers := r.answers[class]
@@ -70,7 +70,7 @@
 	case "unreachable":
 		took, outcome = refuseTime, policy.Unreachable
 	case "broken":
-		outcome = policy.Broken
+		outcome = policy.ConnectionBroken
 	}
 	ends := w.now + took
 	if ends >= due {
@@ -92,6 +92,6 @@
 	a.part.in = a.part.in || o == policy.OK
 	w.events = append(w.events, policy.Event{
 		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.no, Replica: uint64(a.reader) + 1, Outcome: o,
-		Took: w.now - a.sentAt, Tenant: -1,
+		Latency: w.now - a.sentAt, Tenant: -1,
 	})
 }
--- a/internal/expect/world_query.go
+++ b/internal/expect/world_query.go
@@ -22,7 +22,7 @@
 	}
 	w.put(item{at: it.at + l.Every/1000, kind: askItem, load: it.load})
 	w.query(l, st, l.Retry)
-	if n := w.d.Config.Aggregators; w.peers > 0 && n > w.peers {
+	if n := w.d.Config.Coordinators; w.peers > 0 && n > w.peers {
 		// The clients of peers that are down come to those that are left, and ask again what they had asked there.
 		for more := float64(w.peers) / float64(n-w.peers); more > 0; more-- {
 			if w.draw.Float64() < more {
@@ -45,7 +45,7 @@
 	if t := w.d.Routes; t != nil {
 		i := t.Find(&route.Query{Class: st.class, Tenant: st.tenant, Retry: retry, Shards: slices.Values(shards)})
 		number, limits = i+1, &t.Routes[i].Limits
-		if d := w.gate.Admit(time.Unix(0, int64(w.now*1e9)), i, st.tenant, "", retry); d.Reason != admission.Taken {
+		if d := w.gate.Admit(time.Unix(0, int64(w.now*1e9)), i, st.tenant, "", retry); d.Reason != admission.Admitted {
 			w.rec.queries = append(w.rec.queries, asked{
 				at: w.ms(), turn: w.turns, class: st.class, tenant: st.tenant, shards: shards, end: policy.Refuse, endAt: w.ms(), ended: true,
 				comeBack: d.After.Seconds(),
@@ -57,7 +57,7 @@
 	w.rec.queries = append(w.rec.queries, asked{at: w.ms(), turn: w.turns, class: st.class, tenant: st.tenant, shards: shards})
 	w.queries[q.id] = q
 	w.events = append(w.events, policy.Event{
-		Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: st.tenant, Due: q.due,
+		Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: st.tenant, Deadline: q.due,
 		Route: number, Limits: limits, Count: len(shards), Retry: retry, Work: l.Work * float64(len(shards)),
 	})
 	for _, s := range shards {
--- a/internal/expect/world_steps.go
+++ b/internal/expect/world_steps.go
@@ -56,7 +56,7 @@
 	if !s.ToldOnly {
 		if s.Is == "gone" || s.Is == "started" { // what it had is lost
 			for _, a := range slices.Clone(r.out) {
-				w.end(a, policy.Broken)
+				w.end(a, policy.ConnectionBroken)
 			}
 		}
 		r.up = s.Is != "gone"
--- a/internal/fleet/fleetsim/shedding/co.go
+++ b/internal/fleet/fleetsim/shedding/co.go
@@ -152,7 +152,7 @@
 	case policy.Cancel:
 		if pt := c.parts[a.Part]; pt != nil && a.Attempt < len(pt.attempts) {
 			at := pt.attempts[a.Attempt]
-			w.q.At(w.q.Now, func() { w.ends(at, policy.Revoked) })
+			w.q.At(w.q.Now, func() { w.ends(at, policy.Cancelled) })
 		}
 	case policy.Timer:
 		handle, life := a.Handle, c.life
@@ -197,13 +197,13 @@
 	c.queries[q.id] = q
 	var limits *policy.Limits
 	if v.PromiseDivisor > 1 {
-		limits = &policy.Limits{YieldBy: v.PromiseDivisor}
+		limits = &policy.Limits{PromiseDivisor: v.PromiseDivisor}
 	}
 	hints := 0.0
 	for _, h := range a.hints {
 		hints += h
 	}
-	c.event(policy.Event{Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: -1, Due: epoch + q.due.Seconds(),
+	c.event(policy.Event{Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: -1, Deadline: epoch + q.due.Seconds(),
 		Limits: limits, Count: len(a.hints), Retry: a.try > 0 && !w.plan.Unmarked, Work: hints})
 	for i, h := range a.hints {
 		w.ids++
--- a/internal/fleet/fleetsim/shedding/replica.go
+++ b/internal/fleet/fleetsim/shedding/replica.go
@@ -46,8 +46,8 @@
 	at := &attempt{co: c, life: c.life, part: pt, no: len(pt.attempts), r: r, sentAt: w.q.Now}
 	pt.attempts = append(pt.attempts, at)
 	due := pt.q.due
-	if a.TryFor > 0 {
-		due = min(due, w.q.Now+seconds(a.TryFor))
+	if a.AttemptTimeout > 0 {
+		due = min(due, w.q.Now+seconds(a.AttemptTimeout))
 	}
 	w.q.At(due, func() { w.ends(at, policy.TimedOut) })
 	w.q.After(wire, func() {
@@ -103,7 +103,7 @@
 	a.ended = true
 	if c := a.co; c.life == a.life && c.up {
 		c.event(policy.Event{Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.no, Replica: uint64(a.r.id) + 1, Outcome: o,
-			Took: (w.q.Now - a.sentAt).Seconds(), Tenant: -1})
+			Latency: (w.q.Now - a.sentAt).Seconds(), Tenant: -1})
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 
 func (w *World) entry(r *replica) policy.Entry {
-	e := policy.Entry{Replica: uint64(r.id) + 1, Common: uint64(r.id) + 1, Cell: r.id / 2, Size: 1}
+	e := policy.Entry{Replica: uint64(r.id) + 1, SharedID: uint64(r.id) + 1, Cell: r.id / 2, Size: 1}
 	if !r.up {
 		e.State = policy.Removed
 	}
--- a/internal/fleet/fleetsim/shedding/sizes.go
+++ b/internal/fleet/fleetsim/shedding/sizes.go
@@ -103,15 +103,15 @@
 func (w *World) config(i int) policy.Config {
 	r := w.plan.Replicas
 	return policy.Config{
-		Seed: w.plan.Seed*1_000_003 + uint64(i), Resolution: 0.005, Aggregators: w.plan.Coordinators, Ordinal: i, Zone: -1,
+		Seed: w.plan.Seed*1_000_003 + uint64(i), Resolution: 0.005, Coordinators: w.plan.Coordinators, Ordinal: i, Zone: -1,
 		Classes: []policy.Class{
-			{Promise: promise, GiveUp: 3, LateWorth: 0.1, Points: 1, Effect: policy.Safe, Need: 1, Floor: 1},
-			{Promise: promise, GiveUp: 3, LateWorth: 0.1, Points: 1, Effect: policy.Unsafe, Need: 1, Floor: 1},
+			{Promise: promise, GiveUp: 3, LateValue: 0.1, Points: 1, Effect: policy.Safe, Need: 1, Floor: 1},
+			{Promise: promise, GiveUp: 3, LateValue: 0.1, Points: 1, Effect: policy.Unsafe, Need: 1, Floor: 1},
 		},
 		MaxAttempts: 3, MaxOpen: 400, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 0.5,
-		Cells: max(1, r/2), Reach: holders / 2, Shards: max(1, r/2), CallParts: 1,
-		AnswerSlack: 0.02, DrainGrace: 0.25, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: 2, TipAfter: 1,
-		OverShareKeep: 1,
+		Cells: max(1, r/2), Reach: holders / 2, Shards: max(1, r/2), MaxPartsPerCall: 1,
+		AnswerSlack: 0.02, DrainGrace: 0.25, ColdCapacity: coldFrom, WarmUp: warmUp, OverloadMultiple: 2, OverloadWindow: 1,
+		OverShareValue: 1,
 	}
 }
 
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -9,7 +9,7 @@
 
 func start(n int) wire.Item {
 	return wire.Item{Op: wire.Start, Instance: n, Config: policy.Config{
-		Seed: uint64(n), Resolution: 0.005, Aggregators: 1, Cells: 1, Reach: 1, CallParts: 1,
+		Seed: uint64(n), Resolution: 0.005, Coordinators: 1, Cells: 1, Reach: 1, MaxPartsPerCall: 1,
 		Classes: []policy.Class{{Promise: 1, GiveUp: 2, Need: 1, Floor: 1}},
 	}}
 }
@@ -24,7 +24,7 @@
 
 func ask(n int) []wire.Item {
 	return []wire.Item{
-		deliver(n, policy.Event{Kind: policy.QueryArrived, Query: 1, Group: 1, Tenant: -1, Due: 12, Count: 1}),
+		deliver(n, policy.Event{Kind: policy.QueryArrived, Query: 1, Group: 1, Tenant: -1, Deadline: 12, Count: 1}),
 		deliver(n, policy.Event{Kind: policy.PartArrived, Part: 2, Group: 1, Weight: 1}),
 	}
 }
--- a/internal/operator/fleetcheck.go
+++ b/internal/operator/fleetcheck.go
@@ -110,8 +110,8 @@
 	if fl == nil {
 		return
 	}
-	if n := len(fl.Voters); n > cfg.Aggregators {
-		ms.Add(fleetAt+".voters", fmt.Sprintf("%d voters", n), "settings.fleet_size allows no more than %d co-ordinators", cfg.Aggregators)
+	if n := len(fl.Voters); n > cfg.Coordinators {
+		ms.Add(fleetAt+".voters", fmt.Sprintf("%d voters", n), "settings.fleet_size allows no more than %d co-ordinators", cfg.Coordinators)
 	}
 	if cfg.Cells <= 0 || cfg.Reach <= 0 || cfg.Shards <= 0 {
 		ms.Add(fleetAt, "", "the deployment has no ring of cells and shards, so nothing is known of who holds what")
--- a/internal/operator/lanes_test.go
+++ b/internal/operator/lanes_test.go
@@ -41,7 +41,7 @@
 func TestSizesOfLanes(t *testing.T) {
 	type object = map[string]any
 	two := []object{{"name": "gold"}, {"name": "rest"}}
-	names, cfg := &settings.Names{Classes: []string{"q"}}, &policy.Config{Aggregators: 5, Cells: 4, Reach: 2, Shards: 8, Classes: []policy.Class{{Promise: 1}}}
+	names, cfg := &settings.Names{Classes: []string{"q"}}, &policy.Config{Coordinators: 5, Cells: 4, Reach: 2, Shards: 8, Classes: []policy.Class{{Promise: 1}}}
 	f, err := Read(laned(object{"header": "X-A", "lanes": two, "accounts": manyAccounts(AccountsMost, KeysMost/AccountsMost)}))
 	if err != nil || f.AgainstNames(names, cfg) != nil {
 		t.Fatal(err, f.AgainstNames(names, cfg))
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -86,8 +86,8 @@
 		specs[i] = route.Spec{
 			Name: r.Name, Match: m, Default: r.Default, Copies: l.Copies != nil && *l.Copies, IfNeverRan: l.IfNeverRan,
 			Limits: policy.Limits{
-				Time: l.Time / 1000, Step: l.Step / 1000, TryFor: l.Attempt / 1000, Attempts: l.Attempts, NoCopies: l.Copies != nil && !*l.Copies,
-				CopyAfter: l.CopyAfter / 1000, Share: l.Share, Floor: l.Floor, Yield: l.Yields, ComeBack: l.ComeBack / 1000,
+				Timeout: l.Time / 1000, StepTimeout: l.Step / 1000, AttemptTimeout: l.Attempt / 1000, MaxAttempts: l.Attempts, NoCopies: l.Copies != nil && !*l.Copies,
+				CopyAfter: l.CopyAfter / 1000, BudgetShare: l.Share, Floor: l.Floor, Yield: l.Yields, MaxRetryAfter: l.ComeBack / 1000,
 			},
 			Room: route.Room{Queries: r.Room.Queries, Borrow: r.Room.Borrow, Rate: r.Room.Rate, Burst: r.Room.Burst, RetryRate: r.Room.RetryRate},
 		}
--- a/internal/operator/sessions.go
+++ b/internal/operator/sessions.go
@@ -123,8 +123,8 @@
 			ms.Add(fmt.Sprintf("%s.%s[%d]", sessionsAt, l.key, i), schema.Shown(name), "%s", why)
 		}
 	}
-	if s.Pool > 0 && s.Pool < cfg.Aggregators {
+	if s.Pool > 0 && s.Pool < cfg.Coordinators {
 		ms.Add(sessionsAt+".slots_per_replica", fmt.Sprint(s.Pool),
-			"settings.fleet_size has %d co-ordinators; with fewer slots some could run no pinned query", cfg.Aggregators)
+			"settings.fleet_size has %d co-ordinators; with fewer slots some could run no pinned query", cfg.Coordinators)
 	}
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -254,7 +254,7 @@
 
 func same(a, b *policy.Action) bool {
 	return a.Verb == b.Verb && a.Query == b.Query && a.Part == b.Part && a.Replica == b.Replica && a.Attempt == b.Attempt &&
-		a.Full == b.Full && a.After == b.After && a.TryFor == b.TryFor
+		a.Complete == b.Complete && a.After == b.After && a.AttemptTimeout == b.AttemptTimeout
 }
 
 // agreed books what both sides did.
@@ -329,7 +329,7 @@
 			b = h
 		}
 	}
-	if a == nil || b == nil || a.State != policy.Up || a.ColdShut || a.Suspect != b.Suspect {
+	if a == nil || b == nil || a.State != policy.Up || a.ColdLimited || a.Suspect != b.Suspect {
 		return false
 	}
 	return a.Calls-w.later(o, a.Replica) == b.Calls-w.later(o, b.Replica)
@@ -345,7 +345,7 @@
 			n++
 		}
 	}
-	return (n + w.cfg.CallParts - 1) / max(1, w.cfg.CallParts)
+	return (n + w.cfg.MaxPartsPerCall - 1) / max(1, w.cfg.MaxPartsPerCall)
 }
 
 // takeOut ends a query in the second instance. What both sides sent ends there when it does in truth; what that one
@@ -357,7 +357,7 @@
 		if a := &alone[i]; a.Verb == policy.Send && w.parts[a.Part] != nil {
 			w.ended = append(w.ended, policy.Event{
 				Kind: policy.AttemptEnded, Part: a.Part, Attempt: len(w.parts[a.Part].attempts) + sent[a.Part], Replica: a.Replica,
-				Outcome: policy.Moot, Tenant: -1,
+				Outcome: policy.NotSent, Tenant: -1,
 			})
 			sent[a.Part]++
 		}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -14,14 +14,14 @@
 
 func shape() policy.Config {
 	return policy.Config{
-		Seed: 7, Resolution: 0.005, Aggregators: 3, Ordinal: 1,
+		Seed: 7, Resolution: 0.005, Coordinators: 3, Ordinal: 1,
 		Classes: []policy.Class{
-			{Promise: 1, GiveUp: 3, LateWorth: 0.1, Points: 1, Effect: policy.Safe, Need: 0.6, Floor: 0.6, ShortWorth: 0.9},
-			{Promise: 1, GiveUp: 3, LateWorth: 0.3, Points: 2, Effect: policy.Unsafe, Need: 1, Floor: 1},
+			{Promise: 1, GiveUp: 3, LateValue: 0.1, Points: 1, Effect: policy.Safe, Need: 0.6, Floor: 0.6, PartialValue: 0.9},
+			{Promise: 1, GiveUp: 3, LateValue: 0.3, Points: 2, Effect: policy.Unsafe, Need: 1, Floor: 1},
 			{Promise: 1, GiveUp: 3, Points: 1, Effect: policy.Safe, Need: 1, Floor: 1, FollowUp: 2},
 		},
 		MaxAttempts: 4, MaxOpen: 400, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 0.5,
-		Cells: 4, Reach: 2, Shards: 8, CallParts: 1, ColdFrom: 0.2, WarmUp: 10, FallMultiple: 2, TipAfter: 1,
+		Cells: 4, Reach: 2, Shards: 8, MaxPartsPerCall: 1, ColdCapacity: 0.2, WarmUp: 10, OverloadMultiple: 2, OverloadWindow: 1,
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	list := policy.Event{Kind: policy.ListChanged, Full: true, Tenant: -1}
 	for i := range 12 {
-		list.List = append(list.List, policy.Entry{Replica: uint64(i + 1), Common: uint64(i + 1), Cell: i % 4, Size: 1})
+		list.List = append(list.List, policy.Entry{Replica: uint64(i + 1), SharedID: uint64(i + 1), Cell: i % 4, Size: 1})
 	}
 	w.turn(list)
 	return w
@@ -96,16 +96,16 @@
 		case a.Replica == 5 && x < 0.5 || x < 0.01: // silent
 			took, outcome = 3, policy.TimedOut
 		case x < 0.02:
-			outcome = policy.Broken
+			outcome = policy.ConnectionBroken
 		case x < 0.03:
 			outcome = policy.Unreachable
 		}
-		if a.TryFor > 0 && took > a.TryFor {
-			took, outcome = a.TryFor, policy.TimedOut
+		if a.AttemptTimeout > 0 && took > a.AttemptTimeout {
+			took, outcome = a.AttemptTimeout, policy.TimedOut
 		}
-		w.later(took, policy.Event{Kind: policy.AttemptEnded, Part: a.Part, Attempt: int(no), Replica: a.Replica, Outcome: outcome, Took: took, Tenant: -1})
+		w.later(took, policy.Event{Kind: policy.AttemptEnded, Part: a.Part, Attempt: int(no), Replica: a.Replica, Outcome: outcome, Latency: took, Tenant: -1})
 	case policy.Cancel:
-		w.later(0.005, policy.Event{Kind: policy.AttemptEnded, Part: a.Part, Attempt: a.Attempt, Replica: w.out[[2]uint64{a.Part, uint64(a.Attempt)}], Outcome: policy.Revoked, Tenant: -1})
+		w.later(0.005, policy.Event{Kind: policy.AttemptEnded, Part: a.Part, Attempt: a.Attempt, Replica: w.out[[2]uint64{a.Part, uint64(a.Attempt)}], Outcome: policy.Cancelled, Tenant: -1})
 	case policy.Answer:
 		if q := w.query[a.Query]; q.class == 2 && q.step == 1 {
 			q.step = 2
@@ -133,7 +133,7 @@
 		var events []policy.Event
 		if i%400 == 399 { // a restart, now and then a drain
 			e := policy.Entry{Replica: 1 + w.rng.Uint64N(12), Size: 1, Started: w.now}
-			e.Common, e.Cell = e.Replica, int(e.Replica-1)%4
+			e.SharedID, e.Cell = e.Replica, int(e.Replica-1)%4
 			if w.rng.IntN(3) == 0 {
 				e.State = policy.Draining
 			}
@@ -197,7 +197,7 @@
 	q := &asked{id: w.next(), group: w.next(), class: class, step: 1, due: w.now + 1 + 2*w.rng.Float64()}
 	w.query[q.id] = q
 	n := 5
-	events := []policy.Event{{Kind: policy.QueryArrived, Query: q.id, Group: q.group, Class: class, Tenant: -1, Due: q.due, Count: n, Retry: retry}}
+	events := []policy.Event{{Kind: policy.QueryArrived, Query: q.id, Group: q.group, Class: class, Tenant: -1, Deadline: q.due, Count: n, Retry: retry}}
 	for i := range n {
 		id := w.next()
 		w.partOf[id] = q
@@ -226,7 +226,7 @@
 // query counts once.
 func TestOtherSettingsChangeNothingLive(t *testing.T) {
 	other := shape()
-	other.SecondCopies, other.RetryAfter, other.Cancel, other.MaxAttempts, other.FallMultiple = false, false, false, 2, 0.5
+	other.SecondCopies, other.RetryAfter, other.Cancel, other.MaxAttempts, other.OverloadMultiple = false, false, false, 2, 0.5
 	other.Classes = slices.Clone(other.Classes)
 	other.Classes[0].Need, other.Classes[0].Floor = 1, 1
 	with := newWorld(3, shape(), New(other))
@@ -287,7 +287,7 @@
 		slices.SortFunc(keys, func(a, b [2]uint64) int { return slices.Compare(a[:], b[:]) })
 		w.now += 0.005
 		for _, k := range keys {
-			ev := policy.Event{Kind: policy.AttemptEnded, Part: k[0], Attempt: int(k[1]), Replica: w.out[k], Outcome: o, Took: took, Tenant: -1}
+			ev := policy.Event{Kind: policy.AttemptEnded, Part: k[0], Attempt: int(k[1]), Replica: w.out[k], Outcome: o, Latency: took, Tenant: -1}
 			delete(w.out, k)
 			w.turn(ev)
 		}
@@ -297,7 +297,7 @@
 		script func(*world)
 		want   Kind
 	}{
-		"a cold replica is spared": {func(c *policy.Config) { c.FallMultiple, c.WarmUp = 0.001, 1000 }, func(w *world) {
+		"a cold replica is spared": {func(c *policy.Config) { c.OverloadMultiple, c.WarmUp = 0.001, 1000 }, func(w *world) {
 			list := policy.Event{Kind: policy.ListChanged, Full: true, Tenant: -1} // warm by the live settings
 			for i := range 4 {
 				list.List = append(list.List, policy.Entry{Replica: uint64(i + 1), Cell: i, Size: 1, Started: w.now - 20})
@@ -305,7 +305,7 @@
 			w.turn(list)
 			one(w, 1)
 		}, Held},
-		"another holder": {func(c *policy.Config) { c.FallMultiple, c.WarmUp = 0.001, 1000 }, func(w *world) {
+		"another holder": {func(c *policy.Config) { c.OverloadMultiple, c.WarmUp = 0.001, 1000 }, func(w *world) {
 			w.turn(policy.Event{Kind: policy.ListChanged, Full: true, Tenant: -1, List: []policy.Entry{
 				{Replica: 1, Size: 1, Started: w.now - 20}, {Replica: 2, Cell: 1, Size: 1}, {Replica: 3, Cell: 2, Size: 1}, {Replica: 4, Cell: 3, Size: 1}}})
 			for range 8 { // till the live ones choose the young one
@@ -331,7 +331,7 @@
 				back(w, policy.OK, 0.35)
 			}
 		}, Time},
-		"the list is asked for": {func(c *policy.Config) { c.MustAsk = true }, func(w *world) { one(w, 0) }, ListCall},
+		"the list is asked for": {func(c *policy.Config) { c.MustSubscribe = true }, func(w *world) { one(w, 0) }, ListCall},
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := shape()
--- a/internal/replica/blocked_test.go
+++ b/internal/replica/blocked_test.go
@@ -169,7 +169,7 @@
 	p := s.accept()
 	s.link(func(l *replicaConn) bool { filled += l.writtenBytes; return true })
 	s.set(policy.Draining)
-	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Moot {
+	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
 	if _, err := io.CopyN(io.Discard, p.nc, filled); err != nil {
@@ -227,7 +227,7 @@
 		r := s.sink.next(t)
 		got[r.Attempt] = r.Outcome
 	}
-	if got[whole] != policy.Broken || got[cut] != policy.Unreachable {
+	if got[whole] != policy.ConnectionBroken || got[cut] != policy.Unreachable {
 		t.Errorf("whole %v, cut %v", got[whole], got[cut])
 	}
 	if f := s.accept().frame(); !strings.HasPrefix(f, "A"+behind.ID+" ") {
@@ -278,7 +278,7 @@
 			}
 			select {
 			case r := <-s.sink.results:
-				if r.Attempt != a || r.Outcome != policy.Moot {
+				if r.Attempt != a || r.Outcome != policy.NotSent {
 					t.Errorf("%+v", r)
 				}
 			default:
--- a/internal/replica/collect_test.go
+++ b/internal/replica/collect_test.go
@@ -15,7 +15,7 @@
 // can be told, the others were only given up with the connection. That a replica could not use a frame of ours is
 // another matter: its machine closes.
 func TestBadFramesEndTheConnection(t *testing.T) {
-	const failed, revoked, broken = policy.Failed, policy.Revoked, policy.Broken
+	const failed, revoked, broken = policy.Failed, policy.Cancelled, policy.ConnectionBroken
 	for bad, want := range map[string][2]policy.Outcome{
 		"": {failed, failed}, "Z": {failed, failed}, "E": {failed, failed}, "C": {failed, failed},
 		"E" + strings.Repeat("x", 1000): {failed, failed}, "Eq.9 hit 1 -\nx": {failed, failed},
--- a/internal/replica/dial.go
+++ b/internal/replica/dial.go
@@ -206,13 +206,13 @@
 	case errors.Is(err, errStalled) || errors.Is(err, frame.ErrLength):
 		return policy.Failed // which one it was for can't be told
 	case !errors.As(err, &s) && c.lastOfReplica:
-		return policy.Broken
+		return policy.ConnectionBroken
 	case s == nil:
 		return policy.Failed
 	case s.id == en.request.ID || c.parts[s.id] == nil:
 		return policy.Failed
 	}
-	return policy.Revoked
+	return policy.Cancelled
 }
 
 // end takes the connection out of the pool and tells what becomes of its parts: what was not wholly written
@@ -251,7 +251,7 @@
 	for _, pr := range probes {
 		o := policy.Unreachable
 		if pr.written {
-			o = policy.Broken
+			o = policy.ConnectionBroken
 		}
 		p.healthCheckEnded(pr, o, nil)
 	}
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -58,10 +58,10 @@
 			s.pool.Update([]exchange.Target{target})
 			open()
 			s.accept().ended() // with no frame before
-			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Moot {
+			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			if r := s.sink.nextProbe(t); r.Outcome != policy.Moot {
+			if r := s.sink.nextProbe(t); r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
 			s.eventually("the link stays", func() bool { return s.links() == 0 })
@@ -271,7 +271,7 @@
 			}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
-			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Moot {
+			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
 			s.eventually("the dialling goes on", func() bool { return s.links() == 0 })
--- a/internal/replica/featureserver/featureserver.go
+++ b/internal/replica/featureserver/featureserver.go
@@ -117,7 +117,7 @@
 			for a, en := range p.entries {
 				if en.t == t && !en.written {
 					delete(p.entries, a)
-					back = append(back, exchange.Result{Attempt: a, Outcome: policy.Moot, At: time.Now()})
+					back = append(back, exchange.Result{Attempt: a, Outcome: policy.NotSent, At: time.Now()})
 				}
 			}
 		}
@@ -302,7 +302,7 @@
 	} else {
 		o, value, keep, err = p.exchange(en, l)
 	}
-	if err != nil && o != policy.Moot {
+	if err != nil && o != policy.NotSent {
 		p.log.Warn("a feature server's answer can't be used", logrus.Fields{"replica": en.name, "error": err})
 	}
 	now := time.Now()
@@ -331,7 +331,7 @@
 func (p *Pool) exchange(en *entry, l *link) (o policy.Outcome, value []byte, keep bool, err error) {
 	req, err := feature.Decode(en.a.Text)
 	if err != nil {
-		return policy.Moot, nil, true, err // not a feature query: a feature server has no form for it
+		return policy.NotSent, nil, true, err // not a feature query: a feature server has no form for it
 	}
 	text := Request(req, en.a.Shard, en.address)
 	p.awaitList()
@@ -339,7 +339,7 @@
 	p.mu.Lock()
 	if p.entries[en.a] != en || !en.a.Due.After(time.Now()) {
 		p.mu.Unlock()
-		return policy.Moot, nil, true, nil
+		return policy.NotSent, nil, true, nil
 	}
 	en.written, en.l = true, l
 	p.mu.Unlock()
@@ -348,7 +348,7 @@
 	}
 	l.SetReadDeadline(en.a.Due.Add(p.limits.FrameTime))
 	if _, err := l.in.Peek(1); err != nil {
-		return policy.Broken, nil, false, fmt.Errorf("no response: %w", err)
+		return policy.ConnectionBroken, nil, false, fmt.Errorf("no response: %w", err)
 	}
 	l.SetReadDeadline(time.Now().Add(p.limits.FrameTime)) // from its first byte to its last
 	limited := &io.LimitedReader{R: l.in, N: int64(p.limits.HeadBytes) + int64(p.limits.FrameBytes)*4}
--- a/internal/replica/featureserver/featureserver_test.go
+++ b/internal/replica/featureserver/featureserver_test.go
@@ -87,7 +87,7 @@
 		"wrong type": {standin.WrongType, policy.Failed}, "redirect": {standin.Redirect, policy.Failed}, "60 MB": {standin.Huge, policy.Failed},
 		"another square": {standin.OtherSquare, policy.Failed}, "500": {standin.Error500, policy.Failed},
 		"refused with proof": {standin.Refusing, policy.Rejected}, "refused without": {standin.Refusing503, policy.Failed},
-		"closed": {standin.Closing, policy.Broken}, "crawling": {standin.Crawling, policy.Failed}, "hanging": {standin.Hanging, policy.Broken},
+		"closed": {standin.Closing, policy.ConnectionBroken}, "crawling": {standin.Crawling, policy.Failed}, "hanging": {standin.Hanging, policy.ConnectionBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -225,7 +225,7 @@
 			want := policy.OK
 			if drains {
 				s.set(s.server.Address(), policy.Draining)
-				want = policy.Moot
+				want = policy.NotSent
 			}
 			pending.Store(false)
 			if r := s.next(); r.Attempt != a || r.Outcome != want {
--- a/internal/replica/held_test.go
+++ b/internal/replica/held_test.go
@@ -101,7 +101,7 @@
 			p.write()
 			p.quiet(t)
 			if strings.HasPrefix(name, "the replica") { // the others' ends are told by whoever takes them back
-				if r := p.sink.next(t); r.Attempt != p.attempt || r.Outcome != policy.Moot {
+				if r := p.sink.next(t); r.Attempt != p.attempt || r.Outcome != policy.NotSent {
 					t.Errorf("%+v", r)
 				}
 			}
@@ -180,7 +180,7 @@
 	p := s.accept()
 	<-held
 	s.set(policy.Draining)
-	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Moot {
+	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
 	p.ended()
--- a/internal/replica/links_test.go
+++ b/internal/replica/links_test.go
@@ -86,7 +86,7 @@
 		want, n := policy.Failed, 2
 		if all {
 			second.nc.Close()
-			want, n = policy.Broken, 3
+			want, n = policy.ConnectionBroken, 3
 		}
 		for range n {
 			if r := s.sink.next(t); r.Outcome != want {
--- a/internal/replica/mux_test.go
+++ b/internal/replica/mux_test.go
@@ -34,7 +34,7 @@
 	mux.Send(1, []*exchange.Attempt{waits})
 	target.Kind = KindFeatures
 	mux.Update([]exchange.Target{target})
-	if r := s.sink.next(t); r.Attempt != waits || r.Outcome != policy.Moot {
+	if r := s.sink.next(t); r.Attempt != waits || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
 	open()
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		for _, l := range t.conns {
-			back = append(back, l.unqueue(policy.Moot)...)
+			back = append(back, l.unqueue(policy.NotSent)...)
 			unasked = append(unasked, l.dropHealthChecks()...)
 			l.retire()
 		}
@@ -113,7 +113,7 @@
 	p.mu.Unlock()
 	p.report(back)
 	for _, pr := range unasked {
-		p.healthCheckEnded(pr, policy.Moot, nil)
+		p.healthCheckEnded(pr, policy.NotSent, nil)
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -201,7 +201,7 @@
 	p.frame()
 	p.nc.Close()
 	for range 2 {
-		if r := s.sink.next(t); r.Outcome != policy.Broken {
+		if r := s.sink.next(t); r.Outcome != policy.ConnectionBroken {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -232,7 +232,7 @@
 		r := s.sink.next(t)
 		got[r.Attempt.ID] = r.Outcome
 	}
-	if got["q.1"] != policy.Broken || got["q.2"] != policy.Unreachable {
+	if got["q.1"] != policy.ConnectionBroken || got["q.2"] != policy.Unreachable {
 		t.Fatalf("%v", got)
 	}
 }
@@ -279,7 +279,7 @@
 		t.Fatal("a waiting part could not be taken back once")
 	}
 	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: "127.0.0.1:1", State: policy.Draining}})
-	if r := s.sink.next(t); r.Attempt != c || r.Outcome != policy.Moot {
+	if r := s.sink.next(t); r.Attempt != c || r.Outcome != policy.NotSent {
 		t.Fatalf("%+v", r)
 	}
 	s.sink.none(t)
@@ -452,7 +452,7 @@
 				s.pool.Send(1, []*exchange.Attempt{a})
 				if i%5 == 0 {
 					if found, _ := s.pool.Cancel(a); found {
-						s.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Revoked})
+						s.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Cancelled})
 					}
 				}
 			}
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -130,7 +130,7 @@
 	c.unstarted, c.unstartedBytes = nil, 0
 	var back []exchange.Result
 	if c.retired {
-		back = c.unqueue(policy.Moot)
+		back = c.unqueue(policy.NotSent)
 	}
 	c.pool.mu.Unlock()
 	c.pool.report(back)
--- a/internal/route/legal/legal.go
+++ b/internal/route/legal/legal.go
@@ -85,18 +85,18 @@
 	for _, b := range []struct {
 		key string
 		x   float64
-	}{{"limits.time_ms", l.Time}, {"limits.step_ms", l.Step}, {"limits.attempt_ms", l.TryFor}} {
+	}{{"limits.time_ms", l.Timeout}, {"limits.step_ms", l.StepTimeout}, {"limits.attempt_ms", l.AttemptTimeout}} {
 		if x := b.x; x > 0 && x < turns*tick {
 			s.refute(i, b.key, -1, nil, "%.1f ms are less than the %.0f turns of %.1f ms in which anything can end", x*1000, turns, tick*1000)
 		}
 	}
-	if l.Step > 0 && l.Time > 0 && l.Step > l.Time {
-		s.refute(i, "limits.step_ms", -1, nil, "a step of %.0f ms in a query of %.0f ms", l.Step*1000, l.Time*1000)
+	if l.StepTimeout > 0 && l.Timeout > 0 && l.StepTimeout > l.Timeout {
+		s.refute(i, "limits.step_ms", -1, nil, "a step of %.0f ms in a query of %.0f ms", l.StepTimeout*1000, l.Timeout*1000)
 	}
-	if l.TryFor > 0 && l.Time > 0 && l.TryFor > l.Time {
-		s.refute(i, "limits.attempt_ms", -1, nil, "an attempt of %.0f ms in a query of %.0f ms", l.TryFor*1000, l.Time*1000)
+	if l.AttemptTimeout > 0 && l.Timeout > 0 && l.AttemptTimeout > l.Timeout {
+		s.refute(i, "limits.attempt_ms", -1, nil, "an attempt of %.0f ms in a query of %.0f ms", l.AttemptTimeout*1000, l.Timeout*1000)
 	}
-	if l.Attempts > 0 && s.cfg.MaxAttempts > 0 && l.Attempts > s.cfg.MaxAttempts {
+	if l.MaxAttempts > 0 && s.cfg.MaxAttempts > 0 && l.MaxAttempts > s.cfg.MaxAttempts {
 		s.refute(i, "limits.attempts", -1, nil, "the settings allow %d; a route can only narrow", s.cfg.MaxAttempts)
 	}
 	if l.NoCopies && l.CopyAfter > 0 {
@@ -105,26 +105,26 @@
 	if r.Copies && !s.cfg.SecondCopies {
 		s.refute(i, "limits.copies", -1, nil, "the settings allow no second copies; a route can only narrow")
 	}
-	if r.Copies && l.Attempts == 1 {
+	if r.Copies && l.MaxAttempts == 1 {
 		s.refute(i, "limits.copies", -1, nil, "a second copy is a second attempt, and attempts is 1")
 	}
-	if (r.Copies || l.CopyAfter > 0) && l.TryFor > 0 && l.CopyAfter >= l.TryFor {
-		s.refute(i, "limits.copy_after_ms", -1, []string{at(0, "a part goes"), at(l.TryFor, "its attempt is given up"), at(l.CopyAfter, "its copy would go")},
+	if (r.Copies || l.CopyAfter > 0) && l.AttemptTimeout > 0 && l.CopyAfter >= l.AttemptTimeout {
+		s.refute(i, "limits.copy_after_ms", -1, []string{at(0, "a part goes"), at(l.AttemptTimeout, "its attempt is given up"), at(l.CopyAfter, "its copy would go")},
 			"the first attempt is over before its copy may go")
 	}
-	if l.CopyAfter > 0 && l.Time > 0 && l.CopyAfter >= l.Time {
+	if l.CopyAfter > 0 && l.Timeout > 0 && l.CopyAfter >= l.Timeout {
 		s.refute(i, "limits.copy_after_ms", -1, nil, "the query is over before a copy may go")
 	}
-	if c := s.cfg; r.Copies && c.ExtraSpan > 0 && c.ExtraPerRequest == 0 {
+	if c := s.cfg; r.Copies && c.ExtraWindow > 0 && c.ExtraPerRequest == 0 {
 		share := 1.0
-		if l.Share > 0 {
-			share = l.Share
+		if l.BudgetShare > 0 {
+			share = l.BudgetShare
 		}
 		if c.ExtraFree*share < 1 {
 			s.refute(i, "limits.copies", -1, nil, "the budget earns %.2f further attempts, of which the route has %.2f: never one", c.ExtraFree, c.ExtraFree*share)
 		}
 	}
-	if l.ComeBack > 0 && (!s.cfg.RetryAfter || l.ComeBack > s.cfg.MaxRetryAfter+eps) {
+	if l.MaxRetryAfter > 0 && (!s.cfg.RetryAfter || l.MaxRetryAfter > s.cfg.MaxRetryAfter+eps) {
 		s.refute(i, "limits.come_back_ms", -1, nil, "clients heed at most %.0f ms", s.cfg.MaxRetryAfter*1000*b2f(s.cfg.RetryAfter))
 	}
 	if room.Rate > 0 && room.Burst < 1 {
@@ -154,49 +154,49 @@
 	l := &r.Limits
 	tick := math.Max(s.cfg.Resolution, 0.001)
 	named := r.Match.Class != "" // what is asked of one class by name must make sense for it
-	if l.Time > 0 && c.GiveUp > 0 && l.Time > c.GiveUp+eps {
-		s.refute(i, "limits.time_ms", class, []string{at(0, "a query comes"), at(c.GiveUp, "its client leaves"), at(l.Time, "the route would end it")},
-			"a time-out of %.0f ms outlasts the client, who waits %.0f ms", l.Time*1000, c.GiveUp*1000)
+	if l.Timeout > 0 && c.GiveUp > 0 && l.Timeout > c.GiveUp+eps {
+		s.refute(i, "limits.time_ms", class, []string{at(0, "a query comes"), at(c.GiveUp, "its client leaves"), at(l.Timeout, "the route would end it")},
+			"a time-out of %.0f ms outlasts the client, who waits %.0f ms", l.Timeout*1000, c.GiveUp*1000)
 	}
 	if l.Floor > c.Need+eps && (named || c.Need < 1) {
 		s.refute(i, "limits.floor", class, nil, "a floor of %g over the need, %g: no whole answer could be given", l.Floor, c.Need)
 	}
-	if named && l.Step > 0 && c.FollowUp == 0 {
+	if named && l.StepTimeout > 0 && c.FollowUp == 0 {
 		s.refute(i, "limits.step_ms", class, nil, "it has one step; time_ms bounds it")
 	}
 	time := c.GiveUp
-	if l.Time > 0 {
-		time = math.Min(l.Time, orElse(c.GiveUp, l.Time))
+	if l.Timeout > 0 {
+		time = math.Min(l.Timeout, orElse(c.GiveUp, l.Timeout))
 	}
 	attempts := s.cfg.MaxAttempts
-	if l.Attempts > 0 {
-		attempts = l.Attempts
+	if l.MaxAttempts > 0 {
+		attempts = l.MaxAttempts
 	}
-	if l.TryFor > 0 && l.Attempts > 1 && c.Effect != policy.Unsafe && time > 0 && float64(l.Attempts-1)*(l.TryFor+tick)+tick >= time {
+	if l.AttemptTimeout > 0 && l.MaxAttempts > 1 && c.Effect != policy.Unsafe && time > 0 && float64(l.MaxAttempts-1)*(l.AttemptTimeout+tick)+tick >= time {
 		line := []string{at(0, "the first attempt goes")}
-		for n := 1; n < l.Attempts && n < 5; n++ {
-			line = append(line, at(float64(n)*(l.TryFor+tick), "attempt %d would go", n+1))
+		for n := 1; n < l.MaxAttempts && n < 5; n++ {
+			line = append(line, at(float64(n)*(l.AttemptTimeout+tick), "attempt %d would go", n+1))
 		}
 		s.refute(i, "limits.attempts", class, append(line, at(time, "the query is over")),
-			"%d attempts of %.0f ms each can't fit in %.0f ms", l.Attempts, l.TryFor*1000, time*1000)
+			"%d attempts of %.0f ms each can't fit in %.0f ms", l.MaxAttempts, l.AttemptTimeout*1000, time*1000)
 	}
 	switch c.Effect {
 	case policy.Unsafe:
-		if named && l.Attempts > 1 && !r.IfNeverRan { // unnamed it is a cap
+		if named && l.MaxAttempts > 1 && !r.IfNeverRan { // unnamed it is a cap
 			s.refute(i, "limits.attempts", class, []string{at(0, "the part goes"), at(tick, "its reader fails it, and may have run it"), at(2*tick, "attempt 2 would run it twice")},
 				"it must not run twice; only_if_never_ran: true says that further attempts are meant where the first is proved never to have run")
 		}
 		if named && r.Copies {
 			s.refute(i, "limits.copies", class, []string{at(0, "the part goes"), at(l.CopyAfter, "its copy would run it twice")}, "a second copy of a part that is out would run it twice")
 		}
-		if l.TryFor > 0 && (time == 0 || l.TryFor < time-eps) {
-			s.refute(i, "limits.attempt_ms", class, []string{at(0, "the part goes"), at(l.TryFor, "it is given up, and may have run"), at(l.TryFor+tick, "nothing may go again: the query fails, though its reader may answer")},
+		if l.AttemptTimeout > 0 && (time == 0 || l.AttemptTimeout < time-eps) {
+			s.refute(i, "limits.attempt_ms", class, []string{at(0, "the part goes"), at(l.AttemptTimeout, "it is given up, and may have run"), at(l.AttemptTimeout+tick, "nothing may go again: the query fails, though its reader may answer")},
 				"what is given up may have run and can't go again, so the query fails while there is time")
 		}
 	case policy.Keyed:
-		if attempts != 1 && l.TryFor > 0 && l.TryFor+turns*tick >= c.Window {
-			s.refute(i, "limits.attempt_ms", class, []string{at(0, "the part goes"), at(c.Window, "its key is forgotten"), at(l.TryFor, "attempt 2 would go beyond the window")},
-				"a resend after %.0f ms comes behind the %.0f ms in which repeats are dropped", l.TryFor*1000, c.Window*1000)
+		if attempts != 1 && l.AttemptTimeout > 0 && l.AttemptTimeout+turns*tick >= c.Window {
+			s.refute(i, "limits.attempt_ms", class, []string{at(0, "the part goes"), at(c.Window, "its key is forgotten"), at(l.AttemptTimeout, "attempt 2 would go beyond the window")},
+				"a resend after %.0f ms comes behind the %.0f ms in which repeats are dropped", l.AttemptTimeout*1000, c.Window*1000)
 		}
 		if r.Copies && l.CopyAfter+turns*tick >= c.Window {
 			s.refute(i, "limits.copy_after_ms", class, nil, "a copy after %.0f ms comes behind the %.0f ms in which repeats are dropped", l.CopyAfter*1000, c.Window*1000)
@@ -204,10 +204,10 @@
 	}
 	if s.drain > 0 && c.Effect == policy.Unsafe {
 		longest := time
-		if l.TryFor > 0 {
-			longest = math.Min(longest, l.TryFor)
+		if l.AttemptTimeout > 0 {
+			longest = math.Min(longest, l.AttemptTimeout)
 		}
-		if longest > s.drain+eps && l.Time > 0 {
+		if longest > s.drain+eps && l.Timeout > 0 {
 			s.refute(i, "limits.time_ms", class, []string{at(0, "a part goes to a reader"), at(tick, "the reader is told to drain"), at(tick+s.drain, "it ends with the part"), at(longest, "the query was to end")},
 				"a part may be out for %.0f ms, and a draining reader lives %.0f ms: its end leaves the part's fate unknown", longest*1000, s.drain*1000)
 		}
@@ -233,7 +233,7 @@
 	}
 	share := 0.0
 	for i := range s.t.Routes {
-		share += s.t.Routes[i].Limits.Share
+		share += s.t.Routes[i].Limits.BudgetShare
 	}
 	if share > 0 && share < 1-eps && !s.unshared() {
 		s.refute(-1, "", -1, nil, "the routes' shares of the budget come to %.2f: the rest is nobody's", share)
@@ -243,7 +243,7 @@
 // unshared tells whether some route has all of the budget open to it.
 func (s *solver) unshared() bool {
 	for i := range s.t.Routes {
-		if s.t.Routes[i].Limits.Share == 0 {
+		if s.t.Routes[i].Limits.BudgetShare == 0 {
 			return true
 		}
 	}
--- a/internal/serve/args.go
+++ b/internal/serve/args.go
@@ -90,7 +90,7 @@
 	}
 	fmt.Printf("name %s, listens on %s, discovery at %s\n", cfg.Name, cfg.Listen, cfg.Discovery)
 	fmt.Printf("%d classes, %d tenants, %d shards in %d cells, %d co-ordinators\n", len(cfg.Policy.Classes),
-		len(cfg.Policy.Tenants), cfg.Policy.Shards, cfg.Policy.Cells, cfg.Policy.Aggregators)
+		len(cfg.Policy.Tenants), cfg.Policy.Shards, cfg.Policy.Cells, cfg.Policy.Coordinators)
 	l := cfg.Limits
 	fmt.Printf("%d descriptors: %d clients, %d refused beyond, %d connections to replicas\n", l.Sockets, l.Clients,
 		l.ClientsOver, l.ReplicaLinks)
--- a/internal/serve/rehearse_test.go
+++ b/internal/serve/rehearse_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	r := newRehearsal(cfg, time.Hour, NewProcess("info").log.WithField("node", "n"))
-	r.observe(1, []policy.Event{{Kind: policy.QueryArrived, Query: 1, Group: 1, Class: 99, Tenant: -1, Due: 2}, {Kind: policy.PartArrived, Part: 2, Group: 1, Class: 99}}, nil)
+	r.observe(1, []policy.Event{{Kind: policy.QueryArrived, Query: 1, Group: 1, Class: 99, Tenant: -1, Deadline: 2}, {Kind: policy.PartArrived, Part: 2, Group: 1, Class: 99}}, nil)
 	if r.watch != nil {
 		t.Error("the watch goes on after a fault")
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -33,12 +33,12 @@
 	switch a.Verb {
 	case policy.Send:
 		b = field(field(open("ATTEMPT"), "rid", a.Part), "replica", a.Replica)
-		b = seconds(b, "try_for_s", a.TryFor)
+		b = seconds(b, "try_for_s", a.AttemptTimeout)
 	case policy.Cancel:
 		b = field(field(open("REVOKE"), "rid", a.Part), "send_no", uint64(a.Attempt))
 	case policy.Answer:
 		full := uint64(0)
-		if a.Full {
+		if a.Complete {
 			full = 1
 		}
 		b = field(field(open("WRAP_UP"), "rid", a.Query), "full", full)
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -12,8 +12,8 @@
 	code policy.Outcome
 }{
 	{"OK", policy.OK}, {"INTERNAL", policy.Failed}, {"RESOURCE_EXHAUSTED", policy.Rejected},
-	{"DEADLINE_EXCEEDED", policy.TimedOut}, {"UNAVAILABLE", policy.Unreachable}, {"ABORTED", policy.Broken},
-	{"CANCELLED", policy.Revoked}, {"TOO_LATE", policy.Moot},
+	{"DEADLINE_EXCEEDED", policy.TimedOut}, {"UNAVAILABLE", policy.Unreachable}, {"ABORTED", policy.ConnectionBroken},
+	{"CANCELLED", policy.Cancelled}, {"TOO_LATE", policy.NotSent},
 }
 
 func (f *fields) outcome() policy.Outcome {
@@ -123,7 +123,7 @@
 		case "customer":
 			ev.Tenant = f.place(names.Tenants)
 		case "due_s":
-			ev.Due = f.float()
+			ev.Deadline = f.float()
 		case "work_hint_s":
 			ev.Work = f.float()
 		case "is_retry":
@@ -148,7 +148,7 @@
 		case "rid":
 			ev.Part = f.uint()
 		case "wait_time_s":
-			ev.Took = f.float()
+			ev.Latency = f.float()
 		case "send_no":
 			ev.Attempt = f.int()
 		case "replica":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -151,7 +151,7 @@
 			switch f.name {
 			case "replica":
 				row.entry.Replica = f.uint()
-				row.entry.Common = row.entry.Replica
+				row.entry.SharedID = row.entry.Replica
 			case "zone":
 				row.zone = f.val
 			case "position":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -30,7 +30,7 @@
 	if items[0].Op != Start || items[0].Instance != 3 || c.Seed != 5138197539985895 {
 		t.Fatalf("%+v", items[0])
 	}
-	if c.MaxAttempts != 3 || !c.Cancel || c.MaxOpen != 136 || c.Zone != 1 || !c.MustAsk || c.Cells != 2 || c.DrainGrace != 0.25 {
+	if c.MaxAttempts != 3 || !c.Cancel || c.MaxOpen != 136 || c.Zone != 1 || !c.MustSubscribe || c.Cells != 2 || c.DrainGrace != 0.25 {
 		t.Fatalf("%+v", c)
 	}
 	if c.Classes[0].Need != 0.75 || c.Classes[0].Floor != 0.5 || c.Classes[1].Effect != policy.Keyed || c.Classes[1].Window != 5 {
@@ -47,7 +47,7 @@
 		"ENDPOINTS\tco-ordinator=3\tbuffer=0\tserial=2\thow=diff\n"+
 		"ENDPOINTS\tco-ordinator=3\tbuffer=9\tserial=2\thow=error\nYOUR_TURN\n")
 	first, second := items[1].Event, items[2].Event
-	if !first.Full || !first.Stale || first.List[0] != (policy.Entry{Replica: 7, Common: 7, Zone: 1, Cell: 1, Size: 1.5, Started: 6.1}) {
+	if !first.Full || !first.Stale || first.List[0] != (policy.Entry{Replica: 7, SharedID: 7, Zone: 1, Cell: 1, Size: 1.5, Started: 6.1}) {
 		t.Fatalf("%+v", first)
 	}
 	if second.Full || second.List[0].Replica != 8 || second.List[0].State != policy.Draining {
@@ -65,13 +65,13 @@
 		"CLOSED_ATTEMPT\tco-ordinator=3\trid=11\tlast=1\twait_time_s=0.5\tsend_no=1\treplica=7\treason=ABORTED\thealth_info=0.6,2\n"+
 		"YOUR_TURN\n")
 	q, part, end := items[1].Event, items[2].Event, items[3].Event
-	if q.Kind != policy.QueryArrived || q.Query != 10 || q.Count != 4 || q.Class != 1 || q.Tenant != 0 || q.Due != 8.5 {
+	if q.Kind != policy.QueryArrived || q.Query != 10 || q.Count != 4 || q.Class != 1 || q.Tenant != 0 || q.Deadline != 8.5 {
 		t.Fatalf("%+v", q)
 	}
 	if part.Kind != policy.PartArrived || part.Part != 11 || part.Weight != 0.25 || part.Shard != 0 || part.Tenant != -1 {
 		t.Fatalf("%+v", part)
 	}
-	if end.Outcome != policy.Broken || end.Attempt != 1 || end.Took != 0.5 || len(end.Report) != 2 {
+	if end.Outcome != policy.ConnectionBroken || end.Attempt != 1 || end.Latency != 0.5 || len(end.Report) != 2 {
 		t.Fatalf("%+v", end)
 	}
 }
@@ -104,9 +104,9 @@
 
 func TestEncode(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		"ATTEMPT\tco-ordinator=3\trid=5\treplica=9\ttry_for_s=0.080000\n": {Verb: policy.Send, Part: 5, Replica: 9, TryFor: 0.08},
+		"ATTEMPT\tco-ordinator=3\trid=5\treplica=9\ttry_for_s=0.080000\n": {Verb: policy.Send, Part: 5, Replica: 9, AttemptTimeout: 0.08},
 		"REVOKE\tco-ordinator=3\trid=5\tsend_no=2\n":                      {Verb: policy.Cancel, Part: 5, Attempt: 2},
-		"WRAP_UP\tco-ordinator=3\trid=4\tfull=1\n":                        {Verb: policy.Answer, Query: 4, Full: true},
+		"WRAP_UP\tco-ordinator=3\trid=4\tfull=1\n":                        {Verb: policy.Answer, Query: 4, Complete: true},
 		"BUSY\tco-ordinator=3\trid=4\tcome_back_s=0.500000\n":             {Verb: policy.Refuse, Query: 4, After: 0.5},
 		"GIVE_UP\tco-ordinator=3\trid=4\n":                                {Verb: policy.Fail, Query: 4},
 		"HEALTH_CHECK\tco-ordinator=3\treplica=9\n":                       {Verb: policy.Probe, Replica: 9},
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -11,9 +11,9 @@
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
 	r := newRig(t, cfg)
 	for _, x := range r.p.list {
-		x.suspect, x.trialAt = true, r.now+1
-		x.classes[0] = record{suspect: true, failing: true, value: 1, since: r.now, at: r.now}
-		x.classes[1] = record{goodAt: r.now, at: r.now}
+		x.suspect, x.nextTrialAt = true, r.now+1
+		x.records[0] = healthRecord{suspect: true, failing: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
+		x.records[1] = healthRecord{lastGoodAt: r.now, updatedAt: r.now}
 	}
 	for _, c := range []struct {
 		class   int
@@ -24,7 +24,7 @@
 		r.do()
 		r.next += 100
 		acts := r.do(
-			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Class: c.class, Tenant: -1, Due: r.now + 3, Count: 1},
+			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Class: c.class, Tenant: -1, Deadline: r.now + 3, Count: 1},
 			Event{Kind: PartArrived, Part: r.next + 1, Group: r.next, Weight: 1})
 		if n := len(of(Refuse, acts)); n != c.refused {
 			t.Errorf("class %d after %v s: %d refused, want %d", c.class, c.wait, n, c.refused)
@@ -41,7 +41,7 @@
 			for range 4 {
 				_, parts, _ := r.ask(6, 4)
 				for _, id := range parts {
-					r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Took: 0.4})
+					r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Latency: 0.4})
 				}
 			}
 		},
@@ -53,20 +53,20 @@
 				}
 				r.do(Event{Kind: ClientLeft, Query: q})
 				for _, id := range parts {
-					r.end(id, 1, 2, Revoked)
+					r.end(id, 1, 2, Cancelled)
 				}
 			}
 		},
 	}
 	for name, fill := range crowd {
 		cfg := settings(Safe)
-		cfg.Aggregators, cfg.Shards = 300, 60
+		cfg.Coordinators, cfg.Shards = 300, 60
 		steps := cfg.Classes[0]
 		steps.FollowUp = 5
 		cfg.Classes = append(cfg.Classes, steps)
 		r := newRig(t, cfg)
 		wide := func(id uint64) []Action {
-			events := []Event{{Kind: QueryArrived, Query: id, Group: id, Class: 1, Tenant: -1, Due: r.now + 4, Count: 60}}
+			events := []Event{{Kind: QueryArrived, Query: id, Group: id, Class: 1, Tenant: -1, Deadline: r.now + 4, Count: 60}}
 			for i := range 60 {
 				events = append(events, Event{Kind: PartArrived, Part: id + uint64(i) + 1, Group: id, Shard: i, Weight: 1.0 / 60})
 			}
@@ -79,9 +79,9 @@
 		if acts := wide(100000); len(of(Refuse, acts)) != 1 || len(of(Send, acts)) > 0 {
 			t.Errorf("%s: not refused at once: %d sent", name, len(of(Send, acts)))
 		}
-		r.run(3 * memory)
+		r.run(3 * historySpan)
 		if acts := wide(200000); len(of(Send, acts)) == 0 {
-			t.Errorf("%s: still refused after %v promises without news", name, 3*memory)
+			t.Errorf("%s: still refused after %v promises without news", name, 3*historySpan)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 			out = append(out, parts...)
 		}
 		for _, id := range out {
-			r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Took: took})
+			r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Latency: took})
 		}
 	}
 	if _, _, acts := r.ask(1, 4); len(of(Refuse, acts)) != 1 || acts[0].Reason != RecentLatency {
@@ -113,7 +113,7 @@
 		} else {
 			sent++
 			r.run(took)
-			r.do(Event{Kind: AttemptEnded, Part: parts[0], Outcome: OK, Took: took})
+			r.do(Event{Kind: AttemptEnded, Part: parts[0], Outcome: OK, Latency: took})
 		}
 		r.run(every)
 	}
@@ -126,14 +126,14 @@
 	const swift, slow, every = 0.08, 0.9, 0.2 // s, of a promise of 1 s
 	r := newRig(t, settings(Safe))
 	r.shutByLatency(swift, slow)
-	for r.now < 100+3*memory { // until the first goes and sees
+	for r.now < 100+3*historySpan { // until the first goes and sees
 		if _, sent := r.trickle(every, every, swift); sent > 0 {
 			break
 		}
 	}
-	r.trickle(memory, every, swift)
-	if refused, sent := r.trickle(memory, every, swift); refused > 0 {
-		t.Errorf("%d refused, %d let in, %v promises after the first swift answer", refused, sent, memory)
+	r.trickle(historySpan, every, swift)
+	if refused, sent := r.trickle(historySpan, every, swift); refused > 0 {
+		t.Errorf("%d refused, %d let in, %v promises after the first swift answer", refused, sent, historySpan)
 	}
 }
 
@@ -156,10 +156,10 @@
 func TestManyThatGoAndSeeUseAShareOfTheReplicas(t *testing.T) {
 	const swift, slow, span = 0.08, 0.9, 4.0
 	cfg := settings(Safe)
-	cfg.Aggregators = 100 // of four replicas
+	cfg.Coordinators = 100 // of four replicas
 	r := newRig(t, cfg)
 	r.shutByLatency(swift, slow)
-	if _, sent := r.trickle(span, 0.1, slow); float64(sent)*swift*float64(cfg.Aggregators) > probeShare*4*span {
+	if _, sent := r.trickle(span, 0.1, slow); float64(sent)*swift*float64(cfg.Coordinators) > maxProbeShare*4*span {
 		t.Errorf("%d let in within %v s", sent, span)
 	}
 }
--- a/policy/answers_test.go
+++ b/policy/answers_test.go
@@ -49,7 +49,7 @@
 		t.Fatalf("answered from three parts of four while the fourth may still come: %+v", f)
 	}
 	f := finals(r.run(2.9))
-	if len(f) != 1 || f[0].Verb != Answer || f[0].Full {
+	if len(f) != 1 || f[0].Verb != Answer || f[0].Complete {
 		t.Fatalf("want one answer that is not marked whole, got %+v", f)
 	}
 }
@@ -61,7 +61,7 @@
 		cfg.Shards = n
 		r := newRig(t, cfg)
 		weight := math.Round(1e6/float64(n)) / 1e6
-		events := []Event{{Kind: QueryArrived, Query: 1, Group: 1, Tenant: -1, Due: r.now + 4, Count: n}}
+		events := []Event{{Kind: QueryArrived, Query: 1, Group: 1, Tenant: -1, Deadline: r.now + 4, Count: n}}
 		for i := range n {
 			events = append(events, Event{Kind: PartArrived, Part: uint64(10 + i), Group: 1, Shard: i, Weight: weight})
 		}
@@ -71,7 +71,7 @@
 			if i < n-1 && len(acts) > 0 {
 				t.Fatalf("%d parts: after answer %d %v", n, i+1, acts)
 			}
-			if last := of(Answer, acts); i == n-1 && (len(last) != 1 || !last[0].Full) {
+			if last := of(Answer, acts); i == n-1 && (len(last) != 1 || !last[0].Complete) {
 				t.Errorf("%d parts, all in: %v", n, acts)
 			}
 		}
@@ -108,7 +108,7 @@
 		} else {
 			f = finals(r.run(1.1)) // a short answer once the promise has passed
 		}
-		if len(f) != 1 || f[0].Verb != Answer || f[0].Full != firstWhole {
+		if len(f) != 1 || f[0].Verb != Answer || f[0].Complete != firstWhole {
 			t.Fatalf("first step ended by %+v", f)
 		}
 		acts = r.do(
@@ -119,13 +119,13 @@
 			t.Fatalf("second step sent %d parts, want 2", len(s))
 		}
 		if f = finals(r.end(s[0].Part, 0, s[0].Replica, OK)); len(f) > 0 {
-			if firstWhole || f[0].Full {
+			if firstWhole || f[0].Complete {
 				t.Fatalf("answered from half of the second step: %+v", f)
 			}
 			continue
 		}
 		f = finals(r.end(s[1].Part, 0, s[1].Replica, OK))
-		if len(f) != 1 || f[0].Verb != Answer || f[0].Full != firstWhole {
+		if len(f) != 1 || f[0].Verb != Answer || f[0].Complete != firstWhole {
 			t.Fatalf("first step whole %v, second ended by %+v", firstWhole, f)
 		}
 	}
@@ -146,7 +146,7 @@
 		Event{Kind: PartArrived, Part: q + 50, Group: q, Shard: 0, Weight: 0.5},
 		Event{Kind: PartArrived, Part: q + 51, Group: q, Shard: 1, Weight: 0.5})
 	acts = r.end(first[1].Part, 0, first[1].Replica, OK)
-	if len(finals(acts)) > 0 || r.p.queries[q].inCount != 0 {
+	if len(finals(acts)) > 0 || r.p.queries[q].receivedCount != 0 {
 		t.Fatalf("a part of the first step was counted in the second: %+v", acts)
 	}
 	acts = r.end(first[1].Part, 0, first[1].Replica, Failed)
@@ -175,14 +175,14 @@
 	r := newRig(t, cfg)
 	q, _, _ := r.ask(4, 3)
 	held := r.p.queries[q]
-	held.in, held.inCount = 0.5, 2
-	r.p.out = r.p.out[:0]
-	if r.p.answer(held); len(r.p.out) > 0 {
-		t.Fatalf("half of the weight, floor 0.75: %+v", r.p.out)
+	held.receivedWeight, held.receivedCount = 0.5, 2
+	r.p.actions = r.p.actions[:0]
+	if r.p.answer(held); len(r.p.actions) > 0 {
+		t.Fatalf("half of the weight, floor 0.75: %+v", r.p.actions)
 	}
-	held.in, held.inCount = 0.75, 3
-	if r.p.answer(held); len(finals(r.p.out)) != 1 {
-		t.Fatalf("at the floor: %+v", r.p.out)
+	held.receivedWeight, held.receivedCount = 0.75, 3
+	if r.p.answer(held); len(finals(r.p.actions)) != 1 {
+		t.Fatalf("at the floor: %+v", r.p.actions)
 	}
 }
 
@@ -190,10 +190,10 @@
 	r := newRig(t, settings(Safe))
 	q, _, _ := r.ask(1, 3)
 	held := r.p.queries[q]
-	r.p.out = r.p.out[:0]
-	r.p.final(held, Action{Verb: Fail, Query: q})
-	r.p.final(held, Action{Verb: Refuse, Query: q})
-	if n := len(finals(r.p.out)); n != 1 {
+	r.p.actions = r.p.actions[:0]
+	r.p.finish(held, Action{Verb: Fail, Query: q})
+	r.p.finish(held, Action{Verb: Refuse, Query: q})
+	if n := len(finals(r.p.actions)); n != 1 {
 		t.Fatalf("%d final answers", n)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,7 +11,7 @@
 	for _, cells := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(cells, " replicas"), func(b *testing.B) {
 			cfg := settings(Safe)
-			cfg.Cells, cfg.Reach, cfg.Shards, cfg.Aggregators = cells, 2, cells, max(1, cells/4)
+			cfg.Cells, cfg.Reach, cfg.Shards, cfg.Coordinators = cells, 2, cells, max(1, cells/4)
 			p, now, id := New(cfg), 100.0, uint64(1000)
 			var list []Entry
 			for i := range cells {
@@ -20,7 +20,7 @@
 			p.Handle(now, []Event{{Kind: ListChanged, Full: true, List: list}})
 			for b.Loop() {
 				id += 100
-				ev := []Event{{Kind: QueryArrived, Query: id, Group: id, Tenant: -1, Due: now + 3, Count: 20}}
+				ev := []Event{{Kind: QueryArrived, Query: id, Group: id, Tenant: -1, Deadline: now + 3, Count: 20}}
 				for i := range uint64(20) {
 					ev = append(ev, Event{Kind: PartArrived, Part: id + 1 + i, Group: id, Shard: int(id/100+i) % cells, Weight: 0.05})
 				}
@@ -31,7 +31,7 @@
 				}
 				ev = ev[:0]
 				for _, a := range sends {
-					ev = append(ev, Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Took: 5 * p.tick})
+					ev = append(ev, Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: 5 * p.tick})
 				}
 				p.Handle(now, ev)
 			}
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -4,26 +4,26 @@
 
 import "math"
 
-// pick returns the fittest holder with fewest of our calls out, parts that share one counting once; ties at
+// pickReplica returns the fittest holder with fewest of our calls out, parts that share one counting once; ties at
 // random, likelier the sooner it answered of late. rank: 0 sound, 1 suspect, 2 tried for this part, 3 both.
-func (p *Policy) pick(pt *part) (best *replica, rank int) {
+func (p *Policy) pickReplica(pt *part) (best *replica, rank int) {
 	load, ties, holders := 0, 0.0, p.holders(pt.shard)
 	for _, r := range holders {
-		rk, busy := 0, p.coldShut(r)
-		if p.doubted(r, pt.q.class) && !p.trialDue(r, pt) {
+		rk, busy := 0, p.coldLimited(r)
+		if p.excluded(r, pt.query.class) && !p.trialDue(r, pt) {
 			rk = 1
 		}
 		for _, a := range pt.attempts {
-			if a.r == r {
+			if a.replica == r {
 				busy = busy || !a.ended
 				rk |= 2
 			}
 		}
 		w, even := 1.0, len(holders) <= fewHolders
 		if !even {
-			w = math.Pow(max(paceLeast, p.pace(r)), -paceSharp)
+			w = math.Pow(max(minSlowness, p.slowness(r)), -slownessPower)
 		}
-		switch n := r.calls; {
+		switch n := r.openCalls; {
 		case busy:
 		case best == nil || rk < rank || rk == rank && n < load:
 			best, rank, load, ties = r, rk, n, w
@@ -36,9 +36,9 @@
 	return best, rank
 }
 
-// pace is how long a replica's latest answers took, in means of their classes. What is known of it fades.
+// slowness is how long a replica's latest answers took, in means of their classes. What is known of it fades.
 // Guards against thin traffic, in which nearly all choices are ties: slow machines, cold ones, and those to
 // which the way is long would get as much as the others. With few holders the other has no room for that.
-func (p *Policy) pace(r *replica) float64 {
-	return 1 + (r.pace-1)*math.Exp((r.paceAt-p.now)/(memory*p.promise))
+func (p *Policy) slowness(r *replica) float64 {
+	return 1 + (r.slowness-1)*math.Exp((r.slownessAt-p.now)/(historySpan*p.minPromise))
 }
--- a/policy/cold_sum_test.go
+++ b/policy/cold_sum_test.go
@@ -10,7 +10,7 @@
 type coldNews struct {
 	name      string
 	spread    float64 // s from the start on, within which all are told
-	restarted float64 // share of the instances that begin anew, with no history, and learn of the start by a whole list
+	restarted float64 // serverShare of the instances that begin anew, with no history, and learn of the start by a whole list
 	from, to  float64 // s after the start, negative for before it, between which these begin
 	thin      float64 // parts a second, of all instances, up to the burst
 	burst     float64 // and from then on
@@ -22,12 +22,12 @@
 // told.
 type coldSums struct {
 	all, told float64
-	parts     int     // sent by those that had been told
+	parts     int     // requested by those that had been told
 	blamed    float64 // the largest part that those had in a window over the bound
 }
 
 const (
-	coldStart = 108.0  // on the crowd's clock: eight seconds of history, over coldMemory
+	coldStart = 108.0  // on the crowd's clock: eight seconds of history, over coldHistory
 	toldShare = 2. / 3 // of a window over the bound: more is a broken rule
 	coldWatch = 6.0    // s after the start, of a warm-up of 10
 )
@@ -65,7 +65,7 @@
 		begins[i] = coldStart + news.from + (news.to-news.from)*c.rng.Float64()
 	}
 	toldAt := map[int]float64{} // by the number of the instance's start
-	entry := Entry{Replica: 1, Common: 1, Size: 1, Started: coldStart}
+	entry := Entry{Replica: 1, SharedID: 1, Size: 1, Started: coldStart}
 	for c.now < coldStart+coldWatch {
 		step()
 		for i := range instances {
@@ -99,7 +99,7 @@
 	i, q := c.rng.IntN(among), c.ids
 	c.ids += 2
 	c.parts[i][q+1] = &scripted{due: c.now + 4}
-	c.do(i, []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Due: c.now + 4, Count: 1},
+	c.do(i, []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Deadline: c.now + 4, Count: 1},
 		{Kind: PartArrived, Part: q + 1, Group: q, Shard: c.rng.IntN(c.cfg.Shards), Weight: 1}})
 }
 
@@ -119,7 +119,7 @@
 	for i, first := range sends {
 		all, told := 0.0, 0.0
 		for _, s := range sends[i:] {
-			if s.at >= first.at+c.cfg.TipAfter {
+			if s.at >= first.at+c.cfg.OverloadWindow {
 				break
 			}
 			if all++; s.told {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -33,7 +33,7 @@
 		var at []float64
 		for ordinal := range peers {
 			cfg := settings(Safe)
-			cfg.Aggregators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(1+round)
+			cfg.Coordinators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(1+round)
 			r := newRig(t, cfg)
 			step := func(took float64) {
 				_, _, acts := r.ask(1, 3)
@@ -41,7 +41,7 @@
 					if a.Replica == 1 && r.now > 110 {
 						at = append(at, r.now)
 					}
-					r.do(Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Took: took})
+					r.do(Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: took})
 				}
 				r.run(0.4)
 			}
@@ -80,17 +80,17 @@
 		var due []float64 // when each peer's first part may go
 		for ordinal := range peers {
 			cfg := settings(Safe)
-			cfg.Aggregators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(ordinal)
+			cfg.Coordinators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(ordinal)
 			r := newRig(t, cfg)
 			r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
-			r.p.models[0].swift = 0.01
+			r.p.models[0].fast = 0.01
 			x := r.p.replicas[1]
 			rate, cold := r.p.coldRate(x)
-			mean, limit := rate*float64(peers)*cfg.TipAfter, cfg.FallMultiple*cfg.ColdFrom*100*cfg.TipAfter
+			mean, limit := rate*float64(peers)*cfg.OverloadWindow, cfg.OverloadMultiple*cfg.ColdCapacity*100*cfg.OverloadWindow
 			if !cold || mean <= 0 || mean+1.5*math.Sqrt(mean) > limit+1e-9 {
 				t.Errorf("%d peers: %.1f parts expected in the window, limit %.1f", peers, mean, limit)
 			}
-			due = append(due, (1-x.credit)*float64(peers)) // in parts of all peers together
+			due = append(due, (1-x.credit)*float64(peers)) // received parts of all peers together
 		}
 		slices.Sort(due)
 		for i, at := range due {
@@ -111,17 +111,17 @@
 		seen             int
 	}{{40, 0, 2, 0, 0}, {40, 1.5, 2, 0, 0}, {40, 9, 2, 0, 0}, {1, 0, 1, 0, 0}, {1, 3, 1, 0, 0}, {40, 0, 2, 5 * 4 * 8 / 256.0, 8}, {40, 1.5, 2, 5 * 4 * 20 / 784.0, 20}} {
 		cfg := settings(Safe)
-		cfg.Aggregators = c.peers
+		cfg.Coordinators = c.peers
 		r := newRig(t, cfg)
-		r.p.models[0].swift = 0.1
+		r.p.models[0].fast = 0.1
 		for range c.seen {
-			r.p.done.add(r.now)
+			r.p.answers.add(r.now)
 		}
 		r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now - c.late}}})
 		x := r.p.replicas[1]
-		r.p.coldShut(x)
+		r.p.coldLimited(x)
 		rate, _ := r.p.coldRate(x)
-		if want := math.Min(c.most, r.p.phase(0)+rate*(c.late+cfg.TipAfter+c.back)); math.Abs(x.credit-want) > 1e-9 {
+		if want := math.Min(c.most, r.p.phaseOffset(0)+rate*(c.late+cfg.OverloadWindow+c.back)); math.Abs(x.credit-want) > 1e-9 {
 			t.Errorf("%+v: credit %.4f, want %.4f", c, x.credit, want)
 		}
 	}
@@ -134,17 +134,17 @@
 	holders, allowed := 0, 0.0
 	for ordinal := range peers {
 		cfg := settings(Safe)
-		cfg.Aggregators, cfg.Ordinal = peers, ordinal
+		cfg.Coordinators, cfg.Ordinal = peers, ordinal
 		r := newRig(t, cfg)
 		for range seen {
-			r.p.done.add(r.now)
+			r.p.answers.add(r.now)
 		}
-		r.p.up = up
+		r.p.upCount = up
 		r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
-		r.p.up = up
+		r.p.upCount = up
 		x := r.p.replicas[1]
 		rate, _ := r.p.coldRate(x)
-		if allowed = rate * peers; !r.p.coldShut(x) { // a second, of all together
+		if allowed = rate * peers; !r.p.coldLimited(x) { // a second, of all together
 			holders++
 		}
 	}
--- a/policy/count.go
+++ b/policy/count.go
@@ -8,15 +8,15 @@
 type model struct {
 	delta, spread float64 // Δ and 1/μ
 	mean          float64
-	swift, middle float64 // quantiles: about the work alone, and the median
-	tail          float64 // the latency from which a part is late
-	seen          samples
-	work          ewma // hints of parts
+	fast, median  float64 // quantiles: about the work alone, and the median
+	lateLatency   float64 // the latency from which a part is late
+	latencies     samples
+	workHints     ewma // hints of parts
 }
 
-// share is L: the instance's share of the servers that hold the class's shards, at least m.
-func (p *Policy) share(m int) float64 {
-	return max(float64(m), float64(p.up)/float64(p.cfg.Aggregators))
+// serverShare is L: the instance's share of the servers that hold the class's shards, at least m.
+func (p *Policy) serverShare(m int) float64 {
+	return max(float64(m), float64(p.upCount)/float64(p.cfg.Coordinators))
 }
 
 // threshold is Q_s: the backlog, in queries, at which s and s+1 parts have the same modelled delay.
@@ -42,15 +42,19 @@
 	return root * root * b1 / (c1 - root)
 }
 
-// needOf is m: how many of k parts of equal weight make a whole answer.
-func needOf(c *Class, k int) int { return min(k, max(1, int(math.Ceil(c.Need*float64(k)-weightSlip)))) }
+// neededParts is m: how many of k parts of equal weight make a whole answer.
+func neededParts(c *Class, k int) int {
+	return min(k, max(1, int(math.Ceil(c.Need*float64(k)-weightTolerance))))
+}
 
 // backlog is that of own parts beyond L, in queries of m parts.
-func (p *Policy) backlog(m int) float64 { return max(0, float64(p.inFlight)-p.share(m)) / float64(m) }
+func (p *Policy) backlog(m int) float64 {
+	return max(0, float64(p.inFlight)-p.serverShare(m)) / float64(m)
+}
 
 // partCount is s: k on an empty backlog, m on a long one.
 func (p *Policy) partCount(class, m, k int) int {
-	l, backlog := p.share(m), p.backlog(m)
+	l, backlog := p.serverShare(m), p.backlog(m)
 	if backlog == 0 {
 		return k
 	}
@@ -61,16 +65,16 @@
 	return s
 }
 
-// learn refreshes the estimates.
-func (p *Policy) learn() {
+// refreshModels refreshes the estimates.
+func (p *Policy) refreshModels() {
 	for i := range p.models {
 		md := &p.models[i]
-		x := md.seen.recent(p.now - memory*p.cfg.Classes[i].Promise)
-		if len(x) < leastSeen {
+		x := md.latencies.recent(p.now - historySpan*p.cfg.Classes[i].Promise)
+		if len(x) < minSamples {
 			continue
 		}
-		md.swift, md.middle, md.tail = quantile(x, swiftShare), quantile(x, 0.5), quantile(x, tailShare)
-		x = x[:len(x)-int(cutWorst*float64(len(x)))]
+		md.fast, md.median, md.lateLatency = quantile(x, fastQuantile), quantile(x, 0.5), quantile(x, lateQuantile)
+		x = x[:len(x)-int(trimmedShare*float64(len(x)))]
 		md.mean, md.spread = moments(x)
 		md.delta = max(0, md.mean-md.spread)
 	}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -39,29 +39,29 @@
 
 func randomConfig(rng *rand.Rand) Config {
 	cfg := Config{
-		Seed: rng.Uint64(), Resolution: 0.005, Aggregators: 1 + rng.IntN(4), MaxAttempts: 2 + rng.IntN(4),
+		Seed: rng.Uint64(), Resolution: 0.005, Coordinators: 1 + rng.IntN(4), MaxAttempts: 2 + rng.IntN(4),
 		Cancel: rng.IntN(4) > 0, SecondCopies: rng.IntN(4) > 0, RetryAfter: rng.IntN(2) > 0, MaxRetryAfter: 0.5,
-		Cells: 1 + rng.IntN(4), Reach: 1, Shards: 12, CallParts: 1 + rng.IntN(8), DrainGrace: 0.25, AnswerSlack: 0.02,
-		ColdFrom: 0.2, WarmUp: 10, FallMultiple: 2, TipAfter: 1, MaxOpen: 40 + rng.IntN(300), OverShareKeep: 0.1,
+		Cells: 1 + rng.IntN(4), Reach: 1, Shards: 12, MaxPartsPerCall: 1 + rng.IntN(8), DrainGrace: 0.25, AnswerSlack: 0.02,
+		ColdCapacity: 0.2, WarmUp: 10, OverloadMultiple: 2, OverloadWindow: 1, MaxOpen: 40 + rng.IntN(300), OverShareValue: 0.1,
 		Tenants: []Tenant{{Quota: 5, Share: 0.5}, {Quota: 5, Share: 0.5}},
 	}
 	if rng.IntN(3) == 0 { // a large fleet with many co-ordinators
-		cfg.Aggregators, cfg.Cells, cfg.Shards = 20+rng.IntN(70), 20+rng.IntN(40), 60
+		cfg.Coordinators, cfg.Cells, cfg.Shards = 20+rng.IntN(70), 20+rng.IntN(40), 60
 	}
-	cfg.Reach, cfg.Ordinal = 1+rng.IntN(min(3, cfg.Cells)), rng.IntN(cfg.Aggregators)
+	cfg.Reach, cfg.Ordinal = 1+rng.IntN(min(3, cfg.Cells)), rng.IntN(cfg.Coordinators)
 	if rng.IntN(3) == 0 { // the shape of a move: no tenants, a list on asking, one attempt at a time or no marks
-		cfg.Tenants, cfg.MustAsk, cfg.MustAskIn = nil, true, 10
+		cfg.Tenants, cfg.MustSubscribe, cfg.MaxSubscribeDelay = nil, true, 10
 		cfg.SecondCopies = rng.IntN(2) > 0
 	}
 	if rng.IntN(2) > 0 {
-		cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraSpan = float64(rng.IntN(12)), 0.2*rng.Float64(), 0.5+3*rng.Float64()
+		cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = float64(rng.IntN(12)), 0.2*rng.Float64(), 0.5+3*rng.Float64()
 	}
 	for range 1 + rng.IntN(3) {
 		need := []float64{1, 1, 0.75, 0.5}[rng.IntN(4)]
 		cfg.Classes = append(cfg.Classes, Class{
-			Promise: 0.3 + rng.Float64(), GiveUp: 4, LateWorth: []float64{0, 0.1, 0.5}[rng.IntN(3)], Points: 1,
+			Promise: 0.3 + rng.Float64(), GiveUp: 4, LateValue: []float64{0, 0.1, 0.5}[rng.IntN(3)], Points: 1,
 			Effect: Effect(rng.IntN(3)), Window: 0.3 + 2*rng.Float64(), Need: need, Floor: need * []float64{1, 1, 0.6}[rng.IntN(3)],
-			FollowUp: []int{0, 0, 2}[rng.IntN(3)], ShortWorth: 0.9,
+			FollowUp: []int{0, 0, 2}[rng.IntN(3)], PartialValue: 0.9,
 		})
 	}
 	return cfg
@@ -72,12 +72,12 @@
 	w := &world{rng: rng, cfg: randomConfig(rng), now: 1000, alter: alter}
 	w.chk, w.p = checker.New(w.cfg), New(w.cfg)
 	n := 2 + rng.IntN(10)
-	if w.cfg.Aggregators >= 20 {
+	if w.cfg.Coordinators >= 20 {
 		n = w.cfg.Cells * 3
 	}
 	w.fails, w.fatal, w.born = map[uint64]int{}, map[uint64]bool{}, 10_000_000
 	for i := range uint64(n) {
-		w.list = append(w.list, Entry{Replica: 10 + i, Common: 10 + i, Cell: int(i) % w.cfg.Cells, Zone: int(i) % 3})
+		w.list = append(w.list, Entry{Replica: 10 + i, SharedID: 10 + i, Cell: int(i) % w.cfg.Cells, Zone: int(i) % 3})
 		if rng.IntN(5) == 0 {
 			w.fails[10+i] = rng.IntN(len(w.cfg.Classes))
 		}
@@ -104,7 +104,7 @@
 		case Cancel:
 			for i := range w.out {
 				if e := &w.out[i]; e.ev.Kind == AttemptEnded && e.ev.Part == a.Part && e.ev.Attempt == a.Attempt && w.rng.IntN(5) > 0 {
-					e.at, e.ev.Outcome = w.now, Revoked
+					e.at, e.ev.Outcome = w.now, Cancelled
 				}
 			}
 		case Timer:
@@ -130,25 +130,25 @@
 		took, o = 0.001, Outcome(1+w.rng.IntN(7))
 	}
 	if class, bad := w.fails[a.Replica]; bad && pt.Query.Class == class && w.rng.IntN(5) > 0 {
-		took, o = []float64{0.005, 60}[int(a.Replica)%2], Failed // at once, or never an answer
+		took, o = []float64{0.005, 60}[int(a.Replica)%2], Failed // times once, or never an answer
 	}
 	if w.fatal[pt.Query.ID] { // and with it goes all else that is out there
-		took, o = 0.02, Broken
+		took, o = 0.02, ConnectionBroken
 		for i := range w.out {
 			if e := &w.out[i]; e.ev.Kind == AttemptEnded && e.ev.Replica == a.Replica && e.at > w.now+took {
-				e.at, e.ev.Outcome = w.now+took, Broken
+				e.at, e.ev.Outcome = w.now+took, ConnectionBroken
 			}
 		}
 	}
 	at := pt.Query.Due
-	if a.TryFor > 0 {
-		at = min(at, w.now+a.TryFor)
+	if a.AttemptTimeout > 0 {
+		at = min(at, w.now+a.AttemptTimeout)
 	}
 	if w.now+took >= at {
 		took, o = at-w.now, TimedOut
 	}
 	w.out = append(w.out, pending{w.now + took, Event{
-		Kind: AttemptEnded, Part: a.Part, Attempt: len(pt.Attempts) - 1, Replica: a.Replica, Outcome: o, Took: took,
+		Kind: AttemptEnded, Part: a.Part, Attempt: len(pt.Attempts) - 1, Replica: a.Replica, Outcome: o, Latency: took,
 	}})
 }
 
@@ -223,7 +223,7 @@
 			tenant = -1
 		}
 		events = append(events, Event{
-			Kind: QueryArrived, Query: q, Group: q, Class: class, Tenant: tenant, Retry: w.rng.IntN(4) == 0, Due: w.now + 0.1 + 3*w.rng.Float64(), Count: n,
+			Kind: QueryArrived, Query: q, Group: q, Class: class, Tenant: tenant, Retry: w.rng.IntN(4) == 0, Deadline: w.now + 0.1 + 3*w.rng.Float64(), Count: n,
 		})
 		for i := range n {
 			w.ids++
@@ -313,13 +313,13 @@
 				if a.Verb == Fail {
 					a.Verb = Answer
 				}
-				a.Full = a.Verb == Answer
+				a.Complete = a.Verb == Answer
 				return a
 			}
 		},
 		6: func(w *world) func(Action) Action { // the budget in force is smaller than the one that was told
 			cfg := w.cfg
-			cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraSpan = 0, 0.001, 2
+			cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 0, 0.001, 2
 			w.chk = checker.New(cfg)
 			w.chk.Event(w.now, Event{Kind: ListChanged, Full: true, List: w.list})
 			return func(a Action) Action { return a }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -25,10 +25,10 @@
 			switch a.Verb {
 			case Send: // a second copy elsewhere
 				for _, c := range of(Cancel, r.end(a.Part, 1, a.Replica, OK)) {
-					r.do(Event{Kind: AttemptEnded, Part: c.Part, Attempt: c.Attempt, Replica: 1, Outcome: Revoked, Took: 0.3})
+					r.do(Event{Kind: AttemptEnded, Part: c.Part, Attempt: c.Attempt, Replica: 1, Outcome: Cancelled, Latency: 0.3})
 				}
 			case Cancel:
-				r.do(Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Replica: 1, Outcome: Revoked, Took: 0.3})
+				r.do(Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Replica: 1, Outcome: Cancelled, Latency: 0.3})
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 func TestAllHoldersSuspectAreStillUsed(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	for _, x := range r.p.list {
-		x.suspect, x.classes[0].suspect = true, true
+		x.suspect, x.records[0].suspect = true, true
 	}
 	if _, _, acts := r.ask(1, 3); len(of(Send, acts)) != 1 {
 		t.Fatal("with every holder suspect nothing was sent")
@@ -80,7 +80,7 @@
 		r.run(0.02)
 		r.end(of(Send, acts)[0].Part, 0, of(Send, acts)[0].Replica, OK)
 	}
-	mean, stress := r.p.models[0].mean, r.p.stress.value
+	mean, stress := r.p.models[0].mean, r.p.recentLatency.value
 	var out []Action
 	for range 8 {
 		_, _, acts := r.ask(1, 9)
@@ -89,7 +89,7 @@
 	r.now += 2
 	events := []Event{{Kind: TimerFired}}
 	for _, a := range out[:4] {
-		events = append(events, Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Took: 2})
+		events = append(events, Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: 2})
 	}
 	if n := len(of(Send, r.do(events...))); n > 0 {
 		t.Fatalf("%d parts sent again for our own standstill", n)
@@ -99,9 +99,9 @@
 			t.Fatal("a query was refused for answers that our own standstill hid")
 		}
 	}
-	r.p.learn()
-	if r.p.models[0].mean != mean && r.p.models[0].mean > 0.2 || r.p.stress.value != stress {
-		t.Fatalf("mean %v, stress %v: a standstill of ours was taken for latency", r.p.models[0].mean, r.p.stress.value)
+	r.p.refreshModels()
+	if r.p.models[0].mean != mean && r.p.models[0].mean > 0.2 || r.p.recentLatency.value != stress {
+		t.Fatalf("mean %v, stress %v: a standstill of ours was taken for latency", r.p.models[0].mean, r.p.recentLatency.value)
 	}
 	for _, x := range r.p.list {
 		if x.suspect {
@@ -121,7 +121,7 @@
 	for i := range 1200 {
 		r.next += 100
 		acts := r.do(
-			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Class: i % 2, Tenant: -1, Due: r.now + 3, Count: 1},
+			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Class: i % 2, Tenant: -1, Deadline: r.now + 3, Count: 1},
 			Event{Kind: PartArrived, Part: r.next + 1, Group: r.next, Weight: 1})
 		for n, s := 0, of(Send, acts); len(s) > 0; n++ {
 			o := OK
@@ -171,13 +171,13 @@
 	r.do(Event{Kind: ListChanged, Full: true, List: list})
 	for id := range uint64(40) { // one of the two holders of each shard
 		x := r.p.replicas[1+id]
-		x.suspect, x.classes[0] = true, record{suspect: true, value: 1, since: r.now, at: r.now}
+		x.suspect, x.records[0] = true, healthRecord{suspect: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
 	}
 	trials, sent := 0, 0
 	for i := range 400 {
 		r.next += 100
 		acts := r.do(
-			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Due: r.now + 3, Count: 1},
+			Event{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Deadline: r.now + 3, Count: 1},
 			Event{Kind: PartArrived, Part: r.next + 1, Group: r.next, Weight: 1, Shard: i % 40})
 		for n, s := 0, of(Send, acts); len(s) > 0; n++ {
 			sent++
@@ -211,13 +211,13 @@
 		}
 		r.do(list)
 		slow := r.p.replicas[1]
-		slow.pace, slow.paceAt = 2, r.now
+		slow.slowness, slow.slownessAt = 2, r.now
 		r.now += c.wait
 		r.do()
 		got := 0
 		for range 300 {
-			pt := &part{q: &query{lim: &Limits{}}}
-			if x, _ := r.p.pick(pt); x == slow {
+			pt := &part{query: &query{limits: &Limits{}}}
+			if x, _ := r.p.pickReplica(pt); x == slow {
 				got++
 			}
 		}
@@ -225,11 +225,11 @@
 			t.Errorf("%+v: %d parts went to the slow one", c, got)
 		}
 		for _, x := range r.p.list {
-			if x.calls = 1; x == slow {
-				x.calls = 0
+			if x.openCalls = 1; x == slow {
+				x.openCalls = 0
 			}
 		}
-		if x, _ := r.p.pick(&part{q: &query{lim: &Limits{}}}); x != slow {
+		if x, _ := r.p.pickReplica(&part{query: &query{limits: &Limits{}}}); x != slow {
 			t.Errorf("%+v: the holder with fewest parts out was passed over", c)
 		}
 	}
@@ -241,9 +241,9 @@
 	_, parts, acts := r.ask(1, 5)
 	x := r.p.replicas[of(Send, acts)[0].Replica]
 	mean := r.p.models[0].mean
-	r.do(Event{Kind: AttemptEnded, Part: parts[0], Replica: x.id, Outcome: OK, Took: 3 * mean})
-	if want := 1 + paceShare*2; math.Abs(x.pace-want) > 1e-9 {
-		t.Errorf("pace %v after an answer in three means, want %v", x.pace, want)
+	r.do(Event{Kind: AttemptEnded, Part: parts[0], Replica: x.id, Outcome: OK, Latency: 3 * mean})
+	if want := 1 + slownessWeight*2; math.Abs(x.slowness-want) > 1e-9 {
+		t.Errorf("pace %v after an answer in three means, want %v", x.slowness, want)
 	}
 }
 
@@ -253,14 +253,14 @@
 	for _, otherSound := range []bool{true, false} {
 		r := newRig(t, settings(Safe))
 		r.do(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 1}, {Replica: 2}}})
-		r.p.stress.add(0.1, 1)
+		r.p.recentLatency.add(0.1, 1)
 		_, _, acts := r.ask(1, 3.9)
 		x, other := r.p.replicas[of(Send, acts)[0].Replica], r.p.replicas[3-of(Send, acts)[0].Replica]
 		if !otherSound {
-			other.suspect, other.classes[0] = true, record{suspect: true, value: 1, since: r.now, at: r.now}
-			other.trialAt = r.now + 100
+			other.suspect, other.records[0] = true, healthRecord{suspect: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
+			other.nextTrialAt = r.now + 100
 		}
-		late := r.p.late(0)
+		late := r.p.lateAge(0)
 		r.run(1.2 * late)
 		if x.suspect != otherSound {
 			t.Errorf("other holder sound %v, a part late: suspect %v", otherSound, x.suspect)
@@ -281,9 +281,9 @@
 		}
 		r.do(Event{Kind: ListChanged, Full: true, List: list})
 		x := r.p.replicas[1]
-		x.suspect, x.classes[0] = true, record{suspect: true, value: 1, since: r.now, at: r.now}
-		r.p.trials, r.p.models[0].tail = 2, 0.8 // late well after 1.5 medians
-		for x.calls == 0 {
+		x.suspect, x.records[0] = true, healthRecord{suspect: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
+		r.p.trialCredit, r.p.models[0].lateLatency = 2, 0.8 // lateAge well after 1.5 medians
+		for x.openCalls == 0 {
 			_, parts, acts := r.ask(1, 3.9)
 			if s := of(Send, acts)[0]; s.Replica != 1 {
 				r.end(parts[0], 0, s.Replica, OK)
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// routed is a rig whose queries come by a route with these limits.
+// extraByRoute is a rig whose queries come by a route with these limits.
 func routed(t *testing.T, effect Effect, lim Limits, change func(*Config)) *rig {
 	cfg := settings(effect)
 	if change != nil {
@@ -19,7 +19,7 @@
 func (r *rig) askRouted(n int, due float64) (uint64, []uint64, []Action) {
 	r.next += 100
 	q := r.next
-	events := []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Route: 1, Limits: r.lim, Due: r.now + due, Count: n}}
+	events := []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Route: 1, Limits: r.lim, Deadline: r.now + due, Count: n}}
 	var parts []uint64
 	for i := range n {
 		id := q + uint64(i) + 1
@@ -30,7 +30,7 @@
 }
 
 func TestRouteBoundsTheTime(t *testing.T) {
-	for name, lim := range map[string]Limits{"whole": {Time: 0.3}, "step": {Step: 0.3}} {
+	for name, lim := range map[string]Limits{"whole": {Timeout: 0.3}, "step": {StepTimeout: 0.3}} {
 		r := routed(t, Safe, lim, nil)
 		began := r.now
 		r.askRouted(2, 4)
@@ -48,9 +48,9 @@
 }
 
 func TestRouteBoundsAttemptsAndTheirTime(t *testing.T) {
-	r := routed(t, Safe, Limits{Attempts: 2, TryFor: 0.2}, nil)
+	r := routed(t, Safe, Limits{MaxAttempts: 2, AttemptTimeout: 0.2}, nil)
 	_, parts, acts := r.askRouted(1, 4)
-	if s := of(Send, acts); len(s) != 1 || s[0].TryFor != 0.2 {
+	if s := of(Send, acts); len(s) != 1 || s[0].AttemptTimeout != 0.2 {
 		t.Fatalf("%+v", acts)
 	}
 	acts = r.end(parts[0], 0, of(Send, acts)[0].Replica, Failed)
@@ -89,11 +89,11 @@
 // Queues turn those away first that are to yield: what the others may still wait for is too long for them.
 func TestQueuesTurnAwaySoonerWhoYields(t *testing.T) {
 	for by, want := range map[float64]Verb{0: Send, 1: Send, 4: Refuse} {
-		r := routed(t, Safe, Limits{YieldBy: by}, nil)
+		r := routed(t, Safe, Limits{PromiseDivisor: by}, nil)
 		for range 4 { // the latest parts took a tenth of the promise
 			_, parts, _ := r.ask(6, 4)
 			for _, id := range parts {
-				r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Took: 0.15})
+				r.do(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Latency: 0.15})
 			}
 		}
 		if _, _, acts := r.askRouted(1, 4); len(of(want, acts)) != 1 {
@@ -111,7 +111,7 @@
 		for i := range 2 {
 			r.end(parts[i], 0, sends[i].Replica, OK)
 		}
-		if f := finals(r.run(1)); len(f) != 1 || f[0].Verb != want || f[0].Full {
+		if f := finals(r.run(1)); len(f) != 1 || f[0].Verb != want || f[0].Complete {
 			t.Errorf("floor %v: %+v", floor, f)
 		}
 	}
@@ -122,18 +122,18 @@
 	for i := range 3 {
 		last = r.end(parts[i], 0, sends[i].Replica, OK)
 	}
-	if f := finals(last); len(f) != 1 || f[0].Verb != Answer || !f[0].Full {
+	if f := finals(last); len(f) != 1 || f[0].Verb != Answer || !f[0].Complete {
 		t.Errorf("%+v", last)
 	}
 }
 
 func TestRouteTakesItsShareOfTheBudgetOnly(t *testing.T) {
-	r := routed(t, Safe, Limits{Share: 0.25}, func(c *Config) { c.ExtraFree, c.ExtraSpan = 8, 10 })
+	r := routed(t, Safe, Limits{BudgetShare: 0.25}, func(c *Config) { c.ExtraFree, c.ExtraWindow = 8, 10 })
 	again := 0
 	for range 8 {
 		_, parts, acts := r.askRouted(1, 4)
 		s := of(Send, acts)
-		again += len(of(Send, r.end(parts[0], 0, s[0].Replica, Moot)))
+		again += len(of(Send, r.end(parts[0], 0, s[0].Replica, NotSent)))
 	}
 	if again != 2 {
 		t.Errorf("%d further attempts of a budget of 8, of which a quarter is the route's", again)
@@ -141,7 +141,7 @@
 }
 
 func TestRouteBoundsTheTimeToComeBack(t *testing.T) {
-	r := routed(t, Safe, Limits{ComeBack: 0.05}, nil)
+	r := routed(t, Safe, Limits{MaxRetryAfter: 0.05}, nil)
 	r.do(Event{Kind: ListChanged, Full: true})
 	_, _, acts := r.askRouted(1, 4)
 	if f := finals(acts); len(f) != 1 || f[0].Verb != Refuse || math.Abs(f[0].After-0.05) > 1e-9 {
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -18,7 +18,7 @@
 		list = append(list, e)
 	}
 	r.do(Event{Kind: ListChanged, List: list})
-	acts = append(r.end(parts[0], 0, first, Broken), r.run(2.5)...) // neither a retry nor a second copy
+	acts = append(r.end(parts[0], 0, first, ConnectionBroken), r.run(2.5)...) // neither a retry nor a second copy
 	_, _, more := r.ask(1, 3)
 	if s := of(Send, append(acts, more...)); len(s) > 0 {
 		t.Fatalf("sent to a replica that drains or is gone: %+v", s)
@@ -44,7 +44,7 @@
 func TestActionsDoNotChangeWithTheFleet(t *testing.T) {
 	trace := func(times int) (s string) {
 		cfg := settings(Safe)
-		cfg.Cells, cfg.Aggregators, cfg.Classes[0].Need, cfg.Classes[0].Floor = 2*times, 8*times, 0.75, 0.75
+		cfg.Cells, cfg.Coordinators, cfg.Classes[0].Need, cfg.Classes[0].Floor = 2*times, 8*times, 0.75, 0.75
 		r := newRig(t, cfg)
 		var list []Entry
 		for id := range uint64(8 * times) {
@@ -53,7 +53,7 @@
 		r.do(Event{Kind: ListChanged, Full: true, List: list})
 		for i := range 300 {
 			r.next += 100
-			ev := []Event{{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Due: r.now + 3, Count: 4}}
+			ev := []Event{{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Deadline: r.now + 3, Count: 4}}
 			for j := range uint64(4) {
 				ev = append(ev, Event{Kind: PartArrived, Part: r.next + 1 + j, Group: r.next, Shard: int(j % 2), Weight: 0.25})
 			}
@@ -115,7 +115,7 @@
 	r.now++
 	away(Up)
 	away(Removed)
-	r.now += 2 * memory
+	r.now += 2 * historySpan
 	away(Removed)
 	if r.p.replicas[out] != was {
 		t.Error("a replica that is back, or has an attempt out, was forgotten")
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -50,7 +50,7 @@
 
 const (
 	crowdParts    = 120.0                      // a second, of all instances: queries of one part
-	crowdReplicas = 12                         // over four cells, three in each
+	crowdReplicas = 12                         // ended four cells, three in each
 	crowdTook     = 0.1                        // s, of each answer
 	crowdWarm     = crowdParts / crowdReplicas // a second, of a warm replica; a core could do no more
 )
@@ -60,10 +60,10 @@
 		cfg: settings(Safe), now: 100, rng: rand.New(rand.NewPCG(seed, 5)), ids: 1,
 		gone: map[uint64]bool{}, sends: map[uint64][]sent{},
 	}
-	c.cfg.Aggregators, c.cfg.Cells, c.cfg.Reach, c.cfg.Shards, c.cfg.MustAsk = n, 4, reach, 4, true
+	c.cfg.Coordinators, c.cfg.Cells, c.cfg.Reach, c.cfg.Shards, c.cfg.MustSubscribe = n, 4, reach, 4, true
 	c.cfg.Classes[0].Promise = 2.5
 	for id := range uint64(replicas) {
-		c.list = append(c.list, Entry{Replica: id + 1, Common: id + 1, Cell: int(id) % c.cfg.Cells, Size: 1})
+		c.list = append(c.list, Entry{Replica: id + 1, SharedID: id + 1, Cell: int(id) % c.cfg.Cells, Size: 1})
 	}
 	c.p, c.parts, c.life = make([]*Policy, n), make([]map[uint64]*scripted, n), make([]int, n)
 	c.open, c.asks = make([]bool, n), make([][]float64, n)
@@ -102,7 +102,7 @@
 	for _, a := range c.p[i].Handle(c.now, events) {
 		switch a.Verb {
 		case Send:
-			pt, no := c.parts[i][a.Part], c.p[i].parts[a.Part].last().no
+			pt, no := c.parts[i][a.Part], c.p[i].parts[a.Part].lastAttempt().number
 			o := scriptedOut{no, a.Replica, c.now, c.now + crowdTook, OK}
 			if c.gone[a.Replica] || c.now+crowdTook >= pt.due {
 				o.end, o.outcome = pt.due, TimedOut
@@ -113,12 +113,12 @@
 				c.copies++
 			}
 			pt.outs = append(pt.outs, o)
-			c.sends[a.Replica] = append(c.sends[a.Replica], sent{c.now, c.life[i], no == 0, c.p[i].doubted(c.p[i].replicas[a.Replica], 0)})
+			c.sends[a.Replica] = append(c.sends[a.Replica], sent{c.now, c.life[i], no == 0, c.p[i].excluded(c.p[i].replicas[a.Replica], 0)})
 		case Cancel:
 			if pt := c.parts[i][a.Part]; pt != nil {
 				for k := range pt.outs {
 					if pt.outs[k].no == a.Attempt {
-						pt.outs[k].end, pt.outs[k].outcome = c.now, Revoked
+						pt.outs[k].end, pt.outs[k].outcome = c.now, Cancelled
 					}
 				}
 			}
@@ -138,7 +138,7 @@
 			i, q := c.rng.IntN(len(c.p)), c.ids
 			c.ids += 2
 			c.parts[i][q+1] = &scripted{due: c.now + 4}
-			events[i] = append(events[i], Event{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Due: c.now + 4, Count: 1},
+			events[i] = append(events[i], Event{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Deadline: c.now + 4, Count: 1},
 				Event{Kind: PartArrived, Part: q + 1, Group: q, Shard: c.rng.IntN(c.cfg.Shards), Weight: 1})
 		}
 		for i := range c.p {
@@ -164,7 +164,7 @@
 				return false
 			}
 			events = append(events, Event{Kind: AttemptEnded, Part: id, Attempt: o.no, Replica: o.replica, Outcome: o.outcome,
-				Took: o.end - o.sentAt})
+				Latency: o.end - o.sentAt})
 			return true
 		})
 		if len(pt.outs) == 0 && c.now > pt.due+1 {
@@ -180,8 +180,8 @@
 // Rule 4 counts what all send together. A replica's limit at an age is the multiple of what it can do then, here at least
 // crowdWarm; root is what coldRate takes of it, so that chance is borne. Neither knows how many co-ordinators there are.
 func coldLimit(c *Config, age float64) (limit, root float64) {
-	limit = c.FallMultiple * (c.ColdFrom + (1-c.ColdFrom)*math.Max(0, age)/c.WarmUp) * crowdWarm * c.TipAfter
-	return limit, (math.Sqrt(coldChance*coldChance+4*limit) - coldChance) / 2
+	limit = c.OverloadMultiple * (c.ColdCapacity + (1-c.ColdCapacity)*math.Max(0, age)/c.WarmUp) * crowdWarm * c.OverloadWindow
+	return limit, (math.Sqrt(coldDeviations*coldDeviations+4*limit) - coldDeviations) / 2
 }
 
 func TestManySendLittleToAStartingReplica(t *testing.T) {
@@ -193,7 +193,7 @@
 			for seed := range uint64(seeds) {
 				c := newCrowd(n, seed, crowdReplicas, 2)
 				c.run(108)
-				c.change(Entry{Replica: 1, Common: 1, Size: 1, Started: c.now})
+				c.change(Entry{Replica: 1, SharedID: 1, Size: 1, Started: c.now})
 				start := c.now
 				if again > 0 {
 					c.run(start + again)
@@ -205,15 +205,15 @@
 					if s.at <= start || s.at >= start+10 {
 						continue
 					}
-					counts[int((s.at-start)/cfg.TipAfter)]++
+					counts[int((s.at-start)/cfg.OverloadWindow)]++
 					all++
 					n := 0
 					for _, o := range c.sends[1][i:] {
-						if o.at < s.at+cfg.TipAfter {
+						if o.at < s.at+cfg.OverloadWindow {
 							n++
 						}
 					}
-					// The mean lies coldChance spreads under the limit; none of so few windows lies 3.5 over the mean.
+					// The mean lies coldDeviations spreads under the limit; none of so few windows lies 3.5 over the mean.
 					if limit, root := coldLimit(&cfg, s.at-start); float64(n) > limit+1.5*root {
 						t.Errorf("%d, again at %v s, seed %d: %d parts within a window from %.2f s on, rule 4's limit is %.1f",
 							len(c.p), again, seed, n, s.at-start, limit)
@@ -221,7 +221,7 @@
 				}
 			}
 			for w, sum := range counts {
-				limit, root := coldLimit(&cfg, float64(w)*cfg.TipAfter)
+				limit, root := coldLimit(&cfg, float64(w)*cfg.OverloadWindow)
 				mean, most := float64(sum)/seeds, root*root+2*root/math.Sqrt(seeds) // chance gives a window's count a spread of root
 				if again > 0 && float64(w) >= again {
 					// Credit counts from the replica's start, so that the new ones have again what the old ones had.
@@ -239,8 +239,8 @@
 }
 
 func TestManyTrySuspectsAndCopyWithinTheTraffic(t *testing.T) {
-	faults := 1 // in a row that show, from no outcome before
-	for math.Pow(1-faultShare, float64(faults)) >= 1-faultLimit {
+	faults := 1 // received a row that show, from no outcome before
+	for math.Pow(1-faultWeight, float64(faults)) >= 1-faultThreshold {
 		faults++
 	}
 	const replicas = 4 // that hold all: by chance alone a suspect would get more than the share of trials
@@ -273,12 +273,12 @@
 			if earned := trialShare * float64(c.firsts); float64(trials) > earned {
 				t.Errorf("%d trials, %.0f were earned", trials, earned)
 			}
-			if most := float64(c.lives) * (1 + span/(trialGap*c.p[0].promise)); float64(trials) > most {
+			if most := float64(c.lives) * (1 + span/(trialInterval*c.p[0].minPromise)); float64(trials) > most {
 				t.Errorf("%d trials, %.0f at most by their gap", trials, most)
 			}
 			// Each learns for itself, so this grows with them: for each start as many parts as faults are needed, and its share
 			// of what goes there, as to any holder, until the first counts as lost.
-			blind := math.Ceil(crowdParts / replicas * lostTimes * lateLeast * c.p[0].promise / float64(n))
+			blind := math.Ceil(crowdParts / replicas * lostFactor * minLateShare * c.p[0].minPromise / float64(n))
 			for life, k := range lives {
 				if float64(k) > float64(faults)+blind {
 					t.Errorf("start %d learnt by %d parts, %d faults show and %.0f are sent meanwhile", life, k, faults, blind)
@@ -310,7 +310,7 @@
 			c.run(123)
 			// Each asks for itself: once at its start, when its call drops, and then once a promise while they fail. The sum
 			// grows with the fleet, its rate is that of the fleet over the promise, whatever the traffic.
-			sum, promise, tick, failing := 0, c.p[0].promise, c.p[0].tick, 15.0
+			sum, promise, tick, failing := 0, c.p[0].minPromise, c.p[0].tick, 15.0
 			for i, at := range c.asks {
 				sum += len(at)
 				for k := 1; k < len(at); k++ {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestStartValues(t *testing.T) {
-	md := modelPolicy(1).models[0] // promise 1 s
+	md := modelPolicy(1).models[0] // minPromise 1 s
 	if md.mean != 0.2 || md.spread != 0.1 || md.delta != 0.1 {
 		t.Fatalf("mean %v, 1/μ %v, Δ %v; want a fifth of the promise, half of that, the difference", md.mean, md.spread, md.delta)
 	}
@@ -86,11 +86,11 @@
 // L is the servers over the co-ordinators, but never under m.
 func TestShare(t *testing.T) {
 	p := modelPolicy(1)
-	if l := p.share(1); l != 4 {
+	if l := p.serverShare(1); l != 4 {
 		t.Fatalf("four servers, one co-ordinator: L = %v", l)
 	}
-	p.cfg.Aggregators = 8
-	if l := p.share(3); l != 3 {
+	p.cfg.Coordinators = 8
+	if l := p.serverShare(3); l != 3 {
 		t.Fatalf("half a server a co-ordinator, m = 3: L = %v", l)
 	}
 }
@@ -106,9 +106,9 @@
 		if i < 2 {
 			took = 100 // the worst two of 2,000
 		}
-		p.models[0].seen.add(p.now, took)
+		p.models[0].latencies.add(p.now, took)
 	}
-	p.learn()
+	p.refreshModels()
 	if md := p.models[0]; math.Abs(md.mean-0.2) > 1e-3 || math.Abs(md.spread-0.1) > 1e-3 || math.Abs(md.delta-0.1) > 1e-3 {
 		t.Fatalf("mean %v, 1/μ %v, Δ %v; want 0.2, 0.1, 0.1", md.mean, md.spread, md.delta)
 	}
@@ -118,11 +118,11 @@
 	p := modelPolicy(1)
 	before := p.models[0].mean
 	p.now = 500
-	p.learn()
-	for range leastSeen {
-		p.models[0].seen.add(p.now-memory-1, 9) // too old to count
+	p.refreshModels()
+	for range minSamples {
+		p.models[0].latencies.add(p.now-historySpan-1, 9) // too old to count
 	}
-	p.learn()
+	p.refreshModels()
 	if md := p.models[0]; md.mean != before {
 		t.Fatalf("mean %v without a sample of late, want it as it was, %v", md.mean, before)
 	}
@@ -137,28 +137,28 @@
 		if i%20 == 0 {
 			took = 2
 		}
-		p.models[0].seen.add(p.now, took)
+		p.models[0].latencies.add(p.now, took)
 	}
-	p.learn()
+	p.refreshModels()
 	if md := p.models[0]; md.delta != 0 || md.spread <= md.mean {
 		t.Fatalf("Δ = %v with 1/μ %v and mean %v", md.delta, md.spread, md.mean)
 	}
 }
 
-// Revoked parts leave no latency: the model sees only what was answered.
+// Cancelled parts leave no latency: the model sees only what was answered.
 func TestRevokedPartsLeaveNoSample(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	_, parts, acts := r.ask(1, 3)
 	s := of(Send, acts)
-	r.do(Event{Kind: AttemptEnded, Part: parts[0], Replica: s[0].Replica, Outcome: Revoked, Took: 0.9})
-	if n := len(r.p.models[0].seen.ring); n != 0 {
+	r.do(Event{Kind: AttemptEnded, Part: parts[0], Replica: s[0].Replica, Outcome: Cancelled, Latency: 0.9})
+	if n := len(r.p.models[0].latencies.entries); n != 0 {
 		t.Fatalf("%d samples from a revoked part", n)
 	}
 }
 
 func TestReplicaRule(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.CallParts = 8
+	cfg.MaxPartsPerCall = 8
 	r := newRig(t, cfg)
 	_, _, acts := r.ask(4, 3) // four holders, four parts: one each, for nothing is out yet
 	seen := map[uint64]bool{}
@@ -170,14 +170,14 @@
 	}
 	r.ask(4, 3)
 	for _, x := range r.p.list {
-		if x.calls != 2 {
-			t.Fatalf("replica %d has %d calls out, want two each", x.id, x.calls)
+		if x.openCalls != 2 {
+			t.Fatalf("replica %d has %d calls out, want two each", x.id, x.openCalls)
 		}
 	}
 	_, _, acts = r.ask(8, 3) // two parts each, but those of one turn share a call
 	for _, x := range r.p.list {
-		if x.calls != 3 {
-			t.Fatalf("replica %d has %d calls out, want three: parts sharing a call count once", x.id, x.calls)
+		if x.openCalls != 3 {
+			t.Fatalf("replica %d has %d calls out, want three: parts sharing a call count once", x.id, x.openCalls)
 		}
 	}
 	if len(of(Send, acts)) != 8 {
@@ -188,7 +188,7 @@
 // The list has to be asked for at some sites: at once, and again a while after a call failed.
 func TestListIsAskedFor(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.MustAsk = true
+	cfg.MustSubscribe = true
 	r := &rig{t: t, p: New(cfg), now: 100}
 	if n := len(of(Watch, r.do(Event{Kind: ListChanged, Full: true, Stale: true}))); n != 1 {
 		t.Fatalf("asked %d times at the start", n)
@@ -208,7 +208,7 @@
 // as told by then.
 func TestListIsAskedForWithinItsSetting(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.Classes[0].Promise, cfg.Classes[0].GiveUp, cfg.MustAsk, cfg.MustAskIn = 10, 40, true, 2
+	cfg.Classes[0].Promise, cfg.Classes[0].GiveUp, cfg.MustSubscribe, cfg.MaxSubscribeDelay = 10, 40, true, 2
 	r := &rig{t: t, p: New(cfg), now: 100}
 	r.do(Event{Kind: ListChanged, Full: true, Stale: true})
 	r.do(Event{Kind: ListFailed})
@@ -229,10 +229,10 @@
 		if i%20 == 0 {
 			took = 2
 		}
-		p.models[0].seen.add(p.now, took)
+		p.models[0].latencies.add(p.now, took)
 	}
-	p.learn()
-	if late := p.late(0); late > 0.6 {
+	p.refreshModels()
+	if late := p.lateAge(0); late > 0.6 {
 		t.Fatalf("a part counts as late after %v s, the median being 0.1 s", late)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -17,13 +17,13 @@
 // settings are those of a plain site: one cell of four holders, one shard a part.
 func settings(effect Effect) Config {
 	return Config{
-		Seed: 1, Resolution: 0.005, Aggregators: 1,
+		Seed: 1, Resolution: 0.005, Coordinators: 1,
 		Classes: []Class{{
-			Promise: 1, GiveUp: 4, LateWorth: 0.1, Points: 1, Effect: effect, Window: 2, Need: 1, Floor: 1, ShortWorth: 0.9,
+			Promise: 1, GiveUp: 4, LateValue: 0.1, Points: 1, Effect: effect, Window: 2, Need: 1, Floor: 1, PartialValue: 0.9,
 		}},
 		MaxAttempts: 4, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 0.5,
-		Cells: 1, Reach: 1, Shards: 8, CallParts: 1,
-		ColdFrom: 0.2, WarmUp: 10, FallMultiple: 2, TipAfter: 1,
+		Cells: 1, Reach: 1, Shards: 8, MaxPartsPerCall: 1,
+		ColdCapacity: 0.2, WarmUp: 10, OverloadMultiple: 2, OverloadWindow: 1,
 	}
 }
 
@@ -56,7 +56,7 @@
 func (r *rig) ask(n int, due float64) (uint64, []uint64, []Action) {
 	r.next += 100
 	q := r.next
-	events := []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Due: r.now + due, Count: n}}
+	events := []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Deadline: r.now + due, Count: n}}
 	var parts []uint64
 	for i := range n {
 		id := q + uint64(i) + 1
@@ -67,7 +67,7 @@
 }
 
 func (r *rig) end(part uint64, attempt int, replica uint64, o Outcome) []Action {
-	return r.do(Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Replica: replica, Outcome: o, Took: 0.1})
+	return r.do(Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Replica: replica, Outcome: o, Latency: 0.1})
 }
 
 func of(verb Verb, acts []Action) []Action {
@@ -97,7 +97,7 @@
 		}
 	}
 	r.do(list)
-	r.p.fellAt = 0 // the guard is looked at, not the scouts that a death brings
+	r.p.lastCrashAt = 0 // the guard is looked at, not the scouts that a death brings
 	var at []float64
 	for end := r.now + 3; r.now < end; {
 		_, _, acts := r.ask(4, 3)
--- a/policy/sending_test.go
+++ b/policy/sending_test.go
@@ -13,11 +13,11 @@
 		resend bool
 	}{
 		{Safe, Failed, true}, {Safe, Rejected, true}, {Safe, TimedOut, true}, {Safe, Unreachable, true},
-		{Safe, Broken, true}, {Safe, Revoked, true}, {Safe, Moot, true},
+		{Safe, ConnectionBroken, true}, {Safe, Cancelled, true}, {Safe, NotSent, true},
 		{Keyed, Failed, true}, {Keyed, Rejected, true}, {Keyed, TimedOut, true}, {Keyed, Unreachable, true},
-		{Keyed, Broken, true}, {Keyed, Revoked, true}, {Keyed, Moot, true},
+		{Keyed, ConnectionBroken, true}, {Keyed, Cancelled, true}, {Keyed, NotSent, true},
 		{Unsafe, Failed, false}, {Unsafe, Rejected, true}, {Unsafe, TimedOut, false}, {Unsafe, Unreachable, true},
-		{Unsafe, Broken, false}, {Unsafe, Revoked, false}, {Unsafe, Moot, true},
+		{Unsafe, ConnectionBroken, false}, {Unsafe, Cancelled, false}, {Unsafe, NotSent, true},
 	} {
 		r := newRig(t, settings(c.effect))
 		_, parts, acts := r.ask(1, 4)
@@ -67,7 +67,7 @@
 // Further attempts never pass free + share x requests in any window, whatever ends the attempts.
 func TestAttemptBudget(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraSpan = 3, 0.1, 2
+	cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 3, 0.1, 2
 	r := newRig(t, cfg)
 	type happening struct {
 		at    float64
@@ -194,7 +194,7 @@
 			}
 			no := 0
 			for i, at := range pt.attempts {
-				if at.r.id == w.Replica {
+				if at.replica.id == w.Replica {
 					no = i
 				}
 			}
@@ -205,7 +205,7 @@
 				left = append(left, w)
 				continue
 			}
-			r.do(Event{Kind: AttemptEnded, Part: w.Part, Attempt: no, Replica: w.Replica, Outcome: OK, Took: r.now - w.at})
+			r.do(Event{Kind: AttemptEnded, Part: w.Part, Attempt: no, Replica: w.Replica, Outcome: OK, Latency: r.now - w.at})
 		}
 		waiting = left
 	}
@@ -220,7 +220,7 @@
 		r := newRig(t, settings(Safe))
 		part := func(work float64) (Event, Event) {
 			r.next += 100
-			q := Event{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Due: r.now + 3.9, Count: 1}
+			q := Event{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Deadline: r.now + 3.9, Count: 1}
 			return q, Event{Kind: PartArrived, Part: r.next + 1, Group: r.next, Weight: 1, Work: work}
 		}
 		for range 60 {
@@ -245,22 +245,22 @@
 
 func TestSendKeepsItsRules(t *testing.T) {
 	for name, breach := range map[string]func(r *rig, pt *part, x *replica){
-		"gone":     func(r *rig, pt *part, x *replica) { pt.gone = true },
-		"in":       func(r *rig, pt *part, x *replica) { pt.in = true },
-		"too late": func(r *rig, pt *part, x *replica) { r.p.now = pt.q.due },
+		"gone":     func(r *rig, pt *part, x *replica) { pt.closed = true },
+		"in":       func(r *rig, pt *part, x *replica) { pt.received = true },
+		"too late": func(r *rig, pt *part, x *replica) { r.p.now = pt.query.deadline },
 		"draining": func(r *rig, pt *part, x *replica) { x.state = Draining },
 		"removed":  func(r *rig, pt *part, x *replica) { x.state = Removed },
 		"cold": func(r *rig, pt *part, x *replica) {
 			x.started, x.credit, x.creditAt = r.p.now-0.01, 0, r.p.now
 		},
 		"attempts": func(r *rig, pt *part, x *replica) { pt.attempts = append(pt.attempts, pt.attempts[0]) },
-		"two out":  func(r *rig, pt *part, x *replica) { r.p.cfg.MaxAttempts = 9; pt.out = 2 },
+		"two out":  func(r *rig, pt *part, x *replica) { r.p.cfg.MaxAttempts = 9; pt.inFlight = 2 },
 		"no copies": func(r *rig, pt *part, x *replica) {
 			r.p.cfg.SecondCopies = false
 		},
 		"unsafe": func(r *rig, pt *part, x *replica) { r.p.cfg.Classes[0].Effect = Unsafe },
 		"budget": func(r *rig, pt *part, x *replica) {
-			r.p.cfg.ExtraSpan, r.p.cfg.ExtraPerRequest = 2, 0.01
+			r.p.cfg.ExtraWindow, r.p.cfg.ExtraPerRequest = 2, 0.01
 		},
 	} {
 		for _, broken := range []bool{false, true} {
@@ -290,7 +290,7 @@
 	r := newRig(t, settings(Safe))
 	r.ask(1, 3.9)
 	for range 1000 {
-		r.p.extras.add(r.now)
+		r.p.extraAttempts.add(r.now)
 	}
 	if n := len(of(Send, r.run(1.2))); n == 0 {
 		t.Fatal("a part whose answer was lost stood until its end")
@@ -329,7 +329,7 @@
 		for len(sends) > 0 && len(ended) == 0 {
 			s := sends[0]
 			sends = sends[1:]
-			o := Broken
+			o := ConnectionBroken
 			if !poison && s.Part != q+1 || n[s.Part] > 0 && !poison {
 				o = OK
 			}
@@ -351,7 +351,7 @@
 func TestRetrySendsAScout(t *testing.T) {
 	for _, how := range []string{"in", "late", "broken"} {
 		r := newRig(t, settings(Safe))
-		ev := []Event{{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Due: r.now + 3, Count: 3, Retry: true}}
+		ev := []Event{{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 3, Retry: true}}
 		for i := range 3 {
 			ev = append(ev, Event{Kind: PartArrived, Part: uint64(501 + i), Group: 500, Shard: i, Weight: 1.0 / 3})
 		}
@@ -366,7 +366,7 @@
 		case "late":
 			next = r.run(0.9)
 		case "broken":
-			next = append(r.end(first[0].Part, 0, first[0].Replica, Broken), r.run(0.1)...)
+			next = append(r.end(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.run(0.1)...)
 		}
 		if s, f := of(Send, next), finals(next); how == "broken" && (len(s) > 0 || len(f) != 1 || f[0].Verb != Fail) ||
 			how != "broken" && len(s) < 2 {
@@ -415,7 +415,7 @@
 		r.do(c.news(r)...)
 		_, _, acts = r.ask(3, 3)
 		first = of(Send, acts)
-		next := append(r.end(first[0].Part, 0, first[0].Replica, Broken), r.run(0.1)...)
+		next := append(r.end(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.run(0.1)...)
 		if s, f := of(Send, next), finals(next); len(s) > 0 || len(f) != 1 || f[0].Verb != Fail {
 			t.Errorf("%s: a scout broke a replica, then sent %v, ended by %v", name, s, f)
 		}
@@ -434,7 +434,7 @@
 		"unsafe":           {func(c *Config) { c.Classes[0].Effect = Unsafe }, false},
 		"no cancel":        {func(c *Config) { c.Cancel = false }, false},
 		"one attempt":      {func(c *Config) { c.MaxAttempts = 1 }, false},
-		"no budget":        {func(c *Config) { c.ExtraFree, c.ExtraPerRequest, c.ExtraSpan = 0, 0, 5 }, false},
+		"no budget":        {func(c *Config) { c.ExtraFree, c.ExtraPerRequest, c.ExtraWindow = 0, 0, 5 }, false},
 		"out of the route": {func(c *Config) { c.Reach, c.Cells = 1, 4 }, false},
 	} {
 		cfg := settings(Safe)
@@ -458,7 +458,7 @@
 		if !c.moves {
 			continue
 		}
-		again := of(Send, r.end(parts[0], 0, first.Replica, Revoked))
+		again := of(Send, r.end(parts[0], 0, first.Replica, Cancelled))
 		if len(again) != 1 || again[0].Replica == first.Replica {
 			t.Errorf("%s: after the end of the first attempt sent %v", name, again)
 		}
@@ -486,12 +486,12 @@
 		cfg := settings(Safe)
 		c.set(&cfg)
 		r := newRig(t, cfg)
-		r.p.stress.value = c.stress
-		lim := Limits{TryFor: c.route}
+		r.p.recentLatency.value = c.stress
+		lim := Limits{AttemptTimeout: c.route}
 		acts := r.do(
-			Event{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Due: r.now + 3, Count: 1, Limits: &lim},
+			Event{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 1, Limits: &lim},
 			Event{Kind: PartArrived, Part: 501, Group: 500, Weight: 1})
-		if s := of(Send, acts); len(s) != 1 || math.Abs(s[0].TryFor-c.want) > 1e-9 {
+		if s := of(Send, acts); len(s) != 1 || math.Abs(s[0].AttemptTimeout-c.want) > 1e-9 {
 			t.Errorf("%s: sent %v, want a time of %v", name, s, c.want)
 		}
 	}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -24,7 +24,7 @@
 }
 
 var narrowed = []*Limits{
-	{Time: 1, TryFor: 0.4, Attempts: 2}, {Step: 0.6, NoCopies: true, Yield: true}, {CopyAfter: 0.5, Share: 0.3, ComeBack: 0.1, Floor: 0.9},
+	{Timeout: 1, AttemptTimeout: 0.4, MaxAttempts: 2}, {StepTimeout: 0.6, NoCopies: true, Yield: true}, {CopyAfter: 0.5, BudgetShare: 0.3, MaxRetryAfter: 0.1, Floor: 0.9},
 }
 
 // routesAndWork gives most queries a route with limits, and parts a hint of their work.
@@ -48,7 +48,7 @@
 		Attempt                      int
 		TryFor, After                float64
 		Text                         string
-	}{a.Verb, a.Full, a.Query, a.Part, a.Replica, a.Handle, a.Attempt, a.TryFor, a.After, a.Text}
+	}{a.Verb, a.Complete, a.Query, a.Part, a.Replica, a.Handle, a.Attempt, a.AttemptTimeout, a.After, a.Text}
 }
 
 // A change that is meant to change no decision leaves each stream of actions as it was, byte for byte. One that is
--- a/policy/view.go
+++ b/policy/view.go
@@ -18,23 +18,23 @@
 
 // HolderView is one replica in a View. The flags say why it is left out; with none of them it is a candidate.
 type HolderView struct {
-	Replica  uint64
-	State    Readiness
-	Calls    int  // own calls out there: the fewest wins
-	Suspect  bool // doubted for this class
-	Down     bool // took nothing when last tried
-	Cold     bool // within its warm-up
-	ColdShut bool // and has had what it may take by now
-	Chosen   bool // among the fittest with fewest calls: one of these gets the next part
+	Replica     uint64
+	State       Readiness
+	Calls       int  // own calls out there: the fewest wins
+	Suspect     bool // excluded for this class
+	Unavailable bool // latency nothing when last tried
+	Cold        bool // within its warm-up
+	ColdLimited bool // and has had what it may take by now
+	Candidate   bool // among the fittest with fewest calls: one of these gets the next part
 }
 
 // View looks at the shard for a class with k parts a query, at the time of the last turn.
 func (p *Policy) View(class, shard, k int) View {
 	c, md := &p.cfg.Classes[class], &p.models[class]
-	m := needOf(c, k)
+	m := neededParts(c, k)
 	v := View{
-		Share: p.share(m), Need: m, Parts: k, First: p.partCount(class, m, k), Delta: md.delta, Spread: md.spread,
-		LateAfter: p.late(class), InFlight: p.inFlight, Backlog: p.backlog(m),
+		Share: p.serverShare(m), Need: m, Parts: k, First: p.partCount(class, m, k), Delta: md.delta, Spread: md.spread,
+		LateAfter: p.lateAge(class), InFlight: p.inFlight, Backlog: p.backlog(m),
 	}
 	for s := m; s < k; s++ {
 		v.Thresholds = append(v.Thresholds, md.threshold(m, s, v.Share))
@@ -44,26 +44,26 @@
 	for j := range min(p.cfg.Reach, p.cfg.Cells) {
 		for _, r := range p.cells[(shard+j)%p.cfg.Cells] {
 			credit, at := r.credit, r.creditAt
-			h := HolderView{Replica: r.id, State: r.state, Calls: r.calls, Suspect: p.doubted(r, class), Down: r.down && p.now < r.trialAt}
+			h := HolderView{Replica: r.id, State: r.state, Calls: r.openCalls, Suspect: p.excluded(r, class), Unavailable: r.unavailable && p.now < r.nextTrialAt}
 			_, h.Cold = p.coldRate(r)
-			h.ColdShut = p.coldShut(r)
+			h.ColdLimited = p.coldLimited(r)
 			r.credit, r.creditAt = credit, at // looking earns nothing
 			rank := 0
 			switch {
-			case r.state != Up || h.ColdShut:
+			case r.state != Up || h.ColdLimited:
 				rank = 4
 			case h.Suspect:
 				rank = 1
 			}
-			if rank < best || rank == best && r.calls < least {
-				best, least = rank, r.calls
+			if rank < best || rank == best && r.openCalls < least {
+				best, least = rank, r.openCalls
 			}
 			ranks = append(ranks, rank)
 			v.Holders = append(v.Holders, h)
 		}
 	}
 	for i := range v.Holders {
-		v.Holders[i].Chosen = best < 4 && ranks[i] == best && v.Holders[i].Calls == least
+		v.Holders[i].Candidate = best < 4 && ranks[i] == best && v.Holders[i].Calls == least
 	}
 	return v
 }
