--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -49,7 +49,7 @@
 	}
 	a := &Attempt{
 		ID: pt.frameID, Shard: pt.shard, Text: pt.query.Text, Due: pt.query.Due, Previous: pt.previous, Complete: pt.complete,
-		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.decisionTime(e.turnAt),
+		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.policyTime(e.turnAt),
 	}
 	if act.AttemptTimeout > 0 {
 		if due := e.turnAt.Add(duration(act.AttemptTimeout)); due.Before(a.Due) {
@@ -60,7 +60,7 @@
 	pt.query.sent = true
 	pt.query.openAttempts++
 	e.counters.attempts++
-	e.load.change(e.turnAt, 1)
+	e.load.add(e.turnAt, 1)
 	e.schedule(a.Due.Sub(e.turnAt).Seconds(), timer{attempt: a})
 	e.traceAttempt(a)
 	for i := range e.outgoing {
@@ -76,20 +76,20 @@
 // its second arrives, and what arrives before that is known everywhere is rejected. So the part that opens
 // a second step goes ahead, and calls with others of that step follow after a short gap.
 func (e *Exchange) flush() {
-	var later []outgoingCall
+	var delayed []outgoingCall
 	for _, c := range e.outgoing {
 		if len(c.attempts) == 0 {
 			continue
 		}
-		if e.nextStepOf(c) {
-			later = append(later, c)
+		if e.needsStepGap(c) {
+			delayed = append(delayed, c)
 			continue
 		}
 		e.replicas.Send(c.replica, c.attempts)
 	}
-	if len(later) > 0 {
+	if len(delayed) > 0 {
 		time.Sleep(e.limits.StepGap) // far less than the least gap between turns
-		for _, c := range later {
+		for _, c := range delayed {
 			e.replicas.Send(c.replica, c.attempts)
 		}
 	}
@@ -97,18 +97,18 @@
 	e.outgoing = e.outgoing[:0]
 }
 
-// nextStepOf tells whether a call holds a part of a second step that has been opened in this turn; a part that
+// needsStepGap tells whether a call holds a part of a second step that has been opened in this turn; a part that
 // opens one is noted.
-func (e *Exchange) nextStepOf(c outgoingCall) bool {
+func (e *Exchange) needsStepGap(c outgoingCall) bool {
 	wait := false
 	for _, a := range c.attempts {
 		q := a.part.query
 		if a.Previous == nil {
 			continue
 		}
-		if q.opened.IsZero() {
-			q.opened = e.turnAt
-		} else if q.opened.Equal(e.turnAt) {
+		if q.secondStepAt.IsZero() {
+			q.secondStepAt = e.turnAt
+		} else if q.secondStepAt.Equal(e.turnAt) {
 			wait = true
 		}
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	if n := e.config.Classes[q.Class].FollowUp; n > 0 && q.step == 1 {
-		e.secondStep(q, n, a.Complete)
+		e.startSecondStep(q, n, a.Complete)
 		return
 	}
 	r := Reply{Complete: a.Complete}
@@ -134,29 +134,29 @@
 	e.finish(a.Query, r)
 }
 
-// secondStep closes the first step and asks the shards with the highest scores, n at most; its parts reach
+// answerFirstStep closes the first step and asks the shards with the highest scores, n at most; its parts reach
 // the decisions with the next turn.
-func (e *Exchange) secondStep(q *query, n int, whole bool) {
-	var in []*part
+func (e *Exchange) startSecondStep(q *query, n int, complete bool) {
+	var answered []*part
 	for _, pt := range q.parts {
 		if pt.answered {
-			in = append(in, pt)
+			answered = append(answered, pt)
 		}
 	}
-	from := make([]int, len(in))
-	for i, pt := range in {
-		from[i] = pt.shard
+	answeredShards := make([]int, len(answered))
+	for i, pt := range answered {
+		answeredShards[i] = pt.shard
 	}
-	slices.Sort(from)
-	slices.SortStableFunc(in, func(a, b *part) int {
+	slices.Sort(answeredShards)
+	slices.SortStableFunc(answered, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.shard, b.shard))
 	})
-	in = in[:min(n, len(in))]
+	answered = answered[:min(n, len(answered))]
 	q.step = 2
 	e.closeStep(q)
 	q.parts = nil
-	for _, pt := range in {
-		e.deferred = append(e.deferred, e.newPart(q, &part{shard: pt.shard, previous: from, complete: whole}, 1/float64(len(in)), 0))
+	for _, pt := range answered {
+		e.deferred = append(e.deferred, e.newPart(q, &part{shard: pt.shard, previous: answeredShards, complete: complete}, 1/float64(len(answered)), 0))
 	}
 }
 
@@ -171,8 +171,8 @@
 	}
 	q.served = r.Status == Served
 	e.close(q, LaneOutcome{Status: r.Status})
-	e.recordEnd(q, r.ending(), len(r.Values))
-	q.count(r)
+	e.recordEnd(q, r.recordStatus(), len(r.Values))
+	q.countReply(r)
 	e.counters.replies[r.Status]++
 	e.counters.reasons[r.Reason]++
 	if e.debug() {
--- a/internal/exchange/drains.go
+++ b/internal/exchange/drains.go
@@ -37,58 +37,58 @@
 
 // withDrains keeps a change of the endpoint list, and returns it as the decisions and the replica side are to have it.
 func (e *Exchange) withDrains(l ReplicaList) ReplicaList {
-	n := e.drainOverlay
-	if n == nil {
+	d := e.drainOverlay
+	if d == nil {
 		return l
 	}
 	if l.Full {
-		clear(n.entries)
-		n.stale = l.Stale
+		clear(d.entries)
+		d.stale = l.Stale
 	}
 	shown := l
 	shown.Entries = make([]Endpoint, len(l.Entries))
 	for i, entry := range l.Entries {
 		if entry.State == policy.Removed {
-			delete(n.entries, entry.Name)
+			delete(d.entries, entry.Name)
 		} else {
-			n.entries[entry.Name] = entry
+			d.entries[entry.Name] = entry
 		}
-		shown.Entries[i] = n.overlay(entry)
+		shown.Entries[i] = d.overlay(entry)
 	}
-	if n.onList != nil {
-		n.onList(slices.SortedFunc(maps.Values(n.entries), func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) }), n.stale)
+	if d.onList != nil {
+		d.onList(slices.SortedFunc(maps.Values(d.entries), func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) }), d.stale)
 	}
 	return shown
 }
 
 // handleDrains takes another set of drains: what differs by it is a change of the endpoint list, and nothing else is.
 func (e *Exchange) handleDrains(set setDrains) {
-	n := e.drainOverlay
-	if n == nil {
+	d := e.drainOverlay
+	if d == nil {
 		return
 	}
-	before := n.drained
-	n.drained = make(map[string]bool, len(set))
+	before := d.drained
+	d.drained = make(map[string]bool, len(set))
 	for _, name := range set {
-		n.drained[name] = true
+		d.drained[name] = true
 	}
 	var changed []Endpoint
-	for _, name := range slices.Sorted(maps.Keys(n.entries)) {
-		if entry := n.entries[name]; entry.State == policy.Up && before[name] != n.drained[name] {
-			changed = append(changed, n.overlay(entry))
+	for _, name := range slices.Sorted(maps.Keys(d.entries)) {
+		if entry := d.entries[name]; entry.State == policy.Up && before[name] != d.drained[name] {
+			changed = append(changed, d.overlay(entry))
 		}
 	}
 	if len(changed) > 0 {
-		e.log.WithFields(logrus.Fields{"drained": len(n.drained), "changed": len(changed)}).Info("the fleet's drains over the list changed")
+		e.log.WithFields(logrus.Fields{"drained": len(d.drained), "changed": len(changed)}).Info("the fleet's drains over the list changed")
 		e.applyReplicaList(ReplicaList{Entries: changed})
 	}
-	if n.onApplied != nil {
-		n.onApplied()
+	if d.onApplied != nil {
+		d.onApplied()
 	}
 }
 
-func (n *drainOverlay) overlay(entry Endpoint) Endpoint {
-	if entry.State == policy.Up && n.drained[entry.Name] {
+func (d *drainOverlay) overlay(entry Endpoint) Endpoint {
+	if entry.State == policy.Up && d.drained[entry.Name] {
 		entry.State = policy.Draining
 	}
 	return entry
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -16,8 +16,8 @@
 	"birchcart/policy"
 )
 
-// epoch is the decisions' clock at our start: far from 0, which means 'long ago' in the list.
-const epoch = 1e6
+// policyStartTime is the decisions' clock at our start: far from 0, which means 'long ago' in the list.
+const policyStartTime = 1e6
 
 // Exchange owns the decisions and what is open.
 type Exchange struct {
@@ -38,26 +38,26 @@
 	wake  chan struct{}
 
 	// What follows belongs to the goroutine of Run.
-	batch          []message // the inbox of this turn
-	events         []policy.Event
-	deferred       []policy.Event // for the next turn: second steps, and attempts that were withdrawn
-	lastID         uint64
-	record         *record.Writer // nil: nothing is recorded
-	routes         *routes        // nil: no query has one
-	clientsGone    []*query       // their clients have gone in this turn
-	queries        map[uint64]*query
-	byRequestID    map[string]*query // open, or of late with parts sent: till its end their ids may be at replicas
-	parts          map[uint64]*part
-	openCount      int // queries and parts open
-	replicasByName map[string]*replicaEntry
-	replicasByID   map[uint64]*replicaEntry
-	timers         timers
-	listIndex      int64     // discovery's version of the list in force
-	turnAt         time.Time // the last turn
-	counters       counters
-	loggedAt       time.Time
-	outgoing       []outgoingCall
-	observe        func(now float64, events []policy.Event, actions []policy.Action)
+	batch           []message // the inbox of this turn
+	events          []policy.Event
+	deferred        []policy.Event // for the next turn: second steps, and attempts that were withdrawn
+	lastID          uint64
+	record          *record.Writer // nil: nothing is recorded
+	routes          *routeState    // nil: no query has one
+	clientsGone     []*query       // their clients have gone in this turn
+	queries         map[uint64]*query
+	byRequestID     map[string]*query // open, or of late with parts sent: till its end their ids may be at replicas
+	parts           map[uint64]*part
+	openCount       int // queries and parts open
+	replicasByName  map[string]*replicaEntry
+	replicasByID    map[uint64]*replicaEntry
+	timers          timers
+	listIndex       int64     // discovery's version of the list in force
+	turnAt          time.Time // the last turn
+	counters        counters
+	summaryLoggedAt time.Time
+	outgoing        []outgoingCall
+	observe         func(now float64, events []policy.Event, actions []policy.Action)
 
 	drainOverlay   *drainOverlay // nil: nothing is laid over the list
 	load           *Load         // nil: not measured
@@ -66,23 +66,23 @@
 	limitOverrides map[limitKey]*policy.Limits
 }
 
-// query is one that is open.
+// newQuery is one that is open.
 type query struct {
 	*Query
-	id     uint64 // of the query, and of its group
+	id     uint64 // route the query, and of its group
 	step   int
 	parts  []*part
 	sent   bool // an attempt has gone
 	closed bool
-	routes *routes // under which it was taken; nil: none
+	routes *routeState // under which it was taken; nil: none
 	route  int
 
-	opened time.Time // the turn in which the first part of the second step went
+	secondStepAt time.Time // the turn in which the first part of the second step went
 
 	// Of a session: pinned until its end was reported, and whether it waits, ran, and may have parts that still run.
 	pinned, waiting, served, ran, mayStillRun bool
 	openAttempts                              int    // attempts that have not ended
-	sessionReply                              *Reply // by which its session ended it; nil: it did not
+	sessionReply                              *Reply // yieldBy which its session ended it; nil: it did not
 
 	laneVerdict LaneVerdict // laned: what the verdict of the lanes; the lanes are notified of its end
 	inLane      bool
@@ -105,8 +105,8 @@
 // replicaEntry is one replica that discovery named.
 type replicaEntry struct {
 	Target
-	listed bool
-	goneAt time.Time // since when it is removed
+	listed    bool
+	removedAt time.Time // since when it is removed
 }
 
 // outgoingCall is what one turn sends to one replica.
@@ -125,13 +125,13 @@
 	}
 }
 
-// Join names the replica side and discovery.
-func (e *Exchange) Join(r Replicas, w Watcher) { e.replicas, e.watcher = r, w }
+// Connect names the replica side and discovery.
+func (e *Exchange) Connect(r Replicas, w Watcher) { e.replicas, e.watcher = r, w }
 
 // Observe calls do after each turn of the decisions, with what went in and what came out; both hold until it returns.
 // It must be called before Run, and do must not block: it runs in the turn.
-func (e *Exchange) Observe(do func(now float64, events []policy.Event, actions []policy.Action)) {
-	e.observe = do
+func (e *Exchange) Observe(observe func(now float64, events []policy.Event, actions []policy.Action)) {
+	e.observe = observe
 }
 
 // Submit takes a query from the client side. Like all of the following it may be called from anywhere.
@@ -186,7 +186,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		e.sleep(timer)
+		e.armTimer(timer)
 		select {
 		case <-ctx.Done():
 			return
@@ -200,8 +200,8 @@
 	}
 }
 
-// sleep sets the timer to the next thing that is due.
-func (e *Exchange) sleep(timer *time.Timer) {
+// armTimer sets the timer to the next thing that is due.
+func (e *Exchange) armTimer(timer *time.Timer) {
 	switch {
 	case len(e.deferred) > 0:
 		timer.Reset(0)
@@ -218,7 +218,7 @@
 	e.batch, e.inbox = e.inbox, e.batch[:0]
 	e.mu.Unlock()
 	e.turnAt = time.Now()
-	e.logStandstill()
+	e.logStall()
 	e.events = e.events[:0]
 	for _, m := range e.batch {
 		if _, ahead := m.(control); ahead {
@@ -234,7 +234,7 @@
 	}
 	clear(e.batch)
 	e.fireTimers()
-	now := e.decisionTime(e.turnAt)
+	now := e.policyTime(e.turnAt)
 	actions := e.policy.Handle(now, e.events)
 	if e.observe != nil {
 		e.observe(now, e.events, actions)
@@ -244,18 +244,18 @@
 	}
 	e.closeGoneClients()
 	e.flush()
-	if e.turnAt.Sub(e.loggedAt) >= e.limits.TellEvery {
+	if e.turnAt.Sub(e.summaryLoggedAt) >= e.limits.TellEvery {
 		e.logSummary()
 	}
 }
 
 // counters count what happened since the last summary.
 type counters struct {
-	queries, attempts, full int
-	replies                 [Conflict + 1]int
-	reasons                 [policy.BreaksReplica + 1]int // of refusals and failures by the decisions
-	left                    int
-	outcomes                [policy.NotSent + 1]int
+	queries, attempts, rejectedFull int
+	replies                         [Conflict + 1]int
+	reasons                         [policy.BreaksReplica + 1]int // route refusals and failures by the decisions
+	clientsGone                     int
+	outcomes                        [policy.NotSent + 1]int
 }
 
 // notAdmitted counts the queries that the decisions refused at their arrival, for whatever reason.
@@ -273,7 +273,7 @@
 	if s := &e.counters; s.queries > 0 || len(e.queries) > 0 {
 		e.log.WithFields(logrus.Fields{
 			"queries": s.queries, "served": s.replies[Served], "refused": s.replies[Rejected],
-			"failed": s.replies[Failed], "left": s.left, "full": s.full, "open": len(e.queries), "held": e.openCount,
+			"failed": s.replies[Failed], "left": s.clientsGone, "full": s.rejectedFull, "open": len(e.queries), "held": e.openCount,
 			"attempts": s.attempts, "ok": s.outcomes[policy.OK], "fault": s.outcomes[policy.Failed],
 			"overload": s.outcomes[policy.Rejected], "unreachable": s.outcomes[policy.Unreachable],
 			"broken": s.outcomes[policy.ConnectionBroken], "timed_out": s.outcomes[policy.TimedOut],
@@ -286,11 +286,11 @@
 		}).Info("summary")
 	}
 	e.logRoutes()
-	e.counters, e.loggedAt = counters{}, e.turnAt
+	e.counters, e.summaryLoggedAt = counters{}, e.turnAt
 }
 
-// decisionTime translates a time into the decisions' seconds.
-func (e *Exchange) decisionTime(t time.Time) float64 { return epoch + t.Sub(e.start).Seconds() }
+// policyTime translates a time into the decisions' seconds.
+func (e *Exchange) policyTime(t time.Time) float64 { return policyStartTime + t.Sub(e.start).Seconds() }
 
 // timer is one thing that will be due: the decisions' own, the end of an attempt or of a query.
 type timer struct {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -14,8 +14,8 @@
 	"birchcart/policy"
 )
 
-// pool stands in for the replica side.
-type pool struct {
+// fakeReplicas stands in for the replica side.
+type fakeReplicas struct {
 	sent    []*Attempt
 	calls   [][]*Attempt
 	targets map[uint64]Target
@@ -23,25 +23,25 @@
 	log     []string
 }
 
-func (p *pool) Update(changed []Target) {
+func (p *fakeReplicas) Update(changed []Target) {
 	for _, c := range changed {
 		p.targets[c.Replica] = c
 		p.log = append(p.log, fmt.Sprint("update ", c.Name, " ", c.State))
 	}
 }
 
-func (p *pool) Send(replica uint64, call []*Attempt) {
+func (p *fakeReplicas) Send(replica uint64, call []*Attempt) {
 	p.calls = append(p.calls, call)
 	p.sent = append(p.sent, call...)
 	p.log = append(p.log, fmt.Sprint("send ", p.targets[replica].Name))
 }
 
-func (p *pool) Cancel(a *Attempt) (bool, bool) {
+func (p *fakeReplicas) Cancel(a *Attempt) (bool, bool) {
 	p.log = append(p.log, "withdraw "+a.ID)
 	return true, p.written[a]
 }
 
-func (p *pool) CancelUnsent(a *Attempt) bool {
+func (p *fakeReplicas) CancelUnsent(a *Attempt) bool {
 	if p.written[a] {
 		return false
 	}
@@ -49,18 +49,18 @@
 	return true
 }
 
-func (p *pool) CheckHealth(uint64) {}
+func (p *fakeReplicas) CheckHealth(uint64) {}
 
-type stand struct {
+type fixture struct {
 	*testing.T
-	e       *Exchange
-	p       *pool
-	replies []Reply
+	e        *Exchange
+	replicas *fakeReplicas
+	replies  []Reply
 }
 
-// newStand is an exchange of two classes, the second with a second step of two parts, over two replicas that
+// newFixture is an exchange of two classes, the second with a second step of two parts, over two replicas that
 // hold all four shards. Turns are played by hand.
-func newStand(t *testing.T, change func(*config.Config)) *stand {
+func newFixture(t *testing.T, change func(*config.Config)) *fixture {
 	t.Helper()
 	cfg := &config.Config{
 		Policy: policy.Config{
@@ -80,8 +80,8 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &stand{T: t, e: New(cfg, logrus.NewEntry(log)), p: &pool{targets: map[uint64]Target{}, written: map[*Attempt]bool{}}}
-	s.e.Join(s.p, nil)
+	s := &fixture{T: t, e: New(cfg, logrus.NewEntry(log)), replicas: &fakeReplicas{targets: map[uint64]Target{}, written: map[*Attempt]bool{}}}
+	s.e.Connect(s.replicas, nil)
 	s.e.UpdateReplicas(ReplicaList{Full: true, Entries: []Endpoint{
 		{Name: "r0", Address: "a", Cell: 0, Size: 1}, {Name: "r1", Address: "b", Cell: 1, Size: 1},
 	}})
@@ -89,33 +89,33 @@
 	return s
 }
 
-func (s *stand) ask(id string, class int, shards ...int) *Query {
+func (s *fixture) submit(id string, class int, shards ...int) *Query {
 	now := time.Now()
 	q := &Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(2 * time.Second), Text: []byte("t")}
 	for _, shard := range shards {
 		q.Parts = append(q.Parts, Part{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	q.Reply = func(r Reply) { s.replies = append(s.replies, r); s.p.log = append(s.p.log, "reply "+id) }
+	q.Reply = func(r Reply) { s.replies = append(s.replies, r); s.replicas.log = append(s.replicas.log, "reply "+id) }
 	s.e.Submit(q)
 	s.e.turn()
 	return q
 }
 
-// handle returns what was sent since the last call, all of it written.
-func (s *stand) handle() []*Attempt {
-	out := s.p.sent
-	s.p.sent = nil
+// takeSent returns what was sent since the last call, all of it written.
+func (s *fixture) takeSent() []*Attempt {
+	out := s.replicas.sent
+	s.replicas.sent = nil
 	for _, a := range out {
-		s.p.written[a] = true
+		s.replicas.written[a] = true
 	}
 	return out
 }
 
-func (s *stand) hit(a *Attempt, score int64, value string) {
+func (s *fixture) succeed(a *Attempt, score int64, value string) {
 	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.OK, At: time.Now(), Score: score, Value: []byte(value)})
 }
 
-func (s *stand) reply() Reply {
+func (s *fixture) takeReply() Reply {
 	s.Helper()
 	if len(s.replies) != 1 {
 		s.Fatalf("%d replies", len(s.replies))
@@ -125,8 +125,8 @@
 	return r
 }
 
-// empty checks that nothing is held of queries that are over.
-func (s *stand) empty() {
+// checkNothingHeld checks that nothing is held of queries that are over.
+func (s *fixture) checkNothingHeld() {
 	s.Helper()
 	s.e.turn()
 	if e := s.e; len(e.queries)+len(e.parts)+e.openCount != 0 {
@@ -134,43 +134,43 @@
 	}
 }
 
-func TestAQueryIsAnsweredWithItsValues(t *testing.T) {
-	s := newStand(t, nil)
-	s.ask("q", 0, 1, 2, 3)
-	sent := s.handle()
+func TestQueryAnsweredWithItsValues(t *testing.T) {
+	s := newFixture(t, nil)
+	s.submit("q", 0, 1, 2, 3)
+	sent := s.takeSent()
 	if len(sent) != 3 || sent[0].Due.IsZero() || string(sent[0].Text) != "t" {
 		t.Fatalf("%+v", sent)
 	}
-	for _, c := range s.p.calls {
+	for _, c := range s.replicas.calls {
 		if len(c) > 2 {
 			t.Errorf("a call of %d parts", len(c))
 		}
 	}
 	for _, a := range sent {
-		s.hit(a, 1, "v of "+a.ID)
+		s.succeed(a, 1, "v of "+a.ID)
 	}
 	s.e.turn()
-	r := s.reply()
+	r := s.takeReply()
 	if r.Status != Served || !r.Complete || len(r.Values) != 3 || string(r.Values[0].Item) != "v of q.1" || r.Values[0].Shard != 1 {
 		t.Fatalf("%+v", r)
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // The second step goes to the shards with the highest scores; its values make up the answer.
 func TestSecondStep(t *testing.T) {
-	s := newStand(t, nil)
-	s.ask("q", 1, 1, 2, 3)
+	s := newFixture(t, nil)
+	s.submit("q", 1, 1, 2, 3)
 	scores := map[int]int64{1: 5, 2: 9, 3: 7}
-	for _, a := range s.handle() {
-		s.hit(a, scores[a.Shard], "first")
+	for _, a := range s.takeSent() {
+		s.succeed(a, scores[a.Shard], "first")
 	}
 	s.e.turn()
 	if len(s.replies) != 0 {
 		t.Fatal("answered after the first step")
 	}
 	s.e.turn()
-	sent := s.handle()
+	sent := s.takeSent()
 	if len(sent) != 2 {
 		t.Fatalf("%d parts in the second step", len(sent))
 	}
@@ -178,24 +178,24 @@
 		if a.Shard == 1 || a.ID != fmt.Sprintf("q.%d.load", a.Shard) || !slices.Equal(a.Previous, []int{1, 2, 3}) || !a.Complete {
 			t.Errorf("%+v", a)
 		}
-		s.hit(a, 1, "second")
+		s.succeed(a, 1, "second")
 	}
 	s.e.turn()
-	r := s.reply()
+	r := s.takeReply()
 	if !r.Complete || len(r.Values) != 2 || string(r.Values[0].Item) != "second" {
 		t.Fatalf("%+v", r)
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // Guards against parts of a second step that reach their replicas before the step is known to be open, which
 // turns them away: the part that opens it goes first, those in other calls after the gap.
-func TestThePartThatOpensASecondStepGoesAhead(t *testing.T) {
+func TestPartOpeningSecondStepSentFirst(t *testing.T) {
 	const gap = 30 * time.Millisecond
-	s := newStand(t, func(c *config.Config) { c.Limits.CallParts, c.Limits.StepGap = 1, gap })
-	s.ask("q", 1, 1, 2, 3)
-	for _, a := range s.handle() {
-		s.hit(a, int64(a.Shard), "first")
+	s := newFixture(t, func(c *config.Config) { c.Limits.CallParts, c.Limits.StepGap = 1, gap })
+	s.submit("q", 1, 1, 2, 3)
+	for _, a := range s.takeSent() {
+		s.succeed(a, int64(a.Shard), "first")
 	}
 	s.e.turn()
 	began := time.Now()
@@ -203,38 +203,38 @@
 	if d := time.Since(began); d < gap {
 		t.Errorf("all parts went within %v", d)
 	}
-	if sent := s.handle(); len(sent) != 2 || sent[0].Shard != 3 {
+	if sent := s.takeSent(); len(sent) != 2 || sent[0].Shard != 3 {
 		t.Errorf("%d sent", len(sent))
 	}
 	began = time.Now()
-	s.ask("other", 0, 1) // nobody else waits
+	s.submit("other", 0, 1) // nobody else waits
 	if d := time.Since(began); d >= gap {
 		t.Errorf("a plain query waited %v", d)
 	}
 }
 
 // What waits for its connection when its query ends is taken back before the answer goes.
-func TestNothingIsSentAfterTheEnd(t *testing.T) {
-	s := newStand(t, nil)
-	q := s.ask("q", 0, 1, 2)
-	sent := s.handle()
-	s.p.written[sent[1]] = false
-	s.p.log = nil
+func TestClientGoneCancelsUnwrittenParts(t *testing.T) {
+	s := newFixture(t, nil)
+	q := s.submit("q", 0, 1, 2)
+	sent := s.takeSent()
+	s.replicas.written[sent[1]] = false
+	s.replicas.log = nil
 	s.e.ClientGone(q)
 	s.e.turn()
-	if !slices.Contains(s.p.log, "withdraw "+sent[1].ID) || !slices.Contains(s.p.log, "withdraw "+sent[0].ID) {
-		t.Errorf("%v", s.p.log)
+	if !slices.Contains(s.replicas.log, "withdraw "+sent[1].ID) || !slices.Contains(s.replicas.log, "withdraw "+sent[0].ID) {
+		t.Errorf("%v", s.replicas.log)
 	}
 	if len(s.replies) != 0 {
 		t.Error("a client that has left was answered")
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // A part fails and is sent again in the turn in which its client leaves: the decisions are told of an end for that
 // attempt too, or they would count it as out for ever. Nothing of it goes.
-func TestLeavingInTheTurnOfAResend(t *testing.T) {
-	s := newStand(t, nil)
+func TestClientGoneInTurnOfRetry(t *testing.T) {
+	s := newFixture(t, nil)
 	out := 0
 	s.e.Observe(func(_ float64, events []policy.Event, actions []policy.Action) {
 		for _, ev := range events {
@@ -248,31 +248,31 @@
 			}
 		}
 	})
-	q := s.ask("q", 0, 1)
-	a := s.handle()[0]
+	q := s.submit("q", 0, 1)
+	a := s.takeSent()[0]
 	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Failed, At: time.Now()})
 	s.e.ClientGone(q)
 	s.e.turn()
 	s.e.turn()
-	if out != 0 || len(s.p.sent) != 0 {
-		t.Errorf("%d attempts count as out, %d were sent", out, len(s.p.sent))
+	if out != 0 || len(s.replicas.sent) != 0 {
+		t.Errorf("%d attempts count as out, %d were sent", out, len(s.replicas.sent))
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // An attempt that ended after its query changes nothing, and a second end of one is passed over.
-func TestLateEnds(t *testing.T) {
-	s := newStand(t, nil)
-	s.ask("q", 0, 1)
-	a := s.handle()[0]
-	s.hit(a, 1, "v")
-	s.hit(a, 1, "again")
+func TestLateAndRepeatedAttemptEndsIgnored(t *testing.T) {
+	s := newFixture(t, nil)
+	s.submit("q", 0, 1)
+	a := s.takeSent()[0]
+	s.succeed(a, 1, "v")
+	s.succeed(a, 1, "again")
 	s.e.turn()
-	if r := s.reply(); string(r.Values[0].Item) != "v" {
+	if r := s.takeReply(); string(r.Values[0].Item) != "v" {
 		t.Errorf("%+v", r)
 	}
 	s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.ConnectionBroken, At: time.Now()})
-	s.empty()
+	s.checkNothingHeld()
 	if len(s.replies) != 0 {
 		t.Error("answered twice")
 	}
@@ -280,35 +280,35 @@
 
 // A change of the list that was read is in force before anything is sent in the same turn, though the query
 // came first.
-func TestTheListComesBeforeTheSends(t *testing.T) {
-	s := newStand(t, nil)
+func TestListAppliedBeforeSends(t *testing.T) {
+	s := newFixture(t, nil)
 	now := time.Now()
 	s.e.Submit(&Query{ID: "q", Tenant: -1, Received: now, Due: now.Add(time.Second), Parts: []Part{{Shard: 0, Weight: 1}},
 		Reply: func(Reply) {}})
 	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "r0", Address: "a", State: policy.Draining}}})
-	s.p.log = nil
+	s.replicas.log = nil
 	s.e.turn()
-	if !slices.Equal(s.p.log, []string{"update r0 1", "send r1"}) {
-		t.Errorf("%v", s.p.log)
+	if !slices.Equal(s.replicas.log, []string{"update r0 1", "send r1"}) {
+		t.Errorf("%v", s.replicas.log)
 	}
 }
 
 // What is not on a whole list is gone; an entry that only says so of one never heard of is passed over.
-func TestWholeLists(t *testing.T) {
-	s := newStand(t, nil)
-	s.p.log = nil
+func TestFullListRemovesUnlistedReplicas(t *testing.T) {
+	s := newFixture(t, nil)
+	s.replicas.log = nil
 	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "never", State: policy.Removed}}})
 	s.e.UpdateReplicas(ReplicaList{Full: true, Entries: []Endpoint{{Name: "r1", Address: "b", Cell: 1}}})
 	s.e.turn()
-	if !slices.Equal(s.p.log, []string{"update r1 0", "update r0 2"}) {
-		t.Errorf("%v", s.p.log)
+	if !slices.Equal(s.replicas.log, []string{"update r1 0", "update r0 2"}) {
+		t.Errorf("%v", s.replicas.log)
 	}
 }
 
 // A start that the list tells of in wall time reaches the decisions' clock, and one of long ago does not look
 // like a young one.
-func TestStartsOnTheDecisionsClock(t *testing.T) {
-	s := newStand(t, nil)
+func TestReplicaStartTimeConverted(t *testing.T) {
+	s := newFixture(t, nil)
 	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{
 		{Name: "r0", Address: "a", Started: time.UnixMilli(time.Now().Add(-3 * time.Second).UnixMilli())},
 		{Name: "r1", Address: "b", Cell: 1, Started: time.UnixMilli(1000)},
@@ -320,7 +320,7 @@
 	s.e.events = nil
 	s.e.handleReplicaList(m)
 	got := s.e.events[0].List
-	if age := s.e.decisionTime(time.Now()) - got[0].Started; age < 2.9 || age > 3.5 {
+	if age := s.e.policyTime(time.Now()) - got[0].Started; age < 2.9 || age > 3.5 {
 		t.Errorf("3 s old, taken for %v s", age)
 	}
 	if got[1].Started != 0 {
@@ -328,40 +328,40 @@
 	}
 }
 
-func TestAnIDThatIsOpenIsAConflict(t *testing.T) {
-	s := newStand(t, nil)
-	s.ask("q", 0, 1)
-	s.handle()
-	s.ask("q", 0, 2)
-	if r := s.reply(); r.Status != Conflict {
+func TestOpenQueryIDConflicts(t *testing.T) {
+	s := newFixture(t, nil)
+	s.submit("q", 0, 1)
+	s.takeSent()
+	s.submit("q", 0, 2)
+	if r := s.takeReply(); r.Status != Conflict {
 		t.Errorf("%+v", r)
 	}
-	if len(s.handle()) != 0 {
+	if len(s.takeSent()) != 0 {
 		t.Error("a part of it was sent")
 	}
 }
 
 // At the limit of what may be held a query is refused before the decisions see it, and nothing of it is sent.
-func TestTheLimitOfWhatIsHeld(t *testing.T) {
-	s := newStand(t, func(c *config.Config) { c.Limits.Held, c.Limits.ComeBack = 3, time.Second })
-	s.ask("a", 0, 1, 2)
-	s.handle()
-	s.ask("b", 2, 1)
-	if r := s.reply(); r.Status != Rejected || r.RetryAfter != time.Second {
+func TestOpenLimitRejectsQuery(t *testing.T) {
+	s := newFixture(t, func(c *config.Config) { c.Limits.Held, c.Limits.ComeBack = 3, time.Second })
+	s.submit("a", 0, 1, 2)
+	s.takeSent()
+	s.submit("b", 2, 1)
+	if r := s.takeReply(); r.Status != Rejected || r.RetryAfter != time.Second {
 		t.Errorf("%+v", r)
 	}
-	if len(s.handle()) != 0 {
+	if len(s.takeSent()) != 0 {
 		t.Error("a part of it was sent")
 	}
 }
 
 // An attempt whose time is up is told as such: as never run if it was not written.
-func TestTimeOut(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	for _, written := range []bool{true, false} {
-		s := newStand(t, func(c *config.Config) { c.Policy.Cancel = false })
-		s.ask("q", 0, 1)
-		a := s.handle()[0]
-		s.p.written[a] = written
+		s := newFixture(t, func(c *config.Config) { c.Policy.Cancel = false })
+		s.submit("q", 0, 1)
+		a := s.takeSent()[0]
+		s.replicas.written[a] = written
 		s.e.turnAt = time.Now().Add(3 * time.Second)
 		s.e.events = nil
 		s.e.fireTimers()
@@ -376,12 +376,12 @@
 }
 
 // A query whose end has passed unanswered is failed by the exchange itself.
-func TestOverdue(t *testing.T) {
-	s := newStand(t, nil)
-	q := s.ask("q", 0, 1)
-	s.handle()
+func TestOverdueQueryFails(t *testing.T) {
+	s := newFixture(t, nil)
+	q := s.submit("q", 0, 1)
+	s.takeSent()
 	s.e.queryOverdue(s.e.byRequestID[q.ID])
-	if r := s.reply(); r.Status != Failed {
+	if r := s.takeReply(); r.Status != Failed {
 		t.Errorf("%+v", r)
 	}
 	s.e.queryOverdue(&query{Query: &Query{ID: "other"}, closed: true})
@@ -393,9 +393,9 @@
 		if len(moves) > 60 {
 			return
 		}
-		s := newStand(t, nil)
+		s := newFixture(t, nil)
 		replies := map[string]int{}
-		var asked []*Query
+		var submitted []*Query
 		var out []*Attempt
 		for i, m := range moves {
 			switch m % 6 {
@@ -406,7 +406,7 @@
 					q.Parts = append(q.Parts, Part{Shard: shard, Weight: 1 / float64(1+int(m/6)%4)})
 				}
 				q.Reply = func(Reply) { replies[q.ID]++ }
-				asked = append(asked, q)
+				submitted = append(submitted, q)
 				s.e.Submit(q)
 			case 2, 3:
 				if len(out) > 0 {
@@ -414,12 +414,12 @@
 					s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.Outcome(m % 8), At: time.Now(), Score: int64(m)})
 				}
 			case 4:
-				if len(asked) > 0 {
-					s.e.ClientGone(asked[int(m/6)%len(asked)])
+				if len(submitted) > 0 {
+					s.e.ClientGone(submitted[int(m/6)%len(submitted)])
 				}
 			case 5:
 				s.e.turn()
-				out = append(out, s.handle()...)
+				out = append(out, s.takeSent()...)
 			}
 		}
 		s.e.turn()
@@ -440,19 +440,19 @@
 
 // Guards against growth on days when replicas are replaced all the time under new names. One that is off the list
 // for a short while keeps its number.
-func TestReplicasThatAreGoneAreForgotten(t *testing.T) {
-	s := newStand(t, func(c *config.Config) { c.Limits.Forget = 20 * time.Millisecond })
+func TestRemovedReplicasForgotten(t *testing.T) {
+	s := newFixture(t, func(c *config.Config) { c.Limits.Forget = 20 * time.Millisecond })
 	for i := range 10 {
 		for _, state := range []policy.Readiness{policy.Up, policy.Draining, policy.Removed} {
 			s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: fmt.Sprint("new", i), Address: "c", State: state, Size: 1}}})
 			s.e.turn()
 		}
 	}
-	was := s.e.replicasByName["new9"]
+	before := s.e.replicasByName["new9"]
 	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{{Name: "new9", Address: "d", Size: 1}}})
 	s.e.turn()
-	if k := s.e.replicasByName["new9"]; k != was || k.Address != "d" {
-		t.Errorf("%+v became %+v", was, k)
+	if after := s.e.replicasByName["new9"]; after != before || after.Address != "d" {
+		t.Errorf("%+v became %+v", before, after)
 	}
 	time.Sleep(30 * time.Millisecond)
 	s.e.UpdateReplicas(ReplicaList{})
@@ -464,37 +464,37 @@
 
 // An id is not free while parts of its last query may still be at replicas, where the same ids would be taken for
 // those; one of which nothing was sent is free at once, and each is in the end.
-func TestWhenAnIDIsFree(t *testing.T) {
-	s := newStand(t, nil)
-	q := s.ask("q", 0, 1)
-	for _, a := range s.handle() {
-		s.hit(a, 1, "v")
+func TestQueryIDReuse(t *testing.T) {
+	s := newFixture(t, nil)
+	q := s.submit("q", 0, 1)
+	for _, a := range s.takeSent() {
+		s.succeed(a, 1, "v")
 	}
 	s.e.turn()
-	s.reply()
-	s.ask("q", 0, 1)
-	if r := s.reply(); r.Status != Conflict {
+	s.takeReply()
+	s.submit("q", 0, 1)
+	if r := s.takeReply(); r.Status != Conflict {
 		t.Errorf("%+v", r)
 	}
-	s.e.ClientGone(q) // of the first one, and late
+	s.e.ClientGone(q) // route the first one, and late
 	s.e.turn()
 	s.e.UpdateReplicas(ReplicaList{Full: true}) // nobody is there: refused with nothing sent
 	s.e.turn()
 	for range 2 {
-		s.ask("r", 0, 1)
-		if r := s.reply(); r.Status != Rejected {
+		s.submit("r", 0, 1)
+		if r := s.takeReply(); r.Status != Rejected {
 			t.Errorf("%+v", r)
 		}
 	}
 	for i := range s.e.timers {
 		s.e.timers[i].at = time.Now()
 	}
-	s.empty()
+	s.checkNothingHeld()
 	if len(s.e.byRequestID) != 0 {
 		t.Errorf("%d ids are held", len(s.e.byRequestID))
 	}
-	s.ask("q", 0, 1)
-	if r := s.reply(); r.Status != Rejected {
+	s.submit("q", 0, 1)
+	if r := s.takeReply(); r.Status != Rejected {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/exchange/lanes.go
+++ b/internal/exchange/lanes.go
@@ -13,7 +13,7 @@
 	// Admit decides on a query whose turn has come; route is that of the table in force, -1 for none.
 	Admit(now time.Time, q *Query, route int) LaneVerdict
 	// QueryEnded reports how a query that was taken has ended, in the turn of its end.
-	QueryEnded(now time.Time, e LaneVerdict, o LaneOutcome)
+	QueryEnded(now time.Time, v LaneVerdict, o LaneOutcome)
 }
 
 // LaneVerdict is the decision on one query.
@@ -36,7 +36,7 @@
 }
 
 // SetLaneGate has queries shown to l first. To be called before Run.
-func (e *Exchange) SetLaneGate(l LaneGate) { e.laneGate = l }
+func (e *Exchange) SetLaneGate(g LaneGate) { e.laneGate = g }
 
 // admitToLane asks the lanes about a query. What is rejected is answered at once.
 func (e *Exchange) admitToLane(q *query, route int) bool {
@@ -61,8 +61,8 @@
 	return min(after, duration(e.config.MaxRetryAfter))
 }
 
-// leaveLane notifies the lane gate that a query of its has ended.
-func (e *Exchange) leaveLane(q *query, o LaneOutcome) {
+// notifyLaneGate notifies the lane gate that a query of its has ended.
+func (e *Exchange) notifyLaneGate(q *query, o LaneOutcome) {
 	if !q.inLane {
 		return
 	}
@@ -73,34 +73,34 @@
 
 // limitKey are limits of a route that yield as a lane says; of no route those are the lane's alone.
 type limitKey struct {
-	of *policy.Limits // nil: no route
-	by float64
+	route   *policy.Limits // nil: no route
+	yieldBy float64
 }
 
 // limits of a query, of its route and its lane together; nil for none. The decisions hold them, so that each pair has one
 // place, for as long as the table is in force.
 func (e *Exchange) limitsOf(q *query) *policy.Limits {
-	var of *policy.Limits
+	var routeLimits *policy.Limits
 	if q.routes != nil {
-		of = &q.routes.table.Routes[q.route].Limits
+		routeLimits = &q.routes.table.Routes[q.route].Limits
 	}
 	if !q.inLane || q.laneVerdict.YieldBy <= 1 {
-		return of
+		return routeLimits
 	}
-	k := limitKey{of, q.laneVerdict.YieldBy}
+	k := limitKey{routeLimits, q.laneVerdict.YieldBy}
 	l := e.limitOverrides[k]
 	if l == nil {
 		if len(e.limitOverrides) >= maxLimitOverrides {
-			e.limitOverrides = nil // of tables that are gone
+			e.limitOverrides = nil // route tables that are gone
 		}
 		if e.limitOverrides == nil {
 			e.limitOverrides = map[limitKey]*policy.Limits{}
 		}
 		l = &policy.Limits{}
-		if of != nil {
-			*l = *of
+		if routeLimits != nil {
+			*l = *routeLimits
 		}
-		l.PromiseDivisor = max(l.PromiseDivisor, k.by)
+		l.PromiseDivisor = max(l.PromiseDivisor, k.yieldBy)
 		e.limitOverrides[k] = l
 	}
 	return l
--- a/internal/exchange/lanes_test.go
+++ b/internal/exchange/lanes_test.go
@@ -8,97 +8,97 @@
 	"birchcart/policy"
 )
 
-// laned stands in for the lanes.
-type laned struct {
-	say   LaneVerdict
-	asked []int // routes
-	overs []LaneOutcome
+// fakeLaneGate stands in for the lanes.
+type fakeLaneGate struct {
+	verdict  LaneVerdict
+	routes   []int // routes
+	outcomes []LaneOutcome
 }
 
-func (l *laned) Admit(_ time.Time, _ *Query, route int) LaneVerdict {
-	l.asked = append(l.asked, route)
-	return l.say
+func (l *fakeLaneGate) Admit(_ time.Time, _ *Query, route int) LaneVerdict {
+	l.routes = append(l.routes, route)
+	return l.verdict
 }
 
-func (l *laned) QueryEnded(_ time.Time, e LaneVerdict, o LaneOutcome) {
-	if e != l.say {
+func (l *fakeLaneGate) QueryEnded(_ time.Time, e LaneVerdict, o LaneOutcome) {
+	if e != l.verdict {
 		panic("told of another query than was taken")
 	}
 	if o.Took < 0 || o.Took > time.Minute {
 		panic("took " + o.Took.String())
 	}
 	o.Took = 0
-	l.overs = append(l.overs, o)
+	l.outcomes = append(l.outcomes, o)
 }
 
-func newLaned(t *testing.T, say LaneVerdict) (*stand, *laned) {
-	s, l := newStand(t, nil), &laned{say: say}
+func newLaneFixture(t *testing.T, verdict LaneVerdict) (*fixture, *fakeLaneGate) {
+	s, l := newFixture(t, nil), &fakeLaneGate{verdict: verdict}
 	s.e.SetLaneGate(l)
 	return s, l
 }
 
 // What the fleet sheds is refused at once, within what the settings allow, and neither gate nor decisions see it.
-func TestWhatALaneShedsIsRefusedAtOnce(t *testing.T) {
-	s, l := newLaned(t, LaneVerdict{Rejected: true, RetryAfter: time.Hour})
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
-	s.ask("a", 0, 1)
-	if r := s.reply(); r.Status != Rejected || r.RetryAfter != time.Second || len(s.handle()) > 0 {
+func TestLaneRejectionSkipsRouteGateAndPolicy(t *testing.T) {
+	s, l := newLaneFixture(t, LaneVerdict{Rejected: true, RetryAfter: time.Hour})
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
+	s.submit("a", 0, 1)
+	if r := s.takeReply(); r.Status != Rejected || r.RetryAfter != time.Second || len(s.takeSent()) > 0 {
 		t.Fatalf("%+v", r)
 	}
-	if s.e.routes.gate.Open(0) != 0 || len(l.overs) != 0 || len(l.asked) != 1 || l.asked[0] != 0 {
-		t.Errorf("open %d, told %+v, asked of routes %v", s.e.routes.gate.Open(0), l.overs, l.asked)
+	if s.e.routes.gate.Open(0) != 0 || len(l.outcomes) != 0 || len(l.routes) != 1 || l.routes[0] != 0 {
+		t.Errorf("open %d, told %+v, asked of routes %v", s.e.routes.gate.Open(0), l.outcomes, l.routes)
 	}
 	s.e.config.RetryAfter = false
-	s.ask("b", 0, 1)
-	if r := s.reply(); r.RetryAfter != 0 {
+	s.submit("b", 0, 1)
+	if r := s.takeReply(); r.RetryAfter != 0 {
 		t.Errorf("named %v where no time may be named", r.RetryAfter)
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // The lanes are told of each end of what they took, once.
-func TestLanesAreToldOfEachEnd(t *testing.T) {
+func TestLaneGateNotifiedOfEachEnd(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(s *stand, q *Query, a *Attempt)
+		end  func(s *fixture, q *Query, a *Attempt)
 		want LaneOutcome
 	}{
-		"served": {func(s *stand, q *Query, a *Attempt) { s.hit(a, 1, "v") }, LaneOutcome{Status: Served}},
-		"left":   {func(s *stand, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
-		"failed": {func(s *stand, q *Query, a *Attempt) {
+		"served": {func(s *fixture, q *Query, a *Attempt) { s.succeed(a, 1, "v") }, LaneOutcome{Status: Served}},
+		"left":   {func(s *fixture, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
+		"failed": {func(s *fixture, q *Query, a *Attempt) {
 			s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.ConnectionBroken, At: time.Now()})
 		}, LaneOutcome{Status: Failed}},
-		"overdue": {func(s *stand, q *Query, a *Attempt) { s.e.queryOverdue(s.e.byRequestID[q.ID]) }, LaneOutcome{Status: Failed}},
+		"overdue": {func(s *fixture, q *Query, a *Attempt) { s.e.queryOverdue(s.e.byRequestID[q.ID]) }, LaneOutcome{Status: Failed}},
 	} {
-		s, l := newLaned(t, LaneVerdict{Account: 3, Lane: 1, Class: 2, Cost: 1.5})
-		q := s.ask("a", 2, 1)
-		a := s.handle()
+		s, l := newLaneFixture(t, LaneVerdict{Account: 3, Lane: 1, Class: 2, Cost: 1.5})
+		q := s.submit("a", 2, 1)
+		a := s.takeSent()
 		if len(a) != 1 {
 			t.Fatalf("%s: %d sent", name, len(a))
 		}
 		c.end(s, q, a[0])
 		s.e.turn()
 		s.e.turn()
-		if len(l.overs) != 1 || l.overs[0] != c.want {
-			t.Errorf("%s: told %+v", name, l.overs)
+		if len(l.outcomes) != 1 || l.outcomes[0] != c.want {
+			t.Errorf("%s: told %+v", name, l.outcomes)
 		}
 	}
 }
 
 // A gate behind the lanes may still turn a query away; it never came to the decisions then.
-func TestAGateBehindTheLanes(t *testing.T) {
-	s, l := newLaned(t, LaneVerdict{Cost: 1})
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
-	s.ask("a", 0, 1)
-	s.ask("b", 0, 1)
-	if want := (LaneOutcome{Status: Rejected, RejectedByRoute: true}); len(l.overs) != 1 || l.overs[0] != want {
-		t.Errorf("%+v", l.overs)
+func TestRouteRejectionReportedToLaneGate(t *testing.T) {
+	s, l := newLaneFixture(t, LaneVerdict{Cost: 1})
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
+	s.submit("a", 0, 1)
+	s.submit("b", 0, 1)
+	if want := (LaneOutcome{Status: Rejected, RejectedByRoute: true}); len(l.outcomes) != 1 || l.outcomes[0] != want {
+		t.Errorf("%+v", l.outcomes)
 	}
 }
 
 // A lane's yielding comes to the decisions with the limits of the route, in one place for all queries alike, and those of the
 // route alone stay as they are.
-func TestALaneYieldsBesideItsRoute(t *testing.T) {
-	s, l := newLaned(t, LaneVerdict{YieldBy: 4})
+func TestLaneYieldMergedWithRouteLimits(t *testing.T) {
+	s, l := newLaneFixture(t, LaneVerdict{YieldBy: 4})
 	var seen []policy.Event
 	s.e.Observe(func(_ float64, events []policy.Event, _ []policy.Action) {
 		for _, ev := range events {
@@ -107,12 +107,12 @@
 			}
 		}
 	})
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}})
-	s.ask("a", 0, 1)
-	s.ask("b", 0, 2)
-	s.ask("c", 2, 1)
-	l.say.YieldBy = 1
-	s.ask("d", 0, 3)
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}})
+	s.submit("a", 0, 1)
+	s.submit("b", 0, 2)
+	s.submit("c", 2, 1)
+	l.verdict.YieldBy = 1
+	s.submit("d", 0, 3)
 	if len(seen) != 4 || *seen[0].Limits != (policy.Limits{Timeout: 1.5, PromiseDivisor: 4}) || seen[1].Limits != seen[0].Limits || seen[0].Route != 1 {
 		t.Fatalf("%+v", seen)
 	}
--- a/internal/exchange/list.go
+++ b/internal/exchange/list.go
@@ -21,19 +21,19 @@
 	ev := policy.Event{Kind: policy.ListChanged, Full: l.Full, Stale: l.Stale, Tenant: -1}
 	var changed []Target
 	if l.Full {
-		for _, k := range e.replicasByName {
-			k.listed = false
+		for _, r := range e.replicasByName {
+			r.listed = false
 		}
 	}
 	for _, endpoint := range l.Entries {
-		k := e.applyEndpoint(endpoint)
-		if k == nil {
+		r := e.applyEndpoint(endpoint)
+		if r == nil {
 			continue
 		}
-		changed = append(changed, k.Target)
-		ev.List = append(ev.List, e.policyEntry(k, endpoint))
+		changed = append(changed, r.Target)
+		ev.List = append(ev.List, e.policyEntry(r, endpoint))
 		if !l.Full {
-			e.logEndpoint(k, endpoint)
+			e.logEndpoint(r, endpoint)
 		}
 	}
 	if l.Full {
@@ -47,39 +47,39 @@
 
 // applyEndpoint updates or adds the replica of an endpoint; nil for one that was removed before it was known.
 func (e *Exchange) applyEndpoint(endpoint Endpoint) *replicaEntry {
-	k := e.replicasByName[endpoint.Name]
-	if k == nil {
+	r := e.replicasByName[endpoint.Name]
+	if r == nil {
 		if endpoint.State == policy.Removed {
 			return nil
 		}
-		k = &replicaEntry{Target: Target{Replica: e.newID(), Name: endpoint.Name}}
-		e.replicasByName[endpoint.Name], e.replicasByID[k.Replica] = k, k
-		e.log.WithFields(logrus.Fields{"replica": k.Name, "id": k.Replica, "address": endpoint.Address}).Info("a new replica")
+		r = &replicaEntry{Target: Target{Replica: e.newID(), Name: endpoint.Name}}
+		e.replicasByName[endpoint.Name], e.replicasByID[r.Replica] = r, r
+		e.log.WithFields(logrus.Fields{"replica": r.Name, "id": r.Replica, "address": endpoint.Address}).Info("a new replica")
 	}
-	k.listed = true
-	if endpoint.State == policy.Removed && k.State != policy.Removed {
-		k.goneAt = e.turnAt
+	r.listed = true
+	if endpoint.State == policy.Removed && r.State != policy.Removed {
+		r.removedAt = e.turnAt
 	}
-	if k.State = endpoint.State; endpoint.State != policy.Removed {
-		k.Address, k.Started, k.Kind = endpoint.Address, endpoint.Started, endpoint.Kind
+	if r.State = endpoint.State; endpoint.State != policy.Removed {
+		r.Address, r.Started, r.Kind = endpoint.Address, endpoint.Started, endpoint.Kind
 	}
-	return k
+	return r
 }
 
 // policyEntry is an endpoint as the decisions take it.
-func (e *Exchange) policyEntry(k *replicaEntry, endpoint Endpoint) policy.Entry {
+func (e *Exchange) policyEntry(r *replicaEntry, endpoint Endpoint) policy.Entry {
 	started := 0.0
 	if !endpoint.Started.IsZero() {
-		started = max(0, e.decisionTime(endpoint.Started))
+		started = max(0, e.policyTime(endpoint.Started))
 	}
 	return policy.Entry{
-		Replica: k.Replica, SharedID: common(endpoint.Name), Zone: settings.Place(e.names.Zones, endpoint.Zone), Cell: endpoint.Cell,
+		Replica: r.Replica, SharedID: nameHash(endpoint.Name), Zone: settings.Place(e.names.Zones, endpoint.Zone), Cell: endpoint.Cell,
 		State: endpoint.State, Size: endpoint.Size, Started: started,
 	}
 }
 
-func (e *Exchange) logEndpoint(k *replicaEntry, endpoint Endpoint) {
-	f := logrus.Fields{"replica": k.Name, "id": k.Replica, "state": stateNames[k.State], "index": e.listIndex}
+func (e *Exchange) logEndpoint(r *replicaEntry, endpoint Endpoint) {
+	f := logrus.Fields{"replica": r.Name, "id": r.Replica, "state": stateNames[r.State], "index": e.listIndex}
 	if !endpoint.Started.IsZero() {
 		f["age"] = e.turnAt.Sub(endpoint.Started).Round(time.Millisecond)
 	}
@@ -88,10 +88,10 @@
 
 // removeUnlisted removes the replicas that a full list does not name.
 func (e *Exchange) removeUnlisted() (changed []Target) {
-	for _, k := range e.replicasByName {
-		if !k.listed && k.State != policy.Removed {
-			k.State, k.goneAt = policy.Removed, e.turnAt
-			changed = append(changed, k.Target)
+	for _, r := range e.replicasByName {
+		if !r.listed && r.State != policy.Removed {
+			r.State, r.removedAt = policy.Removed, e.turnAt
+			changed = append(changed, r.Target)
 		}
 	}
 	return changed
@@ -100,16 +100,16 @@
 // forgetRemoved guards against growth where replicas are replaced all day under new names. One that comes again within the time
 // is the same as before.
 func (e *Exchange) forgetRemoved() {
-	for name, k := range e.replicasByName {
-		if k.State == policy.Removed && e.turnAt.Sub(k.goneAt) > e.limits.Forget {
+	for name, r := range e.replicasByName {
+		if r.State == policy.Removed && e.turnAt.Sub(r.removedAt) > e.limits.Forget {
 			delete(e.replicasByName, name)
-			delete(e.replicasByID, k.Replica)
+			delete(e.replicasByID, r.Replica)
 		}
 	}
 }
 
-// common is a number of a replica that all co-ordinators read alike: their ids of it are their own.
-func common(name string) uint64 {
+// nameHash is a number of a replica that all co-ordinators read alike: their ids of it are their own.
+func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
--- a/internal/exchange/load.go
+++ b/internal/exchange/load.go
@@ -7,35 +7,35 @@
 
 // Load measures how many parts are out on average. It is for one reader beside the exchange.
 type Load struct {
-	mu   sync.Mutex
-	out  int
-	sum  time.Duration // of the times that parts were out, since the last reading
-	at   time.Time     // up to which sum counts
-	from time.Time     // of the last reading
+	mu           sync.Mutex
+	inFlight     int
+	inFlightTime time.Duration // route the times that parts were out, since the last reading
+	updatedAt    time.Time     // up to which sum counts
+	readAt       time.Time     // route the last reading
 }
 
 // Load returns a measure of the parts that are out from now on. To be called before Run; without it none is taken.
 func (e *Exchange) Load() *Load {
 	now := time.Now()
-	e.load = &Load{at: now, from: now}
+	e.load = &Load{updatedAt: now, readAt: now}
 	return e.load
 }
 
-// change notes that some parts more, or fewer, are out from a time on.
-func (l *Load) change(now time.Time, by int) {
+// add notes that some parts more, or fewer, are out from a time on.
+func (l *Load) add(now time.Time, delta int) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
-	l.upTo(now)
-	l.out += by
+	l.advance(now)
+	l.inFlight += delta
 	l.mu.Unlock()
 }
 
-func (l *Load) upTo(now time.Time) {
-	if passed := now.Sub(l.at); passed > 0 { // a reading may have come between the turn's beginning and its actions
-		l.sum += passed * time.Duration(l.out)
-		l.at = now
+func (l *Load) advance(now time.Time) {
+	if elapsed := now.Sub(l.updatedAt); elapsed > 0 { // a reading may have come between the turn's beginning and its actions
+		l.inFlightTime += elapsed * time.Duration(l.inFlight)
+		l.updatedAt = now
 	}
 }
 
@@ -43,12 +43,12 @@
 func (l *Load) Mean() (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.upTo(time.Now())
-	span := l.at.Sub(l.from)
+	l.advance(time.Now())
+	span := l.updatedAt.Sub(l.readAt)
 	if span <= 0 {
 		return 0, false
 	}
-	mean := l.sum.Seconds() / span.Seconds()
-	l.sum, l.from = 0, l.at
+	mean := l.inFlightTime.Seconds() / span.Seconds()
+	l.inFlightTime, l.readAt = 0, l.updatedAt
 	return mean, true
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -22,14 +22,14 @@
 	e.handleReplicaList(l)
 	e.listsQueued.Add(-1)
 }
-func (r *routes) handle(e *Exchange)   { e.handleRoutes(r) }
-func (d setDrains) handle(e *Exchange) { e.handleDrains(d) }
+func (r *routeState) handle(e *Exchange) { e.handleRoutes(r) }
+func (d setDrains) handle(e *Exchange)   { e.handleDrains(d) }
 func (watchFailed) handle(e *Exchange) {
 	e.events = append(e.events, policy.Event{Kind: policy.ListFailed})
 }
 
 func (ReplicaList) isControl() {}
-func (*routes) isControl()     {}
+func (*routeState) isControl() {}
 func (setDrains) isControl()   {}
 func (watchFailed) isControl() {}
 
--- a/internal/exchange/outcome.go
+++ b/internal/exchange/outcome.go
@@ -24,14 +24,14 @@
 	a.ended, a.Text = true, nil // its timer lives on for a while
 	e.counters.outcomes[o]++
 	e.traceAttemptEnd(a, o)
-	a.part.query.attemptOver(o)
-	e.load.change(e.turnAt, -1)
-	if pt := a.part; !pt.out() && (pt.query.closed || pt.query.step == 2 && pt.previous == nil) {
+	a.part.query.recordAttemptEnd(o)
+	e.load.add(e.turnAt, -1)
+	if pt := a.part; !pt.inFlight() && (pt.query.closed || pt.query.step == 2 && pt.previous == nil) {
 		delete(e.parts, pt.id) // its step has ended
 	}
 	return policy.Event{
 		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: a.replica, Outcome: o,
-		Latency: max(0, e.decisionTime(at)-a.sentAt), Report: report, Tenant: -1,
+		Latency: max(0, e.policyTime(at)-a.sentAt), Report: report, Tenant: -1,
 	}
 }
 
@@ -55,7 +55,7 @@
 	if a.ended {
 		return
 	}
-	if e.unqueue(a) {
+	if e.removeOutgoing(a) {
 		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 		return
 	}
@@ -69,15 +69,15 @@
 	}
 }
 
-// unsend takes back an attempt only if it has not been written.
-func (e *Exchange) unsend(a *Attempt) {
-	if e.unqueue(a) || e.replicas.CancelUnsent(a) {
+// cancelUnsent takes back an attempt only if it has not been written.
+func (e *Exchange) cancelUnsent(a *Attempt) {
+	if e.removeOutgoing(a) || e.replicas.CancelUnsent(a) {
 		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 	}
 }
 
-// unqueue takes an attempt out of this turn's calls.
-func (e *Exchange) unqueue(a *Attempt) bool {
+// removeOutgoing takes an attempt out of this turn's calls.
+func (e *Exchange) removeOutgoing(a *Attempt) bool {
 	for i := range e.outgoing {
 		for j, b := range e.outgoing[i].attempts {
 			if a == b {
--- a/internal/exchange/query.go
+++ b/internal/exchange/query.go
@@ -11,7 +11,7 @@
 func (e *Exchange) handleQuery(m *Query) {
 	e.counters.queries++
 	if e.isClientGone(m) { // nobody waits for it, and the news of that may have come before it
-		e.counters.left++
+		e.counters.clientsGone++
 		return
 	}
 	if e.byRequestID[m.ID] != nil { // the ids of its parts are at replicas, or may be still
@@ -20,7 +20,7 @@
 		return
 	}
 	if e.limits.Held > 0 && e.openCount >= e.limits.Held {
-		e.counters.full++
+		e.counters.rejectedFull++
 		m.Reply(Reply{Status: Rejected, RetryAfter: e.limits.ComeBack})
 		return
 	}
@@ -43,7 +43,7 @@
 	e.openCount++
 	ev := policy.Event{
 		Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: m.Class, Tenant: m.Tenant,
-		Deadline: e.decisionTime(m.Due), Count: len(m.Parts), Retry: m.Retry,
+		Deadline: e.policyTime(m.Due), Count: len(m.Parts), Retry: m.Retry,
 	}
 	if q.routes != nil {
 		ev.Route = q.route + 1
@@ -102,7 +102,7 @@
 		case q.sessionReply != nil:
 			e.finish(q.id, *q.sessionReply)
 		default:
-			e.counters.left++
+			e.counters.clientsGone++
 			e.recordEnd(q, "left", 0)
 			e.close(q, LaneOutcome{ClientGone: true})
 		}
@@ -135,7 +135,7 @@
 func (e *Exchange) close(q *query, o LaneOutcome) {
 	q.closed = true
 	e.releaseRoute(q)
-	e.leaveLane(q, o)
+	e.notifyLaneGate(q, o)
 	delete(e.queries, q.id)
 	e.openCount--
 	e.closeStep(q)
@@ -143,7 +143,7 @@
 		delete(e.byRequestID, q.ID)
 	}
 	q.Text = nil // its timers live on for a while
-	e.endSession(q)
+	e.notifySessionGate(q)
 }
 
 // closeStep ends the parts of a step. Those still out can be cancelled until their end is told.
@@ -153,16 +153,16 @@
 		for _, a := range pt.attempts {
 			// What is not yet written must not go after the end, whether or not it may be cancelled.
 			if !a.ended {
-				e.unsend(a)
+				e.cancelUnsent(a)
 			}
 		}
-		if !pt.out() {
+		if !pt.inFlight() {
 			delete(e.parts, pt.id)
 		}
 	}
 }
 
-func (pt *part) out() bool {
+func (pt *part) inFlight() bool {
 	for _, a := range pt.attempts {
 		if !a.ended {
 			return true
--- a/internal/exchange/record.go
+++ b/internal/exchange/record.go
@@ -32,14 +32,14 @@
 }
 
 // recordEnd notes how a query ended.
-func (e *Exchange) recordEnd(q *query, status string, in int) {
+func (e *Exchange) recordEnd(q *query, status string, values int) {
 	if e.record != nil {
-		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: in})
+		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: values})
 	}
 }
 
-// ending names a reply in records.
-func (r *Reply) ending() string {
+// recordStatus names a reply in records.
+func (r *Reply) recordStatus() string {
 	switch {
 	case r.Status == Served && r.Complete:
 		return "whole"
--- a/internal/exchange/routes.go
+++ b/internal/exchange/routes.go
@@ -7,9 +7,9 @@
 	"birchcart/internal/route"
 )
 
-// routes is one table in force, with the state of its gate and its sums. Queries keep the one that they were taken
+// setRoutes is one table in force, with the state of its gate and its sums. Queries keep the one that they were taken
 // under, so a new table changes nothing for them.
-type routes struct {
+type routeState struct {
 	table    *route.Table
 	gate     *admission.Gate
 	counters []routeCounters
@@ -17,26 +17,26 @@
 
 // routeCounters count by route since the last summary.
 type routeCounters struct {
-	taken, whole, short, refused, failed int
-	turned                               [len(admission.Reasons)]int // away before the decisions, by reason
+	admitted, complete, partial, refused, failed int
+	rejected                                     [len(admission.Reasons)]int // away before the decisions, by reason
 }
 
 // SetRoutes puts a table into force for queries from now on, nil for none. It may be called from anywhere. Rooms begin
 // empty: what is open was taken under the table before.
 func (e *Exchange) SetRoutes(t *route.Table) {
 	if t == nil {
-		e.enqueue(&routes{})
+		e.enqueue(&routeState{})
 		return
 	}
 	rules := make([]admission.Rule, len(t.Routes))
 	for i := range t.Routes {
 		rules[i] = admission.Rule(t.Routes[i].Room)
 	}
-	e.enqueue(&routes{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
+	e.enqueue(&routeState{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
 }
 
 // handleRoutes takes a new table.
-func (e *Exchange) handleRoutes(r *routes) {
+func (e *Exchange) handleRoutes(r *routeState) {
 	if e.routes = r; r.table == nil {
 		e.routes = nil
 	}
@@ -71,14 +71,14 @@
 	}
 	d := r.gate.Admit(e.turnAt, i, q.Tenant, q.Client, q.Retry)
 	if d.Reason != admission.Admitted {
-		r.counters[i].turned[d.Reason]++
+		r.counters[i].rejected[d.Reason]++
 		e.counters.replies[Rejected]++
-		e.leaveLane(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
+		e.notifyLaneGate(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
 		q.Reply(Reply{Status: Rejected, RetryAfter: e.retryAfter(d.After)})
 		return false
 	}
 	q.routes, q.route = r, i
-	r.counters[i].taken++
+	r.counters[i].admitted++
 	return true
 }
 
@@ -89,17 +89,17 @@
 	}
 }
 
-// count takes the end of a query into its route's sums.
-func (q *query) count(r Reply) {
+// countReply takes the end of a query into its route's sums.
+func (q *query) countReply(r Reply) {
 	if q.routes == nil {
 		return
 	}
 	s := &q.routes.counters[q.route]
 	switch {
 	case r.Status == Served && r.Complete:
-		s.whole++
+		s.complete++
 	case r.Status == Served:
-		s.short++
+		s.partial++
 	case r.Status == Rejected:
 		s.refused++
 	default:
@@ -118,11 +118,11 @@
 			continue
 		}
 		f := logrus.Fields{
-			"route": e.routes.table.Routes[i].Name, "taken": s.taken, "whole": s.whole, "short": s.short, "refused": s.refused, "failed": s.failed,
+			"route": e.routes.table.Routes[i].Name, "taken": s.admitted, "whole": s.complete, "short": s.partial, "refused": s.refused, "failed": s.failed,
 			"open": e.routes.gate.Open(i),
 		}
 		for reason := admission.Admitted + 1; int(reason) < len(admission.Reasons); reason++ {
-			if n := s.turned[reason]; n > 0 {
+			if n := s.rejected[reason]; n > 0 {
 				f["turned_away_"+admission.Reasons[reason]] = n
 			}
 		}
--- a/internal/exchange/routes_test.go
+++ b/internal/exchange/routes_test.go
@@ -10,7 +10,7 @@
 	"birchcart/policy"
 )
 
-func (s *stand) routes(specs ...route.Spec) {
+func (s *fixture) setRoutes(specs ...route.Spec) {
 	s.Helper()
 	table, err := route.Compile(append(specs, route.Spec{Name: "rest", Default: true}), s.e.names, 4)
 	if err != nil {
@@ -20,42 +20,42 @@
 }
 
 // What a route has no room for is refused at once, with a Retry-After time, and the decisions never see it.
-func TestRouteWithoutRoom(t *testing.T) {
-	s := newStand(t, nil)
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
-	s.ask("a", 0, 1)
-	a := s.handle()[0]
-	s.ask("b", 0, 1)
-	if r := s.reply(); r.Status != Rejected || r.RetryAfter <= 0 || r.RetryAfter > time.Second || len(s.handle()) > 0 {
+func TestRouteQueryLimitRejects(t *testing.T) {
+	s := newFixture(t, nil)
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
+	s.submit("a", 0, 1)
+	a := s.takeSent()[0]
+	s.submit("b", 0, 1)
+	if r := s.takeReply(); r.Status != Rejected || r.RetryAfter <= 0 || r.RetryAfter > time.Second || len(s.takeSent()) > 0 {
 		t.Fatalf("%+v", r)
 	}
-	s.ask("other", 2, 1) // another class has its own route
-	other := s.handle()[0]
+	s.submit("other", 2, 1) // another class has its own route
+	other := s.takeSent()[0]
 	for _, sent := range []*Attempt{a, other} {
-		s.hit(sent, 1, "v")
+		s.succeed(sent, 1, "v")
 		s.e.turn()
-		s.reply()
+		s.takeReply()
 	}
-	s.ask("c", 0, 1)
-	if sent := s.handle(); len(sent) != 1 {
+	s.submit("c", 0, 1)
+	if sent := s.takeSent(); len(sent) != 1 {
 		t.Errorf("room that was given back is not there: %d sent", len(sent))
 	} else {
-		s.hit(sent[0], 1, "v")
+		s.succeed(sent[0], 1, "v")
 		s.e.turn()
-		s.reply()
+		s.takeReply()
 	}
-	s.empty()
+	s.checkNothingHeld()
 }
 
 // A reload under load: queries in flight keep the limits that they were taken under, new ones have the new, and each
 // gets one answer.
 func TestRoutesReloadedUnderLoad(t *testing.T) {
-	s := newStand(t, nil)
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}, Room: route.Room{Queries: 5}})
-	s.ask("old", 0, 1)
-	old := s.handle()[0]
-	s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 0.05}, Room: route.Room{Queries: 1}})
-	s.ask("new", 0, 2)
+	s := newFixture(t, nil)
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}, Room: route.Room{Queries: 5}})
+	s.submit("old", 0, 1)
+	old := s.takeSent()[0]
+	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 0.05}, Room: route.Room{Queries: 1}})
+	s.submit("new", 0, 2)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.e.turn()
 	}
@@ -63,27 +63,27 @@
 		t.Fatalf("%d replies", len(s.replies))
 	}
 	s.replies = nil
-	s.hit(old, 1, "v")
+	s.succeed(old, 1, "v")
 	s.e.turn()
-	if r := s.reply(); r.Status != Served {
+	if r := s.takeReply(); r.Status != Served {
 		t.Errorf("%+v", r)
 	}
-	s.handle()
+	s.takeSent()
 }
 
 // Routes that change all the time leave nothing behind.
-func TestRoutesReloadedAllTheTime(t *testing.T) {
-	s := newStand(t, func(c *config.Config) { c.Policy.Resolution = 0 })
+func TestRepeatedRouteReloadsLeaveNothingOpen(t *testing.T) {
+	s := newFixture(t, func(c *config.Config) { c.Policy.Resolution = 0 })
 	for i := range 2000 {
-		s.routes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{MaxAttempts: 1 + i%3}, Room: route.Room{Queries: 1 + i%7}})
-		s.ask(fmt.Sprint("q", i), 0, 1)
-		sent := s.handle()
+		s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{MaxAttempts: 1 + i%3}, Room: route.Room{Queries: 1 + i%7}})
+		s.submit(fmt.Sprint("q", i), 0, 1)
+		sent := s.takeSent()
 		if len(sent) != 1 {
 			t.Fatalf("%d: %d sent", i, len(sent))
 		}
-		s.hit(sent[0], 1, "v")
+		s.succeed(sent[0], 1, "v")
 		s.e.turn()
-		s.reply()
+		s.takeReply()
 	}
 	if len(s.e.queries) > 0 || s.e.routes.gate.Open(0) != 0 {
 		t.Errorf("%d queries held, %d open", len(s.e.queries), s.e.routes.gate.Open(0))
--- a/internal/exchange/session.go
+++ b/internal/exchange/session.go
@@ -39,7 +39,7 @@
 )
 
 // SetSessionGate has queries that name a session shown to p first. To be called before Run.
-func (e *Exchange) SetSessionGate(p SessionGate) { e.sessionGate = p }
+func (e *Exchange) SetSessionGate(g SessionGate) { e.sessionGate = g }
 
 // Release hands a query that waits to the decisions. Of one that has ended it does nothing.
 func (e *Exchange) Release(q *Query) { e.enqueue(releaseQuery{q}) }
@@ -76,7 +76,7 @@
 		}
 		e.stopWaiting(q)
 		if !e.open(q) {
-			e.endSession(q)
+			e.notifySessionGate(q)
 		}
 	}
 }
@@ -105,23 +105,23 @@
 func (e *Exchange) endWaiting(q *query, r Reply) {
 	e.stopWaiting(q)
 	q.closed = true
-	e.recordEnd(q, r.ending(), 0)
+	e.recordEnd(q, r.recordStatus(), 0)
 	e.counters.replies[r.Status]++
 	q.Reply(r)
-	e.endSession(q)
+	e.notifySessionGate(q)
 }
 
 // clientGoneWaiting ends a query whose client went while it waited.
 func (e *Exchange) clientGoneWaiting(q *query) {
 	e.stopWaiting(q)
 	q.closed = true
-	e.counters.left++
+	e.counters.clientsGone++
 	e.recordEnd(q, "left", 0)
-	e.endSession(q)
+	e.notifySessionGate(q)
 }
 
-// endSession notifies the session gate that a query has ended.
-func (e *Exchange) endSession(q *query) {
+// notifySessionGate notifies the session gate that a query has ended.
+func (e *Exchange) notifySessionGate(q *query) {
 	if !q.pinned {
 		return
 	}
@@ -133,8 +133,8 @@
 	e.sessionGate.QueryEnded(q.Query, o)
 }
 
-// attemptOver notes what the end of an attempt says of whether its part ran, or may run still.
-func (q *query) attemptOver(o policy.Outcome) {
+// recordAttemptEnd notes what the end of an attempt says of whether its part ran, or may run still.
+func (q *query) recordAttemptEnd(o policy.Outcome) {
 	q.openAttempts--
 	switch o {
 	case policy.NotSent, policy.Unreachable, policy.Rejected:
--- a/internal/exchange/sockets_test.go
+++ b/internal/exchange/sockets_test.go
@@ -16,17 +16,17 @@
 	"birchcart/policy"
 )
 
-// patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
-const patience = time.Minute
+// testTimeout is how long a busy machine may take to what comes within milliseconds on a quiet one.
+const testTimeout = time.Minute
 
-// sockets is an exchange that runs over one replica on loopback, which holds all shards.
-type sockets struct {
+// networkFixture is an exchange that runs over one replica on loopback, which holds all shards.
+type networkFixture struct {
 	*testing.T
-	e *exchange.Exchange
-	r *standin.Replica
+	e       *exchange.Exchange
+	replica *standin.Replica
 }
 
-func newSockets(t *testing.T, script standin.Script) *sockets {
+func newNetworkFixture(t *testing.T, script standin.Script) *networkFixture {
 	t.Helper()
 	r, err := standin.NewReplica("r", script)
 	if err != nil {
@@ -43,26 +43,26 @@
 		Names: &settings.Names{Classes: []string{"plain", "steps"}},
 		Limits: config.Limits{
 			CallParts: 2, AnswerBy: 40 * time.Millisecond, TellEvery: time.Hour, StepGap: time.Millisecond, LogEvery: time.Second,
-			ReplicaLinks: 8, PerReplica: 2, Streams: 8, FrameBytes: 1 << 16, ConnectTime: patience, FrameTime: patience,
-			ReplicaIdle: patience, Silence: patience, Remember: patience, ProbeTime: patience, WriteTime: patience,
+			ReplicaLinks: 8, PerReplica: 2, Streams: 8, FrameBytes: 1 << 16, ConnectTime: testTimeout, FrameTime: testTimeout,
+			ReplicaIdle: testTimeout, Silence: testTimeout, Remember: testTimeout, ProbeTime: testTimeout, WriteTime: testTimeout,
 		},
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := exchange.New(cfg, logrus.NewEntry(log))
 	pool := replica.New(cfg, e, logrus.NewEntry(log))
-	e.Join(pool, nil)
+	e.Connect(pool, nil)
 	e.UpdateReplicas(exchange.ReplicaList{Full: true, Entries: []exchange.Endpoint{{Name: "r", Address: r.Address(), Size: 1}}})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { e.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended; pool.Close(); r.Close() })
-	return &sockets{t, e, r}
+	return &networkFixture{t, e, r}
 }
 
 func query(id string, class int, shards ...int) (*exchange.Query, chan exchange.Reply) {
 	now, replies := time.Now(), make(chan exchange.Reply, 2)
-	q := &exchange.Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(patience), Text: []byte("t")}
+	q := &exchange.Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(testTimeout), Text: []byte("t")}
 	for _, shard := range shards {
 		q.Parts = append(q.Parts, exchange.Part{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
@@ -70,8 +70,8 @@
 	return q, replies
 }
 
-// served runs a query to its end: all that was handed on before it has been taken by then.
-func (s *sockets) served(id string) {
+// runQuery runs a query to its end: all that was handed on before it has been taken by then.
+func (s *networkFixture) runQuery(id string) {
 	s.Helper()
 	q, replies := query(id, 0, 0)
 	s.e.Submit(q)
@@ -80,19 +80,19 @@
 		if r.Status != exchange.Served {
 			s.Fatalf("%+v", r)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		s.Fatal("no answer came")
 	}
 }
 
 // The replica is asked nothing for a client whose leaving overtook its query.
-func TestNothingReachesAReplicaForAClientThatLeft(t *testing.T) {
-	s := newSockets(t, func(standin.Asked) standin.Does { return standin.Does{Value: []byte("v")} })
+func TestNoAttemptAfterClientGone(t *testing.T) {
+	s := newNetworkFixture(t, func(standin.Asked) standin.Does { return standin.Does{Value: []byte("v")} })
 	q, replies := query("q", 0, 1, 2)
 	s.e.ClientGone(q)
 	s.e.Submit(q)
-	s.served("after")
-	for _, a := range s.r.Asked() {
+	s.runQuery("after")
+	for _, a := range s.replica.Asked() {
 		if a.ID != "after.0" {
 			t.Errorf("asked for %s", a.ID)
 		}
@@ -103,27 +103,27 @@
 }
 
 // A client leaves just before the last value of its first step is in: the replica is asked for no part of the second.
-func TestNoSecondStepReachesAReplicaForAClientThatLeft(t *testing.T) {
-	var s *sockets
-	left, _ := query("q", 1, 1, 2)
+func TestNoSecondStepAfterClientGone(t *testing.T) {
+	var s *networkFixture
+	abandoned, _ := query("q", 1, 1, 2)
 	ready := make(chan struct{})
-	s = newSockets(t, func(a standin.Asked) standin.Does {
+	s = newNetworkFixture(t, func(a standin.Asked) standin.Does {
 		if a.ID == "q.2" {
 			<-ready
-			s.e.ClientGone(left)
+			s.e.ClientGone(abandoned)
 		}
 		return standin.Does{Value: []byte("v")}
 	})
 	close(ready)
-	s.e.Submit(left)
-	for end := time.Now().Add(patience); len(s.r.Asked()) < 2; time.Sleep(time.Millisecond) {
+	s.e.Submit(abandoned)
+	for end := time.Now().Add(testTimeout); len(s.replica.Asked()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the first step did not begin")
 		}
 	}
-	s.served("after")
-	s.served("again") // a turn for each step
-	for _, a := range s.r.Asked() {
+	s.runQuery("after")
+	s.runQuery("again") // a turn for each step
+	for _, a := range s.replica.Asked() {
 		if a.ID != "q.1" && a.ID != "q.2" && a.ID != "after.0" && a.ID != "again.0" {
 			t.Errorf("asked for %s", a.ID)
 		}
--- a/internal/exchange/trace.go
+++ b/internal/exchange/trace.go
@@ -8,9 +8,9 @@
 	"birchcart/policy"
 )
 
-// standstillLog is how late a timer has to be for a log line: well over what a busy machine does to it, and under the least
+// stallLogThreshold is how late a timer has to be for a log line: well over what a busy machine does to it, and under the least
 // grace of a draining replica, so that work sent after the grace can be told from work that was held up.
-const standstillLog = 100 * time.Millisecond
+const stallLogThreshold = 100 * time.Millisecond
 
 var outcomeNames = map[policy.Outcome]string{
 	policy.OK: "ok", policy.Failed: "failed", policy.Rejected: "rejected", policy.TimedOut: "timed out",
@@ -43,18 +43,18 @@
 
 // replicaName is the name of a replica on the list, "" for one that was forgotten.
 func (e *Exchange) replicaName(id uint64) string {
-	if k := e.replicasByID[id]; k != nil {
-		return k.Name
+	if r := e.replicasByID[id]; r != nil {
+		return r.Name
 	}
 	return ""
 }
 
-// logStandstill logs that this turn comes late because the process had no processor.
-func (e *Exchange) logStandstill() {
+// logStall logs that this turn comes late because the process had no processor.
+func (e *Exchange) logStall() {
 	if len(e.timers) == 0 {
 		return
 	}
-	if late := e.turnAt.Sub(e.timers[0].at); late >= standstillLog {
+	if late := e.turnAt.Sub(e.timers[0].at); late >= stallLogThreshold {
 		e.limitedLog.Warn("the process stood still", logrus.Fields{"late": late.Round(time.Millisecond), "list": e.listIndex})
 	}
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -19,7 +19,7 @@
 	Header        func(name string) string // nil: routes see no headers of it; names in lower case
 	Client        string                   // its client, for a budget of retries; "" where none is given
 	Session       string                   // key of its session, as the client named it; "" for none
-	Mark          string                   // as the client named it for the lanes; "" for none
+	LaneMark      string                   // as the client named it for the lanes; "" for none
 	Received, Due time.Time                // Received: the last byte was read
 	Parts         []Part
 	Text          []byte
@@ -65,7 +65,7 @@
 // Attempt is one part on its way to one replica. The replica side reads its exported fields and reports its
 // end with it.
 type Attempt struct {
-	ID       string // of the part
+	ID       string // route the part
 	Shard    int
 	Text     []byte
 	Due      time.Time
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -112,7 +112,7 @@
 	p.step(s.now)
 	var qs []*exchange.Query
 	for i := range 500 {
-		qs = append(qs, &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
+		qs = append(qs, &exchange.Query{Tenant: -1, LaneMark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
 			&exchange.Query{ID: fmt.Sprint(i), Tenant: -1, Client: fmt.Sprint("c", i%20), Parts: make([]exchange.Part, 4)}) // of no account
 	}
 	at, i := startTime.Add(s.now), 0
--- a/internal/fleet/loadshed/shed.go
+++ b/internal/fleet/loadshed/shed.go
@@ -130,7 +130,7 @@
 		s.meter.RecordQuery(now, 0, false, cost)
 		return exchange.LaneVerdict{Account: -1, Class: q.Class, Cost: cost}
 	}
-	ask := lanes.Query{Account: s.set.AccountOf(q.Tenant, route, q.Mark), Class: q.Class, Cost: cost, Retry: q.Retry}
+	ask := lanes.Query{Account: s.set.AccountOf(q.Tenant, route, q.LaneMark), Class: q.Class, Cost: cost, Retry: q.Retry}
 	if ask.Account < 0 {
 		ask.Key = s.shedKeys.key(s.set, q, cost)
 	} else {
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -351,7 +351,7 @@
 	if admitted, asked := total(gold); admitted > asked*9/10 {
 		t.Errorf("%d of %d of who moved down", admitted, asked)
 	}
-	e := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
+	e := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, LaneMark: "m1", Parts: make([]exchange.Part, 1)}, -1)
 	if e.Rejected || e.Lane != 0 || e.Account != 1 {
 		t.Errorf("an account that is new with it: %+v", e)
 	}
@@ -378,7 +378,7 @@
 		for _, p := range s.shedders { // total want more than their part of some
 			for range 100 {
 				i++
-				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
+				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, LaneMark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
 			}
 		}
 		s.run(1500*time.Millisecond, ask)
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -106,7 +106,7 @@
 		op, err := operator.Read(text)
 		fail(err)
 		e := exchange.New(cfg, logrus.NewEntry(log))
-		e.Join(unsent{}, unsent{})
+		e.Connect(unsent{}, unsent{})
 		n := New()
 		fail(n.Start(serve.Host{Config: cfg, Operator: op, Exchange: e, ListConfirmedAt: time.Now, Log: logrus.NewEntry(log).WithField("node", name), Shutdown: func() {}}))
 		go e.Run(context.Background())
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -222,8 +222,8 @@
 	for header, want := range map[string]string{"X-Account: gold\r\n": "gold", "x-account:  gold \r\n": "gold", "X-Accounts: gold\r\n": "", "": ""} {
 		c.write(query("m"+fmt.Sprint(len(header)), header, goodBody))
 		q := st.next()
-		if q.Mark != want {
-			t.Errorf("%q: mark %q", header, q.Mark)
+		if q.LaneMark != want {
+			t.Errorf("%q: mark %q", header, q.LaneMark)
 		}
 		q.Reply(exchange.Reply{Status: exchange.Failed})
 		c.status(504)
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -95,7 +95,7 @@
 		if r.Header.Count(s.laneHeader) > 1 { // which one holds?
 			return nil, invalidRequest(400, s.laneHeader+" twice")
 		}
-		q.Mark = r.Header.Get(s.laneHeader)
+		q.LaneMark = r.Header.Get(s.laneHeader)
 	}
 	if err := s.readBody(q, r.Body); err != nil {
 		return nil, err
--- a/internal/ogc/rig_test.go
+++ b/internal/ogc/rig_test.go
@@ -111,7 +111,7 @@
 	list.Full, list.Stale = true, true
 	ex.UpdateReplicas(list)
 	disc := discovery.New(r.cfg, at, ex, log)
-	ex.Join(r.pool, disc)
+	ex.Connect(r.pool, disc)
 	ready := func() bool { return true }
 	r.users, r.features = front.New(r.cfg, ex, ready, log), ogc.New(r.cfg, r.op, ex, ready, log)
 	for _, err := range []error{r.users.Listen("127.0.0.1:0"), r.features.Listen("127.0.0.1:0")} {
--- a/internal/serve/coordinator.go
+++ b/internal/serve/coordinator.go
@@ -79,7 +79,7 @@
 	replicas := c.buildReplicas()
 	index := c.applyKnownList()
 	c.discovery = discovery.New(c.config, index, c.exchange, c.log)
-	c.exchange.Join(replicas, c.discovery)
+	c.exchange.Connect(replicas, c.discovery)
 	c.frames.HoldForList(c.listPending)
 	if c.forward != nil {
 		c.forward.HoldForList(c.listPending)
