--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkQuery(b *testing.B) {
 	for _, cells := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(cells, " replicas"), func(b *testing.B) {
-			cfg := settings(Safe)
+			cfg := testConfig(Safe)
 			cfg.Cells, cfg.Reach, cfg.Shards, cfg.Coordinators = cells, 2, cells, max(1, cells/4)
 			p, now, id := New(cfg), 100.0, uint64(1000)
 			var list []Entry
@@ -24,7 +24,7 @@
 				for i := range uint64(20) {
 					ev = append(ev, Event{Kind: PartArrived, Part: id + 1 + i, Group: id, Shard: int(id/100+i) % cells, Weight: 0.05})
 				}
-				sends := of(Send, append([]Action(nil), p.Handle(now, ev)...))
+				sends := withVerb(Send, append([]Action(nil), p.Handle(now, ev)...))
 				for range 5 {
 					now += p.tick
 					p.Handle(now, []Event{{Kind: TimerFired}})
--- a/policy/cold_sum_test.go
+++ b/policy/cold_sum_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// coldNews is how a start is told of to the instances of a crowd.
-type coldNews struct {
-	name      string
-	spread    float64 // s from the start on, within which all are told
-	restarted float64 // serverShare of the instances that begin anew, with no history, and learn of the start by a whole list
-	from, to  float64 // s after the start, negative for before it, between which these begin
-	thin      float64 // parts a second, of all instances, up to the burst
-	burst     float64 // and from then on
-	burstAt   float64 // s after the start
-	skewed    bool    // half of the traffic comes to a fifth of the instances
+// coldScenario is how a start is told of to the instances of a crowd.
+type coldScenario struct {
+	name                   string
+	noticeSpread           float64 // s from the start on, within which all are told
+	restartedShare         float64 // serverShare of the instances that begin anew, with no history, and learn of the start by a whole list
+	restartFrom, restartTo float64 // s after the start, negative for before it, between which these begin
+	baseRate               float64 // parts a second, of all instances, up to the burst
+	burstRate              float64 // and from then on
+	burstAt                float64 // s after the start
+	skewed                 bool    // half of the traffic comes to a fifth of the instances
 }
 
-// coldSums are the worst of all windows of one run, as shares of the bound: what all sent, and what those sent that had been
+// coldWindowStats are the worst of all windows of one run, as shares of the bound: what all sent, and what those sent that had been
 // told.
-type coldSums struct {
-	all, told float64
-	parts     int     // requested by those that had been told
-	blamed    float64 // the largest part that those had in a window over the bound
+type coldWindowStats struct {
+	all, informed float64
+	parts         int     // requested by those that had been told
+	informedShare float64 // the largest part that those had in a window over the bound
 }
 
 const (
-	coldStart = 108.0  // on the crowd's clock: eight seconds of history, over coldHistory
-	toldShare = 2. / 3 // of a window over the bound: more is a broken rule
-	coldWatch = 6.0    // s after the start, of a warm-up of 10
+	coldStartTime       = 108.0  // on the crowd's clock: eight seconds of history, over coldHistory
+	maxInformedShare    = 2. / 3 // withVerb a window over the bound: more is a broken rule
+	coldObservationSpan = 6.0    // s after the start, of a warm-up of 10
 )
 
 // coldBound is what the operators' rule lets a replica that has just started take in a window that begins at an age.
@@ -38,144 +38,144 @@
 	return limit + 2*math.Sqrt(limit) + 2
 }
 
-// playColdNews plays one start among the instances.
-func playColdNews(seed uint64, instances int, news coldNews) coldSums {
-	c := newCrowd(instances, seed, crowdReplicas, 2)
-	c.next = math.Inf(1) // the arrivals are those of news
-	next := c.now
+// runColdScenario plays one start among the instances.
+func runColdScenario(seed uint64, instances int, scenario coldScenario) coldWindowStats {
+	c := newCoordinatorSet(instances, seed, scriptedReplicas, 2)
+	c.nextArrival = math.Inf(1) // the arrivals are those of news
+	nextArrival := c.now
 	step := func() {
-		c.run(c.now + c.p[0].tick)
-		for next <= c.now {
-			c.arrive(news.skewed)
-			rate := news.thin
-			if next >= coldStart+news.burstAt {
-				rate = news.burst
+		c.runUntil(c.now + c.policies[0].tick)
+		for nextArrival <= c.now {
+			c.submitQuery(scenario.skewed)
+			rate := scenario.baseRate
+			if nextArrival >= coldStartTime+scenario.burstAt {
+				rate = scenario.burstRate
 			}
-			next += c.rng.ExpFloat64() / rate
+			nextArrival += c.rng.ExpFloat64() / rate
 		}
 	}
-	for c.now < coldStart+min(0, news.from) {
+	for c.now < coldStartTime+min(0, scenario.restartFrom) {
 		step()
 	}
-	due, begins := make([]float64, instances), make([]float64, instances)
-	for i := range due {
-		due[i], begins[i] = coldStart+news.spread*c.rng.Float64(), math.Inf(1)
+	noticeAt, restartAt := make([]float64, instances), make([]float64, instances)
+	for i := range noticeAt {
+		noticeAt[i], restartAt[i] = coldStartTime+scenario.noticeSpread*c.rng.Float64(), math.Inf(1)
 	}
-	for _, i := range c.rng.Perm(instances)[:int(news.restarted*float64(instances))] {
-		begins[i] = coldStart + news.from + (news.to-news.from)*c.rng.Float64()
+	for _, i := range c.rng.Perm(instances)[:int(scenario.restartedShare*float64(instances))] {
+		restartAt[i] = coldStartTime + scenario.restartFrom + (scenario.restartTo-scenario.restartFrom)*c.rng.Float64()
 	}
-	toldAt := map[int]float64{} // by the number of the instance's start
-	entry := Entry{Replica: 1, SharedID: 1, Size: 1, Started: coldStart}
-	for c.now < coldStart+coldWatch {
+	informedAt := map[int]float64{} // by the number of the instance's start
+	entry := Entry{Replica: 1, SharedID: 1, Size: 1, Started: coldStartTime}
+	for c.now < coldStartTime+coldObservationSpan {
 		step()
 		for i := range instances {
-			anew := c.now >= begins[i]
-			if anew {
-				begins[i] = math.Inf(1)
+			restarts := c.now >= restartAt[i]
+			if restarts {
+				restartAt[i] = math.Inf(1)
 				c.start(i)
 			}
-			if _, told := toldAt[c.life[i]]; told || c.now < due[i] {
+			if _, informed := informedAt[c.startNumber[i]]; informed || c.now < noticeAt[i] {
 				continue
 			}
-			toldAt[c.life[i]] = c.now
-			if c.life[i] < instances {
-				c.do(i, []Event{{Kind: ListChanged, List: []Entry{entry}}})
+			informedAt[c.startNumber[i]] = c.now
+			if c.startNumber[i] < instances {
+				c.handle(i, []Event{{Kind: ListChanged, List: []Entry{entry}}})
 				continue
 			}
-			whole := slices.Clone(c.list)
-			whole[0] = entry
-			c.do(i, []Event{{Kind: ListChanged, Full: true, List: whole}})
+			fullList := slices.Clone(c.list)
+			fullList[0] = entry
+			c.handle(i, []Event{{Kind: ListChanged, Full: true, List: fullList}})
 		}
 	}
-	return coldWindows(c, toldAt)
+	return worstColdWindows(c, informedAt)
 }
 
-// arrive brings one query of one part to some instance.
-func (c *crowd) arrive(skewed bool) {
-	among := len(c.p)
+// submitQuery brings one query of one part to some instance.
+func (c *coordinatorSet) submitQuery(skewed bool) {
+	candidates := len(c.policies)
 	if skewed && c.rng.IntN(2) == 0 {
-		among /= 5
+		candidates /= 5
 	}
-	i, q := c.rng.IntN(among), c.ids
-	c.ids += 2
-	c.parts[i][q+1] = &scripted{due: c.now + 4}
-	c.do(i, []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Deadline: c.now + 4, Count: 1},
+	i, q := c.rng.IntN(candidates), c.nextID
+	c.nextID += 2
+	c.parts[i][q+1] = &scriptedPart{due: c.now + 4}
+	c.handle(i, []Event{{Kind: QueryArrived, Query: q, Group: q, Tenant: -1, Deadline: c.now + 4, Count: 1},
 		{Kind: PartArrived, Part: q + 1, Group: q, Shard: c.rng.IntN(c.cfg.Shards), Weight: 1}})
 }
 
-// coldWindows finds the worst windows after the start.
-func coldWindows(c *crowd, toldAt map[int]float64) (sums coldSums) {
+// worstColdWindows finds the worst windows after the start.
+func worstColdWindows(c *coordinatorSet, informedAt map[int]float64) (stats coldWindowStats) {
 	type send struct {
-		at   float64
-		told bool
+		at       float64
+		informed bool
 	}
 	var sends []send
 	for _, s := range c.sends[1] {
-		if s.at > coldStart {
-			at, ok := toldAt[s.life]
+		if s.at > coldStartTime {
+			at, ok := informedAt[s.startNumber]
 			sends = append(sends, send{s.at, ok && s.at >= at})
 		}
 	}
 	for i, first := range sends {
-		all, told := 0.0, 0.0
+		all, informed := 0.0, 0.0
 		for _, s := range sends[i:] {
 			if s.at >= first.at+c.cfg.OverloadWindow {
 				break
 			}
-			if all++; s.told {
-				told++
+			if all++; s.informed {
+				informed++
 			}
 		}
-		bound := coldBound(&c.cfg, first.at-coldStart)
-		sums.all, sums.told = max(sums.all, all/bound), max(sums.told, told/bound)
+		bound := coldBound(&c.cfg, first.at-coldStartTime)
+		stats.all, stats.informed = max(stats.all, all/bound), max(stats.informed, informed/bound)
 		if all > bound {
-			sums.blamed = max(sums.blamed, told/all)
+			stats.informedShare = max(stats.informedShare, informed/all)
 		}
-		if first.told {
-			sums.parts++
+		if first.informed {
+			stats.parts++
 		}
 	}
-	return sums
+	return stats
 }
 
 // What all of many send to a replica that has started stays within the operators' bound in every window, as far as they
 // have been told of the start: told at different times, a part of them begun anew with no history, under even and thin
 // traffic, under a burst on top of credits that were saved up, and with half of the traffic at a fifth of them. A window over
 // the bound is one in which those that had not been told yet sent a third or more.
-func TestManyStayWithinTheBoundOfAColdReplica(t *testing.T) {
+func TestManyCoordinatorsStayWithinTheColdBound(t *testing.T) {
 	instances, seeds := []int{20, 30}, uint64(12)
 	if testing.Short() {
 		instances, seeds = []int{30}, 3
 	}
 	for _, n := range instances {
-		for _, news := range []coldNews{
-			{name: "told at once, even", thin: 120, burst: 120},
-			{name: "told within 0.4 s, even", spread: 0.4, thin: 120, burst: 120},
-			{name: "told within 2 s, even", spread: 2, thin: 120, burst: 120},
-			{name: "a third begun before, even", spread: 2, restarted: 1. / 3, from: -1.5, thin: 120, burst: 120},
-			{name: "seven in ten begun after, even", spread: 2, restarted: 0.7, to: 3, thin: 120, burst: 120},
-			{name: "half at a fifth of them", spread: 0.4, restarted: 1. / 3, from: -1.5, thin: 120, burst: 120, skewed: true},
-			{name: "thin", spread: 0.4, restarted: 1. / 3, from: -1.5, thin: 30, burst: 30},
-			{name: "thin, then a burst", spread: 0.4, restarted: 1. / 3, from: -1.5, thin: 30, burst: 150, burstAt: 2},
-			{name: "thin, then a late burst", spread: 0.4, thin: 30, burst: 150, burstAt: 4},
+		for _, scenario := range []coldScenario{
+			{name: "told at once, even", baseRate: 120, burstRate: 120},
+			{name: "told within 0.4 s, even", noticeSpread: 0.4, baseRate: 120, burstRate: 120},
+			{name: "told within 2 s, even", noticeSpread: 2, baseRate: 120, burstRate: 120},
+			{name: "a third begun before, even", noticeSpread: 2, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120},
+			{name: "seven in ten begun after, even", noticeSpread: 2, restartedShare: 0.7, restartTo: 3, baseRate: 120, burstRate: 120},
+			{name: "half at a fifth of them", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120, skewed: true},
+			{name: "thin", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 30, burstRate: 30},
+			{name: "thin, then a burst", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 30, burstRate: 150, burstAt: 2},
+			{name: "thin, then a late burst", noticeSpread: 0.4, baseRate: 30, burstRate: 150, burstAt: 4},
 		} {
-			told, all, mean, meanAll, over, parts := 0.0, 0.0, 0.0, 0.0, 0, 0
+			maxInformed, maxAll, meanInformed, meanAll, overBound, parts := 0.0, 0.0, 0.0, 0.0, 0, 0
 			for seed := range seeds {
-				s := playColdNews(seed, n, news)
-				told, all, parts = max(told, s.told), max(all, s.all), parts+s.parts
-				mean, meanAll = mean+s.told/float64(seeds), meanAll+s.all/float64(seeds)
+				s := runColdScenario(seed, n, scenario)
+				maxInformed, maxAll, parts = max(maxInformed, s.informed), max(maxAll, s.all), parts+s.parts
+				meanInformed, meanAll = meanInformed+s.informed/float64(seeds), meanAll+s.all/float64(seeds)
 				if s.all > 1 {
-					over++
+					overBound++
 				}
-				if s.told > 1 || s.blamed > toldShare {
+				if s.informed > 1 || s.informedShare > maxInformedShare {
 					t.Errorf("%d, %s, seed %d: %.2f of the bound by those told, whose part of a window over it is %.2f",
-						n, news.name, seed, s.told, s.blamed)
+						n, scenario.name, seed, s.informed, s.informedShare)
 				}
 			}
 			t.Logf("%d, %-31s of the bound by those told %.2f on the mean, %.2f at most; by all %.2f and %.2f, over it in %d of %d runs",
-				n, news.name+":", mean, told, meanAll, all, over, seeds)
+				n, scenario.name+":", meanInformed, maxInformed, meanAll, maxAll, overBound, seeds)
 			if parts == 0 {
-				t.Errorf("%d, %s: the replica was not used at all", n, news.name)
+				t.Errorf("%d, %s: the replica was not used at all", n, scenario.name)
 			}
 		}
 	}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestColdReplicaGetsATrickle(t *testing.T) {
+func TestColdReplicaGetsLimitedTraffic(t *testing.T) {
 	start := 100 + 400*0.02 - 0.01
 	fresh := Entry{Replica: 1, Size: 1, Started: start}
 	for name, list := range map[string]Event{
@@ -14,60 +14,60 @@
 		"list from disk":            {Kind: ListChanged, Full: true, Stale: true, List: []Entry{fresh, {Replica: 2}, {Replica: 3}, {Replica: 4}}},
 	} {
 		// 200 parts a second over four replicas are 50 for each; the rule allows 2 x 0.2 x capacity at first.
-		sent, most := cold(t, list, 0.02)
+		sent, maxInWindow := sendToColdReplica(t, list, 0.02)
 		if sent == 0 {
 			t.Errorf("%s: nothing at all was sent, so it would never be used", name)
 		}
-		if most > 30 {
-			t.Errorf("%s: %d parts in a second, more than 2 x 0.3 of the 50 that a warm one takes", name, most)
+		if maxInWindow > 30 {
+			t.Errorf("%s: %d parts in a second, more than 2 x 0.3 of the 50 that a warm one takes", name, maxInWindow)
 		}
 	}
 }
 
 // Many co-ordinators are told of a new start at the same moment, and each has parts for it: what all of them
 // send together stays under the rule's limit in every window. One that had each send its first part at once fails.
-func TestManyCoordinatorsDoNotTipAColdReplica(t *testing.T) {
-	const peers = 40
-	most := 0
+func TestManyCoordinatorsDoNotOverloadAColdReplica(t *testing.T) {
+	const coordinators = 40
+	maxInWindow := 0
 	for round := range 5 {
-		var at []float64
-		for ordinal := range peers {
-			cfg := settings(Safe)
-			cfg.Coordinators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(1+round)
+		var sentAt []float64
+		for ordinal := range coordinators {
+			cfg := testConfig(Safe)
+			cfg.Coordinators, cfg.Ordinal, cfg.Seed = coordinators, ordinal, uint64(1+round)
 			r := newRig(t, cfg)
 			step := func(took float64) {
-				_, _, acts := r.ask(1, 3)
-				for _, a := range of(Send, acts) {
+				_, _, acts := r.submit(1, 3)
+				for _, a := range withVerb(Send, acts) {
 					if a.Replica == 1 && r.now > 110 {
-						at = append(at, r.now)
+						sentAt = append(sentAt, r.now)
 					}
-					r.do(Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: took})
+					r.handle(Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: took})
 				}
-				r.run(0.4)
+				r.advance(0.4)
 			}
 			for r.now < 110 {
 				step(0.1)
 			}
-			r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
+			r.handle(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
 			for r.now < 116 {
 				step(0.1)
 			}
 		}
-		slices.Sort(at)
-		for i := range at {
+		slices.Sort(sentAt)
+		for i := range sentAt {
 			n := 0
-			for j := i; j < len(at) && at[j] < at[i]+1; j++ {
+			for j := i; j < len(sentAt) && sentAt[j] < sentAt[i]+1; j++ {
 				n++
 			}
-			level := 0.2 + 0.8*(at[i]-110)/10
+			level := 0.2 + 0.8*(sentAt[i]-110)/10
 			// Each of 40 sends 2.5 parts a second to four replicas: 25 a second when warm, twice that is the multiple.
 			if float64(n) > 50*level {
-				t.Fatalf("%d parts within 1 s at %.2f s after its start, limit %.1f", n, at[i]-110, 50*level)
+				t.Fatalf("%d parts within 1 s at %.2f s after its start, limit %.1f", n, sentAt[i]-110, 50*level)
 			}
-			most = max(most, n)
+			maxInWindow = max(maxInWindow, n)
 		}
 	}
-	if most < 2 {
+	if maxInWindow < 2 {
 		t.Fatal("the cold replica was not used at all")
 	}
 }
@@ -75,27 +75,27 @@
 // What all peers together may send a cold replica in the rule's window stays under the limit by 1.5 roots of its mean,
 // however many they are, and their shares come evenly spread: between any two moments they have as much credit
 // together as one would that had it all, give or take one part.
-func TestColdShareLeavesRoomForChance(t *testing.T) {
-	for _, peers := range []int{2, 30, 90} {
-		var due []float64 // when each peer's first part may go
-		for ordinal := range peers {
-			cfg := settings(Safe)
-			cfg.Coordinators, cfg.Ordinal, cfg.Seed = peers, ordinal, uint64(ordinal)
+func TestColdShareLeavesMarginForRandomVariation(t *testing.T) {
+	for _, coordinators := range []int{2, 30, 90} {
+		var firstDue []float64 // when each peer's first part may go
+		for ordinal := range coordinators {
+			cfg := testConfig(Safe)
+			cfg.Coordinators, cfg.Ordinal, cfg.Seed = coordinators, ordinal, uint64(ordinal)
 			r := newRig(t, cfg)
-			r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
+			r.handle(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
 			r.p.models[0].fast = 0.01
-			x := r.p.replicas[1]
-			rate, cold := r.p.coldRate(x)
-			mean, limit := rate*float64(peers)*cfg.OverloadWindow, cfg.OverloadMultiple*cfg.ColdCapacity*100*cfg.OverloadWindow
+			rep := r.p.replicas[1]
+			rate, cold := r.p.coldRate(rep)
+			mean, limit := rate*float64(coordinators)*cfg.OverloadWindow, cfg.OverloadMultiple*cfg.ColdCapacity*100*cfg.OverloadWindow
 			if !cold || mean <= 0 || mean+1.5*math.Sqrt(mean) > limit+1e-9 {
-				t.Errorf("%d peers: %.1f parts expected in the window, limit %.1f", peers, mean, limit)
+				t.Errorf("%d peers: %.1f parts expected in the window, limit %.1f", coordinators, mean, limit)
 			}
-			due = append(due, (1-x.credit)*float64(peers)) // received parts of all peers together
+			firstDue = append(firstDue, (1-rep.credit)*float64(coordinators)) // received parts of all peers together
 		}
-		slices.Sort(due)
-		for i, at := range due {
+		slices.Sort(firstDue)
+		for i, at := range firstDue {
 			if math.Abs(at-float64(i)) > 1+1e-6 {
-				t.Errorf("%d peers: part %d is due after %.2f parts' time", peers, i, at)
+				t.Errorf("%d peers: part %d is due after %.2f parts' time", coordinators, i, at)
 			}
 		}
 	}
@@ -104,52 +104,52 @@
 // Credit counts from a replica's start, however late the news of it, with a window's worth at once, and as much more as is
 // held on the mean until an own part comes there, less where few were seen. One part of it is all that is kept, two where a
 // window earns less than one.
-func TestColdCreditCountsFromTheStart(t *testing.T) {
+func TestColdCreditAccruesFromTheReplicaStart(t *testing.T) {
 	for _, c := range []struct {
-		peers            int
-		late, most, back float64 // s; back: by the answers seen
-		seen             int
+		coordinators                int
+		delay, maxCredit, headStart float64 // s; back: by the answers seen
+		answers                     int
 	}{{40, 0, 2, 0, 0}, {40, 1.5, 2, 0, 0}, {40, 9, 2, 0, 0}, {1, 0, 1, 0, 0}, {1, 3, 1, 0, 0}, {40, 0, 2, 5 * 4 * 8 / 256.0, 8}, {40, 1.5, 2, 5 * 4 * 20 / 784.0, 20}} {
-		cfg := settings(Safe)
-		cfg.Coordinators = c.peers
+		cfg := testConfig(Safe)
+		cfg.Coordinators = c.coordinators
 		r := newRig(t, cfg)
 		r.p.models[0].fast = 0.1
-		for range c.seen {
+		for range c.answers {
 			r.p.answers.add(r.now)
 		}
-		r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now - c.late}}})
-		x := r.p.replicas[1]
-		r.p.coldLimited(x)
-		rate, _ := r.p.coldRate(x)
-		if want := math.Min(c.most, r.p.phaseOffset(0)+rate*(c.late+cfg.OverloadWindow+c.back)); math.Abs(x.credit-want) > 1e-9 {
-			t.Errorf("%+v: credit %.4f, want %.4f", c, x.credit, want)
+		r.handle(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now - c.delay}}})
+		rep := r.p.replicas[1]
+		r.p.coldLimited(rep)
+		rate, _ := r.p.coldRate(rep)
+		if want := math.Min(c.maxCredit, r.p.phaseOffset(0)+rate*(c.delay+cfg.OverloadWindow+c.headStart)); math.Abs(rep.credit-want) > 1e-9 {
+			t.Errorf("%+v: credit %.4f, want %.4f", c, rep.credit, want)
 		}
 	}
 }
 
 // Guards against cold replicas that are hardly used: with many co-ordinators those who hold credit wait long for a part of
 // their own. At its start so many hold some that, at the rate of own parts, they use what the rule's mean allows.
-func TestColdCreditIsUsedByMany(t *testing.T) {
-	const peers, seen, span, up = 300, 100, 5.0, 100
+func TestColdCreditIsUsedWithManyCoordinators(t *testing.T) {
+	const coordinators, answers, span, replicas = 300, 100, 5.0, 100
 	holders, allowed := 0, 0.0
-	for ordinal := range peers {
-		cfg := settings(Safe)
-		cfg.Coordinators, cfg.Ordinal = peers, ordinal
+	for ordinal := range coordinators {
+		cfg := testConfig(Safe)
+		cfg.Coordinators, cfg.Ordinal = coordinators, ordinal
 		r := newRig(t, cfg)
-		for range seen {
+		for range answers {
 			r.p.answers.add(r.now)
 		}
-		r.p.upCount = up
-		r.do(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
-		r.p.upCount = up
-		x := r.p.replicas[1]
-		rate, _ := r.p.coldRate(x)
-		if allowed = rate * peers; !r.p.coldLimited(x) { // a second, of all together
+		r.p.upCount = replicas
+		r.handle(Event{Kind: ListChanged, List: []Entry{{Replica: 1, Started: r.now}}})
+		r.p.upCount = replicas
+		rep := r.p.replicas[1]
+		rate, _ := r.p.coldRate(rep)
+		if allowed = rate * coordinators; !r.p.coldLimited(rep) { // a second, of all together
 			holders++
 		}
 	}
-	own := seen / span / up // parts a second for one replica, each
-	if used := float64(holders) * own; used < allowed/2 || used > allowed*(1+own) {
-		t.Errorf("%d of %d hold credit at the start and use %.1f parts a second, %.1f are allowed", holders, peers, used, allowed)
+	ownRate := answers / span / replicas // parts a second for one replica, each
+	if used := float64(holders) * ownRate; used < allowed/2 || used > allowed*(1+ownRate) {
+		t.Errorf("%d of %d hold credit at the start and use %.1f parts a second, %.1f are allowed", holders, coordinators, used, allowed)
 	}
 }
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -10,29 +10,29 @@
 	. "birchcart/policy"
 )
 
-// world makes up legal events: it answers what was sent in odd orders, moves the list, lets time pass. It
+// simulation makes up legal events: it answers what was sent in odd orders, moves the list, lets time pass. It
 // models no servers and measures nothing.
-type world struct {
-	rng   *rand.Rand
-	cfg   Config
-	now   float64
-	chk   *checker.Checker
-	p     *Policy
-	out   []pending
-	ids   uint64
-	steps []followUp
-	alter func(Action) Action // breaks an action on purpose
-	dress func(*Event)        // adds to what the world tells, nil for nothing
-	list  []Entry
-	fails map[uint64]int  // replica to the class that it fails or swallows
-	fatal map[uint64]bool // queries that bring down each replica that takes a part of them
-	swept []uint64        // drained in a wave, to be removed soon
-	born  uint64          // ids of replacements
+type simulation struct {
+	rng             *rand.Rand
+	cfg             Config
+	now             float64
+	checker         *checker.Checker
+	policy          *Policy
+	pending         []pendingEvent
+	lastID          uint64
+	secondSteps     []followUp
+	alter           func(Action) Action // breaks an action on purpose
+	decorate        func(*Event)        // adds to what the world tells, nil for nothing
+	list            []Entry
+	failingClass    map[uint64]int  // replica to the class that it fails or swallows
+	crashesReplicas map[uint64]bool // queries that bring down each replica that takes a part of them
+	drained         []uint64        // drained in a wave, to be removed soon
+	lastReplicaID   uint64          // nextID of replacements
 }
 
-type pending struct {
-	at float64
-	ev Event
+type pendingEvent struct {
+	at    float64
+	event Event
 }
 
 type followUp struct{ query, group uint64 }
@@ -67,176 +67,176 @@
 	return cfg
 }
 
-func newWorld(seed uint64, alter func(Action) Action) *world {
+func newSimulation(seed uint64, alter func(Action) Action) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{rng: rng, cfg: randomConfig(rng), now: 1000, alter: alter}
-	w.chk, w.p = checker.New(w.cfg), New(w.cfg)
+	sim := &simulation{rng: rng, cfg: randomConfig(rng), now: 1000, alter: alter}
+	sim.checker, sim.policy = checker.New(sim.cfg), New(sim.cfg)
 	n := 2 + rng.IntN(10)
-	if w.cfg.Coordinators >= 20 {
-		n = w.cfg.Cells * 3
+	if sim.cfg.Coordinators >= 20 {
+		n = sim.cfg.Cells * 3
 	}
-	w.fails, w.fatal, w.born = map[uint64]int{}, map[uint64]bool{}, 10_000_000
+	sim.failingClass, sim.crashesReplicas, sim.lastReplicaID = map[uint64]int{}, map[uint64]bool{}, 10_000_000
 	for i := range uint64(n) {
-		w.list = append(w.list, Entry{Replica: 10 + i, SharedID: 10 + i, Cell: int(i) % w.cfg.Cells, Zone: int(i) % 3})
+		sim.list = append(sim.list, Entry{Replica: 10 + i, SharedID: 10 + i, Cell: int(i) % sim.cfg.Cells, Zone: int(i) % 3})
 		if rng.IntN(5) == 0 {
-			w.fails[10+i] = rng.IntN(len(w.cfg.Classes))
+			sim.failingClass[10+i] = rng.IntN(len(sim.cfg.Classes))
 		}
 	}
-	w.turn([]Event{{Kind: ListChanged, Full: true, Stale: true, List: append([]Entry(nil), w.list...)}})
-	return w
+	sim.handle([]Event{{Kind: ListChanged, Full: true, Stale: true, List: append([]Entry(nil), sim.list...)}})
+	return sim
 }
 
-func (w *world) turn(events []Event) {
+func (sim *simulation) handle(events []Event) {
 	for i := range events {
-		if w.dress != nil {
-			w.dress(&events[i])
+		if sim.decorate != nil {
+			sim.decorate(&events[i])
 		}
-		w.chk.Event(w.now, events[i])
+		sim.checker.Event(sim.now, events[i])
 	}
-	for _, a := range w.p.Handle(w.now, events) {
-		if w.alter != nil {
-			a = w.alter(a)
+	for _, a := range sim.policy.Handle(sim.now, events) {
+		if sim.alter != nil {
+			a = sim.alter(a)
 		}
-		w.chk.Action(w.now, a)
+		sim.checker.Action(sim.now, a)
 		switch a.Verb {
 		case Send:
-			w.outcome(a)
+			sim.scheduleOutcome(a)
 		case Cancel:
-			for i := range w.out {
-				if e := &w.out[i]; e.ev.Kind == AttemptEnded && e.ev.Part == a.Part && e.ev.Attempt == a.Attempt && w.rng.IntN(5) > 0 {
-					e.at, e.ev.Outcome = w.now, Cancelled
+			for i := range sim.pending {
+				if e := &sim.pending[i]; e.event.Kind == AttemptEnded && e.event.Part == a.Part && e.event.Attempt == a.Attempt && sim.rng.IntN(5) > 0 {
+					e.at, e.event.Outcome = sim.now, Cancelled
 				}
 			}
 		case Timer:
-			w.out = append(w.out, pending{w.now + a.After, Event{Kind: TimerFired, Handle: a.Handle}})
+			sim.pending = append(sim.pending, pendingEvent{sim.now + a.After, Event{Kind: TimerFired, Handle: a.Handle}})
 		case Answer:
-			if q := w.chk.Query(a.Query); q != nil && !q.Ended && q.Step == 2 {
-				w.steps = append(w.steps, followUp{a.Query, a.Query})
+			if q := sim.checker.Query(a.Query); q != nil && !q.Ended && q.Step == 2 {
+				sim.secondSteps = append(sim.secondSteps, followUp{a.Query, a.Query})
 			}
 		}
 	}
 }
 
-// outcome makes up how an attempt ends: mostly well, at times badly, at times only when the client has gone.
-func (w *world) outcome(a Action) {
-	pt := w.chk.Part(a.Part)
-	took, o := 0.02+0.2*w.rng.ExpFloat64(), OK
-	switch w.rng.IntN(10) {
+// scheduleOutcome makes up how an attempt ends: mostly well, at times badly, at times only when the client has gone.
+func (sim *simulation) scheduleOutcome(a Action) {
+	pt := sim.checker.Part(a.Part)
+	took, outcome := 0.02+0.2*sim.rng.ExpFloat64(), OK
+	switch sim.rng.IntN(10) {
 	case 0:
-		o = Outcome(1 + w.rng.IntN(7))
+		outcome = Outcome(1 + sim.rng.IntN(7))
 	case 1:
 		took *= 20
 	case 2:
-		took, o = 0.001, Outcome(1+w.rng.IntN(7))
+		took, outcome = 0.001, Outcome(1+sim.rng.IntN(7))
 	}
-	if class, bad := w.fails[a.Replica]; bad && pt.Query.Class == class && w.rng.IntN(5) > 0 {
-		took, o = []float64{0.005, 60}[int(a.Replica)%2], Failed // times once, or never an answer
+	if class, fails := sim.failingClass[a.Replica]; fails && pt.Query.Class == class && sim.rng.IntN(5) > 0 {
+		took, outcome = []float64{0.005, 60}[int(a.Replica)%2], Failed // times once, or never an answer
 	}
-	if w.fatal[pt.Query.ID] { // and with it goes all else that is out there
-		took, o = 0.02, ConnectionBroken
-		for i := range w.out {
-			if e := &w.out[i]; e.ev.Kind == AttemptEnded && e.ev.Replica == a.Replica && e.at > w.now+took {
-				e.at, e.ev.Outcome = w.now+took, ConnectionBroken
+	if sim.crashesReplicas[pt.Query.ID] { // and with it goes all else that is out there
+		took, outcome = 0.02, ConnectionBroken
+		for i := range sim.pending {
+			if e := &sim.pending[i]; e.event.Kind == AttemptEnded && e.event.Replica == a.Replica && e.at > sim.now+took {
+				e.at, e.event.Outcome = sim.now+took, ConnectionBroken
 			}
 		}
 	}
 	at := pt.Query.Due
 	if a.AttemptTimeout > 0 {
-		at = min(at, w.now+a.AttemptTimeout)
+		at = min(at, sim.now+a.AttemptTimeout)
 	}
-	if w.now+took >= at {
-		took, o = at-w.now, TimedOut
+	if sim.now+took >= at {
+		took, outcome = at-sim.now, TimedOut
 	}
-	w.out = append(w.out, pending{w.now + took, Event{
-		Kind: AttemptEnded, Part: a.Part, Attempt: len(pt.Attempts) - 1, Replica: a.Replica, Outcome: o, Latency: took,
+	sim.pending = append(sim.pending, pendingEvent{sim.now + took, Event{
+		Kind: AttemptEnded, Part: a.Part, Attempt: len(pt.Attempts) - 1, Replica: a.Replica, Outcome: outcome, Latency: took,
 	}})
 }
 
-func (w *world) step() {
+func (sim *simulation) step() {
 	// Long: one tick in the order in which its parts depend on each other.
-	w.now += 0.005
+	sim.now += 0.005
 	var events []Event
-	for _, s := range w.steps {
-		n := 1 + w.rng.IntN(w.cfg.Shards/2)
+	for _, s := range sim.secondSteps {
+		n := 1 + sim.rng.IntN(sim.cfg.Shards/2)
 		for range n {
-			w.ids++
-			events = append(events, Event{Kind: PartArrived, Part: w.ids, Group: s.group, Shard: w.rng.IntN(w.cfg.Shards), Weight: 1 / float64(n)})
+			sim.lastID++
+			events = append(events, Event{Kind: PartArrived, Part: sim.lastID, Group: s.group, Shard: sim.rng.IntN(sim.cfg.Shards), Weight: 1 / float64(n)})
 		}
 	}
-	w.steps = w.steps[:0]
-	left := w.out[:0]
-	for _, e := range w.out {
-		if e.at > w.now {
-			left = append(left, e)
+	sim.secondSteps = sim.secondSteps[:0]
+	remaining := sim.pending[:0]
+	for _, e := range sim.pending {
+		if e.at > sim.now {
+			remaining = append(remaining, e)
 			continue
 		}
-		events = append(events, e.ev)
+		events = append(events, e.event)
 	}
-	w.out = left
-	for _, id := range w.chk.Overdue(w.now) { // an order of no weight, since none should be
+	sim.pending = remaining
+	for _, id := range sim.checker.Overdue(sim.now) { // an order of no weight, since none should be
 		events = append(events, Event{Kind: ClientLeft, Query: id})
 	}
-	if w.rng.IntN(60) == 0 {
-		i := w.rng.IntN(len(w.list))
-		e := &w.list[i]
-		e.State = Readiness(w.rng.IntN(3))
-		if w.rng.IntN(2) > 0 {
-			e.State, e.Started = Up, w.now-w.rng.Float64()
+	if sim.rng.IntN(60) == 0 {
+		i := sim.rng.IntN(len(sim.list))
+		e := &sim.list[i]
+		e.State = Readiness(sim.rng.IntN(3))
+		if sim.rng.IntN(2) > 0 {
+			e.State, e.Started = Up, sim.now-sim.rng.Float64()
 		}
 		events = append(events, Event{Kind: ListChanged, List: []Entry{*e}})
 	}
-	if w.rng.IntN(300) == 0 { // a wave: some drain, are gone soon, and new ones come up cold in their place
+	if sim.rng.IntN(300) == 0 { // a wave: some drain, are gone soon, and new ones come up cold in their place
 		ev := Event{Kind: ListChanged}
-		for i := range w.list {
-			if e := &w.list[i]; e.State == Up && w.rng.IntN(5) == 0 {
+		for i := range sim.list {
+			if e := &sim.list[i]; e.State == Up && sim.rng.IntN(5) == 0 {
 				e.State = Draining
-				w.swept = append(w.swept, e.Replica)
+				sim.drained = append(sim.drained, e.Replica)
 				ev.List = append(ev.List, *e)
 			}
 		}
 		events = append(events, ev)
 	}
-	if len(w.swept) > 0 && w.rng.IntN(100) == 0 {
+	if len(sim.drained) > 0 && sim.rng.IntN(100) == 0 {
 		ev := Event{Kind: ListChanged}
-		for i := range w.list {
-			e := &w.list[i]
-			if !slices.Contains(w.swept, e.Replica) {
+		for i := range sim.list {
+			e := &sim.list[i]
+			if !slices.Contains(sim.drained, e.Replica) {
 				continue
 			}
 			e.State = Removed
-			ev.List = append(ev.List, *e, *e) // told twice, and in any order
-			w.born++
-			e.Replica, e.State, e.Started = w.born, Up, w.now-w.rng.Float64()
+			ev.List = append(ev.List, *e, *e) // informed twice, and in any order
+			sim.lastReplicaID++
+			e.Replica, e.State, e.Started = sim.lastReplicaID, Up, sim.now-sim.rng.Float64()
 			ev.List = append(ev.List, *e)
 		}
-		w.rng.Shuffle(len(ev.List), func(i, j int) { ev.List[i], ev.List[j] = ev.List[j], ev.List[i] })
-		w.swept = nil
+		sim.rng.Shuffle(len(ev.List), func(i, j int) { ev.List[i], ev.List[j] = ev.List[j], ev.List[i] })
+		sim.drained = nil
 		events = append(events, ev)
 	}
-	for range w.rng.IntN(3) * w.rng.IntN(2) {
-		w.ids++
-		w.fatal[w.ids] = w.rng.IntN(50) == 0
-		q, class := w.ids, w.rng.IntN(len(w.cfg.Classes))
-		n := 1 + w.rng.IntN(6)
-		tenant := w.rng.IntN(3) - 1
-		if len(w.cfg.Tenants) == 0 {
+	for range sim.rng.IntN(3) * sim.rng.IntN(2) {
+		sim.lastID++
+		sim.crashesReplicas[sim.lastID] = sim.rng.IntN(50) == 0
+		q, class := sim.lastID, sim.rng.IntN(len(sim.cfg.Classes))
+		n := 1 + sim.rng.IntN(6)
+		tenant := sim.rng.IntN(3) - 1
+		if len(sim.cfg.Tenants) == 0 {
 			tenant = -1
 		}
 		events = append(events, Event{
-			Kind: QueryArrived, Query: q, Group: q, Class: class, Tenant: tenant, Retry: w.rng.IntN(4) == 0, Deadline: w.now + 0.1 + 3*w.rng.Float64(), Count: n,
+			Kind: QueryArrived, Query: q, Group: q, Class: class, Tenant: tenant, Retry: sim.rng.IntN(4) == 0, Deadline: sim.now + 0.1 + 3*sim.rng.Float64(), Count: n,
 		})
 		for i := range n {
-			w.ids++
-			events = append(events, Event{Kind: PartArrived, Part: w.ids, Group: q, Class: class, Shard: (i + int(q)) % w.cfg.Shards, Weight: 1 / float64(n)})
+			sim.lastID++
+			events = append(events, Event{Kind: PartArrived, Part: sim.lastID, Group: q, Class: class, Shard: (i + int(q)) % sim.cfg.Shards, Weight: 1 / float64(n)})
 		}
 	}
-	w.turn(events)
+	sim.handle(events)
 }
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	answered, refused, failed := 0, 0, 0
 	for seed := range uint64(120) {
-		w := newWorld(seed, func(a Action) Action {
+		sim := newSimulation(seed, func(a Action) Action {
 			switch a.Verb {
 			case Answer:
 				answered++
@@ -248,10 +248,10 @@
 			return a
 		})
 		for range 1600 {
-			w.step()
+			sim.step()
 		}
-		if len(w.chk.Faults()) > 0 {
-			t.Fatalf("seed %d: %d faults, the first: %s\nsettings %+v", seed, len(w.chk.Faults()), w.chk.Faults()[0], w.cfg)
+		if len(sim.checker.Faults()) > 0 {
+			t.Fatalf("seed %d: %d faults, the first: %s\nsettings %+v", seed, len(sim.checker.Faults()), sim.checker.Faults()[0], sim.cfg)
 		}
 	}
 	if answered < 1000 || refused < 100 || failed < 100 {
@@ -259,12 +259,12 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	trace := func() (s string) {
-		w := newWorld(5, nil)
-		w.alter = func(a Action) Action { s += fmt.Sprintln(w.now, a); return a }
+		sim := newSimulation(5, nil)
+		sim.alter = func(a Action) Action { s += fmt.Sprintln(sim.now, a); return a }
 		for range 800 {
-			w.step()
+			sim.step()
 		}
 		return s
 	}
@@ -276,8 +276,8 @@
 // The checker itself: each rule broken on purpose in what the module says must be found.
 func TestCheckerFindsBrokenRules(t *testing.T) {
 	// Long: a table with one entry for each rule.
-	broken := map[int]func(w *world) func(Action) Action{
-		1: func(w *world) func(Action) Action { // a final answer goes astray
+	broken := map[int]func(sim *simulation) func(Action) Action{
+		1: func(sim *simulation) func(Action) Action { // a final answer goes astray
 			n := 0
 			return func(a Action) Action {
 				if a.Verb == Refuse || a.Verb == Fail {
@@ -288,7 +288,7 @@
 				return a
 			}
 		},
-		2: func(w *world) func(Action) Action { // an unsafe failure is told as a refusal
+		2: func(sim *simulation) func(Action) Action { // an unsafe failure is told as a refusal
 			return func(a Action) Action {
 				if a.Verb == Fail {
 					a.Verb = Refuse
@@ -296,11 +296,11 @@
 				return a
 			}
 		},
-		3: func(w *world) func(Action) Action { // a send goes to a replica that was told of as unfit
+		3: func(sim *simulation) func(Action) Action { // a send goes to a replica that was told of as unfit
 			return func(a Action) Action {
 				if a.Verb == Send {
-					for _, e := range w.list {
-						if at, unfit := w.chk.Unfit(e.Replica); unfit && w.now > at+w.cfg.DrainGrace {
+					for _, e := range sim.list {
+						if at, unfit := sim.checker.Unfit(e.Replica); unfit && sim.now > at+sim.cfg.DrainGrace {
 							a.Replica = e.Replica
 						}
 					}
@@ -308,7 +308,7 @@
 				return a
 			}
 		},
-		5: func(w *world) func(Action) Action { // every answer is marked whole, every failure is an answer
+		5: func(sim *simulation) func(Action) Action { // every answer is marked whole, every failure is an answer
 			return func(a Action) Action {
 				if a.Verb == Fail {
 					a.Verb = Answer
@@ -317,23 +317,23 @@
 				return a
 			}
 		},
-		6: func(w *world) func(Action) Action { // the budget in force is smaller than the one that was told
-			cfg := w.cfg
+		6: func(sim *simulation) func(Action) Action { // the budget in force is smaller than the one that was told
+			cfg := sim.cfg
 			cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 0, 0.001, 2
-			w.chk = checker.New(cfg)
-			w.chk.Event(w.now, Event{Kind: ListChanged, Full: true, List: w.list})
+			sim.checker = checker.New(cfg)
+			sim.checker.Event(sim.now, Event{Kind: ListChanged, Full: true, List: sim.list})
 			return func(a Action) Action { return a }
 		},
 	}
-	for rule, how := range broken {
+	for rule, breakRule := range broken {
 		found := false
 		for seed := uint64(0); seed < 30 && !found; seed++ {
-			w := newWorld(seed, nil)
-			w.alter = how(w)
+			sim := newSimulation(seed, nil)
+			sim.alter = breakRule(sim)
 			for range 1200 {
-				w.step()
+				sim.step()
 			}
-			for _, f := range w.chk.Faults() {
+			for _, f := range sim.checker.Faults() {
 				found = found || f.Rule == rule
 			}
 		}
--- a/policy/sending_test.go
+++ b/policy/sending_test.go
@@ -8,9 +8,9 @@
 // What each outcome allows for each kind of class: a resend or, for the query, a refusal.
 func TestResendByOutcome(t *testing.T) {
 	for _, c := range []struct {
-		effect Effect
-		o      Outcome
-		resend bool
+		effect  Effect
+		outcome Outcome
+		resend  bool
 	}{
 		{Safe, Failed, true}, {Safe, Rejected, true}, {Safe, TimedOut, true}, {Safe, Unreachable, true},
 		{Safe, ConnectionBroken, true}, {Safe, Cancelled, true}, {Safe, NotSent, true},
@@ -19,71 +19,71 @@
 		{Unsafe, Failed, false}, {Unsafe, Rejected, true}, {Unsafe, TimedOut, false}, {Unsafe, Unreachable, true},
 		{Unsafe, ConnectionBroken, false}, {Unsafe, Cancelled, false}, {Unsafe, NotSent, true},
 	} {
-		r := newRig(t, settings(c.effect))
-		_, parts, acts := r.ask(1, 4)
-		acts = r.end(parts[0], 0, of(Send, acts)[0].Replica, c.o)
-		if got := len(of(Send, acts)) == 1; got != c.resend {
-			t.Errorf("effect %d outcome %d: resent %v, want %v", c.effect, c.o, got, c.resend)
+		r := newRig(t, testConfig(c.effect))
+		_, parts, acts := r.submit(1, 4)
+		acts = r.endAttempt(parts[0], 0, withVerb(Send, acts)[0].Replica, c.outcome)
+		if got := len(withVerb(Send, acts)) == 1; got != c.resend {
+			t.Errorf("effect %d outcome %d: resent %v, want %v", c.effect, c.outcome, got, c.resend)
 		}
 		if !c.resend {
-			if f := finals(acts); len(f) != 1 || f[0].Verb != Fail {
-				t.Errorf("effect %d outcome %d: ended by %+v, want one failure", c.effect, c.o, f)
+			if f := finalActions(acts); len(f) != 1 || f[0].Verb != Fail {
+				t.Errorf("effect %d outcome %d: ended by %+v, want one failure", c.effect, c.outcome, f)
 			}
 		}
 	}
 }
 
 func TestUnsafeHasNoSecondCopy(t *testing.T) {
-	r := newRig(t, settings(Unsafe))
-	r.ask(1, 3.9)
-	if s := of(Send, r.run(3.8)); len(s) > 0 {
+	r := newRig(t, testConfig(Unsafe))
+	r.submit(1, 3.9)
+	if s := withVerb(Send, r.advance(3.8)); len(s) > 0 {
 		t.Fatalf("an unsafe part that may run was sent again: %+v", s)
 	}
 }
 
 // The window starts at the first attempt that may have run, not at one that is proved never to have.
-func TestKeyedWindow(t *testing.T) {
-	r := newRig(t, settings(Keyed))
-	_, parts, acts := r.ask(1, 10)
+func TestKeyedPartIsResentOnlyWithinItsWindow(t *testing.T) {
+	r := newRig(t, testConfig(Keyed))
+	_, parts, acts := r.submit(1, 10)
 	r.now += 0.5
-	acts = r.end(parts[0], 0, of(Send, acts)[0].Replica, Unreachable)
+	acts = r.endAttempt(parts[0], 0, withVerb(Send, acts)[0].Replica, Unreachable)
 	first := r.now // attempt 1 may run
-	s := of(Send, acts)
+	s := withVerb(Send, acts)
 	if len(s) != 1 {
 		t.Fatalf("no resend after a failed connect: %+v", acts)
 	}
 	r.now = first + 1.7
-	s = of(Send, r.end(parts[0], 1, s[0].Replica, Failed))
+	s = withVerb(Send, r.endAttempt(parts[0], 1, s[0].Replica, Failed))
 	if len(s) != 1 {
 		t.Fatal("no resend well inside the window")
 	}
 	r.now = first + 1.995
-	acts = r.end(parts[0], 2, s[0].Replica, Failed)
-	if s = of(Send, append(acts, r.run(3)...)); len(s) > 0 {
+	acts = r.endAttempt(parts[0], 2, s[0].Replica, Failed)
+	if s = withVerb(Send, append(acts, r.advance(3)...)); len(s) > 0 {
 		t.Fatalf("sent at the window's end or past it: %+v", s)
 	}
 }
 
 // Further attempts never pass free + share x requests in any window, whatever ends the attempts.
 func TestAttemptBudget(t *testing.T) {
-	cfg := settings(Safe)
+	cfg := testConfig(Safe)
 	cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 3, 0.1, 2
 	r := newRig(t, cfg)
-	type happening struct {
+	type logEntry struct {
 		at    float64
 		extra bool
 	}
-	var log []happening
+	var log []logEntry
 	tried := map[uint64]int{}
 	for round := range 400 {
-		_, parts, acts := r.ask(2, 3)
-		log = append(log, happening{r.now, false}, happening{r.now, false}, happening{r.now, false})
+		_, parts, acts := r.submit(2, 3)
+		log = append(log, logEntry{r.now, false}, logEntry{r.now, false}, logEntry{r.now, false})
 		for n := 0; n < 2; n++ {
 			var next []Action
-			for _, a := range of(Send, acts) {
+			for _, a := range withVerb(Send, acts) {
 				tried[a.Part]++
 				if tried[a.Part] > 1 {
-					log = append(log, happening{r.now, true})
+					log = append(log, logEntry{r.now, true})
 					extra, taken := 0, 0
 					for _, h := range log {
 						switch {
@@ -99,33 +99,33 @@
 					}
 				}
 				if a.Part == parts[0] || a.Part == parts[1] {
-					next = append(next, r.end(a.Part, a.Attempt+tried[a.Part]-1, a.Replica, Failed)...)
+					next = append(next, r.endAttempt(a.Part, a.Attempt+tried[a.Part]-1, a.Replica, Failed)...)
 				}
 			}
 			acts = next
 		}
 		r.now += 0.013 * float64(1+round%7)
-		for _, a := range of(Send, r.do(Event{Kind: TimerFired})) {
+		for _, a := range withVerb(Send, r.handle(Event{Kind: TimerFired})) {
 			if tried[a.Part]++; tried[a.Part] > 1 {
-				log = append(log, happening{r.now, true})
+				log = append(log, logEntry{r.now, true})
 			}
 		}
 	}
 }
 
-func TestAttemptsCap(t *testing.T) {
-	cfg := settings(Safe)
+func TestAttemptsAreCapped(t *testing.T) {
+	cfg := testConfig(Safe)
 	cfg.MaxAttempts = 3
 	r := newRig(t, cfg)
-	_, parts, acts := r.ask(1, 3.9)
+	_, parts, acts := r.submit(1, 3.9)
 	n := 0
 	for r.now < 103.8 {
 		var next []Action
-		for _, a := range of(Send, acts) {
+		for _, a := range withVerb(Send, acts) {
 			n++
-			next = append(next, r.end(a.Part, n-1, a.Replica, Failed)...)
+			next = append(next, r.endAttempt(a.Part, n-1, a.Replica, Failed)...)
 		}
-		acts = append(next, r.run(r.p.tick)...)
+		acts = append(next, r.advance(r.p.tick)...)
 	}
 	if n != 3 {
 		t.Fatalf("part %d had %d attempts, cap 3", parts[0], n)
@@ -134,104 +134,104 @@
 
 // Guards of symptoms.
 
-func TestLostAnswerIsAskedElsewhere(t *testing.T) {
-	r := newRig(t, settings(Safe))
-	_, _, acts := r.ask(1, 3.9)
-	first := of(Send, acts)[0].Replica
-	s := of(Send, r.run(1.5))
+func TestPartWithoutAnswerIsSentElsewhere(t *testing.T) {
+	r := newRig(t, testConfig(Safe))
+	_, _, acts := r.submit(1, 3.9)
+	first := withVerb(Send, acts)[0].Replica
+	s := withVerb(Send, r.advance(1.5))
 	if len(s) == 0 || s[0].Replica == first {
 		t.Fatalf("a part whose answer never came was sent %+v, first to %d", s, first)
 	}
 }
 
 // With less than the needed share out in good time a held-back part goes before any second copy.
-func TestHeldBackPartGoesBeforeARepeat(t *testing.T) {
-	cfg := settings(Safe)
+func TestHeldBackPartIsSentBeforeARepeat(t *testing.T) {
+	cfg := testConfig(Safe)
 	cfg.Classes[0].Need, cfg.Classes[0].Floor = 0.5, 0.5
 	r := newRig(t, cfg)
 	for range 5 { // a long backlog, so that m parts of k are asked
-		r.ask(4, 3.5)
+		r.submit(4, 3.5)
 	}
-	_, parts, acts := r.ask(4, 3.5)
-	s := of(Send, acts)
+	_, parts, acts := r.submit(4, 3.5)
+	s := withVerb(Send, acts)
 	if len(s) != 2 {
 		t.Fatalf("on a long backlog %d parts of 4 were asked, want m = 2", len(s))
 	}
-	again := of(Send, r.end(s[0].Part, 0, s[0].Replica, Failed))
-	if len(again) != 1 || again[0].Part == s[0].Part || again[0].Part < parts[0] || again[0].Part > parts[3] {
-		t.Fatalf("after a failure %+v was sent, want a part that was held back", again)
+	resent := withVerb(Send, r.endAttempt(s[0].Part, 0, s[0].Replica, Failed))
+	if len(resent) != 1 || resent[0].Part == s[0].Part || resent[0].Part < parts[0] || resent[0].Part > parts[3] {
+		t.Fatalf("after a failure %+v was sent, want a part that was held back", resent)
 	}
 }
 
 // The whole fleet answers three times slower from one moment on: that is no reason to copy every part.
-func TestFleetSlowingDownIsNotCopied(t *testing.T) {
-	r := newRig(t, settings(Safe))
-	type out struct {
+func TestFleetWideSlowdownCausesFewCopies(t *testing.T) {
+	r := newRig(t, testConfig(Safe))
+	type sentAction struct {
 		Action
-		at float64
+		sentAt float64
 	}
-	var waiting []out
-	asked, copies := 0, 0
+	var waiting []sentAction
+	submitted, copies := 0, 0
 	took := 0.1
 	for step := 0; r.now < 130; step++ {
 		if r.now > 115 {
 			took = 0.5
 		}
-		acts := append([]Action(nil), r.run(r.p.tick)...)
+		acts := append([]Action(nil), r.advance(r.p.tick)...)
 		if step%10 == 0 {
-			_, _, more := r.ask(1, 3)
-			asked++
-			acts = append(acts, more...)
+			_, _, queryActions := r.submit(1, 3)
+			submitted++
+			acts = append(acts, queryActions...)
 		}
-		for _, a := range of(Send, acts) {
-			waiting = append(waiting, out{a, r.now})
+		for _, a := range withVerb(Send, acts) {
+			waiting = append(waiting, sentAction{a, r.now})
 		}
-		var left []out
+		var remaining []sentAction
 		for _, w := range waiting {
 			pt := r.p.parts[w.Part]
 			if pt == nil {
 				continue
 			}
 			no := 0
-			for i, at := range pt.attempts {
-				if at.replica.id == w.Replica {
+			for i, tried := range pt.attempts {
+				if tried.replica.id == w.Replica {
 					no = i
 				}
 			}
-			if no > 0 && w.at == r.now && r.now > 115 {
+			if no > 0 && w.sentAt == r.now && r.now > 115 {
 				copies++
 			}
-			if r.now-w.at < took {
-				left = append(left, w)
+			if r.now-w.sentAt < took {
+				remaining = append(remaining, w)
 				continue
 			}
-			r.do(Event{Kind: AttemptEnded, Part: w.Part, Attempt: no, Replica: w.Replica, Outcome: OK, Latency: r.now - w.at})
+			r.handle(Event{Kind: AttemptEnded, Part: w.Part, Attempt: no, Replica: w.Replica, Outcome: OK, Latency: r.now - w.sentAt})
 		}
-		waiting = left
+		waiting = remaining
 	}
-	if asked < 200 || copies > 30 {
-		t.Errorf("%d copies for some %d parts while all slowed down alike", copies, asked/2)
+	if submitted < 200 || copies > 30 {
+		t.Errorf("%d copies for some %d parts while all slowed down alike", copies, submitted/2)
 	}
 }
 
 // A part whose hint says six times the usual work is not late for taking six times as long.
-func TestCostlyPartIsGivenItsTime(t *testing.T) {
+func TestCostlyPartIsNotCopiedTooSoon(t *testing.T) {
 	copies := func(work float64) int {
-		r := newRig(t, settings(Safe))
-		part := func(work float64) (Event, Event) {
-			r.next += 100
-			q := Event{Kind: QueryArrived, Query: r.next, Group: r.next, Tenant: -1, Deadline: r.now + 3.9, Count: 1}
-			return q, Event{Kind: PartArrived, Part: r.next + 1, Group: r.next, Weight: 1, Work: work}
+		r := newRig(t, testConfig(Safe))
+		newPart := func(work float64) (Event, Event) {
+			r.nextID += 100
+			q := Event{Kind: QueryArrived, Query: r.nextID, Group: r.nextID, Tenant: -1, Deadline: r.now + 3.9, Count: 1}
+			return q, Event{Kind: PartArrived, Part: r.nextID + 1, Group: r.nextID, Weight: 1, Work: work}
 		}
 		for range 60 {
-			q, pt := part(0.02)
-			acts := r.do(q, pt)
-			r.end(pt.Part, 0, of(Send, acts)[0].Replica, OK)
+			q, pt := newPart(0.02)
+			acts := r.handle(q, pt)
+			r.endAttempt(pt.Part, 0, withVerb(Send, acts)[0].Replica, OK)
 		}
-		r.run(2.1)
-		q, pt := part(work)
-		r.do(q, pt)
-		return len(of(Send, r.run(0.5)))
+		r.advance(2.1)
+		q, pt := newPart(work)
+		r.handle(q, pt)
+		return len(withVerb(Send, r.advance(0.5)))
 	}
 	if n := copies(0.02); n == 0 {
 		t.Fatal("an ordinary part five times late was not sent elsewhere")
@@ -243,40 +243,40 @@
 
 // The choke points themselves, each asked for what its callers would not ask.
 
-func TestSendKeepsItsRules(t *testing.T) {
-	for name, breach := range map[string]func(r *rig, pt *part, x *replica){
-		"gone":     func(r *rig, pt *part, x *replica) { pt.closed = true },
-		"in":       func(r *rig, pt *part, x *replica) { pt.received = true },
-		"too late": func(r *rig, pt *part, x *replica) { r.p.now = pt.query.deadline },
-		"draining": func(r *rig, pt *part, x *replica) { x.state = Draining },
-		"removed":  func(r *rig, pt *part, x *replica) { x.state = Removed },
-		"cold": func(r *rig, pt *part, x *replica) {
-			x.started, x.credit, x.creditAt = r.p.now-0.01, 0, r.p.now
+func TestSendEnforcesItsRules(t *testing.T) {
+	for name, violate := range map[string]func(r *rig, pt *part, rep *replica){
+		"gone":     func(r *rig, pt *part, rep *replica) { pt.closed = true },
+		"in":       func(r *rig, pt *part, rep *replica) { pt.received = true },
+		"too late": func(r *rig, pt *part, rep *replica) { r.p.now = pt.query.deadline },
+		"draining": func(r *rig, pt *part, rep *replica) { rep.state = Draining },
+		"removed":  func(r *rig, pt *part, rep *replica) { rep.state = Removed },
+		"cold": func(r *rig, pt *part, rep *replica) {
+			rep.started, rep.credit, rep.creditAt = r.p.now-0.01, 0, r.p.now
 		},
-		"attempts": func(r *rig, pt *part, x *replica) { pt.attempts = append(pt.attempts, pt.attempts[0]) },
-		"two out":  func(r *rig, pt *part, x *replica) { r.p.cfg.MaxAttempts = 9; pt.inFlight = 2 },
-		"no copies": func(r *rig, pt *part, x *replica) {
+		"attempts": func(r *rig, pt *part, rep *replica) { pt.attempts = append(pt.attempts, pt.attempts[0]) },
+		"two out":  func(r *rig, pt *part, rep *replica) { r.p.cfg.MaxAttempts = 9; pt.inFlight = 2 },
+		"no copies": func(r *rig, pt *part, rep *replica) {
 			r.p.cfg.SecondCopies = false
 		},
-		"unsafe": func(r *rig, pt *part, x *replica) { r.p.cfg.Classes[0].Effect = Unsafe },
-		"budget": func(r *rig, pt *part, x *replica) {
+		"unsafe": func(r *rig, pt *part, rep *replica) { r.p.cfg.Classes[0].Effect = Unsafe },
+		"budget": func(r *rig, pt *part, rep *replica) {
 			r.p.cfg.ExtraWindow, r.p.cfg.ExtraPerRequest = 2, 0.01
 		},
 	} {
 		for _, broken := range []bool{false, true} {
-			cfg := settings(Safe)
+			cfg := testConfig(Safe)
 			cfg.MaxAttempts = 2
 			r := newRig(t, cfg)
-			_, parts, acts := r.ask(1, 3)
+			_, parts, acts := r.submit(1, 3)
 			pt := r.p.parts[parts[0]]
 			var other *replica
-			for _, x := range r.p.list {
-				if x.id != of(Send, acts)[0].Replica {
-					other = x
+			for _, rep := range r.p.list {
+				if rep.id != withVerb(Send, acts)[0].Replica {
+					other = rep
 				}
 			}
 			if broken {
-				breach(r, pt, other)
+				violate(r, pt, other)
 			}
 			if sent := r.p.send(pt, other, false); sent == broken {
 				t.Errorf("%s: sent %v, want %v", name, sent, !broken)
@@ -286,32 +286,32 @@
 }
 
 // A lost answer is asked elsewhere also when late parts have used up the copies' share.
-func TestLostIsNotBoundByTheCopies(t *testing.T) {
-	r := newRig(t, settings(Safe))
-	r.ask(1, 3.9)
+func TestLostPartIsNotLimitedByTheCopyShare(t *testing.T) {
+	r := newRig(t, testConfig(Safe))
+	r.submit(1, 3.9)
 	for range 1000 {
 		r.p.extraAttempts.add(r.now)
 	}
-	if n := len(of(Send, r.run(1.2))); n == 0 {
+	if n := len(withVerb(Send, r.advance(1.2))); n == 0 {
 		t.Fatal("a part whose answer was lost stood until its end")
 	}
 }
 
 // With every holder failing at once a part's attempts are spread out, not used up within milliseconds.
-func TestTriesAreSpaced(t *testing.T) {
-	cfg := settings(Safe)
+func TestAttemptsAreSpacedWhenEveryHolderFails(t *testing.T) {
+	cfg := testConfig(Safe)
 	cfg.MaxAttempts = 9
 	r := newRig(t, cfg)
-	_, parts, acts := r.ask(1, 3.9)
+	_, parts, acts := r.submit(1, 3.9)
 	n, start := 0, r.now
 	for r.now < start+0.5 {
-		s := of(Send, acts)
+		s := withVerb(Send, acts)
 		acts = nil
 		for _, a := range s {
 			n++
-			acts = append(acts, r.end(parts[0], n-1, a.Replica, Unreachable)...)
+			acts = append(acts, r.endAttempt(parts[0], n-1, a.Replica, Unreachable)...)
 		}
-		acts = append(acts, r.run(r.p.tick)...)
+		acts = append(acts, r.advance(r.p.tick)...)
 	}
 	if n > 4 {
 		t.Fatalf("%d attempts in half a second at four holders that are down", n)
@@ -320,57 +320,57 @@
 
 // A query that brings down each replica that begins a part of it is not sent over all the holders; one whose
 // replica went down by chance is, as soon as another part of it has come in.
-func TestQueryThatBreaksReplicasIsNotResent(t *testing.T) {
-	for _, poison := range []bool{true, false} {
-		r := newRig(t, settings(Safe))
-		q, _, acts := r.ask(2, 3.9)
-		sends, ended := of(Send, acts), []Action(nil)
-		n := map[uint64]int{}
+func TestQueryThatCrashesReplicasIsNotResent(t *testing.T) {
+	for _, crashes := range []bool{true, false} {
+		r := newRig(t, testConfig(Safe))
+		q, _, acts := r.submit(2, 3.9)
+		sends, ended := withVerb(Send, acts), []Action(nil)
+		attempts := map[uint64]int{}
 		for len(sends) > 0 && len(ended) == 0 {
 			s := sends[0]
 			sends = sends[1:]
 			o := ConnectionBroken
-			if !poison && s.Part != q+1 || n[s.Part] > 0 && !poison {
+			if !crashes && s.Part != q+1 || attempts[s.Part] > 0 && !crashes {
 				o = OK
 			}
 			r.now += 0.01
-			acts := append(r.end(s.Part, n[s.Part], s.Replica, o), r.run(0.1)...)
-			n[s.Part]++
-			sends, ended = append(sends, of(Send, acts)...), finals(acts)
+			acts := append(r.endAttempt(s.Part, attempts[s.Part], s.Replica, o), r.advance(0.1)...)
+			attempts[s.Part]++
+			sends, ended = append(sends, withVerb(Send, acts)...), finalActions(acts)
 		}
 		switch {
-		case poison && (n[q+1]+n[q+2] > 3 || len(ended) != 1 || ended[0].Verb != Fail):
-			t.Errorf("%d replicas went down with one query, ended by %+v", n[q+1]+n[q+2], ended)
-		case !poison && (len(ended) != 1 || ended[0].Verb != Answer):
+		case crashes && (attempts[q+1]+attempts[q+2] > 3 || len(ended) != 1 || ended[0].Verb != Fail):
+			t.Errorf("%d replicas went down with one query, ended by %+v", attempts[q+1]+attempts[q+2], ended)
+		case !crashes && (len(ended) != 1 || ended[0].Verb != Answer):
 			t.Errorf("an innocent query ended by %+v", ended)
 		}
 	}
 }
 
 // What a client asks again sends one part ahead; the rest goes when that is in or late, and none if it broke.
-func TestRetrySendsAScout(t *testing.T) {
-	for _, how := range []string{"in", "late", "broken"} {
-		r := newRig(t, settings(Safe))
+func TestClientRetrySendsOnePartFirst(t *testing.T) {
+	for _, ending := range []string{"in", "late", "broken"} {
+		r := newRig(t, testConfig(Safe))
 		ev := []Event{{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 3, Retry: true}}
 		for i := range 3 {
 			ev = append(ev, Event{Kind: PartArrived, Part: uint64(501 + i), Group: 500, Shard: i, Weight: 1.0 / 3})
 		}
-		first := of(Send, r.do(ev...))
+		first := withVerb(Send, r.handle(ev...))
 		if len(first) != 1 {
 			t.Fatalf("a retry sent %d parts at once", len(first))
 		}
 		var next []Action
-		switch how {
+		switch ending {
 		case "in":
-			next = r.end(first[0].Part, 0, first[0].Replica, OK)
+			next = r.endAttempt(first[0].Part, 0, first[0].Replica, OK)
 		case "late":
-			next = r.run(0.9)
+			next = r.advance(0.9)
 		case "broken":
-			next = append(r.end(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.run(0.1)...)
+			next = append(r.endAttempt(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.advance(0.1)...)
 		}
-		if s, f := of(Send, next), finals(next); how == "broken" && (len(s) > 0 || len(f) != 1 || f[0].Verb != Fail) ||
-			how != "broken" && len(s) < 2 {
-			t.Errorf("scout %s: sent %v, ended by %v", how, s, f)
+		if s, f := withVerb(Send, next), finalActions(next); ending == "broken" && (len(s) > 0 || len(f) != 1 || f[0].Verb != Fail) ||
+			ending != "broken" && len(s) < 2 {
+			t.Errorf("scout %s: sent %v, ended by %v", ending, s, f)
 		}
 	}
 }
@@ -378,7 +378,7 @@
 // Guards against queries that bring down a replica for each part they send: after the list told of a death without a
 // drain a query sends one part ahead, the rest once that has had the time to begin, and it is failed if that broke a
 // replica. Without it one such query takes as many replicas as it has parts. A release, which drains, changes nothing.
-func TestAfterADeathQueriesSendAScout(t *testing.T) {
+func TestQueriesSendOnePartFirstAfterAReplicaCrash(t *testing.T) {
 	died := func(r *rig) []Event {
 		return []Event{{Kind: ListChanged, List: []Entry{{Replica: 1, State: Removed}}}}
 	}
@@ -390,17 +390,17 @@
 			{Kind: ListChanged, List: []Entry{{Replica: 1, State: Removed}}}}
 	}
 	for name, c := range map[string]struct {
-		news  func(*rig) []Event
-		wait  float64 // after the news
-		first int
+		change func(*rig) []Event
+		wait   float64 // after the news
+		first  int
 	}{
 		"died": {died, 0.1, 1}, "restarted": {restarted, 0.1, 1}, "drained": {drained, 0.1, 3}, "long ago": {died, 25, 3},
 	} {
-		r := newRig(t, settings(Safe))
-		r.do(c.news(r)...)
-		r.run(c.wait)
-		_, _, acts := r.ask(3, 3)
-		first := of(Send, acts)
+		r := newRig(t, testConfig(Safe))
+		r.handle(c.change(r)...)
+		r.advance(c.wait)
+		_, _, acts := r.submit(3, 3)
+		first := withVerb(Send, acts)
 		if len(first) != c.first {
 			t.Errorf("%s: %d parts at once, want %d", name, len(first), c.first)
 			continue
@@ -408,15 +408,15 @@
 		if c.first != 1 {
 			continue
 		}
-		if s := of(Send, r.run(0.25)); len(s) != 2 {
+		if s := withVerb(Send, r.advance(0.25)); len(s) != 2 {
 			t.Errorf("%s: %d parts after the scout had time to begin, want 2", name, len(s))
 		}
-		r = newRig(t, settings(Safe))
-		r.do(c.news(r)...)
-		_, _, acts = r.ask(3, 3)
-		first = of(Send, acts)
-		next := append(r.end(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.run(0.1)...)
-		if s, f := of(Send, next), finals(next); len(s) > 0 || len(f) != 1 || f[0].Verb != Fail {
+		r = newRig(t, testConfig(Safe))
+		r.handle(c.change(r)...)
+		_, _, acts = r.submit(3, 3)
+		first = withVerb(Send, acts)
+		next := append(r.endAttempt(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.advance(0.1)...)
+		if s, f := withVerb(Send, next), finalActions(next); len(s) > 0 || len(f) != 1 || f[0].Verb != Fail {
 			t.Errorf("%s: a scout broke a replica, then sent %v, ended by %v", name, s, f)
 		}
 	}
@@ -425,10 +425,10 @@
 // Guards against silent replicas where one attempt at a time is the rule: a safe part that is taken for lost is taken
 // back and goes to another holder once its end is told, never before. One that may not be repeated stays where it is,
 // and nothing moves where nothing can be cancelled or no sound holder is left.
-func TestSilentPartIsMovedWhereCopiesAreForbidden(t *testing.T) {
+func TestSilentPartIsMovedWhereCopiesAreDisabled(t *testing.T) {
 	for name, c := range map[string]struct {
-		set   func(*Config)
-		moves bool
+		configure func(*Config)
+		moves     bool
 	}{
 		"safe":             {func(*Config) {}, true},
 		"unsafe":           {func(c *Config) { c.Classes[0].Effect = Unsafe }, false},
@@ -437,18 +437,18 @@
 		"no budget":        {func(c *Config) { c.ExtraFree, c.ExtraPerRequest, c.ExtraWindow = 0, 0, 5 }, false},
 		"out of the route": {func(c *Config) { c.Reach, c.Cells = 1, 4 }, false},
 	} {
-		cfg := settings(Safe)
+		cfg := testConfig(Safe)
 		cfg.SecondCopies = false
-		c.set(&cfg)
+		c.configure(&cfg)
 		r := newRig(t, cfg)
 		if cfg.Cells == 4 { // one holder for each shard
-			r.do(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 1}, {Replica: 2, Cell: 1}, {Replica: 3, Cell: 2}, {Replica: 4, Cell: 3}}})
+			r.handle(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 1}, {Replica: 2, Cell: 1}, {Replica: 3, Cell: 2}, {Replica: 4, Cell: 3}}})
 		}
-		_, parts, acts := r.ask(1, 5)
-		first := of(Send, acts)[0]
-		acts = r.run(2)
-		cancels := of(Cancel, acts)
-		if n := len(of(Send, acts)); n > 0 {
+		_, parts, acts := r.submit(1, 5)
+		first := withVerb(Send, acts)[0]
+		acts = r.advance(2)
+		cancels := withVerb(Cancel, acts)
+		if n := len(withVerb(Send, acts)); n > 0 {
 			t.Errorf("%s: %d sends while the first attempt is out", name, n)
 		}
 		if c.moves != (len(cancels) == 1 && cancels[0].Part == parts[0]) {
@@ -458,9 +458,9 @@
 		if !c.moves {
 			continue
 		}
-		again := of(Send, r.end(parts[0], 0, first.Replica, Cancelled))
-		if len(again) != 1 || again[0].Replica == first.Replica {
-			t.Errorf("%s: after the end of the first attempt sent %v", name, again)
+		resent := withVerb(Send, r.endAttempt(parts[0], 0, first.Replica, Cancelled))
+		if len(resent) != 1 || resent[0].Replica == first.Replica {
+			t.Errorf("%s: after the end of the first attempt sent %v", name, resent)
 		}
 	}
 }
@@ -468,12 +468,12 @@
 // Guards against queues of parts that nobody needs in time any more: while latencies show queues a safe part is sent with
 // what is left of its query's promise as its time. Without queues, for other classes it has
 // as long as its client waits, and a route's own time holds where it is shorter.
-func TestAttemptsEndWithThePromiseWhileQueuesShow(t *testing.T) {
+func TestAttemptTimeEndsWithThePromiseWhileQueuesShow(t *testing.T) {
 	for name, c := range map[string]struct {
-		stress float64
-		set    func(*Config)
-		route  float64
-		want   float64
+		stress    float64
+		configure func(*Config)
+		route     float64
+		want      float64
 	}{
 		"queues":          {0.5, func(*Config) {}, 0, 1},
 		"none":            {0.1, func(*Config) {}, 0, 0},
@@ -483,15 +483,15 @@
 		"longer route":    {0.5, func(*Config) {}, 2, 1},
 		"route, no queue": {0.1, func(*Config) {}, 2, 2},
 	} {
-		cfg := settings(Safe)
-		c.set(&cfg)
+		cfg := testConfig(Safe)
+		c.configure(&cfg)
 		r := newRig(t, cfg)
 		r.p.recentLatency.value = c.stress
 		lim := Limits{AttemptTimeout: c.route}
-		acts := r.do(
+		acts := r.handle(
 			Event{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 1, Limits: &lim},
 			Event{Kind: PartArrived, Part: 501, Group: 500, Weight: 1})
-		if s := of(Send, acts); len(s) != 1 || math.Abs(s[0].AttemptTimeout-c.want) > 1e-9 {
+		if s := withVerb(Send, acts); len(s) != 1 || math.Abs(s[0].AttemptTimeout-c.want) > 1e-9 {
 			t.Errorf("%s: sent %v, want a time of %v", name, s, c.want)
 		}
 	}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -10,9 +10,9 @@
 	. "birchcart/policy"
 )
 
-// streams are the digests of all actions of seeded runs, one for each seed and with it one for each configuration
+// streamDigests are the digests of all actions of seeded runs, one for each seed and with it one for each configuration
 // (see randomConfig). They were recorded before the decisions were split into files by stage.
-var streams = []string{
+var streamDigests = []string{
 	"4effe4e42ed09ab47ddea6effcf20f27", "02d2702306bfbaaf6d927734da927edb", "7bfd4e53e9107a38615a6076c6474001",
 	"6aa01d72ed554f21fb3b08d621586a60", "6c547cb3c80ac9387e1f8da2e8a2c2c7", "0ced1a9e7c14c94fef2963c651abcb4f",
 	"4e35f1c5325b043b5c4155042da92960", "b611d82e0d8575b7e895576948f7e3fa", "0799b0b76a1cfedaf74a0dba340f3049",
@@ -23,16 +23,16 @@
 	"586e546e97a6f0c212dfaf6451d2472e", "517dabda3cbe28f0d51cfea251785d0b", "c46a0f622816e14414eeb447415bdd61",
 }
 
-var narrowed = []*Limits{
+var routeLimits = []*Limits{
 	{Timeout: 1, AttemptTimeout: 0.4, MaxAttempts: 2}, {StepTimeout: 0.6, NoCopies: true, Yield: true}, {CopyAfter: 0.5, BudgetShare: 0.3, MaxRetryAfter: 0.1, Floor: 0.9},
 }
 
-// routesAndWork gives most queries a route with limits, and parts a hint of their work.
-func routesAndWork(ev *Event) {
+// addRoutesAndWork gives most queries a route with limits, and parts a hint of their work.
+func addRoutesAndWork(ev *Event) {
 	switch ev.Kind {
 	case QueryArrived:
 		if ev.Route = int(ev.Query % 4); ev.Route > 0 {
-			ev.Limits = narrowed[ev.Route-1]
+			ev.Limits = routeLimits[ev.Route-1]
 		}
 	case PartArrived:
 		ev.Work = float64(1 + ev.Part%7)
@@ -60,26 +60,26 @@
 	seen := map[Verb]int{}
 	for seed := range uint64(24) {
 		sum := fnv.New128a()
-		w := newWorld(5000+seed, func(a Action) Action {
+		sim := newSimulation(5000+seed, func(a Action) Action {
 			seen[a.Verb]++
 			fmt.Fprintln(sum, recordedForm(a))
 			return a
 		})
 		if seed%2 > 0 {
-			w.dress = routesAndWork
+			sim.decorate = addRoutesAndWork
 		}
 		for i := range 1000 {
-			w.step()
+			sim.step()
 			fmt.Fprintln(sum, i)
 			if i%150 == 149 {
-				w.turn([]Event{{Kind: ListFailed}})
+				sim.handle([]Event{{Kind: ListFailed}})
 			}
 			if i%300 == 299 { // the instance stands still
-				w.now += 0.4
+				sim.now += 0.4
 			}
 		}
 		got := hex.EncodeToString(sum.Sum(nil))
-		if seed >= uint64(len(streams)) || got != streams[seed] {
+		if seed >= uint64(len(streamDigests)) || got != streamDigests[seed] {
 			t.Errorf("seed %d: the stream of actions has digest %q", seed, got)
 		}
 	}
