--- a/policy/api.go
+++ b/policy/api.go
@@ -44,7 +44,7 @@
 	MaxAttempts          int     // for each part
 	NoCopies             bool    // number second copy of a part that is out
 	CopyAfter            float64 // age of a part before its second copy
-	BudgetShare          float64 // withVerb the budget of further attempts
+	BudgetShare          float64 // of the budget of further attempts
 	Floor                float64 // least share of weight for any answer
 	Yield                bool    // refused first when the instance is nearly full
 	PromiseDivisor       float64 // turned away by queues as if its promise were so many times shorter
@@ -165,7 +165,7 @@
 	Latency  float64
 	List     []Entry
 	Report   []float64
-	Limits   *Limits // withVerb its route, nil for none; held, and never written to
+	Limits   *Limits // of its route, nil for none; held, and never written to
 }
 
 // Verb of an Action.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,43 +10,43 @@
 
 const (
 	// Latency model (DESIGN).
-	initialMean   = 0.2   // withVerb the promise: first mean of a part's latency
-	initialSpread = 0.5   // withVerb that mean: first 1/μ
-	trimmedShare  = 0.001 // withVerb the samples: the worst that the model leaves out
+	initialMean   = 0.2   // of the promise: first mean of a part's latency
+	initialSpread = 0.5   // of that mean: first 1/μ
+	trimmedShare  = 0.001 // of the samples: the worst that the model leaves out
 	refreshPeriod = 2.0   // s: period of the estimates (DESIGN's start value)
 	historySpan   = 8.0   // promises: how far back samples count; a mix shift is forgotten by then
 	minSamples    = 8     // samples: fewer do not replace an estimate
 
 	// Time.
 	defaultPromise = 3600.0 // s: more than any promise, for settings that name no class
-	tickShare      = 0.01   // withVerb the least promise: period of the look at what is open; ends rounding to 1 %
+	tickShare      = 0.01   // of the least promise: period of the look at what is open; ends rounding to 1 %
 	deadlineMargin = 2.0    // ticks before their end that queries are settled, keyed windows left: a turn may lag
 	stallTicks     = 4.0    // ticks without a turn: this instance stood still
 
 	// Further attempts.
-	backoffShare           = 0.1  // withVerb the promise: first wait of a part that has no sound holder left, then doubled
+	backoffShare           = 0.1  // of the promise: first wait of a part that has no sound holder left, then doubled
 	lateQuantile           = 0.98 // quantile of latencies after which a part counts as late: 2 % are
 	workHintWeight         = 0.02 // weight of the newest work hint: hints are rough, some 50 of them make the mean
 	minLateMedians         = 1.5  // medians: a part younger than this is never late, however tight the tail
 	maxLateMedians         = 5.0  // medians: one older is, or stalls of more than the tail's share would hide themselves
-	minLateShare           = 0.1  // withVerb the promise: nor younger than this; there is time, and copies cost work
+	minLateShare           = 0.1  // of the promise: nor younger than this; there is time, and copies cost work
 	lostFactor             = 2.0  // times late: the part's answer is taken for lost, whatever else its replica answers
-	copyBudgetShare        = 0.5  // withVerb the budget that copies of late parts may use up: the rest is for failed ones
-	defaultExtraPerRequest = 0.20 // secondCopies for each part taken, where no budget is stated: bounds a storm of them
-	defaultExtraFree       = 8.0  // secondCopies free of that share, so that a small instance has some
+	copyBudgetShare        = 0.5  // of the budget that copies of late parts may use up: the rest is for failed ones
+	defaultExtraPerRequest = 0.20 // copies for each part taken, where no budget is stated: bounds a storm of them
+	defaultExtraFree       = 8.0  // copies free of that share, so that a small instance has some
 	defaultExtraWindow     = 4.0  // promises: window of that share
 
 	// Health.
-	queueingThreshold   = 0.2  // withVerb the promise: recent latency from which queues have formed: many are late
+	queueingThreshold   = 0.2  // of the promise: recent latency from which queues have formed: many are late
 	faultWeight         = 0.25 // weight of the newest outcome: two faults in a row show
 	faultThreshold      = 0.3  // serverShare of faults from which a replica is suspect
 	slownessWeight      = 0.25 // weight of the newest answer in a replica's pace: little traffic brings few
 	slownessPower       = 4.0  // power of the pace in a tie: half as swift again is five times as likely
-	minSlowness         = 0.1  // withVerb the mean: a pace under that says no more
+	minSlowness         = 0.1  // of the mean: a pace under that says no more
 	latencySampleWeight = 0.05 // weight of the newest answer where all replicas' are taken together
 	fewHolders          = 2    // holders of a shard: with so few, leaving one out doubles what the other gets
 	trialInterval       = 0.5  // promises between trials of a suspect
-	trialShare          = 0.1  // withVerb the parts sent may be trials
+	trialShare          = 0.1  // of the parts sent may be trials
 	maxTrialCredit      = 2.0  // trialCredit that may have been saved up
 	crashWindow         = 24.0 // promises after a death in which queries send scouts: what kills comes seconds apart
 
@@ -58,17 +58,17 @@
 	// Admission.
 	tenantWindow       = 3.0 // promises: window of a tenant's rate
 	tenantDeviations   = 0.7 // roots of a tenant's fair count beyond it that are let pass as chance
-	maxWaitShare       = 0.5 // withVerb the promise: mean time of a part that still lets the last of them be in time
-	slowLatencyShare   = 0.5 // withVerb maxWaitShare: recent latency, in promises, from which queues are taken to have formed
-	nearlyFullShare    = 0.9 // withVerb max_open: from here late queries and those over a tenant's share make room
+	maxWaitShare       = 0.5 // of the promise: mean time of a part that still lets the last of them be in time
+	slowLatencyShare   = 0.5 // of maxWaitShare: recent latency, in promises, from which queues are taken to have formed
+	nearlyFullShare    = 0.9 // of max_open: from here late queries and those over a tenant's share make room
 	minInFlightShares  = 2.0 // L: parts out that are always allowed; a start or a lull tells no rate
 	minReplicaInFlight = 8.0 // parts out at one replica, of all co-ordinators if alike, that are always allowed
 	rateWindow         = 2.0 // promises: window of one replica's rate
-	maxProbeShare      = 0.1 // withVerb what our share of the replicas can work on: what queries that go and see may use
+	maxProbeShare      = 0.1 // of what our share of the replicas can work on: what queries that go and see may use
 	probeWeight        = 0.5 // weight of the parts of such a query together
 
 	// Answers.
-	weightTolerance = 1e-6 // withVerb a whole: a sum of weights may miss by so much in adding them up
+	weightTolerance = 1e-6 // of a whole: a sum of weights may miss by so much in adding them up
 )
 
 // Policy is one instance.
@@ -87,10 +87,10 @@
 	queriesByGroup  map[uint64]*query
 	parts           map[uint64]*part
 	openQueries     []*query // received order of arrival
-	toPlan          []*query // restartTo be planned at the end of this turn
+	toPlan          []*query // to be planned at the end of this turn
 	models          []model
 	inFlight        int // attempts out
-	overdueInFlight int // withVerb these, too long out
+	overdueInFlight int // of these, too long out
 	upCount         int // replicas on the list that are up
 
 	requests, extraAttempts window   // all that came, further attempts
@@ -129,7 +129,7 @@
 		md.spread = initialSpread * md.mean
 		md.delta = md.mean - md.spread
 		md.median, md.fast = md.mean, md.mean
-		md.lateLatency = md.delta - math.Log(1-lateQuantile)*md.spread // withVerb a shifted exponential
+		md.lateLatency = md.delta - math.Log(1-lateQuantile)*md.spread // of a shifted exponential
 	}
 	p.tick = max(cfg.Resolution, tickShare*p.minPromise)
 	spans := max(cfg.ExtraWindow+deadlineMargin*cfg.Resolution, defaultExtraWindow*p.minPromise)
--- a/policy/state.go
+++ b/policy/state.go
@@ -11,7 +11,7 @@
 	id, group           uint64
 	class, tenant       int
 	route               int
-	limits              *Limits // withVerb its route
+	limits              *Limits // of its route
 	arrivedAt, deadline float64
 	stepStart           float64 // start of the present step
 	step                int     // 1 or 2
@@ -95,7 +95,7 @@
 	unavailable  bool // latency nothing when last tried: no connection, or full
 	nextTrialAt  float64
 	answers      window  // answers
-	slowness     float64 // withVerb its latest answers, at slownessAt; 1 is the mean
+	slowness     float64 // of its latest answers, at slownessAt; 1 is the mean
 	slownessAt   float64
 
 	credit   float64 // parts that may go while cold
--- a/policy/view.go
+++ b/policy/view.go
@@ -25,7 +25,7 @@
 	Unavailable bool // latency nothing when last tried
 	Cold        bool // within its warm-up
 	ColdLimited bool // and has had what it may take by now
-	Candidate   bool // coordinatorCounts the fittest with fewest calls: one of these gets the next part
+	Candidate   bool // among the fittest with fewest calls: one of these gets the next part
 }
 
 // View looks at the shard for a class with k parts a query, at the time of the last turn.
