--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -4,8 +4,9 @@
 	"testing"
 )
 
-// Where every holder of a shard fails its class, a query is refused at arrival until one is due for a trial, and not
-// let in to take the work of its other parts with it; the class that they serve is let in.
+// A query is refused at arrival while every holder of one of its shards fails the query's class, until a holder is due
+// for a trial. If it were admitted, the work on its other parts would be wasted. The class that the holders serve is
+// admitted.
 func TestQueryIsRefusedWhereEveryHolderFails(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
@@ -32,9 +33,9 @@
 	}
 }
 
-// Guards against the collapse of a fleet of many co-ordinators with little traffic each: with nothing of its own out,
-// one still knows from its latest parts that the queues are long, refuses the queries that would wait in vain, and
-// goes and sees again after a while without news.
+// Guards against the collapse of a fleet with many co-ordinators that each have little traffic. An instance with nothing
+// in flight still knows from the latency of its latest parts that the queues are long: it refuses queries that would not
+// be answered in time, and admits one again after a period without samples.
 func TestAdmissionRefusesForRecentLatencyWithNothingInFlight(t *testing.T) {
 	causes := map[string]func(r *rig){
 		"slow answers": func(r *rig) {
@@ -74,24 +75,25 @@
 		}
 		showQueues(r)
 		if r.p.inFlight > 0 {
-			t.Fatalf("%s: %d parts are out", name, r.p.inFlight)
+			t.Fatalf("%s: %d parts are in flight", name, r.p.inFlight)
 		}
 		if acts := submitWide(100000); len(withVerb(Refuse, acts)) != 1 || len(withVerb(Send, acts)) > 0 {
-			t.Errorf("%s: not refused at once: %d sent", name, len(withVerb(Send, acts)))
+			t.Errorf("%s: the query was not refused at arrival: %d parts sent", name, len(withVerb(Send, acts)))
 		}
 		r.advance(3 * historySpan)
 		if acts := submitWide(200000); len(withVerb(Send, acts)) == 0 {
-			t.Errorf("%s: still refused after %v promises without news", name, 3*historySpan)
+			t.Errorf("%s: still refused after %v promises without a latency sample", name, 3*historySpan)
 		}
 	}
 }
 
-// closeAdmissionByLatency brings an instance to refuse for what its latest parts took, and leaves nothing of its own out.
+// closeAdmissionByLatency answers parts so slowly that the instance refuses queries for their recent latency, and leaves
+// nothing in flight.
 func (r *rig) closeAdmissionByLatency(fast, slow float64) {
 	r.t.Helper()
 	for _, latency := range []float64{fast, slow} {
 		var partIDs []uint64
-		for range 10 { // all before the first answer
+		for range 10 { // all of them are in flight before the first answer
 			_, parts, _ := r.submit(6, 4)
 			partIDs = append(partIDs, parts...)
 		}
@@ -100,11 +102,12 @@
 		}
 	}
 	if _, _, acts := r.submit(1, 4); len(withVerb(Refuse, acts)) != 1 || acts[0].Reason != RecentLatency {
-		r.t.Fatalf("not refused while parts take %v of the promise: %+v", slow, acts)
+		r.t.Fatalf("not refused although parts take %v of the promise: %+v", slow, acts)
 	}
 }
 
-// submitRegularly asks for queries of one part for a while, each answered after so long, and counts what came of them.
+// submitRegularly submits one-part queries for the given span, answers each admitted one after the given latency, waits
+// for the interval, and counts how many were refused and admitted.
 func (r *rig) submitRegularly(span, interval, latency float64) (refused, admitted int) {
 	for end := r.now + span; r.now < end; {
 		_, parts, acts := r.submit(1, 4)
@@ -120,46 +123,47 @@
 	return refused, admitted
 }
 
-// Guards against an admission that stays shut: one that refuses for what its latest parts took is open again once the parts
-// that it lets in come back swiftly, however few these are.
+// Guards against admission that stays closed: an instance that refuses queries for recent latency admits all again once
+// the few parts that it does send are answered fast.
 func TestAdmissionReopensOnceAnswersAreFast(t *testing.T) {
 	const fast, slow, interval = 0.08, 0.9, 0.2 // s, of a promise of 1 s
 	r := newRig(t, testConfig(Safe))
 	r.closeAdmissionByLatency(fast, slow)
-	for r.now < 100+3*historySpan { // until the first goes and sees
+	for r.now < 100+3*historySpan { // until the first probe query is admitted
 		if _, admitted := r.submitRegularly(interval, interval, fast); admitted > 0 {
 			break
 		}
 	}
 	r.submitRegularly(historySpan, interval, fast)
 	if refused, admitted := r.submitRegularly(historySpan, interval, fast); refused > 0 {
-		t.Errorf("%d refused, %d let in, %v promises after the first swift answer", refused, admitted, historySpan)
+		t.Errorf("%d refused, %d admitted, %v promises after the first fast answer", refused, admitted, historySpan)
 	}
 }
 
-// Guards against seconds in which nothing is served though the queues have gone: one that refuses for latencies and has
-// nothing out goes and sees within the promise, and by two promises refuses no more.
+// Guards against serving nothing for seconds after the queues have drained: an instance that refuses queries for recent
+// latency and has nothing in flight admits a probe query within the promise, and after two promises refuses no more.
 func TestIdleInstanceAdmitsAProbeQueryWithinThePromise(t *testing.T) {
 	const fast, slow, interval = 0.08, 0.9, 0.1 // s, of a promise of 1 s
 	r := newRig(t, testConfig(Safe))
 	r.closeAdmissionByLatency(fast, slow)
 	if _, admitted := r.submitRegularly(1, interval, fast); admitted == 0 {
-		t.Error("none is let in within the promise")
+		t.Error("no query is admitted within the promise")
 	}
 	r.submitRegularly(1, interval, fast)
 	if refused, admitted := r.submitRegularly(2, interval, fast); refused > 0 {
-		t.Errorf("%d refused, %d let in, two promises after the last slow answer", refused, admitted)
+		t.Errorf("%d refused, %d admitted, two promises after the last slow answer", refused, admitted)
 	}
 }
 
-// Guards against many co-ordinators with few replicas that fill these by going to see: all together use no more than their share.
+// Guards against many co-ordinators that fill few replicas with probe queries: all co-ordinators together use at most
+// maxProbeShare of the replicas.
 func TestProbeQueriesUseAtMostTheirShareOfTheReplicas(t *testing.T) {
 	const fast, slow, span = 0.08, 0.9, 4.0
 	cfg := testConfig(Safe)
-	cfg.Coordinators = 100 // withVerb four replicas
+	cfg.Coordinators = 100 // for four replicas
 	r := newRig(t, cfg)
 	r.closeAdmissionByLatency(fast, slow)
 	if _, admitted := r.submitRegularly(span, 0.1, slow); float64(admitted)*fast*float64(cfg.Coordinators) > maxProbeShare*4*span {
-		t.Errorf("%d let in within %v s", admitted, span)
+		t.Errorf("%d probe queries admitted within %v s, which is more than the share of all co-ordinators", admitted, span)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A query of twenty parts, its answers and the ticks between, in fleets of three sizes: the cost of a decision must
-// not grow with the fleet.
+// BenchmarkQuery measures a query of twenty parts, its answers and the ticks in between, in fleets of three sizes. The
+// cost of a decision must not grow with the fleet.
 func BenchmarkQuery(b *testing.B) {
 	for _, cells := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(cells, " replicas"), func(b *testing.B) {
--- a/policy/cold_sum_test.go
+++ b/policy/cold_sum_test.go
@@ -6,42 +6,43 @@
 	"testing"
 )
 
-// coldScenario is how a start is told of to the instances of a crowd.
+// coldScenario describes the start of a replica, when the instances learn of it, and the traffic meanwhile.
 type coldScenario struct {
 	name                   string
-	noticeSpread           float64 // s from the start on, within which all are told
-	restartedShare         float64 // serverShare of the instances that begin anew, with no history, and learn of the start by a whole list
-	restartFrom, restartTo float64 // s after the start, negative for before it, between which these begin
-	baseRate               float64 // parts a second, of all instances, up to the burst
-	burstRate              float64 // and from then on
-	burstAt                float64 // s after the start
-	skewed                 bool    // half of the traffic comes to a fifth of the instances
+	noticeSpread           float64 // s after the replica's start, within which all instances learn of it
+	restartedShare         float64 // share of the instances that restart without history and learn of the start from a full list
+	restartFrom, restartTo float64 // s after the replica's start, negative for before it, between which these instances restart
+	baseRate               float64 // parts a second, of all instances together, before the burst
+	burstRate              float64 // parts a second, of all instances together, from the burst on
+	burstAt                float64 // s after the replica's start
+	skewed                 bool    // half of the traffic goes to a fifth of the instances
 }
 
-// coldWindowStats are the worst of all windows of one run, as shares of the bound: what all sent, and what those sent that had been
-// told.
+// coldWindowStats holds the worst windows of one run. all is what all instances sent and informed what the instances sent
+// that knew of the start, both as shares of the bound.
 type coldWindowStats struct {
 	all, informed float64
-	parts         int     // requested by those that had been told
-	informedShare float64 // the largest part that those had in a window over the bound
+	parts         int     // sent by informed instances
+	informedShare float64 // the largest share of informed instances in a window over the bound
 }
 
 const (
-	coldStartTime       = 108.0  // on the crowd's clock: eight seconds of history, over coldHistory
-	maxInformedShare    = 2. / 3 // withVerb a window over the bound: more is a broken rule
+	coldStartTime       = 108.0  // on the clock of the set, which starts at 100: 8 s of history, more than coldHistory
+	maxInformedShare    = 2. / 3 // of a window over the bound: more breaks the rule
 	coldObservationSpan = 6.0    // s after the start, of a warm-up of 10
 )
 
-// coldBound is what the operators' rule lets a replica that has just started take in a window that begins at an age.
+// coldBound returns how many parts the operators' rule lets a newly started replica take in a window that begins at the
+// given age.
 func coldBound(c *Config, age float64) float64 {
 	limit, _ := coldLimit(c, age)
 	return limit + 2*math.Sqrt(limit) + 2
 }
 
-// runColdScenario plays one start among the instances.
+// runColdScenario runs the instances through the start of one replica.
 func runColdScenario(seed uint64, instances int, scenario coldScenario) coldWindowStats {
 	c := newCoordinatorSet(instances, seed, scriptedReplicas, 2)
-	c.nextArrival = math.Inf(1) // the arrivals are those of news
+	c.nextArrival = math.Inf(1) // the arrivals are those of the scenario
 	nextArrival := c.now
 	step := func() {
 		c.runUntil(c.now + c.policies[0].tick)
@@ -64,7 +65,7 @@
 	for _, i := range c.rng.Perm(instances)[:int(scenario.restartedShare*float64(instances))] {
 		restartAt[i] = coldStartTime + scenario.restartFrom + (scenario.restartTo-scenario.restartFrom)*c.rng.Float64()
 	}
-	informedAt := map[int]float64{} // by the number of the instance's start
+	informedAt := map[int]float64{} // by the start number of the instance
 	entry := Entry{Replica: 1, SharedID: 1, Size: 1, Started: coldStartTime}
 	for c.now < coldStartTime+coldObservationSpan {
 		step()
@@ -90,7 +91,7 @@
 	return worstColdWindows(c, informedAt)
 }
 
-// submitQuery brings one query of one part to some instance.
+// submitQuery submits a one-part query to a random instance.
 func (c *coordinatorSet) submitQuery(skewed bool) {
 	candidates := len(c.policies)
 	if skewed && c.rng.IntN(2) == 0 {
@@ -103,7 +104,7 @@
 		{Kind: PartArrived, Part: q + 1, Group: q, Shard: c.rng.IntN(c.cfg.Shards), Weight: 1}})
 }
 
-// worstColdWindows finds the worst windows after the start.
+// worstColdWindows returns the worst windows after the replica's start.
 func worstColdWindows(c *coordinatorSet, informedAt map[int]float64) (stats coldWindowStats) {
 	type send struct {
 		at       float64
@@ -138,10 +139,11 @@
 	return stats
 }
 
-// What all of many send to a replica that has started stays within the operators' bound in every window, as far as they
-// have been told of the start: told at different times, a part of them begun anew with no history, under even and thin
-// traffic, under a burst on top of credits that were saved up, and with half of the traffic at a fifth of them. A window over
-// the bound is one in which those that had not been told yet sent a third or more.
+// Guards against many instances that overload a newly started replica together. In every window, the instances that know
+// of the start stay within the operators' bound, and a window in which all instances together exceed it has at least a
+// third of its parts from instances that do not know yet. The scenarios cover instances that learn of the start at
+// different times or restart without history, even and thin traffic, a burst on top of saved credit, and half of the
+// traffic at a fifth of the instances.
 func TestManyCoordinatorsStayWithinTheColdBound(t *testing.T) {
 	instances, seeds := []int{20, 30}, uint64(12)
 	if testing.Short() {
@@ -149,13 +151,13 @@
 	}
 	for _, n := range instances {
 		for _, scenario := range []coldScenario{
-			{name: "told at once, even", baseRate: 120, burstRate: 120},
-			{name: "told within 0.4 s, even", noticeSpread: 0.4, baseRate: 120, burstRate: 120},
-			{name: "told within 2 s, even", noticeSpread: 2, baseRate: 120, burstRate: 120},
-			{name: "a third begun before, even", noticeSpread: 2, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120},
-			{name: "seven in ten begun after, even", noticeSpread: 2, restartedShare: 0.7, restartTo: 3, baseRate: 120, burstRate: 120},
-			{name: "half at a fifth of them", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120, skewed: true},
-			{name: "thin", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 30, burstRate: 30},
+			{name: "informed at once, even", baseRate: 120, burstRate: 120},
+			{name: "informed within 0.4 s, even", noticeSpread: 0.4, baseRate: 120, burstRate: 120},
+			{name: "informed within 2 s, even", noticeSpread: 2, baseRate: 120, burstRate: 120},
+			{name: "a third restart before, even", noticeSpread: 2, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120},
+			{name: "70 % restart after, even", noticeSpread: 2, restartedShare: 0.7, restartTo: 3, baseRate: 120, burstRate: 120},
+			{name: "half the load at a fifth", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 120, burstRate: 120, skewed: true},
+			{name: "thin traffic", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 30, burstRate: 30},
 			{name: "thin, then a burst", noticeSpread: 0.4, restartedShare: 1. / 3, restartFrom: -1.5, baseRate: 30, burstRate: 150, burstAt: 2},
 			{name: "thin, then a late burst", noticeSpread: 0.4, baseRate: 30, burstRate: 150, burstAt: 4},
 		} {
@@ -168,14 +170,14 @@
 					overBound++
 				}
 				if s.informed > 1 || s.informedShare > maxInformedShare {
-					t.Errorf("%d, %s, seed %d: %.2f of the bound by those told, whose part of a window over it is %.2f",
+					t.Errorf("%d instances, %s, seed %d: informed instances sent %.2f of the bound, and %.2f of a window over it",
 						n, scenario.name, seed, s.informed, s.informedShare)
 				}
 			}
-			t.Logf("%d, %-31s of the bound by those told %.2f on the mean, %.2f at most; by all %.2f and %.2f, over it in %d of %d runs",
+			t.Logf("%d instances, %-31s informed ones sent %.2f of the bound on average, %.2f at most; all sent %.2f and %.2f, over it in %d of %d runs",
 				n, scenario.name+":", meanInformed, maxInformed, meanAll, maxAll, overBound, seeds)
 			if parts == 0 {
-				t.Errorf("%d, %s: the replica was not used at all", n, scenario.name)
+				t.Errorf("%d instances, %s: the replica was not used at all", n, scenario.name)
 			}
 		}
 	}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -13,19 +13,19 @@
 		"restart under the same id": {Kind: ListChanged, List: []Entry{fresh}},
 		"list from disk":            {Kind: ListChanged, Full: true, Stale: true, List: []Entry{fresh, {Replica: 2}, {Replica: 3}, {Replica: 4}}},
 	} {
-		// 200 parts a second over four replicas are 50 for each; the rule allows 2 x 0.2 x capacity at first.
+		// 200 parts a second over four replicas are 50 for each; the rule allows 2 x 0.2 x capacity at the start.
 		sent, maxInWindow := sendToColdReplica(t, list, 0.02)
 		if sent == 0 {
-			t.Errorf("%s: nothing at all was sent, so it would never be used", name)
+			t.Errorf("%s: nothing was sent, so that the replica would never be used", name)
 		}
 		if maxInWindow > 30 {
-			t.Errorf("%s: %d parts in a second, more than 2 x 0.3 of the 50 that a warm one takes", name, maxInWindow)
+			t.Errorf("%s: %d parts in a second, more than 2 x 0.3 of the 50 that a warm replica takes", name, maxInWindow)
 		}
 	}
 }
 
-// Many co-ordinators are told of a new start at the same moment, and each has parts for it: what all of them
-// send together stays under the rule's limit in every window. One that had each send its first part at once fails.
+// Guards against many co-ordinators that learn of a replica's start at the same moment and all send their first part at
+// once: together they stay under the rule's limit in every window. With first parts that all go at once this test fails.
 func TestManyCoordinatorsDoNotOverloadAColdReplica(t *testing.T) {
 	const coordinators = 40
 	maxInWindow := 0
@@ -60,9 +60,10 @@
 				n++
 			}
 			level := 0.2 + 0.8*(sentAt[i]-110)/10
-			// Each of 40 sends 2.5 parts a second to four replicas: 25 a second when warm, twice that is the multiple.
+			// Each of 40 co-ordinators sends 2.5 parts a second to four replicas: a warm one gets 25 a second, and
+			// OverloadMultiple allows twice that.
 			if float64(n) > 50*level {
-				t.Fatalf("%d parts within 1 s at %.2f s after its start, limit %.1f", n, sentAt[i]-110, 50*level)
+				t.Fatalf("%d parts within 1 s, %.2f s after the replica's start, limit %.1f", n, sentAt[i]-110, 50*level)
 			}
 			maxInWindow = max(maxInWindow, n)
 		}
@@ -72,12 +73,12 @@
 	}
 }
 
-// What all peers together may send a cold replica in the rule's window stays under the limit by 1.5 roots of its mean,
-// however many they are, and their shares come evenly spread: between any two moments they have as much credit
-// together as one would that had it all, give or take one part.
+// The parts that all co-ordinators together may send to a cold replica in the rule's window stay under the limit by at
+// least 1.5 times the square root of their mean, however many co-ordinators there are. Their credit is spread evenly over
+// time: between any two moments they earn together as much as a single co-ordinator would, within one part.
 func TestColdShareLeavesMarginForRandomVariation(t *testing.T) {
 	for _, coordinators := range []int{2, 30, 90} {
-		var firstDue []float64 // when each peer's first part may go
+		var firstDue []float64 // when each co-ordinator may send its first part
 		for ordinal := range coordinators {
 			cfg := testConfig(Safe)
 			cfg.Coordinators, cfg.Ordinal, cfg.Seed = coordinators, ordinal, uint64(ordinal)
@@ -88,26 +89,26 @@
 			rate, cold := r.p.coldRate(rep)
 			mean, limit := rate*float64(coordinators)*cfg.OverloadWindow, cfg.OverloadMultiple*cfg.ColdCapacity*100*cfg.OverloadWindow
 			if !cold || mean <= 0 || mean+1.5*math.Sqrt(mean) > limit+1e-9 {
-				t.Errorf("%d peers: %.1f parts expected in the window, limit %.1f", coordinators, mean, limit)
+				t.Errorf("%d co-ordinators: %.1f parts expected in the window, limit %.1f", coordinators, mean, limit)
 			}
-			firstDue = append(firstDue, (1-rep.credit)*float64(coordinators)) // received parts of all peers together
+			firstDue = append(firstDue, (1-rep.credit)*float64(coordinators)) // in parts of all co-ordinators together
 		}
 		slices.Sort(firstDue)
 		for i, at := range firstDue {
 			if math.Abs(at-float64(i)) > 1+1e-6 {
-				t.Errorf("%d peers: part %d is due after %.2f parts' time", coordinators, i, at)
+				t.Errorf("%d co-ordinators: part %d is due after the time of %.2f parts", coordinators, i, at)
 			}
 		}
 	}
 }
 
-// Credit counts from a replica's start, however late the news of it, with a window's worth at once, and as much more as is
-// held on the mean until an own part comes there, less where few were seen. One part of it is all that is kept, two where a
-// window earns less than one.
+// Credit accrues from the replica's start, however late the instance learns of it. The credit of one window is there at
+// once, and so is the credit that would on average be held until a part of the instance's own goes to the replica, less
+// where few answers were seen. At most one part is kept, or two where a window earns less than one.
 func TestColdCreditAccruesFromTheReplicaStart(t *testing.T) {
 	for _, c := range []struct {
 		coordinators                int
-		delay, maxCredit, headStart float64 // s; back: by the answers seen
+		delay, maxCredit, headStart float64 // s, parts, s; headStart follows from the answers seen
 		answers                     int
 	}{{40, 0, 2, 0, 0}, {40, 1.5, 2, 0, 0}, {40, 9, 2, 0, 0}, {1, 0, 1, 0, 0}, {1, 3, 1, 0, 0}, {40, 0, 2, 5 * 4 * 8 / 256.0, 8}, {40, 1.5, 2, 5 * 4 * 20 / 784.0, 20}} {
 		cfg := testConfig(Safe)
@@ -127,8 +128,9 @@
 	}
 }
 
-// Guards against cold replicas that are hardly used: with many co-ordinators those who hold credit wait long for a part of
-// their own. At its start so many hold some that, at the rate of own parts, they use what the rule's mean allows.
+// Guards against cold replicas that are hardly used: with many co-ordinators, one that holds credit waits long for a part
+// of its own. At the replica's start enough of them hold credit to use, at the rate of their own parts, what the mean of
+// the rule allows.
 func TestColdCreditIsUsedWithManyCoordinators(t *testing.T) {
 	const coordinators, answers, span, replicas = 300, 100, 5.0, 100
 	holders, allowed := 0, 0.0
@@ -144,12 +146,13 @@
 		r.p.upCount = replicas
 		rep := r.p.replicas[1]
 		rate, _ := r.p.coldRate(rep)
-		if allowed = rate * coordinators; !r.p.coldLimited(rep) { // a second, of all together
+		if allowed = rate * coordinators; !r.p.coldLimited(rep) { // parts a second, of all co-ordinators together
 			holders++
 		}
 	}
-	ownRate := answers / span / replicas // parts a second for one replica, each
+	ownRate := answers / span / replicas // parts a second from each co-ordinator to one replica
 	if used := float64(holders) * ownRate; used < allowed/2 || used > allowed*(1+ownRate) {
-		t.Errorf("%d of %d hold credit at the start and use %.1f parts a second, %.1f are allowed", holders, coordinators, used, allowed)
+		t.Errorf("%d of %d co-ordinators hold credit at the start and use %.1f parts a second, %.1f are allowed",
+			holders, coordinators, used, allowed)
 	}
 }
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -10,8 +10,8 @@
 	. "birchcart/policy"
 )
 
-// simulation makes up legal events: it answers what was sent in odd orders, moves the list, lets time pass. It
-// models no servers and measures nothing.
+// simulation feeds a policy with random legal events: it ends attempts in random orders, changes the replica list and
+// advances the clock. It models no servers and measures nothing.
 type simulation struct {
 	rng             *rand.Rand
 	cfg             Config
@@ -21,13 +21,13 @@
 	pending         []pendingEvent
 	lastID          uint64
 	secondSteps     []followUp
-	alter           func(Action) Action // breaks an action on purpose
-	decorate        func(*Event)        // adds to what the world tells, nil for nothing
+	alter           func(Action) Action // observes each action and may replace it, to break a rule on purpose
+	decorate        func(*Event)        // adds fields to each event before it is handled; nil for none
 	list            []Entry
-	failingClass    map[uint64]int  // replica to the class that it fails or swallows
-	crashesReplicas map[uint64]bool // queries that bring down each replica that takes a part of them
-	drained         []uint64        // drained in a wave, to be removed soon
-	lastReplicaID   uint64          // nextID of replacements
+	failingClass    map[uint64]int  // by replica: the class whose parts it fails or never answers
+	crashesReplicas map[uint64]bool // queries that crash each replica that takes one of their parts
+	drained         []uint64        // replicas drained in a wave, to be removed soon
+	lastReplicaID   uint64          // id of the newest replacement
 }
 
 type pendingEvent struct {
@@ -49,7 +49,7 @@
 		cfg.Coordinators, cfg.Cells, cfg.Shards = 20+rng.IntN(70), 20+rng.IntN(40), 60
 	}
 	cfg.Reach, cfg.Ordinal = 1+rng.IntN(min(3, cfg.Cells)), rng.IntN(cfg.Coordinators)
-	if rng.IntN(3) == 0 { // the shape of a move: no tenants, a list on asking, one attempt at a time or no marks
+	if rng.IntN(3) == 0 { // no tenants, a list that must be subscribed to, and in half of the cases no second copies
 		cfg.Tenants, cfg.MustSubscribe, cfg.MaxSubscribeDelay = nil, true, 10
 		cfg.SecondCopies = rng.IntN(2) > 0
 	}
@@ -117,7 +117,8 @@
 	}
 }
 
-// scheduleOutcome makes up how an attempt ends: mostly well, at times badly, at times only when the client has gone.
+// scheduleOutcome chooses how and when an attempt ends: mostly with an answer, sometimes with another outcome, sometimes
+// only when its client stops waiting.
 func (sim *simulation) scheduleOutcome(a Action) {
 	pt := sim.checker.Part(a.Part)
 	took, outcome := 0.02+0.2*sim.rng.ExpFloat64(), OK
@@ -130,9 +131,9 @@
 		took, outcome = 0.001, Outcome(1+sim.rng.IntN(7))
 	}
 	if class, fails := sim.failingClass[a.Replica]; fails && pt.Query.Class == class && sim.rng.IntN(5) > 0 {
-		took, outcome = []float64{0.005, 60}[int(a.Replica)%2], Failed // times once, or never an answer
+		took, outcome = []float64{0.005, 60}[int(a.Replica)%2], Failed // at once, or never before the deadline
 	}
-	if sim.crashesReplicas[pt.Query.ID] { // and with it goes all else that is out there
+	if sim.crashesReplicas[pt.Query.ID] { // and breaks the other attempts in flight there
 		took, outcome = 0.02, ConnectionBroken
 		for i := range sim.pending {
 			if e := &sim.pending[i]; e.event.Kind == AttemptEnded && e.event.Replica == a.Replica && e.at > sim.now+took {
@@ -153,7 +154,7 @@
 }
 
 func (sim *simulation) step() {
-	// Long: one tick in the order in which its parts depend on each other.
+	// Long: the sections of one tick depend on each other in this order.
 	sim.now += 0.005
 	var events []Event
 	for _, s := range sim.secondSteps {
@@ -173,7 +174,7 @@
 		events = append(events, e.event)
 	}
 	sim.pending = remaining
-	for _, id := range sim.checker.Overdue(sim.now) { // an order of no weight, since none should be
+	for _, id := range sim.checker.Overdue(sim.now) { // their order does not matter, since there should be none
 		events = append(events, Event{Kind: ClientLeft, Query: id})
 	}
 	if sim.rng.IntN(60) == 0 {
@@ -185,7 +186,7 @@
 		}
 		events = append(events, Event{Kind: ListChanged, List: []Entry{*e}})
 	}
-	if sim.rng.IntN(300) == 0 { // a wave: some drain, are gone soon, and new ones come up cold in their place
+	if sim.rng.IntN(300) == 0 { // a wave: some replicas drain, are removed soon, and are replaced by cold ones
 		ev := Event{Kind: ListChanged}
 		for i := range sim.list {
 			if e := &sim.list[i]; e.State == Up && sim.rng.IntN(5) == 0 {
@@ -204,7 +205,7 @@
 				continue
 			}
 			e.State = Removed
-			ev.List = append(ev.List, *e, *e) // informed twice, and in any order
+			ev.List = append(ev.List, *e, *e) // each removal is listed twice, and the entries are shuffled
 			sim.lastReplicaID++
 			e.Replica, e.State, e.Started = sim.lastReplicaID, Up, sim.now-sim.rng.Float64()
 			ev.List = append(ev.List, *e)
@@ -255,7 +256,7 @@
 		}
 	}
 	if answered < 1000 || refused < 100 || failed < 100 {
-		t.Fatalf("%d answered, %d refused, %d failed: too few of a kind to tell anything", answered, refused, failed)
+		t.Fatalf("%d answered, %d refused, %d failed: too few of one kind to cover the rules", answered, refused, failed)
 	}
 }
 
@@ -269,15 +270,15 @@
 		return s
 	}
 	if a, b := trace(), trace(); a != b || len(a) < 1000 {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events gave different actions, or too few of them")
 	}
 }
 
-// The checker itself: each rule broken on purpose in what the module says must be found.
+// Tests the checker itself: it must find each rule that is broken on purpose in the actions of the policy.
 func TestCheckerFindsBrokenRules(t *testing.T) {
 	// Long: a table with one entry for each rule.
 	broken := map[int]func(sim *simulation) func(Action) Action{
-		1: func(sim *simulation) func(Action) Action { // a final answer goes astray
+		1: func(sim *simulation) func(Action) Action { // a final action is lost
 			n := 0
 			return func(a Action) Action {
 				if a.Verb == Refuse || a.Verb == Fail {
@@ -288,7 +289,7 @@
 				return a
 			}
 		},
-		2: func(sim *simulation) func(Action) Action { // an unsafe failure is told as a refusal
+		2: func(sim *simulation) func(Action) Action { // a failure of an unsafe query is reported as a refusal
 			return func(a Action) Action {
 				if a.Verb == Fail {
 					a.Verb = Refuse
@@ -296,7 +297,7 @@
 				return a
 			}
 		},
-		3: func(sim *simulation) func(Action) Action { // a send goes to a replica that was told of as unfit
+		3: func(sim *simulation) func(Action) Action { // a part is sent to a replica that is listed as unfit
 			return func(a Action) Action {
 				if a.Verb == Send {
 					for _, e := range sim.list {
@@ -308,7 +309,7 @@
 				return a
 			}
 		},
-		5: func(sim *simulation) func(Action) Action { // every answer is marked whole, every failure is an answer
+		5: func(sim *simulation) func(Action) Action { // every answer is marked complete, every failure becomes an answer
 			return func(a Action) Action {
 				if a.Verb == Fail {
 					a.Verb = Answer
@@ -317,7 +318,7 @@
 				return a
 			}
 		},
-		6: func(sim *simulation) func(Action) Action { // the budget in force is smaller than the one that was told
+		6: func(sim *simulation) func(Action) Action { // the checker enforces a smaller budget than the policy was given
 			cfg := sim.cfg
 			cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 0, 0.001, 2
 			sim.checker = checker.New(cfg)
@@ -338,7 +339,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("rule %d was broken on purpose and no fault was found", rule)
+			t.Errorf("rule %d was broken on purpose, but the checker found no fault", rule)
 		}
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -36,7 +36,7 @@
 		t.Fatal("a silent replica was never tried again")
 	}
 	if sentLater > 40 {
-		t.Fatalf("a silent replica still got %d first attempts of some 150 in 15 s", sentLater)
+		t.Fatalf("a silent replica still got %d of about 150 first attempts in 15 s", sentLater)
 	}
 }
 
@@ -46,11 +46,11 @@
 		rep.suspect, rep.records[0].suspect = true, true
 	}
 	if _, _, acts := r.submit(1, 3); len(withVerb(Send, acts)) != 1 {
-		t.Fatal("with every holder suspect nothing was sent")
+		t.Fatal("nothing was sent although all holders are suspect alike")
 	}
 }
 
-// All holders refuse connections: tries are spaced, and new queries refused at once but for trials.
+// While all holders refuse connections, attempts are spaced out, and new queries are refused at arrival except for trials.
 func TestUnreachableHoldersSpaceAttemptsAndRefuseQueries(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	sends, refused := 0, 0
@@ -64,15 +64,16 @@
 		r.now += 0.01
 	}
 	if refused < 80 {
-		t.Fatalf("%d of 100 queries were refused at once, want most", refused)
+		t.Fatalf("%d of 100 queries were refused at arrival, want at least 80", refused)
 	}
 	if sends > 40 {
-		t.Fatalf("%d attempts within a second at holders that are all down", sends)
+		t.Fatalf("%d attempts within a second at holders that are all unreachable, want 40 at most", sends)
 	}
 }
 
-// This instance stood still for two promises: what came back meanwhile says nothing of the replicas, what
-// is still out is not late yet, and new queries are not refused for the answers that were not seen.
+// Guards against blaming the replicas for a stall of the instance itself, here of two promises. Answers that arrived
+// during the stall say nothing about the replicas' latency, attempts still in flight are not late yet, and new queries
+// are not refused because of answers that the instance has not seen.
 func TestOwnStallIsNotTakenForLatency(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	for range 200 {
@@ -80,7 +81,7 @@
 		r.advance(0.02)
 		r.endAttempt(withVerb(Send, acts)[0].Part, 0, withVerb(Send, acts)[0].Replica, OK)
 	}
-	mean, stress := r.p.models[0].mean, r.p.recentLatency.value
+	mean, recentLatency := r.p.models[0].mean, r.p.recentLatency.value
 	var out []Action
 	for range 8 {
 		_, _, acts := r.submit(1, 9)
@@ -92,27 +93,27 @@
 		events = append(events, Event{Kind: AttemptEnded, Part: a.Part, Replica: a.Replica, Outcome: OK, Latency: 2})
 	}
 	if n := len(withVerb(Send, r.handle(events...))); n > 0 {
-		t.Fatalf("%d parts sent again for our own standstill", n)
+		t.Fatalf("%d parts were resent because of the instance's own stall", n)
 	}
 	for range 6 {
 		if _, _, acts := r.submit(1, 3); len(withVerb(Refuse, acts)) > 0 {
-			t.Fatal("a query was refused for answers that our own standstill hid")
+			t.Fatal("a query was refused because of answers that the instance's own stall hid")
 		}
 	}
 	r.p.refreshModels()
-	if r.p.models[0].mean != mean && r.p.models[0].mean > 0.2 || r.p.recentLatency.value != stress {
-		t.Fatalf("mean %v, stress %v: a standstill of ours was taken for latency", r.p.models[0].mean, r.p.recentLatency.value)
+	if r.p.models[0].mean != mean && r.p.models[0].mean > 0.2 || r.p.recentLatency.value != recentLatency {
+		t.Fatalf("mean %v, recent latency %v: the instance's own stall was taken for latency", r.p.models[0].mean, r.p.recentLatency.value)
 	}
 	for _, rep := range r.p.list {
 		if rep.suspect {
-			t.Fatalf("replica %d is suspect for our own standstill", rep.id)
+			t.Fatalf("replica %d is suspect because of the instance's own stall", rep.id)
 		}
 	}
 }
 
-// Kinds of symptom at the later sizes.
+// Failures of a single class, and failures under little traffic, with many suspects or with few holders.
 
-// A replica that fails one class and serves the other is left out for the one and used for the other.
+// A replica that fails one class and serves another is excluded for the first and used for the second.
 func TestReplicaIsLeftOutOnlyForTheClassThatFails(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
@@ -136,12 +137,13 @@
 		r.advance(0.02)
 	}
 	if firstAttempts[0] > 60 || firstAttempts[1] < 80 {
-		t.Fatalf("of 500 first attempts of each class the failing replica got %d of the failed and %d of the served", firstAttempts[0], firstAttempts[1])
+		t.Fatalf("of 500 first attempts of each class, the replica got %d of the class that it fails and %d of the class that it serves",
+			firstAttempts[0], firstAttempts[1])
 	}
 }
 
-// The longer nothing was heard, the more one outcome says: a single failure after a long silence is enough,
-// amid many answers it is not.
+// The longer ago the last outcome of a replica, the more the newest one weighs: a single failure after a long silence makes
+// it suspect, a single failure among many answers does not.
 func TestFailureWeighsMoreAfterALongSilence(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
 		r := newRig(t, testConfig(Safe))
@@ -159,7 +161,8 @@
 	}
 }
 
-// With many suspects and little traffic, trials by the clock alone would be most of what is sent.
+// Guards against trials that make up most of the traffic, as they would with many suspects and few queries if only their
+// interval limited them.
 func TestTrialsAreLimitedToAShareOfTheParts(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.Cells, cfg.Shards = 40, 40
@@ -169,7 +172,7 @@
 		list = append(list, Entry{Replica: 1 + id, Cell: int(id) % 40})
 	}
 	r.handle(Event{Kind: ListChanged, Full: true, List: list})
-	for id := range uint64(40) { // one of the two holders of each shard
+	for id := range uint64(40) { // one of the two holders of each shard is suspect
 		rep := r.p.replicas[1+id]
 		rep.suspect, rep.records[0] = true, healthRecord{suspect: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
 	}
@@ -190,18 +193,19 @@
 		r.advance(0.1)
 	}
 	if trials == 0 || trials > sent/8 {
-		t.Fatalf("%d trials of %d attempts at 40 suspects", trials, sent)
+		t.Fatalf("%d of %d attempts were trials at the 40 suspects", trials, sent)
 	}
 }
 
-// Guards against thin traffic, in which nearly all choices are ties: with nothing out, a holder whose answers take twice
-// as long gets few parts of a shard with more than two holders, and its share again once that was long ago. With two
-// holders ties stay even, and fewest parts out goes before any pace.
+// Guards against slow holders that get an equal share under little traffic, when nearly all choices are ties. With nothing
+// in flight, a holder whose answers take twice as long gets few parts of a shard with more than two holders, and its full
+// share again once those answers are long ago. With two holders, ties are broken evenly. The fewest open calls always
+// decide before slowness.
 func TestTiesPreferTheFasterOfMoreThanTwoHolders(t *testing.T) {
 	for _, c := range []struct {
 		holders            int
 		wait               float64
-		minParts, maxParts int // parts of 300 that the slow one gets
+		minParts, maxParts int // of 300 parts, those that the slow holder gets
 	}{{3, 0, 1, 40}, {3, 60, 70, 130}, {2, 0, 120, 180}} {
 		cfg := testConfig(Safe)
 		r := newRig(t, cfg)
@@ -222,7 +226,7 @@
 			}
 		}
 		if got < c.minParts || got > c.maxParts {
-			t.Errorf("%+v: %d parts went to the slow one", c, got)
+			t.Errorf("%+v: %d parts went to the slow holder", c, got)
 		}
 		for _, rep := range r.p.list {
 			if rep.openCalls = 1; rep == slow {
@@ -230,25 +234,25 @@
 			}
 		}
 		if rep, _ := r.p.pickReplica(&part{query: &query{limits: &Limits{}}}); rep != slow {
-			t.Errorf("%+v: the holder with fewest parts out was passed over", c)
+			t.Errorf("%+v: the holder with the fewest open calls was not chosen", c)
 		}
 	}
 }
 
-// An answer moves its replica's pace towards what it took, in means of its class.
-func TestPaceFollowsAnswers(t *testing.T) {
+// An answer moves its replica's slowness towards its latency, measured in means of its class.
+func TestSlownessFollowsAnswers(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	_, parts, acts := r.submit(1, 5)
 	rep := r.p.replicas[withVerb(Send, acts)[0].Replica]
 	mean := r.p.models[0].mean
 	r.handle(Event{Kind: AttemptEnded, Part: parts[0], Replica: rep.id, Outcome: OK, Latency: 3 * mean})
 	if want := 1 + slownessWeight*2; math.Abs(rep.slowness-want) > 1e-9 {
-		t.Errorf("pace %v after an answer in three means, want %v", rep.slowness, want)
+		t.Errorf("slowness %v after an answer that took three means, want %v", rep.slowness, want)
 	}
 }
 
-// With two holders, a late part alone does not leave out the last sound one; a lost one does, and so does a late
-// one while the other holder is sound.
+// With two holders, a late part does not exclude the last healthy holder. A lost part does, and so does a late part while
+// the other holder is healthy.
 func TestLatenessDoesNotExcludeTheLastHealthyOfTwoHolders(t *testing.T) {
 	for _, otherHealthy := range []bool{true, false} {
 		r := newRig(t, testConfig(Safe))
@@ -263,15 +267,16 @@
 		late := r.p.lateAge(0)
 		r.advance(1.2 * late)
 		if rep.suspect != otherHealthy {
-			t.Errorf("other holder sound %v, a part late: suspect %v", otherHealthy, rep.suspect)
+			t.Errorf("other holder healthy: %v, one part late: suspect %v", otherHealthy, rep.suspect)
 		}
 		if r.advance(late); !rep.suspect {
-			t.Errorf("other holder sound %v, a part lost: not suspect", otherHealthy)
+			t.Errorf("other holder healthy: %v, one part lost: not suspect", otherHealthy)
 		}
 	}
 }
 
-// A trial of a suspect is copied sooner than an ordinary part, but not where the copy can go to one holder alone.
+// A part sent to a suspect as a trial gets its second copy sooner than an ordinary part, but not where only one other
+// holder could take the copy.
 func TestTrialIsCopiedSoonerWithMoreThanTwoHolders(t *testing.T) {
 	for _, holders := range []uint64{2, 4} {
 		r := newRig(t, testConfig(Safe))
@@ -282,7 +287,7 @@
 		r.handle(Event{Kind: ListChanged, Full: true, List: list})
 		rep := r.p.replicas[1]
 		rep.suspect, rep.records[0] = true, healthRecord{suspect: true, badShare: 1, suspectSince: r.now, updatedAt: r.now}
-		r.p.trialCredit, r.p.models[0].lateLatency = 2, 0.8 // lateAge well after 1.5 medians
+		r.p.trialCredit, r.p.models[0].lateLatency = 2, 0.8 // an ordinary part counts as late well after 1.5 medians
 		for rep.openCalls == 0 {
 			_, parts, acts := r.submit(1, 3.9)
 			if s := withVerb(Send, acts)[0]; s.Replica != 1 {
@@ -290,7 +295,7 @@
 			}
 		}
 		if n := len(withVerb(Send, r.advance(0.4))); (n > 0) != (holders > 2) {
-			t.Errorf("%d holders: %d copies of a trial within two medians", holders, n)
+			t.Errorf("%d holders: %d copies of a trial within two medians; want one with more than two holders, else none", holders, n)
 		}
 	}
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// extraByRoute is a rig whose queries come by a route with these limits.
+// newRoutedRig returns a rig whose submitRouted sends queries by route 1 with these limits. change may adjust the settings;
+// nil leaves them.
 func newRoutedRig(t *testing.T, effect Effect, limits Limits, change func(*Config)) *rig {
 	cfg := testConfig(effect)
 	if change != nil {
@@ -16,6 +17,7 @@
 	return r
 }
 
+// submitRouted does the same as submit, by route 1.
 func (r *rig) submitRouted(n int, due float64) (uint64, []uint64, []Action) {
 	r.nextID += 100
 	q := r.nextID
@@ -30,7 +32,7 @@
 }
 
 func TestRouteLimitsQueryTime(t *testing.T) {
-	for name, limits := range map[string]Limits{"whole": {Timeout: 0.3}, "step": {StepTimeout: 0.3}} {
+	for name, limits := range map[string]Limits{"whole query": {Timeout: 0.3}, "step": {StepTimeout: 0.3}} {
 		r := newRoutedRig(t, Safe, limits, nil)
 		start := r.now
 		r.submitRouted(2, 4)
@@ -42,7 +44,7 @@
 			}
 		}
 		if elapsed == 0 || elapsed > 0.3+1e-9 || elapsed < 0.25 {
-			t.Errorf("%s: ended after %v", name, elapsed)
+			t.Errorf("%s: ended after %v s, want 0.3 s at most", name, elapsed)
 		}
 	}
 }
@@ -51,15 +53,15 @@
 	r := newRoutedRig(t, Safe, Limits{MaxAttempts: 2, AttemptTimeout: 0.2}, nil)
 	_, parts, acts := r.submitRouted(1, 4)
 	if s := withVerb(Send, acts); len(s) != 1 || s[0].AttemptTimeout != 0.2 {
-		t.Fatalf("%+v", acts)
+		t.Fatalf("want one part sent with the route's timeout, got %+v", acts)
 	}
 	acts = r.endAttempt(parts[0], 0, withVerb(Send, acts)[0].Replica, Failed)
 	s := withVerb(Send, acts)
 	if len(s) != 1 {
-		t.Fatalf("%+v", acts)
+		t.Fatalf("want one resend after the first failure, got %+v", acts)
 	}
 	if acts = r.endAttempt(parts[0], 1, s[0].Replica, Failed); len(withVerb(Send, acts)) > 0 || len(finalActions(acts)) != 1 {
-		t.Errorf("after two attempts: %+v", acts)
+		t.Errorf("want no third attempt and one final action, got %+v", acts)
 	}
 }
 
@@ -68,7 +70,7 @@
 		limits   Limits
 		want     int
 		earliest float64
-	}{"none": {Limits{NoCopies: true}, 0, 0}, "later": {Limits{CopyAfter: 0.9}, 1, 0.9}, "as without": {Limits{}, 1, 0}} {
+	}{"no copies": {Limits{NoCopies: true}, 0, 0}, "later copy": {Limits{CopyAfter: 0.9}, 1, 0.9}, "no limits": {Limits{}, 1, 0}} {
 		r := newRoutedRig(t, Safe, c.limits, nil)
 		start := r.now
 		r.submitRouted(1, 4)
@@ -76,28 +78,29 @@
 		for r.now < start+1.5 {
 			if n := len(withVerb(Send, r.advance(r.p.tick))); n > 0 {
 				if copies += n; r.now-start < c.earliest-1e-9 {
-					t.Errorf("%s: a copy after %v", name, r.now-start)
+					t.Errorf("%s: a copy after %v s", name, r.now-start)
 				}
 			}
 		}
 		if copies != c.want {
-			t.Errorf("%s: %d copies", name, copies)
+			t.Errorf("%s: %d copies, which is not the number expected", name, copies)
 		}
 	}
 }
 
-// Queues turn those away first that are to yield: what the others may still wait for is too long for them.
+// A route that yields is refused first while there are queues: a latency that other queries can still wait for is too long
+// for its queries.
 func TestYieldingRouteIsRefusedSooner(t *testing.T) {
 	for yieldBy, want := range map[float64]Verb{0: Send, 1: Send, 4: Refuse} {
 		r := newRoutedRig(t, Safe, Limits{PromiseDivisor: yieldBy}, nil)
-		for range 4 { // the latest parts took a tenth of the promise
+		for range 4 { // the latest parts took about a tenth of the promise
 			_, parts, _ := r.submit(6, 4)
 			for _, id := range parts {
 				r.handle(Event{Kind: AttemptEnded, Part: id, Outcome: OK, Latency: 0.15})
 			}
 		}
 		if _, _, acts := r.submitRouted(1, 4); len(withVerb(want, acts)) != 1 {
-			t.Errorf("yields by %v: %+v", yieldBy, acts)
+			t.Errorf("promise divided by %v: unexpected actions %+v", yieldBy, acts)
 		}
 	}
 }
@@ -112,10 +115,10 @@
 			r.endAttempt(parts[i], 0, sends[i].Replica, OK)
 		}
 		if f := finalActions(r.advance(1)); len(f) != 1 || f[0].Verb != want || f[0].Complete {
-			t.Errorf("floor %v: %+v", floor, f)
+			t.Errorf("floor %v: unexpected final actions %+v", floor, f)
 		}
 	}
-	r := newRoutedRig(t, Safe, Limits{Floor: 1}, change) // three of four are whole, whatever the route's floor
+	r := newRoutedRig(t, Safe, Limits{Floor: 1}, change) // three of four parts are a complete answer, whatever the route's floor
 	_, parts, acts := r.submitRouted(4, 0.8)
 	sends := withVerb(Send, acts)
 	var last []Action
@@ -123,7 +126,7 @@
 		last = r.endAttempt(parts[i], 0, sends[i].Replica, OK)
 	}
 	if f := finalActions(last); len(f) != 1 || f[0].Verb != Answer || !f[0].Complete {
-		t.Errorf("%+v", last)
+		t.Errorf("want one complete answer, got %+v", last)
 	}
 }
 
@@ -136,7 +139,7 @@
 		resent += len(withVerb(Send, r.endAttempt(parts[0], 0, s[0].Replica, NotSent)))
 	}
 	if resent != 2 {
-		t.Errorf("%d further attempts of a budget of 8, of which a quarter is the route's", resent)
+		t.Errorf("%d further attempts, want 2: a quarter of the budget of 8", resent)
 	}
 }
 
@@ -145,6 +148,6 @@
 	r.handle(Event{Kind: ListChanged, Full: true})
 	_, _, acts := r.submitRouted(1, 4)
 	if f := finalActions(acts); len(f) != 1 || f[0].Verb != Refuse || math.Abs(f[0].After-0.05) > 1e-9 {
-		t.Errorf("%+v", acts)
+		t.Errorf("want one refusal that names 0.05 s, got %+v", acts)
 	}
 }
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -21,11 +21,11 @@
 	acts = append(r.endAttempt(parts[0], 0, first, ConnectionBroken), r.advance(2.5)...) // neither a retry nor a second copy
 	_, _, later := r.submit(1, 3)
 	if s := withVerb(Send, append(acts, later...)); len(s) > 0 {
-		t.Fatalf("sent to a replica that drains or is gone: %+v", s)
+		t.Fatalf("sent to a draining or removed replica: %+v", s)
 	}
 }
 
-// A replica left out of a whole list is gone.
+// A replica that is missing from a full list counts as removed.
 func TestNothingIsSentToAReplicaMissingFromAFullList(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	r.handle(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 2, Size: 1}}})
@@ -33,14 +33,14 @@
 		_, _, acts := r.submit(1, 3)
 		for _, a := range withVerb(Send, acts) {
 			if a.Replica != 2 {
-				t.Fatalf("sent to replica %d, which the whole list no longer has", a.Replica)
+				t.Fatalf("sent to replica %d, which the full list no longer has", a.Replica)
 			}
 		}
 	}
 }
 
-// Decisions on a part look at its holders alone: ten times as many replicas, as many times the co-ordinators,
-// and the actions are the same.
+// Decisions on a part depend on its holders only: with ten times as many replicas and ten times as many co-ordinators,
+// the actions are the same.
 func TestActionsDoNotDependOnTheFleetSize(t *testing.T) {
 	trace := func(scale int) (s string) {
 		cfg := testConfig(Safe)
@@ -72,28 +72,29 @@
 		return s
 	}
 	if a, b := trace(1), trace(10); a != b || len(a) < 10000 {
-		t.Fatal("the same events at the holders gave other actions in the larger fleet")
+		t.Fatal("the same events at the holders gave different actions in the larger fleet, or too few of them")
 	}
 }
 
-// Entries that come twice, or late with an older start, neither end the time of the cold guard nor double a holder.
+// Repeated entries, and late ones with an older start, neither end the time for which a replica counts as cold nor add a
+// holder twice.
 func TestRepeatedOrOldListEntriesAreHarmless(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	fresh, old := Entry{Replica: 1, Started: r.now - 0.1}, Entry{Replica: 1, Started: r.now - 50}
 	r.handle(Event{Kind: ListChanged, List: []Entry{fresh, fresh, old, {Replica: 2}, {Replica: 2}, {Replica: 9, State: Removed}}})
 	if rep := r.p.replicas[1]; rep.started != fresh.Started {
-		t.Fatalf("an old entry set the last start to %v", rep.started)
+		t.Fatalf("an old entry set the replica's start to %v", rep.started)
 	}
 	if n := len(r.p.holders(0)); n != 4 {
-		t.Fatalf("%d holders of four", n)
+		t.Fatalf("%d holders, want 4", n)
 	}
 	if _, cold := r.p.coldRate(r.p.replicas[1]); !cold {
-		t.Fatal("an old entry ended the time of the cold guard")
+		t.Fatal("an old entry ended the time for which the replica counts as cold")
 	}
 }
 
-// Guards against growth on days when replicas are replaced all the time. One with an attempt out, and one that is
-// back soon, keeps its records.
+// Guards against unbounded memory on days when replicas are replaced all the time. A replica with an attempt in flight, and
+// one that is listed again soon, keeps its records.
 func TestReplacedReplicasAreForgotten(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	for id := uint64(10); id < 60; id++ {
@@ -103,7 +104,7 @@
 		r.now++
 	}
 	if n := len(r.p.list); n > 4+9 || len(r.p.replicas) != n {
-		t.Errorf("%d replicas are held, %d by number", n, len(r.p.replicas))
+		t.Errorf("%d replicas in the list, %d by id", n, len(r.p.replicas))
 	}
 	_, parts, acts := r.submit(1, 3)
 	replicaID := withVerb(Send, acts)[0].Replica
@@ -118,11 +119,11 @@
 	r.now += 2 * historySpan
 	setState(Removed)
 	if r.p.replicas[replicaID] != before {
-		t.Error("a replica that is back, or has an attempt out, was forgotten")
+		t.Error("a replica that is listed again, or has an attempt in flight, was forgotten")
 	}
 	r.endAttempt(parts[0], 0, replicaID, OK)
 	setState(Removed)
 	if r.p.replicas[replicaID] != nil {
-		t.Error("it is held with nothing out")
+		t.Error("the removed replica is kept with nothing in flight")
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -4,17 +4,18 @@
 	"testing"
 )
 
-// rig drives one instance by hand: no bench, no servers.
+// rig drives one instance with hand-written events, without servers or a simulator.
 type rig struct {
 	t       *testing.T
 	p       *Policy
 	now     float64
-	nextID  uint64
-	actions []Action
-	limits  *Limits
+	nextID  uint64   // of the latest query; its parts follow it
+	actions []Action // of the latest turn
+	limits  *Limits  // of route 1
 }
 
-// testConfig are those of a plain site: one cell of four holders, one shard a part.
+// testConfig returns the settings of a simple deployment with one class of the given effect and one cell, in which newRig
+// lists four replicas that hold all shards.
 func testConfig(effect Effect) Config {
 	return Config{
 		Seed: 1, Resolution: 0.005, Coordinators: 1,
@@ -27,6 +28,7 @@
 	}
 }
 
+// newRig returns a rig whose instance has a list of four warm replicas.
 func newRig(t *testing.T, cfg Config) *rig {
 	r := &rig{t: t, p: New(cfg), now: 100, nextID: 1000}
 	var list []Entry
@@ -37,12 +39,13 @@
 	return r
 }
 
+// handle runs one turn with the events and returns a copy of its actions.
 func (r *rig) handle(events ...Event) []Action {
 	r.actions = append([]Action(nil), r.p.Handle(r.now, events)...)
 	return r.actions
 }
 
-// runUntil lets time pass and returns all that was done meanwhile.
+// advance lets time pass tick by tick and returns all actions of that time.
 func (r *rig) advance(span float64) []Action {
 	var all []Action
 	for end := r.now + span; r.now < end; {
@@ -52,7 +55,8 @@
 	return all
 }
 
-// submit brings in a query of n equal parts and returns its id and those of the parts.
+// submit submits a query of n equal parts, each of its own shard, that is due after the given time. It returns the ids of
+// the query and the parts, and the actions.
 func (r *rig) submit(n int, due float64) (uint64, []uint64, []Action) {
 	r.nextID += 100
 	q := r.nextID
@@ -66,10 +70,12 @@
 	return q, parts, r.handle(events...)
 }
 
-func (r *rig) endAttempt(part uint64, attempt int, replica uint64, o Outcome) []Action {
-	return r.handle(Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Replica: replica, Outcome: o, Latency: 0.1})
+// endAttempt reports the end of an attempt with the given outcome and a latency of 0.1 s.
+func (r *rig) endAttempt(part uint64, attempt int, replica uint64, outcome Outcome) []Action {
+	return r.handle(Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Replica: replica, Outcome: outcome, Latency: 0.1})
 }
 
+// withVerb returns the actions that have the verb.
 func withVerb(verb Verb, actions []Action) []Action {
 	var matching []Action
 	for _, a := range actions {
@@ -80,14 +86,16 @@
 	return matching
 }
 
+// finalActions returns the actions that answer, refuse or fail a query.
 func finalActions(actions []Action) []Action {
 	return append(append(withVerb(Answer, actions), withVerb(Refuse, actions)...), withVerb(Fail, actions)...)
 }
 
-// sendToColdReplica counts what goes to replica 1, just started, in each window of the rule while it is warming up.
+// sendToColdReplica applies the list event, in which replica 1 has just started, and sends queries for 3 s. It returns how
+// many parts went to replica 1, and the most in any window of 1 s, which is the window of the rule.
 func sendToColdReplica(t *testing.T, list Event, interval float64) (sent, maxInWindow int) {
 	r := newRig(t, testConfig(Safe))
-	for range 400 { // others are warm and take their load
+	for range 400 { // the warm replicas take their load
 		_, parts, acts := r.submit(4, 3)
 		r.now += interval
 		for i, a := range withVerb(Send, acts) {
@@ -97,12 +105,12 @@
 		}
 	}
 	r.handle(list)
-	r.p.lastCrashAt = 0 // the guard is looked at, not the scouts that a death brings
+	r.p.lastCrashAt = 0 // tests the cold limit alone, without queries that send one part first after a crash
 	var sentAt []float64
 	for end := r.now + 3; r.now < end; {
 		_, _, acts := r.submit(4, 3)
 		if len(withVerb(Send, acts)) != 4 {
-			t.Fatalf("%d of 4 parts went out at once: the warm holders stand by", len(withVerb(Send, acts)))
+			t.Fatalf("%d of 4 parts were sent at once, although the warm holders can take them", len(withVerb(Send, acts)))
 		}
 		for _, a := range withVerb(Send, acts) {
 			if a.Replica == 1 {
@@ -124,7 +132,7 @@
 	return len(sentAt), maxInWindow
 }
 
-// Events that name nothing known do nothing.
+// Events for unknown queries, parts, attempts or replicas, and of an unknown kind, have no effect.
 func TestUnknownEventsDoNothing(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	q, parts, acts := r.submit(1, 3)
@@ -135,10 +143,10 @@
 		{Kind: ProbeEnded, Replica: 77}, {Kind: ListFailed}, {Kind: Kind(200)}, {Kind: ListChanged, List: []Entry{{Replica: 70, Cell: 99, Zone: -1}}},
 	} {
 		if f := append(finalActions(r.handle(ev)), withVerb(Send, r.actions)...); len(f) > 0 {
-			t.Errorf("%+v: %+v", ev, f)
+			t.Errorf("event %+v caused %+v", ev, f)
 		}
 	}
 	if f := finalActions(r.endAttempt(s.Part, 0, s.Replica, OK)); len(f) != 1 || f[0].Query != q {
-		t.Fatalf("the query itself ended by %+v", f)
+		t.Fatalf("the query itself ended with %+v", f)
 	}
 }
--- a/policy/sending_test.go
+++ b/policy/sending_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What each outcome allows for each kind of class: a resend or, for the query, a refusal.
+// Each outcome of the first attempt, for each effect of the class, leads to a resend, or else to a failure of the query.
 func TestResendByOutcome(t *testing.T) {
 	for _, c := range []struct {
 		effect  Effect
@@ -27,7 +27,7 @@
 		}
 		if !c.resend {
 			if f := finalActions(acts); len(f) != 1 || f[0].Verb != Fail {
-				t.Errorf("effect %d outcome %d: ended by %+v, want one failure", c.effect, c.outcome, f)
+				t.Errorf("effect %d outcome %d: ended with %+v, want one failure", c.effect, c.outcome, f)
 			}
 		}
 	}
@@ -37,34 +37,34 @@
 	r := newRig(t, testConfig(Unsafe))
 	r.submit(1, 3.9)
 	if s := withVerb(Send, r.advance(3.8)); len(s) > 0 {
-		t.Fatalf("an unsafe part that may run was sent again: %+v", s)
+		t.Fatalf("an unsafe part that may have run was sent again: %+v", s)
 	}
 }
 
-// The window starts at the first attempt that may have run, not at one that is proved never to have.
+// The window starts at the first attempt that may have run, not at an earlier one that is known never to have run.
 func TestKeyedPartIsResentOnlyWithinItsWindow(t *testing.T) {
 	r := newRig(t, testConfig(Keyed))
 	_, parts, acts := r.submit(1, 10)
 	r.now += 0.5
 	acts = r.endAttempt(parts[0], 0, withVerb(Send, acts)[0].Replica, Unreachable)
-	first := r.now // attempt 1 may run
+	first := r.now // attempt 1, sent now, may run
 	s := withVerb(Send, acts)
 	if len(s) != 1 {
-		t.Fatalf("no resend after a failed connect: %+v", acts)
+		t.Fatalf("no resend after a failed connection: %+v", acts)
 	}
 	r.now = first + 1.7
 	s = withVerb(Send, r.endAttempt(parts[0], 1, s[0].Replica, Failed))
 	if len(s) != 1 {
-		t.Fatal("no resend well inside the window")
+		t.Fatal("no resend well within the window")
 	}
 	r.now = first + 1.995
 	acts = r.endAttempt(parts[0], 2, s[0].Replica, Failed)
 	if s = withVerb(Send, append(acts, r.advance(3)...)); len(s) > 0 {
-		t.Fatalf("sent at the window's end or past it: %+v", s)
+		t.Fatalf("resent at or after the end of the window: %+v", s)
 	}
 }
 
-// Further attempts never pass free + share x requests in any window, whatever ends the attempts.
+// Further attempts never exceed ExtraFree + ExtraPerRequest x requests in any window, whatever ends the attempts.
 func TestAttemptBudget(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.ExtraFree, cfg.ExtraPerRequest, cfg.ExtraWindow = 3, 0.1, 2
@@ -84,18 +84,18 @@
 				tried[a.Part]++
 				if tried[a.Part] > 1 {
 					log = append(log, logEntry{r.now, true})
-					extra, taken := 0, 0
+					extra, requests := 0, 0
 					for _, h := range log {
 						switch {
 						case h.at < r.now-2:
 						case h.extra:
 							extra++
 						default:
-							taken++
+							requests++
 						}
 					}
-					if float64(extra) > 3+0.1*float64(taken)+1e-9 {
-						t.Fatalf("round %d: %d further attempts for %d requests", round, extra, taken)
+					if float64(extra) > 3+0.1*float64(requests)+1e-9 {
+						t.Fatalf("round %d: %d further attempts for %d requests", round, extra, requests)
 					}
 				}
 				if a.Part == parts[0] || a.Part == parts[1] {
@@ -128,11 +128,11 @@
 		acts = append(next, r.advance(r.p.tick)...)
 	}
 	if n != 3 {
-		t.Fatalf("part %d had %d attempts, cap 3", parts[0], n)
+		t.Fatalf("part %d had %d attempts, want 3", parts[0], n)
 	}
 }
 
-// Guards of symptoms.
+// Guards against single failures: lost answers, a long backlog, a slow fleet, costly parts.
 
 func TestPartWithoutAnswerIsSentElsewhere(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
@@ -140,30 +140,31 @@
 	first := withVerb(Send, acts)[0].Replica
 	s := withVerb(Send, r.advance(1.5))
 	if len(s) == 0 || s[0].Replica == first {
-		t.Fatalf("a part whose answer never came was sent %+v, first to %d", s, first)
+		t.Fatalf("a part whose answer never came was sent %+v, want another replica than %d", s, first)
 	}
 }
 
-// With less than the needed share out in good time a held-back part goes before any second copy.
+// When fewer parts than needed are in flight and not late, a part that was held back is sent before any second attempt.
 func TestHeldBackPartIsSentBeforeARepeat(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.Classes[0].Need, cfg.Classes[0].Floor = 0.5, 0.5
 	r := newRig(t, cfg)
-	for range 5 { // a long backlog, so that m parts of k are asked
+	for range 5 { // a long backlog, so that only m of k parts are sent
 		r.submit(4, 3.5)
 	}
 	_, parts, acts := r.submit(4, 3.5)
 	s := withVerb(Send, acts)
 	if len(s) != 2 {
-		t.Fatalf("on a long backlog %d parts of 4 were asked, want m = 2", len(s))
+		t.Fatalf("with a long backlog %d of 4 parts were sent, want m = 2", len(s))
 	}
 	resent := withVerb(Send, r.endAttempt(s[0].Part, 0, s[0].Replica, Failed))
 	if len(resent) != 1 || resent[0].Part == s[0].Part || resent[0].Part < parts[0] || resent[0].Part > parts[3] {
-		t.Fatalf("after a failure %+v was sent, want a part that was held back", resent)
+		t.Fatalf("after a failure %+v was sent, want one part that was held back", resent)
 	}
 }
 
-// The whole fleet answers three times slower from one moment on: that is no reason to copy every part.
+// Guards against second copies of nearly every part when the whole fleet slows down at once, here from 0.1 s to 0.5 s for
+// an answer.
 func TestFleetWideSlowdownCausesFewCopies(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	type sentAction struct {
@@ -192,29 +193,29 @@
 			if pt == nil {
 				continue
 			}
-			no := 0
+			number := 0
 			for i, tried := range pt.attempts {
 				if tried.replica.id == w.Replica {
-					no = i
+					number = i
 				}
 			}
-			if no > 0 && w.sentAt == r.now && r.now > 115 {
+			if number > 0 && w.sentAt == r.now && r.now > 115 {
 				copies++
 			}
 			if r.now-w.sentAt < took {
 				remaining = append(remaining, w)
 				continue
 			}
-			r.handle(Event{Kind: AttemptEnded, Part: w.Part, Attempt: no, Replica: w.Replica, Outcome: OK, Latency: r.now - w.sentAt})
+			r.handle(Event{Kind: AttemptEnded, Part: w.Part, Attempt: number, Replica: w.Replica, Outcome: OK, Latency: r.now - w.sentAt})
 		}
 		waiting = remaining
 	}
 	if submitted < 200 || copies > 30 {
-		t.Errorf("%d copies for some %d parts while all slowed down alike", copies, submitted/2)
+		t.Errorf("%d copies for about %d parts while the whole fleet was slow", copies, submitted/2)
 	}
 }
 
-// A part whose hint says six times the usual work is not late for taking six times as long.
+// A part whose work hint is six times the usual does not count as late because it takes six times as long.
 func TestCostlyPartIsNotCopiedTooSoon(t *testing.T) {
 	copies := func(work float64) int {
 		r := newRig(t, testConfig(Safe))
@@ -234,27 +235,28 @@
 		return len(withVerb(Send, r.advance(0.5)))
 	}
 	if n := copies(0.02); n == 0 {
-		t.Fatal("an ordinary part five times late was not sent elsewhere")
+		t.Fatal("an ordinary part that took five times the usual latency was not sent elsewhere")
 	}
 	if n := copies(0.12); n > 0 {
-		t.Fatalf("a costly part was sent %d times more within the time its work takes", n)
+		t.Fatalf("a costly part was sent %d more times within the time that its work takes", n)
 	}
 }
 
-// The choke points themselves, each asked for what its callers would not ask.
+// Direct tests of functions that enforce the rules, with calls that their callers would not make.
 
+// Every attempt goes through send, which refuses each violation of a rule on sending by itself.
 func TestSendEnforcesItsRules(t *testing.T) {
 	for name, violate := range map[string]func(r *rig, pt *part, rep *replica){
-		"gone":     func(r *rig, pt *part, rep *replica) { pt.closed = true },
-		"in":       func(r *rig, pt *part, rep *replica) { pt.received = true },
+		"closed":   func(r *rig, pt *part, rep *replica) { pt.closed = true },
+		"received": func(r *rig, pt *part, rep *replica) { pt.received = true },
 		"too late": func(r *rig, pt *part, rep *replica) { r.p.now = pt.query.deadline },
 		"draining": func(r *rig, pt *part, rep *replica) { rep.state = Draining },
 		"removed":  func(r *rig, pt *part, rep *replica) { rep.state = Removed },
 		"cold": func(r *rig, pt *part, rep *replica) {
 			rep.started, rep.credit, rep.creditAt = r.p.now-0.01, 0, r.p.now
 		},
-		"attempts": func(r *rig, pt *part, rep *replica) { pt.attempts = append(pt.attempts, pt.attempts[0]) },
-		"two out":  func(r *rig, pt *part, rep *replica) { r.p.cfg.MaxAttempts = 9; pt.inFlight = 2 },
+		"attempts":      func(r *rig, pt *part, rep *replica) { pt.attempts = append(pt.attempts, pt.attempts[0]) },
+		"two in flight": func(r *rig, pt *part, rep *replica) { r.p.cfg.MaxAttempts = 9; pt.inFlight = 2 },
 		"no copies": func(r *rig, pt *part, rep *replica) {
 			r.p.cfg.SecondCopies = false
 		},
@@ -285,7 +287,7 @@
 	}
 }
 
-// A lost answer is asked elsewhere also when late parts have used up the copies' share.
+// A part whose answer is lost is sent elsewhere even when copies of late parts have used up their share of the budget.
 func TestLostPartIsNotLimitedByTheCopyShare(t *testing.T) {
 	r := newRig(t, testConfig(Safe))
 	r.submit(1, 3.9)
@@ -293,11 +295,11 @@
 		r.p.extraAttempts.add(r.now)
 	}
 	if n := len(withVerb(Send, r.advance(1.2))); n == 0 {
-		t.Fatal("a part whose answer was lost stood until its end")
+		t.Fatal("a part whose answer was lost was not sent elsewhere")
 	}
 }
 
-// With every holder failing at once a part's attempts are spread out, not used up within milliseconds.
+// When every holder fails at once, the attempts of a part are spaced out instead of being used up within milliseconds.
 func TestAttemptsAreSpacedWhenEveryHolderFails(t *testing.T) {
 	cfg := testConfig(Safe)
 	cfg.MaxAttempts = 9
@@ -314,12 +316,12 @@
 		acts = append(acts, r.advance(r.p.tick)...)
 	}
 	if n > 4 {
-		t.Fatalf("%d attempts in half a second at four holders that are down", n)
+		t.Fatalf("%d attempts in half a second at four unreachable holders, want 4 at most", n)
 	}
 }
 
-// A query that brings down each replica that begins a part of it is not sent over all the holders; one whose
-// replica went down by chance is, as soon as another part of it has come in.
+// Guards against a query that crashes every holder in turn: one that crashes each replica that begins a part of it fails
+// after a few attempts. A query whose replica crashed by coincidence is resent once another of its parts is answered.
 func TestQueryThatCrashesReplicasIsNotResent(t *testing.T) {
 	for _, crashes := range []bool{true, false} {
 		r := newRig(t, testConfig(Safe))
@@ -340,16 +342,17 @@
 		}
 		switch {
 		case crashes && (attempts[q+1]+attempts[q+2] > 3 || len(ended) != 1 || ended[0].Verb != Fail):
-			t.Errorf("%d replicas went down with one query, ended by %+v", attempts[q+1]+attempts[q+2], ended)
+			t.Errorf("one query crashed %d replicas and ended with %+v", attempts[q+1]+attempts[q+2], ended)
 		case !crashes && (len(ended) != 1 || ended[0].Verb != Answer):
-			t.Errorf("an innocent query ended by %+v", ended)
+			t.Errorf("a harmless query ended with %+v", ended)
 		}
 	}
 }
 
-// What a client asks again sends one part ahead; the rest goes when that is in or late, and none if it broke.
+// A query that its client has sent before starts with one part. The others are sent once it is answered or late, and none
+// if its replica crashed.
 func TestClientRetrySendsOnePartFirst(t *testing.T) {
-	for _, ending := range []string{"in", "late", "broken"} {
+	for _, ending := range []string{"answered", "late", "broken"} {
 		r := newRig(t, testConfig(Safe))
 		ev := []Event{{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 3, Retry: true}}
 		for i := range 3 {
@@ -361,7 +364,7 @@
 		}
 		var next []Action
 		switch ending {
-		case "in":
+		case "answered":
 			next = r.endAttempt(first[0].Part, 0, first[0].Replica, OK)
 		case "late":
 			next = r.advance(0.9)
@@ -370,14 +373,14 @@
 		}
 		if s, f := withVerb(Send, next), finalActions(next); ending == "broken" && (len(s) > 0 || len(f) != 1 || f[0].Verb != Fail) ||
 			ending != "broken" && len(s) < 2 {
-			t.Errorf("scout %s: sent %v, ended by %v", ending, s, f)
+			t.Errorf("first part %s: then sent %v, ended with %v", ending, s, f)
 		}
 	}
 }
 
-// Guards against queries that bring down a replica for each part they send: after the list told of a death without a
-// drain a query sends one part ahead, the rest once that has had the time to begin, and it is failed if that broke a
-// replica. Without it one such query takes as many replicas as it has parts. A release, which drains, changes nothing.
+// Guards against a query that crashes as many replicas as it has parts. After the list shows that a replica went away or
+// restarted without draining, a query sends one part first and the others once that part has had time to begin, and fails
+// if the first part crashed a replica. A release, which drains replicas, changes nothing.
 func TestQueriesSendOnePartFirstAfterAReplicaCrash(t *testing.T) {
 	died := func(r *rig) []Event {
 		return []Event{{Kind: ListChanged, List: []Entry{{Replica: 1, State: Removed}}}}
@@ -391,7 +394,7 @@
 	}
 	for name, c := range map[string]struct {
 		change func(*rig) []Event
-		wait   float64 // after the news
+		wait   float64 // s after the change of the list
 		first  int
 	}{
 		"died": {died, 0.1, 1}, "restarted": {restarted, 0.1, 1}, "drained": {drained, 0.1, 3}, "long ago": {died, 25, 3},
@@ -409,7 +412,7 @@
 			continue
 		}
 		if s := withVerb(Send, r.advance(0.25)); len(s) != 2 {
-			t.Errorf("%s: %d parts after the scout had time to begin, want 2", name, len(s))
+			t.Errorf("%s: %d parts sent once the first one had time to begin, want 2", name, len(s))
 		}
 		r = newRig(t, testConfig(Safe))
 		r.handle(c.change(r)...)
@@ -417,25 +420,25 @@
 		first = withVerb(Send, acts)
 		next := append(r.endAttempt(first[0].Part, 0, first[0].Replica, ConnectionBroken), r.advance(0.1)...)
 		if s, f := withVerb(Send, next), finalActions(next); len(s) > 0 || len(f) != 1 || f[0].Verb != Fail {
-			t.Errorf("%s: a scout broke a replica, then sent %v, ended by %v", name, s, f)
+			t.Errorf("%s: after the first part crashed a replica, sent %v, ended with %v", name, s, f)
 		}
 	}
 }
 
-// Guards against silent replicas where one attempt at a time is the rule: a safe part that is taken for lost is taken
-// back and goes to another holder once its end is told, never before. One that may not be repeated stays where it is,
-// and nothing moves where nothing can be cancelled or no sound holder is left.
+// Guards against silent replicas where a part may have only one attempt at a time: the attempt of a safe part that counts as
+// lost is cancelled, and the part goes to another holder once that attempt has ended, never before. A part that may not be
+// repeated stays where it is, and so does every part where nothing can be cancelled or no healthy holder is left.
 func TestSilentPartIsMovedWhereCopiesAreDisabled(t *testing.T) {
 	for name, c := range map[string]struct {
 		configure func(*Config)
 		moves     bool
 	}{
-		"safe":             {func(*Config) {}, true},
-		"unsafe":           {func(c *Config) { c.Classes[0].Effect = Unsafe }, false},
-		"no cancel":        {func(c *Config) { c.Cancel = false }, false},
-		"one attempt":      {func(c *Config) { c.MaxAttempts = 1 }, false},
-		"no budget":        {func(c *Config) { c.ExtraFree, c.ExtraPerRequest, c.ExtraWindow = 0, 0, 5 }, false},
-		"out of the route": {func(c *Config) { c.Reach, c.Cells = 1, 4 }, false},
+		"safe":            {func(*Config) {}, true},
+		"unsafe":          {func(c *Config) { c.Classes[0].Effect = Unsafe }, false},
+		"no cancel":       {func(c *Config) { c.Cancel = false }, false},
+		"one attempt":     {func(c *Config) { c.MaxAttempts = 1 }, false},
+		"no budget":       {func(c *Config) { c.ExtraFree, c.ExtraPerRequest, c.ExtraWindow = 0, 0, 5 }, false},
+		"no other holder": {func(c *Config) { c.Reach, c.Cells = 1, 4 }, false},
 	} {
 		cfg := testConfig(Safe)
 		cfg.SecondCopies = false
@@ -449,10 +452,10 @@
 		acts = r.advance(2)
 		cancels := withVerb(Cancel, acts)
 		if n := len(withVerb(Send, acts)); n > 0 {
-			t.Errorf("%s: %d sends while the first attempt is out", name, n)
+			t.Errorf("%s: %d sends while the first attempt is in flight", name, n)
 		}
 		if c.moves != (len(cancels) == 1 && cancels[0].Part == parts[0]) {
-			t.Errorf("%s: cancelled %v", name, cancels)
+			t.Errorf("%s: unexpected cancellations %v", name, cancels)
 			continue
 		}
 		if !c.moves {
@@ -460,39 +463,39 @@
 		}
 		resent := withVerb(Send, r.endAttempt(parts[0], 0, first.Replica, Cancelled))
 		if len(resent) != 1 || resent[0].Replica == first.Replica {
-			t.Errorf("%s: after the end of the first attempt sent %v", name, resent)
+			t.Errorf("%s: after the end of the first attempt sent %v, want one attempt at another replica", name, resent)
 		}
 	}
 }
 
-// Guards against queues of parts that nobody needs in time any more: while latencies show queues a safe part is sent with
-// what is left of its query's promise as its time. Without queues, for other classes it has
-// as long as its client waits, and a route's own time holds where it is shorter.
+// Guards against queues of parts whose answers would come too late: while latencies show queues, an attempt of a safe part
+// times out with the promise of its query. Without queues, and for other classes, it may take as long as the client waits.
+// A route's own timeout holds where it is shorter.
 func TestAttemptTimeEndsWithThePromiseWhileQueuesShow(t *testing.T) {
 	for name, c := range map[string]struct {
-		stress    float64
-		configure func(*Config)
-		route     float64
-		want      float64
+		recentLatency float64
+		configure     func(*Config)
+		routeTimeout  float64
+		want          float64
 	}{
-		"queues":          {0.5, func(*Config) {}, 0, 1},
-		"none":            {0.1, func(*Config) {}, 0, 0},
-		"unsafe":          {0.5, func(c *Config) { c.Classes[0].Effect = Unsafe }, 0, 0},
-		"keyed":           {0.5, func(c *Config) { c.Classes[0].Effect = Keyed }, 0, 0},
-		"shorter route":   {0.5, func(*Config) {}, 0.3, 0.3},
-		"longer route":    {0.5, func(*Config) {}, 2, 1},
-		"route, no queue": {0.1, func(*Config) {}, 2, 2},
+		"queues":           {0.5, func(*Config) {}, 0, 1},
+		"no queues":        {0.1, func(*Config) {}, 0, 0},
+		"unsafe":           {0.5, func(c *Config) { c.Classes[0].Effect = Unsafe }, 0, 0},
+		"keyed":            {0.5, func(c *Config) { c.Classes[0].Effect = Keyed }, 0, 0},
+		"shorter route":    {0.5, func(*Config) {}, 0.3, 0.3},
+		"longer route":     {0.5, func(*Config) {}, 2, 1},
+		"route, no queues": {0.1, func(*Config) {}, 2, 2},
 	} {
 		cfg := testConfig(Safe)
 		c.configure(&cfg)
 		r := newRig(t, cfg)
-		r.p.recentLatency.value = c.stress
-		lim := Limits{AttemptTimeout: c.route}
+		r.p.recentLatency.value = c.recentLatency
+		lim := Limits{AttemptTimeout: c.routeTimeout}
 		acts := r.handle(
 			Event{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 1, Limits: &lim},
 			Event{Kind: PartArrived, Part: 501, Group: 500, Weight: 1})
 		if s := withVerb(Send, acts); len(s) != 1 || math.Abs(s[0].AttemptTimeout-c.want) > 1e-9 {
-			t.Errorf("%s: sent %v, want a time of %v", name, s, c.want)
+			t.Errorf("%s: sent %v, want a timeout of %v", name, s, c.want)
 		}
 	}
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -10,8 +10,8 @@
 	. "birchcart/policy"
 )
 
-// streamDigests are the digests of all actions of seeded runs, one for each seed and with it one for each configuration
-// (see randomConfig). They were recorded before the decisions were split into files by stage.
+// streamDigests holds the digest of all actions of each seeded run, one for each seed. Each seed has its own configuration
+// (see randomConfig). The digests were recorded before the decisions were split into files by stage.
 var streamDigests = []string{
 	"4effe4e42ed09ab47ddea6effcf20f27", "02d2702306bfbaaf6d927734da927edb", "7bfd4e53e9107a38615a6076c6474001",
 	"6aa01d72ed554f21fb3b08d621586a60", "6c547cb3c80ac9387e1f8da2e8a2c2c7", "0ced1a9e7c14c94fef2963c651abcb4f",
@@ -23,11 +23,12 @@
 	"586e546e97a6f0c212dfaf6451d2472e", "517dabda3cbe28f0d51cfea251785d0b", "c46a0f622816e14414eeb447415bdd61",
 }
 
+// routeLimits holds the limits of routes 1 to 3.
 var routeLimits = []*Limits{
 	{Timeout: 1, AttemptTimeout: 0.4, MaxAttempts: 2}, {StepTimeout: 0.6, NoCopies: true, Yield: true}, {CopyAfter: 0.5, BudgetShare: 0.3, MaxRetryAfter: 0.1, Floor: 0.9},
 }
 
-// addRoutesAndWork gives most queries a route with limits, and parts a hint of their work.
+// addRoutesAndWork gives most queries a route with limits, and each part a work hint.
 func addRoutesAndWork(ev *Event) {
 	switch ev.Kind {
 	case QueryArrived:
@@ -39,7 +40,8 @@
 	}
 }
 
-// recordedForm is an action in the form of the recorded streams, which is older than its reason: that is for the log alone.
+// recordedForm returns an action in the form in which the streams were recorded. It has no Reason: that field was added
+// later, for the log only.
 func recordedForm(a Action) any {
 	return struct {
 		Verb                         Verb
@@ -51,11 +53,12 @@
 	}{a.Verb, a.Complete, a.Query, a.Part, a.Replica, a.Handle, a.Attempt, a.AttemptTimeout, a.After, a.Text}
 }
 
-// A change that is meant to change no decision leaves each stream of actions as it was, byte for byte. One that is
-// meant to change some records anew what this test prints, and says so.
+// Guards against unintended changes of decisions: a change that is meant to alter none leaves each stream of actions the
+// same, byte for byte. A change that is meant to alter some updates the digests to those that this test prints, and its
+// commit says so.
 func TestSeededStreamsStayTheSame(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64: others may fuse products and sums, which rounds otherwise")
+		t.Skip("recorded on amd64: other architectures may fuse multiplications and additions, which rounds differently")
 	}
 	seen := map[Verb]int{}
 	for seed := range uint64(24) {
@@ -74,18 +77,18 @@
 			if i%150 == 149 {
 				sim.handle([]Event{{Kind: ListFailed}})
 			}
-			if i%300 == 299 { // the instance stands still
+			if i%300 == 299 { // the instance stalls
 				sim.now += 0.4
 			}
 		}
 		got := hex.EncodeToString(sum.Sum(nil))
 		if seed >= uint64(len(streamDigests)) || got != streamDigests[seed] {
-			t.Errorf("seed %d: the stream of actions has digest %q", seed, got)
+			t.Errorf("seed %d: the stream of actions has the unexpected digest %q", seed, got)
 		}
 	}
 	for _, v := range []Verb{Send, Cancel, Answer, Refuse, Fail, Timer, Watch, Log} {
 		if seen[v] < 20 {
-			t.Errorf("%d actions of verb %d: too few to tell anything", seen[v], v)
+			t.Errorf("%d actions of verb %d: too few for the streams to cover it", seen[v], v)
 		}
 	}
 }
