--- a/internal/fleet/lanes/admit.go
+++ b/internal/fleet/lanes/admit.go
@@ -1,6 +1,8 @@
-// Package lanes is one co-ordinator's part of load shedding by priority: Control finds the share of the work that the fleet
-// has to refuse, from the pressure that all members report, and Gate admits or refuses each query by its lane and its account's
-// guarantee. It is pure: times and the members' reports come in, there is no clock, goroutine or I/O.
+// Package lanes implements one co-ordinator's share of load shedding by priority lanes. Control computes the shed level, the
+// fraction of all work that the fleet has to refuse, from the pressure that all members report. Gate admits or refuses each query
+// by that level, the query's lane and its account's guarantee.
+//
+// The package is pure: the current time and the members' reports are passed in, and it uses no clock, goroutine or I/O.
 package lanes
 
 import (
@@ -10,18 +12,18 @@
 	"birchcart/internal/fleet/laneconfig"
 )
 
-// Reason is why a query was admitted or refused.
+// Reason tells why a query was admitted or refused.
 type Reason uint8
 
-// NumReasons for an admission or a refusal.
+// Reasons for an admission or a refusal.
 const (
-	Free       Reason = iota // nothing is shed, or not of it
-	Guaranteed               // within its account's guarantee
-	Floor                    // its lane's
-	ClassFloor               // its class's
-	Borrowed                 // beyond its guarantee, from what others leave idle of theirs
-	Shed                     // refused: its lane, or its account in this slot, is shed
-	OverLimit                // refused: its account is over its most
+	Free       Reason = iota // admitted: nothing is shed, or nothing of this account or key
+	Guaranteed               // admitted within its account's guarantee
+	Floor                    // admitted within the floor of its lane
+	ClassFloor               // admitted within the floor of its class
+	Borrowed                 // admitted beyond its account's guarantee, from the unused guarantees of other accounts
+	Shed                     // refused: its lane is shed, or its account or key is shed in this slot
+	OverLimit                // refused: its account is over its limit
 	NumReasons
 )
 
@@ -29,35 +31,35 @@
 
 func (r Reason) String() string { return reasonNames[min(r, NumReasons-1)] }
 
-// Refused tells whether it is a reason to refuse.
+// Refused reports whether r is a reason for a refusal.
 func (r Reason) Refused() bool { return r >= Shed }
 
-// Query is a query that comes.
+// Query is an incoming query as the gate sees it.
 type Query struct {
-	Account   int // its place in the set, -1 for none
+	Account   int // index in the set, -1 for none
 	Class     int
-	Key       uint64 // of who asks, where it is of no account: all it asks is cut or not for a slot
-	Partition uint64 // of its account, which is cut by pieces; 0: it is cut whole
+	Key       uint64 // identifies the sender if there is no account; within a slot, all queries with the same key are shed or admitted alike
+	Partition uint64 // partition of a large account, which is shed by partitions; 0 if the account is shed as a whole
 	Cost      float64
-	Retry     bool // a repeat: it is counted, and charged as any
+	Retry     bool // the client repeats the query; it is counted as a retry and charged like any other
 }
 
-// Decision is the word on it.
+// Decision is the gate's answer to a query.
 type Decision struct {
 	Admitted       bool
 	Reason         Reason
-	Lane           int           // that it counts as of: not its account's where it is beyond a guarantee or the lane's most
-	RetryAfter     time.Duration // refused: when to come back; 0 for no advice
-	PromiseDivisor float64       // admitted: see policy.Limits
+	Lane           int           // lane that the query counts towards: the last one if the query is beyond a guarantee or its lane's limit
+	RetryAfter     time.Duration // of a refused query: when the client may retry; 0 to give no time
+	PromiseDivisor float64       // of an admitted query, see policy.Limits
 }
 
-// WithinGuarantee tells whether it was within a guarantee, for the Meter.
+// WithinGuarantee reports whether the query was admitted within a guarantee, for pressure.Meter.
 func (v *Decision) WithinGuarantee() bool { return v.Reason == Guaranteed }
 
-// PartitionKey is what a piece of those with a key is cut by; piece 0 is all of them.
+// PartitionKey returns the key by which one partition of a key's queries is shed. Partition 0 stands for all of them.
 func PartitionKey(key, partition uint64) uint64 { return key + partition*0x9e3779b97f4a7c15 }
 
-// slotHash spreads a key evenly over all numbers, another way in each slot.
+// slotHash spreads keys evenly over all numbers, differently in each slot.
 func slotHash(key, slot uint64) uint64 {
 	x := key + (slot+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -65,7 +67,7 @@
 	return x ^ x>>31
 }
 
-// Admit decides on a query. What it refuses is charged nothing.
+// Admit admits or refuses a query. Only an admitted query is charged to buckets.
 func (g *Gate) Admit(now time.Duration, q Query) Decision {
 	now = g.advance(now)
 	v := g.decide(now, &q)
@@ -81,7 +83,7 @@
 	return v
 }
 
-// decide fills buckets and takes nothing out.
+// decide determines the decision on a query. It refills buckets but takes nothing out of them.
 func (g *Gate) decide(now time.Duration, q *Query) (v Decision) {
 	if !(q.Cost >= 0) || math.IsInf(q.Cost, 0) {
 		q.Cost = 1
@@ -144,10 +146,10 @@
 	return v
 }
 
-// stale says that this co-ordinator has stood still since the last Level.
+// stale reports whether this co-ordinator counts as stalled, see StaleAfter.
 func (g *Gate) stale(now time.Duration) bool { return now-g.levelSetAt > StaleAfter }
 
-// limitRate is the own part of an account's most: as large as that of its guarantee.
+// limitRate is this co-ordinator's share of an account's limit: the same fraction as its share of the account's guarantee.
 func (g *Gate) limitRate(a *account, config *laneconfig.Account) float64 {
 	if config.Guarantee > 0 {
 		return config.MaxShare * g.capacity * a.share / config.Guarantee
@@ -155,7 +157,7 @@
 	return config.MaxShare * g.capacity / g.members
 }
 
-// charge takes an admitted query out of each bucket that it counts in.
+// charge takes the cost of an admitted query out of each bucket that it counts towards.
 func (g *Gate) charge(q *Query, v *Decision) {
 	if q.Account >= 0 && q.Account < len(g.accounts) {
 		a, config := &g.accounts[q.Account], &g.set.Accounts[q.Account]
@@ -173,7 +175,7 @@
 	if v.Reason == Guaranteed || g.level == 0 {
 		return
 	}
-	// What a lane or class has anyhow counts for its floor, but leaves it no debt.
+	// A query admitted for another reason also uses up the floors of its lane and class, but does not drive them below zero.
 	l.floor.tokens = max(l.floor.tokens-q.Cost, min(l.floor.tokens, lowestFloorBalance(v.Reason == Floor, q.Cost)))
 	if q.Class >= 0 && q.Class < len(g.classes) {
 		c := &g.classes[q.Class]
@@ -184,7 +186,7 @@
 	}
 }
 
-// lowestFloorBalance is down to where a floor may be charged.
+// lowestFloorBalance returns the balance down to which a floor may be charged: below zero only if this floor admitted the query.
 func lowestFloorBalance(byFloor bool, cost float64) float64 {
 	if byFloor {
 		return -cost
@@ -192,8 +194,9 @@
 	return 0
 }
 
-// retryAfter is a time to come back: when this slot is over, or a bucket that lacks so much has some again; spread over a slot or
-// over as long again, so that those who are refused together don't come together.
+// retryAfter returns when to retry a refused query: at the end of this slot or, if rate is over 0, when a bucket that lacks deficit
+// has refilled. A pseudo-random part of a slot, or of that refill time, is added so that queries refused together do not return
+// together. It returns 0 for classes whose refusals give no time.
 func (g *Gate) retryAfter(now time.Duration, q *Query, deficit, rate float64) time.Duration {
 	if q.Class >= 0 && q.Class < len(g.set.Classes) && !g.set.Classes[q.Class].SendRetryAfter {
 		return 0
@@ -208,8 +211,8 @@
 	return time.Duration(min(wait+fraction*window, MaxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// MaxRetryAfter is the longest time to come back.
+// MaxRetryAfter is the longest Decision.RetryAfter.
 const MaxRetryAfter = time.Hour
 
-// Counts gives what was counted.
+// Counts returns the counts of queries so far.
 func (g *Gate) Counts() Counts { return g.counts }
--- a/internal/fleet/lanes/check.go
+++ b/internal/fleet/lanes/check.go
@@ -7,8 +7,8 @@
 	"birchcart/internal/fleet/pressure"
 )
 
-// auditor follow what the gate does by counts of their own, and keep the first rule that was broken. They know what each floor and
-// guarantee brings, and what was admitted; the gate's buckets they don't look at.
+// auditor checks the gate's decisions independently and keeps the first violation of a rule. It tracks the allowance of each floor and
+// guarantee from its rate and the admitted queries, and does not read the gate's buckets.
 type auditor struct {
 	lanes       [pressure.MaxLanes]allowance
 	accounts    []allowance
@@ -18,14 +18,14 @@
 	violation   error
 }
 
-// allowance is what a rate has brought and nobody used, up to a burst.
+// allowance is the unused cost that has accrued at a rate, limited to a burst.
 type allowance struct {
 	rate, remaining float64
-	ofGuarantee     bool // of a guarantee
+	ofGuarantee     bool // the rate is an account's guarantee
 	updatedAt       time.Duration
 }
 
-// tolerance is by how much two sums of the same may differ.
+// tolerance is the rounding error allowed between two sums of the same amounts.
 const tolerance = 1e-6
 
 func (a *allowance) refill(now time.Duration) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateRates takes the rates of floors from now on.
+// updateRates applies the rates of floors and guarantees that hold from now on.
 func (au *auditor) updateRates(now time.Duration, g *Gate) {
 	for j := range au.lanes {
 		au.lanes[j].refill(now)
@@ -74,7 +74,7 @@
 	}
 }
 
-// observe looks at a verdict.
+// observe records a decision and checks it if it is a refusal.
 func (au *auditor) observe(now time.Duration, g *Gate, q *Query, v *Decision) {
 	l := &au.lanes[v.Lane]
 	l.refill(now)
@@ -107,19 +107,20 @@
 	name := g.set.Lanes[v.Lane].Name
 	switch {
 	case g.level == 0:
-		au.violation = fmt.Errorf("L6: a query of cost %.2f in lane %s is %s at level 0", q.Cost, name, v.Reason)
+		au.violation = fmt.Errorf("L6: query of cost %.2f in lane %s was refused (%s) at level 0", q.Cost, name, v.Reason)
 	case v.Reason == Shed && l.remaining > tolerance:
-		au.violation = fmt.Errorf("L1: a query of cost %.2f in lane %s is refused with %.3f left of its floor of %.3f/s", q.Cost, name, l.remaining, l.rate)
+		au.violation = fmt.Errorf("L1: query of cost %.2f in lane %s was refused with %.3f unused of the lane's floor of %.3f/s", q.Cost, name, l.remaining, l.rate)
 	case a != nil && a.rate > 0 && a.remaining > tolerance && !g.stale(g.now):
-		au.violation = fmt.Errorf("L2: a query of cost %.2f of account %s is %s with %.3f left of its guarantee of %.3f/s", q.Cost,
+		au.violation = fmt.Errorf("L2: query of cost %.2f of account %s was refused (%s) with %.3f unused of its guarantee of %.3f/s", q.Cost,
 			g.set.Accounts[q.Account].Name, v.Reason, a.remaining, a.rate)
 	case v.RetryAfter < 0 || v.RetryAfter > MaxRetryAfter:
-		au.violation = fmt.Errorf("L3: a query in lane %s is told to come back in %v", name, v.RetryAfter)
+		au.violation = fmt.Errorf("L3: refused query in lane %s has invalid retry time %v", name, v.RetryAfter)
 	}
 }
 
-// Check names the first of L1 (no lane refused with its floor not used up), L2 (no account within its guarantee), L3 (refused at
-// once and for nothing: a refusal is counted, and no more) and L6 (none at level 0) that did not hold, with the evidence.
+// Check returns the first violation of one of these rules, with its evidence. L1: no lane is refused while its floor is not used up.
+// L2: no account is refused within its guarantee. L3: a refusal is immediate and has no effect other than being counted.
+// L6: nothing is refused at level 0.
 func (g *Gate) Check() error {
 	if g.auditor.violation != nil {
 		return g.auditor.violation
@@ -135,7 +136,7 @@
 		}
 	}
 	if admitted != g.auditor.admitted || refused != g.auditor.refused {
-		return fmt.Errorf("L3: %d admitted and %d refused by reason, %d and %d by verdict", admitted, refused, g.auditor.admitted, g.auditor.refused)
+		return fmt.Errorf("L3: %d admitted and %d refused in the counts by reason, %d and %d by the auditor", admitted, refused, g.auditor.admitted, g.auditor.refused)
 	}
 	return nil
 }
--- a/internal/fleet/lanes/control.go
+++ b/internal/fleet/lanes/control.go
@@ -10,136 +10,141 @@
 
 // Parameters of the level controller.
 const (
-	// OnsetPressure is the fleet's pressure at which a calm one begins to shed, if its own queries show it too.
+	// OnsetPressure is the fleet pressure above which shedding begins, if the co-ordinator's own queries show pressure too.
 	OnsetPressure = 0.06
-	// JoinAfter is how long most others must shed before one joins whose own queries show nothing: longer than any word counts, so
-	// that false ones have to be most by chance twice.
+	// JoinAfter is how long most other co-ordinators must shed before one joins whose own queries show no pressure. It is longer
+	// than any report stays valid, so false reports would have to be in the majority by chance twice.
 	JoinAfter = 3 * time.Second
-	// TargetPressure is the pressure at which the level rests: the module still turns this part away.
+	// TargetPressure is the pressure at which the level settles: package policy still refuses this fraction of the queries.
 	TargetPressure = 0.04
-	// Gain is by what part a second what the fleet is thought to bear moves for each 1 of pressure off Aim. News are 1.5 s old, so
-	// that 1 would swing.
+	// Gain is the relative change per second of the capacity estimate for each unit by which pressure differs from TargetPressure.
+	// Reports are 1.5 s old; with that delay a gain of 1 would oscillate.
 	Gain = 0.1
-	// Damping is by what part what is let in is less than what is borne, for each 1 of pressure over Aim.
+	// Damping is the fraction by which the admitted rate is below the estimated capacity, for each unit of pressure over
+	// TargetPressure.
 	Damping = 0.4
-	// PeakDecay is how long the most that came back counts, fading: at the start of a storm the module turns nearly all away for a
-	// moment.
+	// PeakDecay is the time constant with which the peak throughput decays. The peak is kept because policy
+	// refuses nearly everything for a moment at the start of an overload.
 	PeakDecay = 10 * time.Second
-	// MaxRiseRate is the most by which it rises a second, reached after RiseRampTime without pressure.
+	// MaxRiseRate is the highest relative growth per second of the estimate, reached after RiseRampTime without pressure.
 	MaxRiseRate  = 0.15
 	RiseRampTime = 3 * time.Second
-	// Headroom is how far over what comes back in time it may rise: the level falls no faster than work comes back.
+	// Headroom is the fraction by which a rising estimate may exceed the rate that is answered in time, so that the level falls no
+	// faster than that rate recovers.
 	Headroom = 0.15
-	// KneeZoneAbove is how near to what came back under pressure the estimate rises slowly, and KneeRampTime after how long without pressure
-	// as fast as anywhere.
+	// KneeZoneAbove and KneeZoneBelow bound a zone around the knee, which is the throughput seen under pressure, as fractions of it.
+	// In that zone the estimate grows more slowly: it reaches MaxRiseRate after KneeRampTime without pressure.
 	KneeZoneAbove = 0.12
 	KneeZoneBelow = 0.12
 	KneeRampTime  = 40 * time.Second
-	// KneeConfirmAfter without pressure, and what comes back when it grows anew is what is borne.
+	// KneeConfirmAfter is how long there must have been no pressure for its return to confirm the knee: the throughput at that
+	// moment is then taken for the capacity.
 	KneeConfirmAfter = 2 * time.Second
-	// UnconfirmedRiseRate is how fast the estimate rises a second until then: at its start a storm says less than is borne.
+	// UnconfirmedRiseRate is the lowest relative growth per second without pressure until the knee is confirmed: the throughput
+	// at the start of an overload is below the capacity.
 	UnconfirmedRiseRate = 0.05
-	// KneeDecay is by which part the knee falls a second when less comes back.
+	// KneeDecay is the relative fall of the knee per second while there is pressure and the throughput is lower.
 	KneeDecay = 0.05
-	// FallTime is in what time the estimate goes down to what comes back when queues show.
+	// FallTime is the time in which the estimate falls to the throughput when there is pressure.
 	FallTime = 2 * time.Second
-	// HighPressure is the pressure from which what comes back says at once what is borne, less Margin.
+	// HighPressure is the pressure above which the estimate is cut to the peak throughput, less the fraction Margin.
 	HighPressure = 0.12
 	Margin       = 0.01
-	// CutSettleTime is until the effect of a cut shows in the news: pressure until then is of before, and what came back was held down by
-	// the module. Until then the estimate goes no lower than MinCutRatio of what came back when it began.
+	// CutSettleTime is how long it takes until reports show the effect of a cut of the estimate. Until then, the reported pressure is
+	// older than the cut, and the throughput was held down by policy. During that time the estimate does not fall below MinCutRatio
+	// of the lower of estimate and peak throughput at the start of the cut.
 	CutSettleTime = 3 * time.Second
 	MinCutRatio   = 0.9
-	// MaxFall is by which part it may fall in a step of Every.
+	// MaxFall is the largest relative fall of the estimate in one StepInterval.
 	MaxFall = 0.35
-	// ConsensusGain is which part of what one is off from the others it makes good in a second.
+	// ConsensusGain is the fraction per second of the difference from the fleet's level that a co-ordinator corrects.
 	ConsensusGain = 0.8
-	// BlindPressure is the pressure from which nearly all is turned away, so that what comes back says nothing of what is borne: the peak
-	// then stays.
+	// BlindPressure is the pressure above which policy refuses nearly everything, so that the throughput says nothing about the
+	// capacity. Above it the peak throughput does not decay.
 	BlindPressure = 0.6
-	// OfferedWindow is over what the fleet's asked rate is smoothed where it is OfferedJump or more off; what is nearer is chance and goes
-	// by OfferedSlowWindow.
+	// OfferedWindow is the time constant for smoothing the fleet's offered rate if it differs from the smoothed rate by the fraction
+	// OfferedJump or more. Smaller differences are noise and are smoothed more slowly, with up to OfferedSlowWindow.
 	OfferedWindow     = 300 * time.Millisecond
 	OfferedJump       = 0.3
 	OfferedSlowWindow = 4 * time.Second
-	// ThroughputWindow is over what the rate that comes back is smoothed.
+	// ThroughputWindow is the time constant for smoothing the throughput.
 	ThroughputWindow = 700 * time.Millisecond
-	// PressureWindow is over what pressure is smoothed for Damp.
+	// PressureWindow is the time constant for smoothing the pressure that Damping applies to.
 	PressureWindow = 500 * time.Millisecond
-	// MinLevel is the lowest level: what is less is 0.
+	// MinLevel is the lowest level; lower ones become 0.
 	MinLevel = 0.01
-	// MaxLevelRise and MaxLevelFall are the most that the level moves a second.
+	// MaxLevelRise and MaxLevelFall are the most that the level changes per second.
 	MaxLevelRise = 1.6
 	MaxLevelFall = 0.8
-	// CalmAfter without pressure and with all let in it is no storm any more.
+	// CalmAfter is how long there must be no pressure, with all queries admitted, before an overload is considered over.
 	CalmAfter = 5 * time.Second
-	// FadeTime is in what time a level goes without fresh news, down to what the own pressure asks.
+	// FadeTime is how long the level takes, without fresh reports, to fade to what the co-ordinator's own pressure justifies.
 	FadeTime = 5 * time.Second
-	// StepInterval is the step that the constants are for.
+	// StepInterval is the time between steps that these constants assume.
 	StepInterval = 250 * time.Millisecond
 
-	levelHistory = 16 // own levels, for as long back as news may be old
+	levelHistory = 16 // past levels that are kept: as many steps as reports may be old
 )
 
-// Control finds the level: which share of all work asked is to be shed. It keeps one estimate, of what the fleet bears.
+// Control computes the shed level: the fraction of all offered work that is refused. Its state is an estimate of the fleet's capacity.
 type Control struct {
-	maxLevel         float64 // the level's
+	maxLevel         float64 // highest level allowed
 	started          bool
 	now              time.Duration
 	overloaded       bool
-	peakThroughput   float64       // the most that came back of late
-	throughput       float64       // what comes back
-	cutStartedAt     time.Duration // when a cut began whose effect is not seen yet
-	cutLimit         float64       // how far it may go
-	knee             float64       // what came back when pressure was last over Aim
-	kneeConfirmed    bool          // it was seen with queues that grew, not while the module turned nearly all away
-	smoothedPressure float64       // smoothed pressure
-	capacity         float64       // cost a second, of whom the figures are of: the fleet, or oneself without news
+	peakThroughput   float64       // decaying peak of the throughput
+	throughput       float64       // smoothed cost per second that is answered
+	cutStartedAt     time.Duration // start of the last cut of the estimate
+	cutLimit         float64       // lowest estimate that this cut may reach
+	knee             float64       // throughput when pressure was last over TargetPressure
+	kneeConfirmed    bool          // the knee was seen while queues grew, not while policy refused nearly everything
+	smoothedPressure float64
+	capacity         float64 // estimated cost per second that the fleet can serve, or this co-ordinator alone while isolated
 	offered          float64
 	level            float64
-	isolatedSince    time.Duration // since when there is no fresh news; -1: there is
-	isolatedLevel    float64       // updateRates when news ended
-	lastPressureAt   time.Duration // since when it is under Aim
+	isolatedSince    time.Duration // when fresh reports ended; -1 while there are some
+	isolatedLevel    float64       // level when fresh reports ended
+	lastPressureAt   time.Duration // when pressure was last over TargetPressure
 	pastLevels       [levelHistory]float64
 	steps            int
 	own              pressure.LocalLoad
 	fleetCalmAt      time.Duration // when most others last shed nothing
-	lastCauseAt      time.Duration // when there was cause to shed
+	lastCauseAt      time.Duration // when there was last pressure over TargetPressure in an overload
 }
 
-// NewControl gives one whose level is at most most: 1 less all floors and guarantees.
+// NewControl returns a controller whose level is at most maxLevel: 1 less all floors and guarantees.
 func NewControl(maxLevel float64) *Control {
 	return &Control{maxLevel: min(1, max(0, maxLevel)), isolatedSince: -1}
 }
 
-// SetMaxLevel changes the highest level, with another configuration.
+// SetMaxLevel changes the highest level, after a change of configuration.
 func (c *Control) SetMaxLevel(maxLevel float64) {
 	c.maxLevel = min(1, max(0, maxLevel))
 	c.level = min(c.level, c.maxLevel)
 }
 
-// SetLevel is the last one.
+// Level returns the level of the last step.
 func (c *Control) Level() float64 { return c.level }
 
-// Capacity is the cost a second that the fleet is thought to bear; without a storm what it is asked.
+// Capacity returns the fleet's estimated capacity in cost per second, but no more than the offered rate.
 func (c *Control) Capacity() float64 { return min(c.capacity, c.offered) }
 
-// Estimate is what Control goes by, in cost a second, for the log.
+// Estimate holds the controller's estimates for the log, in cost per second.
 type Estimate struct {
-	Capacity       float64 // what the fleet is thought to bear, however much is asked for
+	Capacity       float64 // of the fleet, not limited by what is offered
 	Offered        float64 // smoothed
 	Throughput     float64 // smoothed
-	PeakThroughput float64 // the most that came back of late
-	Knee           float64 // what came back when queues last grew
+	PeakThroughput float64 // decaying peak
+	Knee           float64 // throughput when queues last grew
 	Overloaded     bool
 }
 
-// Estimate is that of the last step.
+// Estimate returns the estimates of the last step.
 func (c *Control) Estimate() Estimate {
 	return Estimate{Capacity: c.capacity, Offered: c.offered, Throughput: c.throughput, PeakThroughput: c.peakThroughput, Knee: c.knee, Overloaded: c.overloaded}
 }
 
-// Step gives the level of now, from the fleet's figures or, without fresh ones, from the own.
+// Step computes the level from the fleet's figures or, if there are no fresh ones, from the co-ordinator's own.
 func (c *Control) Step(now time.Duration, fleet pressure.FleetLoad, own pressure.LocalLoad) float64 {
 	if !c.started {
 		c.started, c.now, c.lastPressureAt, c.fleetCalmAt, c.lastCauseAt = true, now, now, now, now-time.Hour
@@ -150,7 +155,7 @@
 	if fleet.Known {
 		c.updateEstimate(fleet, dt, fresh)
 	} else if c.isolatedSince >= 0 && c.now-c.isolatedSince >= FadeTime {
-		c.overloaded = false // neither the fleet nor oneself tells anything
+		c.overloaded = false // neither the fleet's figures nor this co-ordinator's are known
 	}
 	level := 0.0
 	if c.overloaded {
@@ -173,10 +178,10 @@
 	return level
 }
 
-// selectFigures are the fleet's, or the own in their place.
+// selectFigures returns the fleet's figures if they are fresh, otherwise the co-ordinator's own, and whether they are the fleet's.
 func (c *Control) selectFigures(fleet pressure.FleetLoad, own pressure.LocalLoad) (pressure.FleetLoad, bool) {
 	if fleet.Known && finite(fleet) {
-		if c.isolatedSince >= 0 { // back: what one bears is no measure of the fleet
+		if c.isolatedSince >= 0 { // fresh reports again: the capacity of this co-ordinator alone says nothing about the fleet's
 			c.isolatedSince, c.offered = -1, fleet.Offered
 			c.capacity = (1 - c.level) * fleet.Offered
 		}
@@ -194,8 +199,8 @@
 	return !math.IsNaN(sum) && !math.IsInf(sum, 0)
 }
 
-// ownLevel is the level that a co-ordinator's own figures ask for: what part of the queries that it let in it could not answer in
-// time. What its lanes shed is no part of that, or a level would hold itself.
+// ownLevel returns the level that a co-ordinator's own figures justify: the fraction of the queries it admitted that it could not answer
+// in time. What its lanes refused is not included because the level would then sustain itself.
 func ownLevel(own pressure.LocalLoad) float64 {
 	if !own.Known || own.Pressure <= TargetPressure || own.Offered <= 0 {
 		return 0
@@ -203,7 +208,7 @@
 	return min(1, own.Pressure)
 }
 
-// updateEstimate moves what is borne by the figures.
+// updateEstimate updates the capacity estimate from the current figures.
 func (c *Control) updateEstimate(fleet pressure.FleetLoad, dt time.Duration, fresh bool) {
 	seconds, p := dt.Seconds(), fleet.Pressure
 	if c.offered <= 0 {
@@ -214,20 +219,21 @@
 	c.offered += (fleet.Offered - c.offered) * (1 - math.Exp(-float64(dt)/window))
 	c.smoothedPressure += (p - c.smoothedPressure) * (1 - math.Exp(-float64(dt)/float64(PressureWindow)))
 	served := max(fleet.InTime, fleet.Completed) / max(fleet.Offered, 1e-9)
-	offered := c.offered + min(1, 3*deviation)*(fleet.Offered-c.offered) // while load steps, what is smoothed is short of it
+	offered := c.offered + min(1, 3*deviation)*(fleet.Offered-c.offered) // the smoothed rate lags while load jumps
 	c.throughput += (served*offered - c.throughput) * (1 - math.Exp(-float64(dt)/float64(ThroughputWindow)))
 	if p <= BlindPressure {
 		c.peakThroughput *= math.Exp(-float64(dt) / float64(PeakDecay))
 	}
 	c.peakThroughput = max(c.throughput, c.peakThroughput)
 	if p > TargetPressure {
-		if c.overloaded && c.now-c.lastPressureAt >= KneeConfirmAfter { // queues grow anew: now they are what is borne
+		if c.overloaded && c.now-c.lastPressureAt >= KneeConfirmAfter { // queues grow again: the throughput is now at the capacity
 			c.kneeConfirmed, c.knee = true, c.throughput
 		}
 		c.lastPressureAt = c.now
 	}
 	if !c.overloaded {
-		// What others say is not enough: they may be wrong by chance. The own queries show it, or most others shed.
+		// Reports of others are not enough because they may be wrong by chance: this co-ordinator's queries must show pressure too, or
+		// most others must have shed for JoinAfter.
 		if fleet.Level <= MinLevel {
 			c.fleetCalmAt = c.now
 		}
@@ -240,7 +246,8 @@
 	if p > TargetPressure {
 		c.lastCauseAt = c.now
 	}
-	if p > TargetPressure { // queues: what comes back is what is borne, but for a moment in which the module turned nearly all away
+	if p > TargetPressure {
+		// Queues grow, so the throughput is the capacity, except while policy refuses nearly everything for a moment.
 		c.knee *= math.Exp(-KneeDecay * seconds)
 	}
 	c.knee = max(c.knee, c.throughput)
@@ -267,8 +274,8 @@
 	} else if capacity > c.capacity {
 		capacity = max(c.capacity, min(capacity, (1+Headroom)*c.offered*fleet.InTime/max(fleet.Offered, 1e-9)))
 	}
-	if fresh { // without news what came back is another's
-		capacity = max(capacity, c.throughput) // what comes back is borne, whatever the pressure
+	if fresh { // while isolated, the throughput is not the fleet's
+		capacity = max(capacity, c.throughput) // what is answered is within the capacity, whatever the pressure
 	}
 	if stepsBack := int(fleet.MeanAge / StepInterval); fresh && stepsBack < min(c.steps, levelHistory) && (c.level > 0 || fleet.Level > MinLevel) {
 		capacity -= ConsensusGain * seconds * (fleet.Level - c.pastLevels[(c.steps-1-stepsBack)%levelHistory]) * c.offered
@@ -279,21 +286,21 @@
 	}
 }
 
-// Check tells of L4, that without fresh news no more is shed than the own pressure asks once FadeTime is over, and of L6, that
-// nothing is shed but for a cause that was there.
+// Check returns a violation of one of these rules. L4: if there were no fresh reports for FadeTime, no more is shed than the
+// co-ordinator's own pressure justifies. L6: nothing is shed without a cause.
 func (c *Control) Check() error {
 	if c.level != c.level || c.level < 0 || c.level > c.maxLevel {
-		return fmt.Errorf("L6: level %v of at most %v", c.level, c.maxLevel)
+		return fmt.Errorf("L6: level %v is not between 0 and %v", c.level, c.maxLevel)
 	}
 	if c.isolatedSince >= 0 && c.now-c.isolatedSince > FadeTime && c.level > ownLevel(c.own)+1e-9 {
-		return fmt.Errorf("L4: level %.3f without news for %v, own pressure %.3f asks for %.3f", c.level, c.now-c.isolatedSince, c.own.Pressure, ownLevel(c.own))
+		return fmt.Errorf("L4: level %.3f without fresh reports for %v; own pressure %.3f justifies level %.3f", c.level, c.now-c.isolatedSince, c.own.Pressure, ownLevel(c.own))
 	}
 	if c.level > 0 && c.now-c.lastCauseAt > MaxCauseAge {
-		return fmt.Errorf("L6: level %.3f, no pressure over %v for %v", c.level, TargetPressure, c.now-c.lastCauseAt)
+		return fmt.Errorf("L6: level %.3f without pressure over %v for %v", c.level, TargetPressure, c.now-c.lastCauseAt)
 	}
 	return nil
 }
 
-// MaxCauseAge is how long after the last pressure over Aim a level over 0 has a cause: what is borne has to rise from a hundredth to
-// all, by MaxRiseRate a second.
+// MaxCauseAge is how long after the last pressure over TargetPressure a level over 0 is justified: the estimate may have to grow from
+// a hundredth of the offered rate to all of it, by at most MaxRiseRate per second.
 const MaxCauseAge = 40 * time.Second
--- a/internal/fleet/lanes/control_test.go
+++ b/internal/fleet/lanes/control_test.go
@@ -11,11 +11,11 @@
 	"birchcart/internal/fleet/pressure"
 )
 
-// modelSize of the plant: small in a short run; LANES_LONG=1 takes 300 co-ordinators and ten minutes
-// where it matters if it is 2, LANES_LOAD one load of them.
+// modelSize returns how many co-ordinators the fleet model has, and whether the run is a long one. LANES_LONG=1 takes 300 co-ordinators,
+// LANES_LONG=2 also ten minutes where the duration matters. LANES_LOAD selects one load.
 func modelSize(t *testing.T) (n int, long bool) {
 	if raceEnabled {
-		t.Skip("the plant is one goroutine, and takes a minute so")
+		t.Skip("the fleet model runs in one goroutine, and takes a minute under the race detector")
 	}
 	if long = os.Getenv("LANES_LONG") != ""; long {
 		return 300, true
@@ -32,7 +32,7 @@
 	}
 }
 
-// settlingTime is how long after from the mean level is within by of the one it should be, and stays so for three seconds.
+// settlingTime is the time from from until the mean level is within maxError of level and stays so for three seconds.
 func (p *fleetModel) settlingTime(from, level, maxError float64) float64 {
 	since := math.Inf(1)
 	for _, m := range p.samples {
@@ -50,7 +50,7 @@
 	return math.Inf(1)
 }
 
-// firstLoss is when work was first refused or late.
+// firstLoss is the first time after from when more than 2 % of the work was refused by policy, late or abandoned.
 func (p *fleetModel) firstLoss(from float64) float64 {
 	for _, m := range p.samples {
 		if m.t > from && m.refused+m.late+m.abandoned > 0.02*m.offered {
@@ -60,17 +60,17 @@
 	return math.Inf(1)
 }
 
-// What the own lanes shed is no cause to shed: alone, a level that nothing but itself asks for would never go.
+// Guards against a level that sustains itself: an isolated co-ordinator that counted its lanes' refusals as pressure would shed forever.
 func TestOwnLevelExcludesLaneRefusals(t *testing.T) {
 	own := pressure.LocalLoad{Known: true, Pressure: 2 * TargetPressure, Offered: 100, InTime: 60, Completed: 60}
 	if level := ownLevel(own); level > 2*TargetPressure {
-		t.Errorf("asks for %.2f, though of what it let in a part of %.2f was not in time", level, own.Pressure)
+		t.Errorf("level %.2f, but only %.2f of the admitted work was not answered in time", level, own.Pressure)
 	}
 }
 
 func TestLevelSettlesQuicklyWithoutOscillating(t *testing.T) {
 	n, long := modelSize(t)
-	minInTime := 0.95 // in half a minute; in ten
+	minInTime := 0.95 // for half a minute; long runs must reach 0.97
 	if long {
 		minInTime = 0.97
 	}
@@ -95,10 +95,10 @@
 		want, sum := 1-1/x.load, p.aggregate(14, until)
 		firstLoss, swings := p.firstLoss(4), float64(p.swings(14, until, 0.05))*60/(until-14)
 		settled, inTime := p.settlingTime(4, want, 0.1), sum.inTime/(float64(n)*capacityPerMember*(until-14))
-		t.Logf("%.1f x: %.1f s after the step work was lost, level right after %.1f s; then %.3f, %.1f swings a minute, %.3f of capacity in time, %.3f refused by the module",
+		t.Logf("%.1f x load: first loss %.1f s after the step, level settled after %.1f s; then %.3f, %.1f swings a minute, %.3f of capacity answered in time, %.3f refused by policy",
 			x.load, firstLoss-4, settled, sum.mean, swings, inTime, sum.refused/sum.offered)
 		if x.load > 1 && settled > min(firstLoss-4, 3)+2.5 || math.Abs(sum.mean-want) > 0.03 || swings > x.swings || inTime < minInTime {
-			t.Errorf("%.1f x load", x.load)
+			t.Errorf("%.1f x load: level too slow, off or swinging, or too little answered in time", x.load)
 		}
 	}
 }
@@ -114,18 +114,18 @@
 	}
 	p.run(34)
 	settled, sum := p.settlingTime(20, 0, 0.1), p.aggregate(26, 34)
-	t.Logf("2 x to 0.7: within 0.1 after %.1f s, at 6 s %.3f", settled, sum.high)
+	t.Logf("load from 2 x to 0.7 x: level within 0.1 of 0 after %.1f s, at most %.3f after 6 s", settled, sum.high)
 	if settled > 3.5 || sum.mean > 0.005 {
-		t.Error("a level that stays")
+		t.Error("the level does not return to zero")
 	}
 	p = newFleetModel(n, 3)
-	p.load = func(t float64) float64 { return 1.6 * math.Pow(1.3, float64(int(t/3)%4-2)) } // 0.95 to 2.1, four steps
+	p.load = func(t float64) float64 { return 1.6 * math.Pow(1.3, float64(int(t/3)%4-2)) } // 0.95 to 2.1 in four steps
 	p.run(40)
 	sum = p.aggregate(10, 40)
 	inTime := sum.inTime / (float64(n) * capacityPerMember * 30)
-	t.Logf("steps of 30 %% each 3 s: mean level %.3f, %.3f of capacity in time, %.3f refused by the module", sum.mean, inTime, sum.refused/sum.offered)
+	t.Logf("load steps of 30 %% every 3 s: mean level %.3f, %.3f of capacity answered in time, %.3f refused by policy", sum.mean, inTime, sum.refused/sum.offered)
 	if inTime < 0.8 || sum.refused/sum.offered > 0.12 {
-		t.Error("steps")
+		t.Error("too little answered in time or too much refused by policy during load steps")
 	}
 }
 
@@ -145,24 +145,24 @@
 	p.run(60)
 	settled, recovered := p.settlingTime(6, 0.375, 0.1), p.settlingTime(16, 0, 0.02)
 	sum, after := p.aggregate(16, 45), p.aggregate(52, 60)
-	t.Logf("half gone at 0.8 x: right after %.1f s; back over 15 s: gone after %.1f s, %.3f refused by the module meanwhile", settled, recovered, sum.refused/sum.offered)
+	t.Logf("half the replicas fail at 0.8 x load: settled after %.1f s; recovery over 15 s: level 0 after %.1f s, %.3f refused by policy meanwhile", settled, recovered, sum.refused/sum.offered)
 	if settled > 8 || sum.refused/sum.offered > 0.03 || after.mean > 0.01 || after.inTime < 0.99*after.offered {
 		t.Errorf("%s", p)
 	}
 }
 
-// Lies of a tenth: what they say, and how far the level may be off for them.
+// A tenth of the co-ordinators send false reports. The mean level may be wrong by at most 0.05, and nothing is shed without overload.
 func TestFalseReportsFromATenthDoNotMoveTheLevel(t *testing.T) {
 	n, long := modelSize(t)
 	huge := pressure.LocalLoad{Known: true, Pressure: 1, Offered: 1e9, Guaranteed: 1e9}
 	for name, corrupt := range map[string]func(w *pressure.Report){
-		"all is lost, for ever": func(w *pressure.Report) { w.Pressure, w.InTime, w.Completed, w.Level, w.Known = 1, 0, 0, 1, true },
-		"nothing, for ever":     func(w *pressure.Report) { w.Pressure, w.Level, w.Offered, w.InTime, w.Completed = 0, 0, 0, 0, 0 },
-		"calm, for ever":        func(w *pressure.Report) { w.Pressure, w.Level, w.InTime, w.Completed = 0, 0, w.Offered, w.Offered },
-		"no number":             func(w *pressure.Report) { w.Pressure, w.Offered, w.Level = math.NaN(), math.Inf(1), math.NaN() },
-		"huge":                  func(w *pressure.Report) { w.LocalLoad, w.Level = huge, 1 },
+		"always total loss": func(w *pressure.Report) { w.Pressure, w.InTime, w.Completed, w.Level, w.Known = 1, 0, 0, 1, true },
+		"always no traffic": func(w *pressure.Report) { w.Pressure, w.Level, w.Offered, w.InTime, w.Completed = 0, 0, 0, 0, 0 },
+		"always calm":       func(w *pressure.Report) { w.Pressure, w.Level, w.InTime, w.Completed = 0, 0, w.Offered, w.Offered },
+		"NaN and infinity":  func(w *pressure.Report) { w.Pressure, w.Offered, w.Level = math.NaN(), math.Inf(1), math.NaN() },
+		"huge rates":        func(w *pressure.Report) { w.LocalLoad, w.Level = huge, 1 },
 	} {
-		if !long && name != "all is lost, for ever" && name != "huge" && name != "nothing, for ever" {
+		if !long && name != "always total loss" && name != "huge rates" && name != "always no traffic" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -176,12 +176,12 @@
 				}
 				p.run(40)
 				sum := p.aggregate(15, 40)
-				t.Logf("%.1f x: level %.3f, single ones %.3f to %.3f, %.3f in time", load, sum.mean, sum.low, sum.high, sum.inTime/(float64(n)*capacityPerMember*25*min(1, load)))
+				t.Logf("%.1f x load: mean level %.3f, single co-ordinators %.3f to %.3f, %.3f answered in time", load, sum.mean, sum.low, sum.high, sum.inTime/(float64(n)*capacityPerMember*25*min(1, load)))
 				if load < 1 && sum.high > 0 {
-					t.Errorf("sheds in calm: %.3f", sum.high)
+					t.Errorf("sheds without overload: level %.3f", sum.high)
 				}
 				if want := max(0, 1-1/load); math.Abs(sum.mean-want) > 0.05 {
-					t.Errorf("level %.3f at %.1f x", sum.mean, load)
+					t.Errorf("mean level %.3f at %.1f x load", sum.mean, load)
 				}
 			}
 		})
@@ -196,12 +196,12 @@
 		minInTime          float64
 		minLevel, maxLevel float64 // of the mean level
 	}{
-		"cut in two, unevenly": {func(p *fleetModel) { p.blocked = half }, 0.93, 0.28, 0.4},
-		"one way":              {func(p *fleetModel) { p.blocked = func(i, to int, t float64) bool { return i < n/4 && to >= n/4 } }, 0.93, 0.28, 0.4},
-		"5 s late":             {func(p *fleetModel) { p.delay = func(float64) (float64, float64) { return 4, 6 } }, 0.75, 0, 0.5},
-		"none at all":          {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return true } }, 0.75, 0, 0.5},
-		"half lost":            {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return p.rng.IntN(2) == 0 } }, 0.93, 0.28, 0.4},
-		"7 in 10 start anew": {func(p *fleetModel) {
+		"partition, uneven":  {func(p *fleetModel) { p.blocked = half }, 0.93, 0.28, 0.4},
+		"partition, one way": {func(p *fleetModel) { p.blocked = func(i, to int, t float64) bool { return i < n/4 && to >= n/4 } }, 0.93, 0.28, 0.4},
+		"delay of 5 s":       {func(p *fleetModel) { p.delay = func(float64) (float64, float64) { return 4, 6 } }, 0.75, 0, 0.5},
+		"all lost":           {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return true } }, 0.75, 0, 0.5},
+		"half lost":          {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return p.rng.IntN(2) == 0 } }, 0.93, 0.28, 0.4},
+		"7 in 10 restart": {func(p *fleetModel) {
 			p.blocked = func(i, to int, t float64) bool {
 				if c := p.coordinators[i]; t > 20 && i%10 < 7 && c.seq > 0 && c.seq < 1<<40 {
 					*c = coordinator{name: c.name, rate: c.rate, control: NewControl(0.9), seq: 1 << 40}
@@ -210,7 +210,7 @@
 				return false
 			}
 		}, 0.93, 0.28, 0.4},
-		"5 x on one alone": {func(p *fleetModel) { p.coordinators[n/2].rate *= 5 }, 0.95, 0.28, 0.42},
+		"5 x traffic at one co-ordinator": {func(p *fleetModel) { p.coordinators[n/2].rate *= 5 }, 0.95, 0.28, 0.42},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newFleetModel(n, 6)
@@ -219,9 +219,9 @@
 			p.run(44)
 			sum := p.aggregate(14, 44)
 			inTime := sum.inTime / (float64(n) * capacityPerMember * 30)
-			t.Logf("level %.3f, single ones %.3f to %.3f, %.3f of capacity in time, %.3f refused by the module", sum.mean, sum.low, sum.high, inTime, sum.refused/sum.offered)
+			t.Logf("mean level %.3f, single co-ordinators %.3f to %.3f, %.3f of capacity answered in time, %.3f refused by policy", sum.mean, sum.low, sum.high, inTime, sum.refused/sum.offered)
 			if inTime < x.minInTime || sum.mean < x.minLevel || sum.mean > x.maxLevel {
-				t.Error("worse than it should be")
+				t.Error("mean level or work answered in time out of bounds")
 			}
 		})
 	}
@@ -244,9 +244,9 @@
 		c.Step(now, pressure.FleetLoad{}, calm)
 	}
 	if l := c.Step(now, pressure.FleetLoad{}, calm); l != 0 || c.Check() != nil {
-		t.Errorf("%.3f is left after %v: %v", l, FadeTime, c.Check())
+		t.Errorf("level %.3f after %v without reports: %v", l, FadeTime, c.Check())
 	}
-	for range 40 { // overloadedFleet itself it sheds by itself, no more than that asks
+	for range 40 { // with pressure of its own, it sheds no more than that pressure justifies
 		now += StepInterval
 		c.Step(now, pressure.FleetLoad{}, busy)
 		if err := c.Check(); err != nil {
@@ -254,11 +254,11 @@
 		}
 	}
 	if l := c.Level(); l < 0.2 || l > ownLevel(busy) {
-		t.Errorf("level %.3f, own pressure asks %.3f", l, ownLevel(busy))
+		t.Errorf("level %.3f, own pressure justifies %.3f", l, ownLevel(busy))
 	}
 }
 
-// Guards taken out: what should be found is.
+// Each state breaks one rule, which Check must report.
 func TestCheckReportsLevelsWithoutCause(t *testing.T) {
 	calm := pressure.LocalLoad{Known: true, Offered: 10, InTime: 10, Completed: 10}
 	for rule, c := range map[string]*Control{
@@ -271,7 +271,7 @@
 	}
 }
 
-// No number, or none that can be, leaves the level within bounds.
+// NaN, infinite and impossible figures leave the level within bounds.
 func TestInvalidFiguresKeepTheLevelInBounds(t *testing.T) {
 	c, now := NewControl(0.9), time.Duration(0)
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
@@ -279,17 +279,18 @@
 			now += StepInterval
 			l := c.Step(now, pressure.FleetLoad{Known: true, Pressure: v, Offered: v, InTime: v, Completed: v, Level: v}, pressure.LocalLoad{Known: true, Pressure: 0, Offered: 1, InTime: 1})
 			if !(l >= 0 && l <= 0.9) {
-				t.Fatalf("level %v by %v", l, v)
+				t.Fatalf("level %v from figures of %v", l, v)
 			}
 		}
 	}
 }
 
-// Guards against an estimate that is cut at a storm's first moment, while rates still fill, and stays there: what comes back is borne.
+// Guards against an estimate that is cut in the first moment of an overload, while the reported rates still build up, and then stays below
+// the throughput.
 func TestCapacityEstimateIsNotBelowThroughput(t *testing.T) {
 	c := NewControl(0.95)
 	own := pressure.LocalLoad{Known: true, Pressure: 0.5}
-	for i, step := range []struct{ asked, done, pressure float64 }{ // a second's rates of 250 a second that begin at once, of which 120 are borne
+	for i, step := range []struct{ asked, done, pressure float64 }{ // reported rates after a jump to 250 per second, of which 120 can be served
 		{32, 11, 0}, {48, 20, 0.23}, {109, 46, 0.5}, {169, 75, 0.5}, {229, 103, 0.57}, {249, 125, 0.4},
 		{245, 125, 0.43}, {245, 120, 0.36}, {245, 115, 0.2}, {243, 110, 0}, {245, 110, 0}, {245, 110, 0},
 	} {
@@ -298,7 +299,7 @@
 			Known: true, Pressure: step.pressure, RecentPressure: step.pressure, Offered: step.asked, InTime: step.done, Completed: step.done, FreshReports: 3, Members: 3, Level: c.Level(),
 		}, own)
 		if e := c.Estimate(); e.Overloaded && e.Capacity < 0.9*e.Throughput {
-			t.Errorf("step %d: %.0f a second come back, %.0f are thought to be borne", i, e.Throughput, e.Capacity)
+			t.Errorf("step %d: throughput %.0f per second, estimated capacity only %.0f", i, e.Throughput, e.Capacity)
 		}
 	}
 }
--- a/internal/fleet/lanes/gate.go
+++ b/internal/fleet/lanes/gate.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// BurstSeconds is how many seconds of its rate a bucket holds, one part at least.
+	// BurstSeconds is how many seconds of its rate a bucket holds; it always holds at least one part.
 	BurstSeconds = 2
-	// idleBurstSeconds is the same of what is idle.
+	// idleBurstSeconds is the same for the bucket of idle guarantees.
 	idleBurstSeconds = 0.5
-	// idleThreshold is how full such a bucket is.
+	// idleThreshold is how full the bucket of a guarantee must be for the guarantee to count as idle.
 	idleThreshold = 0.95
-	// baselineRate is a cost a second that every member is taken to have of every lane and class, so that a quiet one has a part of the
-	// floor before its first query comes.
+	// baselineRate is a cost per second that every member is assumed to have in every lane and class, so that one without traffic
+	// has a share of the floor before its first query.
 	baselineRate = 0.1
-	// MaxPromiseDivisor is how many times shorter the promise of the last lane counts for the module's queues while lanes shed. What lanes
-	// let in and queues refuse counts as pressure, so it is little.
+	// MaxPromiseDivisor is the divisor of the promise that package policy applies to queries of the last lane while lanes shed; other
+	// lanes have smaller divisors. It is small because queries that lanes admit and policy then refuses count as pressure.
 	MaxPromiseDivisor = 1.2
-	// MinGuaranteeBurst is what an account's guarantee holds at least, in mean parts: some four queries; but no more than MinGuaranteeBurstSeconds seconds of
-	// it. With one part's worth an account that is well within its guarantee is refused at each second query of a few parts where a
-	// co-ordinator has a part a second of it or less.
+	// MinGuaranteeBurst is the least burst of an account's guarantee, in mean parts: about four queries, but no more than
+	// MinGuaranteeBurstSeconds of its rate. With a burst of one part, an account well within its guarantee would be refused every
+	// second query of a few parts where a co-ordinator's share is one part per second or less.
 	MinGuaranteeBurst = 12
 	// MinGuaranteeBurstSeconds bounds MinGuaranteeBurst, in seconds of the account's guarantee.
 	MinGuaranteeBurstSeconds = 30
 )
 
-// StaleAfter a Level without the next one a co-ordinator has stood still, and what it borrowed may be its lender's again: until it
-// has stepped its even part is all that counts.
+// StaleAfter is the time without another SetLevel after which a co-ordinator counts as stalled. By then the shares that it
+// borrowed may be their lenders' again, so until the next SetLevel only its even share counts.
 const StaleAfter = time.Second
 
 type bucket struct {
@@ -38,7 +38,7 @@
 	updatedAt time.Duration
 }
 
-// refill adds what the rate has brought since, and tells what is in it.
+// refill adds what has accrued at the rate since the last call and returns the balance.
 func (b *bucket) refill(now time.Duration, rate, burst float64) float64 {
 	if now > b.updatedAt {
 		b.tokens = min(burst, b.tokens+rate*(now-b.updatedAt).Seconds())
@@ -47,25 +47,25 @@
 	return b.tokens
 }
 
-// spend takes a cost out; who has anything may go below nothing, and pays later. What is charged without regard to the bucket
-// leaves no deeper debt than one burst or that cost.
+// spend takes out a cost. The balance may become negative. Some queries are charged whatever the balance is, so the debt is limited
+// to the larger of one burst and that cost.
 func (b *bucket) spend(cost, burst float64) { b.tokens = max(b.tokens-cost, -max(burst, cost)) }
 
 func burstSize(rate float64) float64 { return max(1, BurstSeconds*rate) }
 
-// guaranteeBurst is the same of what is guaranteed, and of an account's most.
+// guaranteeBurst is the burst size of a guarantee and of an account's limit.
 func guaranteeBurst(rate float64) float64 {
 	return max(1, min(MinGuaranteeBurst, MinGuaranteeBurstSeconds*rate), BurstSeconds*rate)
 }
 
 type account struct {
-	share      float64 // of the fleet's capacity, its lease here
+	share      float64 // fraction of the fleet's capacity that this co-ordinator may use, loans included
 	guaranteed bucket
 	limit      bucket
 }
 
 type lane struct {
-	shedBelow            uint64 // of hashes below it queries are cut; all of them if full
+	shedBelow            uint64 // queries whose hash is below it are shed; all of them if shedAll is set
 	shedAll              bool
 	floor, limit         bucket
 	floorRate, limitRate float64
@@ -77,14 +77,14 @@
 	rate  float64
 }
 
-// Gate decides on each query of one co-ordinator by what the fleet sheds. Admit doesn't allocate.
+// Gate admits or refuses each query of one co-ordinator by the fleet's shed level. Admit does not allocate.
 type Gate struct {
 	set        *laneconfig.Set
-	now        time.Duration // it never goes back
+	now        time.Duration // never goes back
 	members    float64
 	level      float64
-	levelSetAt time.Duration // of the last Level
-	capacity   float64       // cost a second, of the fleet
+	levelSetAt time.Duration // time of the last SetLevel
+	capacity   float64       // estimated capacity of the fleet, in cost per second
 	slot       uint64
 	slotEnd    time.Duration
 	lanes      [pressure.MaxLanes]lane
@@ -97,14 +97,14 @@
 	auditor    auditor
 }
 
-// Counts are queries and their cost by lane and reason, since the start.
+// Counts holds the queries since the start and their cost, by lane and reason.
 type Counts struct {
 	Queries [pressure.MaxLanes][NumReasons]uint64
 	Cost    [pressure.MaxLanes][NumReasons]float64
 	Retries uint64
 }
 
-// New gives a gate for a set among so many members. It sheds nothing until Level.
+// New returns a gate for a lane configuration and a number of members. It sheds nothing until SetLevel.
 func New(now time.Duration, set *laneconfig.Set, members int) *Gate {
 	g := &Gate{members: float64(max(1, members))}
 	g.SetConfig(now, set)
@@ -116,7 +116,8 @@
 	return g.now
 }
 
-// SetConfig goes by another set; the buckets of accounts, lanes and classes that it has by name or place as well go on.
+// SetConfig switches to another lane configuration. The buckets of accounts are kept by name, those of lanes and classes by index. All lanes get
+// new buckets if their number changes.
 func (g *Gate) SetConfig(now time.Duration, next *laneconfig.Set) {
 	now = g.advance(now)
 	type previousAccount struct {
@@ -140,7 +141,7 @@
 			a.account = account{share: evenShare, guaranteed: bucket{MinGuaranteeBurst, now}, limit: bucket{MinGuaranteeBurst, now}}
 		case a.guarantee == 0:
 			a.share = evenShare
-		default: // its lease is as large a part of the other guarantee
+		default: // keep the same fraction of the new guarantee
 			a.share *= config.Guarantee / a.guarantee
 		}
 		accounts[i] = a.account
@@ -157,7 +158,7 @@
 	g.auditor.configure(now, g)
 }
 
-// SetShare sets the part of the fleet's capacity that this co-ordinator holds of an account's guarantee.
+// SetShare sets the fraction of the fleet's capacity that this co-ordinator holds of an account's guarantee.
 func (g *Gate) SetShare(now time.Duration, account int, share float64) {
 	if account < 0 || account >= len(g.accounts) || !(share >= 0) {
 		return
@@ -170,27 +171,27 @@
 	audited.rate = a.share * g.capacity
 }
 
-// LevelUpdate is what Level goes by.
+// LevelUpdate is the input of SetLevel.
 type LevelUpdate struct {
 	Level    float64
-	Capacity float64 // Control.Bears
+	Capacity float64 // see Control.Capacity
 	Members  int
 	Fleet    pressure.FleetLoad
 	Own      pressure.LocalLoad
 	Slot     uint64        // number of the time slot
-	SlotLeft time.Duration // refill the next one
+	SlotLeft time.Duration // until the next slot
 }
 
-// SetLevel sets what is shed from now on.
+// SetLevel applies a new shed level and capacity.
 func (g *Gate) SetLevel(now time.Duration, s LevelUpdate) {
 	now = g.advance(now)
-	if s.Level != s.Level { // no number sheds nothing
+	if s.Level != s.Level { // NaN sheds nothing
 		s.Level = 0
 	}
 	g.members, g.levelSetAt = float64(max(1, s.Members)), now
 	g.level, g.slot, g.slotEnd = min(1, max(0, s.Level)), s.Slot, now+max(0, min(s.SlotLeft, g.set.Slot))
 	fleet, own := s.Fleet, s.Own
-	if !fleet.Known { // as if the others fared alike
+	if !fleet.Known { // assume the same load at all other members
 		fleet = pressure.FleetLoad{Offered: own.Offered * g.members, Guaranteed: own.Guaranteed * g.members, ByLane: own.ByLane}
 		for j := range fleet.ByLane {
 			fleet.ByLane[j] *= g.members
@@ -200,7 +201,7 @@
 	if !(s.Capacity >= 0) || math.IsInf(s.Capacity, 0) {
 		s.Capacity = 0
 	}
-	for i := range g.accounts { // what came until now came at the old rate
+	for i := range g.accounts { // until now, guarantees accrued at the old capacity
 		a := &g.accounts[i]
 		a.guaranteed.refill(now, a.share*g.capacity, guaranteeBurst(a.share*g.capacity))
 	}
@@ -209,14 +210,14 @@
 	for _, rate := range fleet.ByLane {
 		offered += rate
 	}
-	toShed := g.level * offered // not of fl.Asked: of a false word with a huge rate no lane has its part
+	toShed := g.level * offered // not from fleet.Offered, in which a false report may claim a huge rate that is in no lane
 	for j := laneCount - 1; j >= 0; j-- {
 		l, config := &g.lanes[j], &g.set.Lanes[j]
 		ratio := 0.0
 		if toShed > 0 && fleet.ByLane[j] > 0 {
 			ratio = min(1, toShed/fleet.ByLane[j])
 			toShed = max(0, toShed-fleet.ByLane[j])
-		} else if toShed > 0 { // nobody is known to ask in it: who does is cut with those below
+		} else if toShed > 0 { // no traffic is known in this lane: if some comes, it is shed like the lanes below
 			ratio = 1
 		}
 		l.shedAll = ratio >= 1
@@ -242,7 +243,7 @@
 	g.auditor.updateRates(now, g)
 }
 
-// updateIdleRate looks what accounts of lanes that lend leave idle of their guarantees: those whose buckets are as good as full.
+// updateIdleRate adds up the unused guarantees of accounts in lanes that lend. A guarantee is unused if its bucket is almost full.
 func (g *Gate) updateIdleRate(now time.Duration) {
 	g.idle.refill(now, g.idleRate, max(0, idleBurstSeconds*g.idleRate))
 	g.idleRate = 0
--- a/internal/fleet/lanes/gate_test.go
+++ b/internal/fleet/lanes/gate_test.go
@@ -15,7 +15,7 @@
 
 const sec = time.Second
 
-// newTestSet lanes; gold is guaranteed 0.2, silver 0.1, of copper nobody is guaranteed anything.
+// newTestSet has three lanes. Account gold is guaranteed 0.2 of the capacity, silver 0.1, and copper nothing.
 func newTestSet(extraAccounts int) *laneconfig.Set {
 	lane := func(name string) laneconfig.Lane { return laneconfig.Lane{Name: name, Floor: 0.02, Lend: true} }
 	account := func(name string, lane int, guarantee, most float64) laneconfig.Account {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// overloadedFleet is a fleet of ten that is asked 1500 and bears 1000, a tenth of all here.
+// overloadedFleet has ten members, a capacity of 1000 and an offered load of 1500, a tenth of it at this co-ordinator.
 func overloadedFleet(level float64) LevelUpdate {
 	own := pressure.LocalLoad{Known: true, Offered: 150, ByLane: [pressure.MaxLanes]float64{0, 30, 120}}
 	fl := pressure.FleetLoad{Known: true, Offered: 1500, ByLane: [pressure.MaxLanes]float64{0, 300, 1200}, Members: 10}
@@ -44,7 +44,7 @@
 	return g
 }
 
-// admitRepeatedly asks n times a second for some seconds and gives counts by reason.
+// admitRepeatedly offers the query at a rate per second and returns the number of decisions by reason.
 func admitRepeatedly(g *Gate, from time.Duration, duration float64, rate int, q Query) (n [NumReasons]int) {
 	for i := range int(duration * float64(rate)) {
 		v := g.Admit(from+time.Duration(i)*sec/time.Duration(rate), q)
@@ -54,21 +54,21 @@
 }
 
 func TestAccountIsAdmittedUpToItsGuarantee(t *testing.T) {
-	g := newTestGate(t, 0.9) // 0.2 of 1000 over ten: 20/s
+	g := newTestGate(t, 0.9) // 0.2 of 1000 among ten: 20/s
 	if n := admitRepeatedly(g, sec, 10, 20, Query{Account: 0, Cost: 1}); n[Guaranteed] != 200 {
-		t.Errorf("at its guarantee: %v", n)
+		t.Errorf("at the guaranteed rate: %v", n)
 	}
 	n := admitRepeatedly(g, 12*sec, 10, 100, Query{Account: 0, Cost: 1})
 	if n[Guaranteed] < 200 || n[Guaranteed] > 245 || n[Shed] < 650 {
-		t.Errorf("at five times of it: %v", n)
+		t.Errorf("at five times the guaranteed rate: %v", n)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Two queries of some parts in a row, and then none for long, are within a guarantee of a part in two seconds; who has next to
-// nothing of one here can't spend a storm's worth at once.
+// Two queries of four parts in a row, every 20 s, are within a guarantee of half a part per second. A share of next to nothing must not
+// allow a large burst.
 func TestGuaranteeAllowsTwoQueriesInARow(t *testing.T) {
 	g := newTestGate(t, 0.9)
 	g.SetShare(sec, 0, 0.0005) // 0.5/s
@@ -88,18 +88,19 @@
 		}
 	}
 	if n > 2 {
-		t.Errorf("%d parts at once of a hundredth a second", n)
+		t.Errorf("%d parts admitted within 40 s from a guarantee of 0.01/s", n)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against one that wakes from a standstill with a part that it borrowed and that has been its lender's for seconds (L5).
+// Guards against a co-ordinator that resumes after a stall and still uses a borrowed share, which its lender has been using again for
+// seconds (L5).
 func TestStalledCoordinatorUsesItsEvenShare(t *testing.T) {
 	admitAfterStall := func(setLevel bool) (n int) {
 		g := newTestGate(t, 0.9)
-		g.SetShare(sec, 0, 0.2) // samples of it, 200/s; the even part is a tenth
+		g.SetShare(sec, 0, 0.2) // all of it, 200/s; the even share is a tenth
 		at := 11 * sec
 		if setLevel {
 			g.SetLevel(at, overloadedFleet(0.9))
@@ -115,14 +116,14 @@
 		return n
 	}
 	if n := admitAfterStall(false); n > 65 {
-		t.Errorf("%d parts within a second, its even part is 20 a second and two seconds' worth at once", n)
+		t.Errorf("stalled: %d parts within a second; its even share is 20/s with a burst of two seconds", n)
 	}
 	if n := admitAfterStall(true); n < 550 {
-		t.Errorf("%d after a step, of 200 a second and as much again", n)
+		t.Errorf("after SetLevel: %d parts within a second; its share is 200/s with a burst of two seconds", n)
 	}
 }
 
-// A false word with a huge rate of which no lane has its part has nothing more shed of the lanes that are known.
+// A false report of a huge rate that is in no lane must not raise what is shed of the known lanes.
 func TestRateWithoutLaneDoesNotRaiseShedding(t *testing.T) {
 	cut := func(asked float64) uint64 {
 		g, s := newTestGate(t, 0), overloadedFleet(0.3)
@@ -134,7 +135,7 @@
 		return g.lanes[2].shedBelow
 	}
 	if a, b := cut(1500), cut(150_000); a != b {
-		t.Errorf("the last lane is cut at %x, and with a huge rate at %x", a, b)
+		t.Errorf("the last lane's hash threshold is %x, with a huge rate %x", a, b)
 	}
 }
 
@@ -143,7 +144,7 @@
 	g.SetShare(sec, 0, 0.002) // 2/s, burst 4
 	n := admitRepeatedly(g, sec, 100, 1, Query{Account: 0, Cost: 10})
 	if all := n[Guaranteed] + n[Floor] + n[ClassFloor]; n[Guaranteed] < 19 || n[Guaranteed] > 22 || all > 62 {
-		t.Errorf("2/s in queries of 10, for 100 s: %v", n)
+		t.Errorf("queries of cost 10 at a guarantee of 2/s, for 100 s: %v", n)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
@@ -152,12 +153,12 @@
 
 func TestLaneAndClassFloorsHoldAtFullLevel(t *testing.T) {
 	g := newTestGate(t, 1)
-	n := admitRepeatedly(g, sec, 10, 120, Query{Account: -1, Cost: 1, Key: 3}) // floor of lane and class: about 2/s each here
+	n := admitRepeatedly(g, sec, 10, 120, Query{Account: -1, Cost: 1, Key: 3}) // the floors of lane and class are about 2/s each here
 	if n[Floor] < 18 || n[Floor] > 24 || n[ClassFloor] < 16 || n[ClassFloor] > 24 || n[Shed] < 1100 {
-		t.Errorf("a lane that is all shed: %v", n)
+		t.Errorf("last lane, all shed: %v", n)
 	}
 	if n := admitRepeatedly(g, 12*sec, 10, 30, Query{Account: 2, Cost: 1}); n[Floor] < 18 {
-		t.Errorf("another: %v", n)
+		t.Errorf("middle lane, all shed: %v", n)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
@@ -177,14 +178,14 @@
 		}
 		return n
 	}
-	a, b := newTestGate(t, 0.4), newTestGate(t, 0.4) // half of the last lane's 1200 are 600
+	a, b := newTestGate(t, 0.4), newTestGate(t, 0.4) // 0.4 of 1500 is 600, half of the last lane's 1200
 	if s := share(a); math.Abs(s-0.5) > 0.02 || cut(a, 2, 0) {
-		t.Errorf("of the last lane %.3f is cut, of the middle one %v", s, cut(a, 2, 0))
+		t.Errorf("%.3f of the last lane is shed; middle lane shed: %v", s, cut(a, 2, 0))
 	}
 	same := 0
 	for k := range uint64(1000) {
 		if cut(a, -1, k) != cut(b, -1, k) {
-			t.Fatalf("key %d is cut at one only", k)
+			t.Fatalf("key %d is shed by one gate only", k)
 		}
 		if cut(a, -1, k) {
 			same++
@@ -199,32 +200,32 @@
 		}
 	}
 	if same < 150 {
-		t.Errorf("%d were cut in one slot and not in the next", same)
+		t.Errorf("only %d keys were shed in one slot and not in the next", same)
 	}
-	c := newTestGate(t, 0.9) // 1350 of 1200 and 300: half of the middle one as well
+	c := newTestGate(t, 0.9) // 1350 of 1200 and 300: half of the middle lane as well
 	if s := share(c); s < 0.999 || math.Abs(float64(c.lanes[1].shedBelow)/math.MaxUint64-0.5) > 0.01 || c.lanes[0].shedBelow != 0 || c.lanes[0].shedAll {
-		t.Errorf("%.3f of the last lane, %v", s, c.lanes[:3])
+		t.Errorf("%.3f of the last lane is shed; lanes %v", s, c.lanes[:3])
 	}
 }
 
 func TestIdleGuaranteesAreBorrowed(t *testing.T) {
 	g := newTestGate(t, 1)
 	if n := admitRepeatedly(g, sec, 10, 100, Query{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
-		t.Errorf("nothing was known to be idle: %v", n)
+		t.Errorf("borrowed before any guarantee was known to be idle: %v", n)
 	}
 	g.SetLevel(20*sec, overloadedFleet(1))
-	admitRepeatedly(g, 20*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1}) // its own were idle as well
+	admitRepeatedly(g, 20*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1}) // its own guarantee was idle as well
 	g.SetLevel(21*sec, overloadedFleet(1))
 	n := admitRepeatedly(g, 21*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1})
 	if n[Borrowed] < 8 || n[Borrowed] > 21 { // silver's 10/s
-		t.Errorf("of 10/s that are idle: %v", n)
+		t.Errorf("borrowing from 10/s of idle guarantees: %v", n)
 	}
 	for j := range g.set.Lanes {
 		g.set.Lanes[j].Lend = false
 	}
 	g.SetLevel(40*sec, overloadedFleet(1))
 	if n := admitRepeatedly(g, 40*sec, 1, 100, Query{Account: 0, Class: 1, Cost: 1}); n[Borrowed] != 0 {
-		t.Errorf("nobody lends: %v", n)
+		t.Errorf("borrowed although no lane lends: %v", n)
 	}
 }
 
@@ -232,19 +233,19 @@
 	g := newTestGate(t, 0.3)
 	n := admitRepeatedly(g, sec, 10, 100, Query{Account: 1, Cost: 1}) // guaranteed 10/s, at most 15/s
 	if in := n[Guaranteed] + n[Free] + n[Floor] + n[ClassFloor] + n[Borrowed]; in < 140 || in > 185 || n[OverLimit] < 600 {
-		t.Errorf("over its most: %v", n)
+		t.Errorf("account over its limit: %v", n)
 	}
 	set := newTestSet(0)
 	set.Lanes[1].MaxShare = 0.1 // 10/s here
 	g.SetConfig(20*sec, set)
 	g.SetLevel(20*sec, overloadedFleet(0.7))
-	g.SetLevel(21*sec, overloadedFleet(0.7)) // 0.7 of 1500 is under the last lane's 1200
+	g.SetLevel(21*sec, overloadedFleet(0.7)) // 0.7 of 1500 is less than the last lane's 1200
 	for i := range 1000 {
 		g.Admit(21*sec+time.Duration(i)*10*time.Millisecond, Query{Account: 2, Cost: 1})
 	}
 	c := g.Counts()
 	if own, last := c.Queries[1][Free], c.Queries[2][Shed]+c.Queries[2][Free]; own < 90 || own > 140 || last < 800 {
-		t.Errorf("%d in its lane, %d as of the last", own, last)
+		t.Errorf("%d admitted in its lane, %d counted in the last lane", own, last)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
@@ -260,12 +261,12 @@
 			continue
 		}
 		if i%2 == 1 && v.RetryAfter != 0 || i%2 == 0 && (v.RetryAfter < 4*sec || v.RetryAfter > 14*sec) {
-			t.Fatalf("class %d: come back in %v", i%2, v.RetryAfter)
+			t.Fatalf("class %d: retry after %v", i%2, v.RetryAfter)
 		}
 		seen[v.RetryAfter] = true
 	}
 	if len(seen) < 80 {
-		t.Errorf("%d times to come back", len(seen))
+		t.Errorf("only %d different retry times", len(seen))
 	}
 	if v := g.Admit(sec, Query{Account: 0, Cost: 1}); v.PromiseDivisor != 1 || v.Reason != Guaranteed {
 		t.Errorf("%+v", v)
@@ -291,14 +292,14 @@
 	g.SetConfig(11*sec, laneconfig.Stricter(old, next))
 	g.SetLevel(11*sec, overloadedFleet(1))
 	if n := admitRepeatedly(g, 11*sec, 10, 100, Query{Account: 0, Class: -1, Cost: 1}); n[Guaranteed] < 18 || n[Guaranteed] > 26 {
-		t.Errorf("of 2/s: %v", n)
+		t.Errorf("at a guarantee of 2/s: %v", n)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Each guard is taken out: what should be found is.
+// Each case corrupts state that one rule depends on; Check must report that rule.
 func TestCheckReportsEachBrokenRule(t *testing.T) {
 	for rule, corrupt := range map[string]func(g *Gate){
 		"L1": func(g *Gate) { g.lanes[2].floor.tokens, g.classes[0].floor.tokens = -1e9, -1e9 },
@@ -310,7 +311,7 @@
 	} {
 		g := newTestGate(t, 1)
 		corrupt(g)
-		g.SetLevel(12*sec, overloadedFleet(1)) // it has not stood still
+		g.SetLevel(12*sec, overloadedFleet(1)) // so that the gate does not count as stalled
 		for range 20 {
 			g.Admit(12*sec, Query{Account: 0, Class: 0, Cost: 1})
 			g.Admit(12*sec, Query{Account: -1, Class: 0, Cost: 1})
@@ -326,17 +327,17 @@
 	}
 }
 
-// Whatever comes, the rules hold by the books, buckets stay within bounds, and who is beyond gets no more than the rates.
+// Checks random sequences of operations: the auditor finds no violation, and each decision is consistent.
 func TestRulesHoldForRandomInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := newTestSet(5)
 		g, now := New(0, set, 10), time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(-100, 3000).Draw(t, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0:
 				s := overloadedFleet(rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.9, 1, math.NaN(), -1, 7}).Draw(t, "level"))
-				s.Capacity = rapid.SampledFrom([]float64{0, 10, 1000, 1e9, math.Inf(1), math.NaN()}).Draw(t, "bears")
+				s.Capacity = rapid.SampledFrom([]float64{0, 10, 1000, 1e9, math.Inf(1), math.NaN()}).Draw(t, "capacity")
 				s.Members = rapid.IntRange(0, 300).Draw(t, "members")
 				s.Fleet.Known = rapid.Bool().Draw(t, "known")
 				g.SetLevel(now, s)
@@ -347,7 +348,7 @@
 				next.Accounts[0].Guarantee = rapid.Float64Range(0, 0.3).Draw(t, "guarantee")
 				g.SetConfig(now, next)
 			default:
-				q := Query{Account: rapid.IntRange(-1, 9).Draw(t, "of"), Class: rapid.IntRange(-1, 3).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
+				q := Query{Account: rapid.IntRange(-1, 9).Draw(t, "query account"), Class: rapid.IntRange(-1, 3).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
 					Cost: rapid.SampledFrom([]float64{0, 0.1, 1, 1, 50, math.NaN(), -3}).Draw(t, "cost"), Retry: rapid.Bool().Draw(t, "retry")}
 				v := g.Admit(now, q)
 				if v.Admitted == v.Reason.Refused() || v.RetryAfter < 0 || !(v.PromiseDivisor >= 1 && v.PromiseDivisor <= MaxPromiseDivisor) || v.Admitted && v.RetryAfter != 0 {
--- a/internal/fleet/lanes/plant_test.go
+++ b/internal/fleet/lanes/plant_test.go
@@ -9,16 +9,16 @@
 	"birchcart/internal/fleet/pressure"
 )
 
-// fleetModel is a model of a fleet that sheds, for the controller alone: co-ordinators with uneven traffic in front of one queue,
-// that serves at a capacity; the module turns away by what its latest own answers took. Words come 0.25 to 1 s late, each
-// co-ordinator hears some twenty a second.
+// fleetModel simulates a fleet that sheds load, to test the controller alone. Co-ordinators with uneven traffic share one queue, which
+// is served at the fleet's capacity. A model of package policy refuses queries by how long the co-ordinator's latest answers took. Reports
+// arrive 0.25 to 1 s late, and each co-ordinator receives about twenty per second.
 type fleetModel struct {
 	n             int
 	moduleRefuses bool
-	load          func(t float64) float64 // of the capacity at rest
-	capacity      func(t float64) float64 // share of it
+	load          func(t float64) float64 // relative to the full capacity
+	capacity      func(t float64) float64 // fraction of the full capacity
 	corrupt       func(i int, t float64, w *pressure.Report)
-	blocked       func(from, to int, t float64) bool // no word comes
+	blocked       func(from, to int, t float64) bool // the report is dropped
 	delay         func(t float64) (least, most float64)
 
 	rng          *rand.Rand
@@ -29,7 +29,7 @@
 	samples      []sample
 }
 
-var capacityPerMember = 8.0 // cost a second that the replicas bear for each co-ordinator
+var capacityPerMember = 8.0 // cost per second that the replicas can serve for each co-ordinator
 
 type coordinator struct {
 	name         string
@@ -38,7 +38,7 @@
 	reports      pressure.Reports
 	control      *Control
 	seq          uint64
-	recentTime   float64 // of the latest answers
+	recentTime   float64 // smoothed time of recent answers
 	lastAnswerAt float64
 	level        float64
 }
@@ -56,7 +56,7 @@
 
 type sample struct {
 	t, mean, low, high                              float64
-	offered, inTime, late, refused, shed, abandoned float64 // since the last
+	offered, inTime, late, refused, shed, abandoned float64 // since the last sample
 }
 
 const (
@@ -212,7 +212,7 @@
 	}
 }
 
-// swings are turns of the mean level by more than by, in the span.
+// swings counts the turns of the mean level by more than threshold between from and to.
 func (p *fleetModel) swings(from, to, threshold float64) (n int) {
 	up, low, high := 0, math.Inf(1), math.Inf(-1)
 	for _, m := range p.samples {
@@ -236,7 +236,7 @@
 	return n
 }
 
-// aggregate sums moments of a span; its level is the mean, low and high are of single co-ordinators.
+// aggregate sums the samples between from and to. The level is the mean; low and high are of single co-ordinators.
 func (p *fleetModel) aggregate(from, to float64) (sum sample) {
 	k := 0
 	sum.low = 1
@@ -257,7 +257,7 @@
 	for i, m := range p.samples {
 		if i%2 == 0 {
 			f := float64(p.n) * capacityPerMember / 4
-			out += fmt.Sprintf("%6.2f level %.3f [%.3f %.3f] asked %.2f in time %.2f late %.2f refused %.2f left %.2f\n", m.t, m.mean, m.low, m.high, m.offered/f, m.inTime/f, m.late/f, m.refused/f, m.abandoned/f)
+			out += fmt.Sprintf("%6.2f level %.3f [%.3f %.3f] offered %.2f in time %.2f late %.2f refused %.2f abandoned %.2f\n", m.t, m.mean, m.low, m.high, m.offered/f, m.inTime/f, m.late/f, m.refused/f, m.abandoned/f)
 		}
 	}
 	return out
--- a/internal/fleet/shares/codec.go
+++ b/internal/fleet/shares/codec.go
@@ -6,25 +6,25 @@
 	"fmt"
 )
 
-// codecVersion of asks and answers as they travel. Another one is refused in words.
+// codecVersion is the version of the encoding of requests and replies. Batches of another version are rejected with an error.
 const codecVersion = 1
 
-// MaxNameBytes is the most bytes of a name.
+// MaxNameBytes is the maximum length of a co-ordinator's name.
 const MaxNameBytes = 64
 
-// MaxMessages asks or answers go in one letter: those of one step to one peer.
+// MaxMessages is the maximum number of requests and replies in a batch, which holds those of one step to one peer.
 const MaxMessages = 2 * MaxRequestsPerPeer
 
-var errMalformed = errors.New("shares: a message is cut short or damaged")
+var errMalformed = errors.New("shares: truncated or malformed batch")
 
-// A letter: version 1 | then for each, kind 1 | uvarints: incarnation, no, revision, account, amount. Names go with the letter: From is
-// its sender, To who reads it.
+// A batch is the version (1 byte), then for each message its kind (1 byte) and five uvarints: incarnation, sequence number, revision,
+// account and amount. Names are not encoded: From is the sender of the batch and To its receiver.
 const (
 	kindRequest = 1
 	kindReply   = 2
 )
 
-// Append adds asks and answers to a letter; a new one begins with nil. Other outputs are passed over.
+// Append adds a request or reply to a batch; nil begins a new one. Other outputs are ignored.
 func Append(b []byte, o Output) []byte {
 	if len(b) == 0 {
 		b = append(b, codecVersion)
@@ -44,13 +44,13 @@
 	return b
 }
 
-// Decode reads a letter of from to the co-ordinator to. Nothing of a damaged one counts.
+// Decode reads a batch sent by from to the co-ordinator to. A malformed batch is rejected as a whole.
 func Decode(b []byte, from, to string) ([]Input, error) {
 	if len(b) == 0 || from == "" || len(from) > MaxNameBytes {
 		return nil, errMalformed
 	}
 	if b[0] != codecVersion {
-		return nil, fmt.Errorf("shares: a message of version %d, this program knows %d", b[0], codecVersion)
+		return nil, fmt.Errorf("shares: batch has version %d, expected %d", b[0], codecVersion)
 	}
 	var in []Input
 	for b = b[1:]; len(b) > 0; {
@@ -65,7 +65,7 @@
 			fields[i], b = v, b[size:]
 		}
 		if fields[2] > 1<<31 || fields[3] > 1<<31 || fields[4] > GuaranteeUnits || len(in) >= MaxMessages {
-			return nil, fmt.Errorf("shares: revision %d, account %d, amount %d, message %d of %s: out of bounds", fields[2], fields[3], fields[4], len(in)+1, from)
+			return nil, fmt.Errorf("shares: revision %d, account %d, amount %d or number of messages out of bounds in message %d from %s", fields[2], fields[3], fields[4], len(in)+1, from)
 		}
 		switch kind {
 		case kindRequest:
@@ -73,7 +73,7 @@
 		case kindReply:
 			in = append(in, LoanReply{From: from, To: to, Incarnation: fields[0], Seq: fields[1], Revision: int(fields[2]), Account: uint32(fields[3]), Amount: int64(fields[4])})
 		default:
-			return nil, fmt.Errorf("shares: a message of kind %d", kind)
+			return nil, fmt.Errorf("shares: unknown message kind %d", kind)
 		}
 	}
 	return in, nil
--- a/internal/fleet/shares/codec_test.go
+++ b/internal/fleet/shares/codec_test.go
@@ -18,27 +18,27 @@
 	}
 	for i := 1; i < len(b); i++ {
 		if truncated, err := Decode(b[:i], "a", "b"); err == nil && len(truncated) > 1 {
-			t.Errorf("cut after %d bytes: %+v", i, truncated)
+			t.Errorf("truncated after %d bytes: decoded %+v", i, truncated)
 		}
 	}
 	b[0]++
 	if _, err := Decode(b, "a", "b"); err == nil {
-		t.Error("one of another version is read")
+		t.Error("a batch of another version is decoded")
 	}
 	for _, bad := range []Output{SendRequest{"b", LoanRequest{Want: GuaranteeUnits + 1}}, SendRequest{"b", LoanRequest{Revision: -1}}, SendReply{"b", LoanReply{Amount: -1}}} {
 		if in, err := Decode(Append(nil, bad), "a", "b"); err == nil {
-			t.Errorf("%+v is taken for %+v", bad, in)
+			t.Errorf("invalid %+v is decoded as %+v", bad, in)
 		}
 	}
 }
 
-// Whatever comes, it is read within its bounds or refused, and stops nobody.
+// Any input is decoded within bounds or rejected, and never makes a step panic or break a rule.
 func FuzzDecode(f *testing.F) {
 	f.Add(Append(Append(nil, SendRequest{"b", LoanRequest{Seq: 1, Want: 5}}), SendReply{"b", LoanReply{Seq: 1, Amount: 5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		in, err := Decode(raw, "a", "b")
 		if err != nil && in != nil || len(in) > MaxMessages {
-			t.Fatalf("%d read with %v", len(in), err)
+			t.Fatalf("%d messages decoded, error %v", len(in), err)
 		}
 		s := New(Options{Name: "b", FleetSize: 3})
 		s.Step(0, []Input{Config{0, 4}, Membership{Live: []string{"a", "b"}}})
--- a/internal/fleet/shares/loans.go
+++ b/internal/fleet/shares/loans.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleRequest answers a peer's ask out of what is idle of the home part.
+// handleRequest lends to a peer from the unused part of the home share and replies to its request.
 func (s *Shares) handleRequest(request LoanRequest) {
 	if request.Revision != s.revision || request.Account >= uint32(s.accounts) || request.From == s.options.Name || request.From == "" || request.Want <= 0 {
 		return
@@ -22,26 +22,26 @@
 			s.lentTotal[request.Account] += amount
 			reply.Amount = amount
 		}
-	case request.Incarnation != l.incarnation: // the process before may have it, and this one doesn't know
-	case request.Seq < l.seq: // late: a newer one was answered
+	case request.Incarnation != l.incarnation: // an earlier process of the borrower may hold the loan, and this one does not know of it
+	case request.Seq < l.seq: // late: a newer request was answered
 		return
-	case request.Seq == l.seq: // repeated: it is the same loan, which ends when it did
+	case request.Seq == l.seq: // repeated: the same loan, which expires when it did before
 		reply.Amount = l.amount
-	case s.lendable(request.Account) >= 0: // it goes on, as long as nothing of it is missed here
+	case s.lendable(request.Account) >= 0: // renewed, as long as the amount is not needed here
 		l.seq, l.expiresAt = request.Seq, s.now+lenderLoanDuration
 		reply.Amount = l.amount
 	}
 	s.out = append(s.out, SendReply{To: request.From, Reply: reply})
 }
 
-// lendable is what of an account may be lent beyond what is: what is neither in use here, with some to spare, nor more than the part
-// of it that may be lent at all. Below 0: what is lent is missed.
+// lendable returns how much more of an account may be lent. It leaves the co-ordinator's own demand plus a reserve, and keeps the sum of
+// loans within the lendable fraction of the home share. A negative result means that some of what is lent is needed here.
 func (s *Shares) lendable(account uint32) int64 {
 	wanted := s.wanted[account]
 	lent := s.lentTotal[account]
 	free := min(s.HomeShare()/LendDivisor-lent, s.HomeShare()-lent-wanted-wanted/ReserveDivisor)
 	if s.recovering() {
-		return min(free, 0) // its own half is all there is for sure
+		return min(free, 0) // only the unlendable share is certain to be available
 	}
 	return free
 }
@@ -53,7 +53,8 @@
 	}
 }
 
-// handleReply notes what a peer lent, if it answers an ask that is still known. Its time counts from the sending of that ask.
+// handleReply records what a peer lent, if it answers a request that is still pending. The loan's time counts from the sending of that
+// request.
 func (s *Shares) handleReply(reply LoanReply) {
 	k := loanKey{reply.From, reply.Account}
 	request, ok := s.pending[k]
@@ -72,13 +73,13 @@
 	s.updateBorrowedTotal()
 }
 
-// shortage is an account of which more is wanted than may be used.
+// shortage is the amount by which the demand for an account exceeds what may be used.
 type shortage struct {
 	account uint32
 	amount  int64
 }
 
-// requestLoans keeps what is borrowed and still wanted, and looks for more at peers drawn anew each time.
+// requestLoans renews loans that are still needed and requests more from randomly chosen peers, once per RequestInterval.
 func (s *Shares) requestLoans() {
 	if s.stepped && s.lastRoundAt > 0 && s.now < s.lastRoundAt+RequestInterval {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// renewLoans asks for what is borrowed before it fades, where it is wanted still.
+// renewLoans requests loans that are still needed again before they fade.
 func (s *Shares) renewLoans() {
 	var expiring []loanKey
 	for k, l := range s.borrowed {
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -1,12 +1,15 @@
-// Package shares holds one co-ordinator's part of what the lanes guarantee to accounts. A guarantee is the fleet's; traffic
-// lands unevenly. So each co-ordinator has an even part of each account's guarantee, its home part, and those that need more
-// than theirs borrow for a while what others leave idle. Pure: time comes in by the own monotonic clock, messages and what is
-// used of late too; what is to be sent comes out.
+// Package shares manages one co-ordinator's shares of the guarantees that lanes give to accounts. A guarantee holds for the whole fleet,
+// but traffic is uneven. Each co-ordinator therefore has an even share of each account's guarantee, its home share, and those
+// that need more borrow for a while what others leave unused.
 //
-// The sum of what all may use never grows over the guarantee by words that are lost, late, repeated or out of order: a lender
-// counts a loan from its making and for longer, by the drift, than its borrower, which counts it from the sending of its ask; a
-// loan acts once by its number; and a new process of a lender, which knows nothing of the loans of the one before, uses no more
-// than what is never lent, for as long as such loans may last. What is over it comes of counting co-ordinators only, see Members.
+// The package is pure: the time of the co-ordinator's monotonic clock, the received messages and the recent demand are passed in, and the
+// messages to send are returned.
+//
+// Lost, late, repeated or reordered messages never raise the sum of all shares over the guarantee, for these reasons. A lender counts a
+// loan from granting it, its borrower from sending the request, and the lender counts longer to allow for clock drift. The sequence number
+// of a request ensures that a loan takes effect only once. After a restart, a lender does not know the loans of its previous process and
+// uses only what is never lent, for as long as such loans may last. The sum can exceed the guarantee only if the number of
+// co-ordinators is wrong, see Membership.
 package shares
 
 import (
@@ -17,48 +20,49 @@
 	"time"
 )
 
-// GuaranteeUnits is the whole of one account's guarantee; all amounts are parts of it.
+// GuaranteeUnits is the number of units that make up one account's guarantee; all amounts are in these units.
 const GuaranteeUnits = 1_000_000
 
-// Times and bounds.
+// Times and limits.
 const (
 	// LoanDuration is how long a loan lasts for its borrower.
 	LoanDuration = 10 * time.Second
-	// DriftDivisor is by how much two clocks may run apart: one part of so many.
+	// DriftDivisor bounds the drift between two clocks to 1/DriftDivisor of the elapsed time.
 	DriftDivisor = 100
-	// RequestInterval is between asks for one account.
+	// RequestInterval is the time between two rounds of requests.
 	RequestInterval = 250 * time.Millisecond
-	// PeersPerRound are asked each time.
+	// PeersPerRound is how many peers are asked in each round.
 	PeersPerRound = 2
-	// LendDivisor: of its home part each lends at most one part of so many, in all. More would leave a new process, which may not use it
-	// while old loans last, too little; less moves less to where traffic lands.
+	// LendDivisor limits all loans of an account together to 1/LendDivisor of the home share. Lending more would leave too little to a
+	// new process, which may not use that part while old loans last; lending less would move less to where the traffic is.
 	LendDivisor = 2
-	// LoanDivisor: one loan is at most one part of so many of the home part.
+	// LoanDivisor limits one loan to 1/LoanDivisor of the home share.
 	LoanDivisor = 4
-	// ReserveDivisor is left to a lender above its own use of late: one part of so many of it.
+	// ReserveDivisor sets the reserve that a lender keeps beyond its recent demand: 1/ReserveDivisor of that demand.
 	ReserveDivisor = 4
-	// GrowAfter is how long fewer co-ordinators are agreed before home parts grow.
+	// GrowAfter is how long a lower number of co-ordinators must be agreed before home shares grow.
 	GrowAfter = LoanDuration
-	// MaxRequestsPerPeer accounts are asked for in one message, the shortest first.
+	// MaxRequestsPerPeer is how many accounts are requested from one peer in a round, the largest shortages first, and how many loans
+	// are renewed in a round.
 	MaxRequestsPerPeer = 64
-	// MaxLoans are kept as a lender, and as many as a borrower; further ones are not made.
+	// MaxLoans is the maximum number of loans as a lender, and also as a borrower.
 	MaxLoans = 65_536
 )
 
-// Options of one co-ordinator's part.
+// Options configures one co-ordinator.
 type Options struct {
 	Name        string
-	Incarnation uint64 // of the process, greater than that of any process before of the same name
-	FleetSize   int    // co-ordinators of the settings, until Members says what is agreed
-	Seed        uint64 // of whom it asks
+	Incarnation uint64 // of the process, greater than that of any earlier process of the same name
+	FleetSize   int    // configured number of co-ordinators, used until Membership gives the agreed one
+	Seed        uint64 // for the random choice of peers
 }
 
-// loan is one of ours to a peer, or of a peer's to us.
+// loan is a loan to a peer, or from a peer.
 type loan struct {
 	peer        string
 	incarnation uint64 // of the borrower's process
 	account     uint32
-	seq         uint64 // of the ask
+	seq         uint64 // of the request
 	amount      int64
 	expiresAt   time.Duration
 }
@@ -68,61 +72,61 @@
 	account uint32
 }
 
-// pendingRequest is an ask of ours that may still be answered.
+// pendingRequest is a request to a peer that may still be answered.
 type pendingRequest struct {
 	seq     uint64
 	sentAt  time.Duration
 	account uint32
 }
 
-// Shares is one co-ordinator's part. Not for several goroutines at once.
+// Shares holds one co-ordinator's shares and loans. It is not safe for concurrent use.
 type Shares struct {
 	options         Options
 	rng             *rand.Rand
 	recoveringSince time.Duration
 	stepped         bool
 	now             time.Duration
-	revision        int // of the lanes in force; messages of another are passed over
+	revision        int // of the lanes in force; messages of other revisions are ignored
 	accounts        int
 
-	members          int // by which home parts are counted
-	minMembers       int // by which they were counted ever: loans of then may last
-	pendingMembers   int // agreed since pendingMembersAt, and to be counted by from GrowAfter on; 0: none
+	members          int // number of co-ordinators that home shares are computed from
+	minMembers       int // lowest value of members so far: loans made then may still last
+	pendingMembers   int // lower number agreed since pendingMembersAt, to be applied GrowAfter later; 0: none
 	pendingMembersAt time.Duration
 	peers            []string
-	lastSeq          uint64 // number of the newest ask
+	lastSeq          uint64 // number of the newest request
 	pending          map[loanKey]pendingRequest
-	wanted           map[uint32]int64 // of late, by account
+	wanted           map[uint32]int64 // recent demand by account
 	lastRoundAt      time.Duration
 	lent             map[loanKey]*loan
 	lentTotal        map[uint32]int64
 	borrowed         map[loanKey]*loan
-	borrowedTotal    map[uint32]int64 // of borrowed, as of now
+	borrowedTotal    map[uint32]int64 // usable amount of borrowed, at now
 	out              []Output
-	reported         map[uint32]int64 // what the gate was last told, where it is not the home part
+	reported         map[uint32]int64 // last share reported to the gate, of accounts whose share is not the default one
 }
 
-// New makes it. Without a Set it holds no account.
+// New returns the shares of one co-ordinator. They have no accounts until a Config.
 func New(o Options) *Shares {
 	h := fnv.New64a()
-	h.Write([]byte(o.Name)) // or all would ask the same two
+	h.Write([]byte(o.Name)) // otherwise all co-ordinators would ask the same peers
 	return &Shares{options: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)), members: max(1, o.FleetSize), minMembers: max(1, o.FleetSize), pending: map[loanKey]pendingRequest{}, wanted: map[uint32]int64{},
 		lent: map[loanKey]*loan{}, lentTotal: map[uint32]int64{}, borrowed: map[loanKey]*loan{}, borrowedTotal: map[uint32]int64{}, reported: map[uint32]int64{}}
 }
 
-// HomeShare is the own even part of each account, before loans.
+// HomeShare returns this co-ordinator's even share of each account's guarantee, before loans.
 func (s *Shares) HomeShare() int64 { return GuaranteeUnits / int64(s.members) }
 
-// unlendableShare is what of a home part is never lent and what a new process may use, while loans of the one before may last.
+// unlendableShare returns the part of a home share that is never lent. A new process may use it while loans of the previous one may last.
 func (s *Shares) unlendableShare() int64 { return s.HomeShare() - s.HomeShare()/LendDivisor }
 
-// recovering says that loans of the process before this one may last. Its lender's side ended them LoanDuration and the drift after it
-// was heard; their borrowers began to count before that.
+// recovering reports whether loans that this process does not know of may still last. The previous process granted them before this one
+// started, and their borrowers began to count even earlier, so all have expired when LoanDuration plus the drift has passed since then.
 func (s *Shares) recovering() bool {
 	return s.now < s.recoveringSince+LoanDuration+LoanDuration/DriftDivisor
 }
 
-// Usable is what this co-ordinator may use of an account's guarantee now.
+// Usable returns what this co-ordinator may use of an account's guarantee now.
 func (s *Shares) Usable(account uint32) int64 {
 	if account >= uint32(s.accounts) {
 		return 0
@@ -134,8 +138,8 @@
 	return max(0, usable) + s.borrowedTotal[account]
 }
 
-// updateBorrowedTotal adds up what is borrowed of each account. In its last third a loan fades, so that one that is cut off comes back to its
-// home part by steps.
+// updateBorrowedTotal adds up the usable loans from peers by account. A loan fades in its last third, so that a borrower that is cut off
+// returns to its home share gradually.
 func (s *Shares) updateBorrowedTotal() {
 	clear(s.borrowedTotal)
 	for _, l := range s.borrowed {
@@ -147,8 +151,8 @@
 	return l.amount * int64(max(0, min(l.expiresAt-now, LoanDuration/3))) / int64(LoanDuration/3)
 }
 
-// Step takes news at the own monotonic time and says what is to be sent and told. A time before the last one counts as the
-// last one. The result holds until the next call.
+// Step handles input at time now of the co-ordinator's monotonic clock and returns the messages to send and the shares to report. If now is
+// before the last step, the time of the last step is used. The result is valid until the next call.
 func (s *Shares) Step(now time.Duration, in []Input) []Output {
 	if !s.stepped {
 		s.stepped, s.recoveringSince = true, now
@@ -174,8 +178,8 @@
 	return s.out
 }
 
-// applyConfig begins anew with other accounts: numbers of accounts mean others from now on. What was lent is still in use by borrowers
-// that have not heard of it, which a young process bears in mind.
+// applyConfig drops all state when the revision changes because account numbers then stand for other accounts. Borrowers that do not know
+// the new revision yet still use what was lent, so the co-ordinator limits its own use as after a restart.
 func (s *Shares) applyConfig(i Config) {
 	if i.Revision == s.revision {
 		return
@@ -194,11 +198,11 @@
 	}
 }
 
-// applyMembership takes the agreed number of co-ordinators: more of them lower the home parts at once, fewer raise them later.
+// applyMembership applies the agreed number of co-ordinators: a higher one lowers home shares at once, a lower one raises them later.
 func (s *Shares) applyMembership(i Membership) {
 	s.peers = slices.DeleteFunc(slices.Clone(i.Live), func(name string) bool { return name == s.options.Name })
 	switch n := max(1, i.Agreed); {
-	case i.Agreed <= 0: // not known: as it was
+	case i.Agreed <= 0: // not known: unchanged
 	case n >= s.members:
 		s.members, s.pendingMembers = n, 0
 	case s.pendingMembers == 0 || n > s.pendingMembers:
@@ -214,13 +218,13 @@
 	s.wanted[i.Account] = min(i.Want, GuaranteeUnits)
 }
 
-// expire ends what is over.
+// expire drops expired loans and requests, and applies a lower number of members once GrowAfter has passed.
 func (s *Shares) expire() {
 	if s.pendingMembers > 0 && s.now >= s.pendingMembersAt+GrowAfter {
 		s.members, s.pendingMembers = s.pendingMembers, 0
 		s.minMembers = min(s.minMembers, s.members)
 	}
-	for k, l := range s.lent { // in any order: each is on its own
+	for k, l := range s.lent { // the order does not matter: loans are independent
 		if s.now >= l.expiresAt {
 			s.removeLent(k, l)
 		}
@@ -238,7 +242,7 @@
 	s.updateBorrowedTotal()
 }
 
-// reportShares has the gate know the part of most accounts, and of each of which it is another.
+// reportShares reports the default share, and each account's share that has changed and differs from it or no longer does.
 func (s *Shares) reportShares() {
 	defaultShare := s.HomeShare()
 	if s.recovering() {
--- a/internal/fleet/shares/shares_test.go
+++ b/internal/fleet/shares/shares_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// node is one co-ordinator in a network of several; its clock runs by rate and from offset.
+// node is one co-ordinator of a simulated network. Its clock starts at clockOffset and runs at clockRate.
 type node struct {
 	shares        *Shares
 	name          string
@@ -20,7 +20,7 @@
 	clockOffset   time.Duration
 	starts        uint64
 	down          bool
-	stalledUntil  time.Duration // true time until which it stands still
+	stalledUntil  time.Duration // network time until which it is stalled
 	accountShares map[uint32]int64
 	defaultShare  int64
 }
@@ -41,13 +41,13 @@
 	nodes         []*node
 	accounts      int
 	wanted        func(node int, account uint32) int64
-	inFlight      map[string][]delivery // by whom they go to
+	inFlight      map[string][]delivery // by receiver
 	lossRate      float64
 	duplicateRate float64
-	maxDelay      time.Duration // inFlight take up to that
+	maxDelay      time.Duration // upper limit of a message's delay
 	blocked       map[string]bool
 	agreed        int
-	maxExcess     int64 // the most that a sum was over the guarantee
+	maxExcess     int64 // largest excess of a sum over the guarantee
 }
 
 func newNetwork(t testing.TB, seed uint64, nodes, accounts int) *network {
@@ -71,7 +71,7 @@
 	w.stepNode(n, Config{Revision: 1, Accounts: w.accounts})
 }
 
-// stepNode steps a node with what came, and sends what it wants sent.
+// stepNode steps a node with its input and sends its messages.
 func (w *network) stepNode(n *node, in ...Input) {
 	var live []string
 	for _, o := range w.nodes {
@@ -112,7 +112,7 @@
 	}
 }
 
-// run plays that long in steps of 50 ms, and judges the sums after each.
+// run simulates a span in steps of 50 ms and checks the sums after each.
 func (w *network) run(span time.Duration, between func()) {
 	for end := w.now + span; w.now < end; {
 		w.now += 50 * ms
@@ -142,8 +142,7 @@
 	}
 }
 
-// sum is what all may use of an account now: what a gate goes by until the next step, so that of a node that stands still its last
-// word counts, though nothing runs there.
+// sum is what all nodes may use of an account now, by the shares they reported last. Stopped and stalled nodes use nothing.
 func (w *network) sum(a uint32) (sum int64) {
 	for _, n := range w.nodes {
 		if n.down || w.now < n.stalledUntil {
@@ -163,11 +162,11 @@
 		w.maxExcess = max(w.maxExcess, w.sum(a)-GuaranteeUnits)
 	}
 	if w.maxExcess > 0 && w.agreed == 0 {
-		w.t.Fatalf("L5 at %v: %d over the guarantee", w.now, w.maxExcess)
+		w.t.Fatalf("L5 at %v: the sum is %d over the guarantee", w.now, w.maxExcess)
 	}
 }
 
-// usable is what one may use of an account now.
+// usable is what a node may use of an account now.
 func (w *network) usable(i int, a uint32) int64 {
 	if share, ok := w.nodes[i].accountShares[a]; ok {
 		return share
@@ -175,8 +174,8 @@
 	return w.nodes[i].defaultShare
 }
 
-// Where traffic lands on one co-ordinator of ten, five times what the others get, it gets what the others leave within seconds, and they
-// get theirs back when it turns.
+// One co-ordinator of ten has five times the traffic of each of the others. Within seconds it must be able to use what they leave unused,
+// and return it when the traffic moves to another co-ordinator.
 func TestSharesFollowTheTraffic(t *testing.T) {
 	w := newNetwork(t, 1, 10, 1)
 	w.run(LoanDuration+time.Second, nil) // recovering until then
@@ -188,31 +187,31 @@
 	}
 	w.run(3*time.Second, nil)
 	if got, want := w.usable(0, 0), int64(5*GuaranteeUnits/18); got < want {
-		t.Errorf("the busy one may use %d after 3 s, it wants %d", got, want)
+		t.Errorf("the busy co-ordinator may use %d after 3 s, its demand is %d", got, want)
 	}
 	w.run(time.Minute, func() {
 		if w.now%time.Second == 0 && w.usable(0, 0) < 5*GuaranteeUnits/18 {
-			t.Fatalf("at %v it may use %d: loans were let go", w.now, w.usable(0, 0))
+			t.Fatalf("at %v the busy co-ordinator may use %d: loans were not renewed", w.now, w.usable(0, 0))
 		}
 	})
 	w.wanted = func(i int, _ uint32) int64 { return map[bool]int64{true: 3 * GuaranteeUnits / 10}[i == 9] }
 	w.run(LoanDuration+3*time.Second, nil)
 	if got := w.usable(9, 0); got < 3*GuaranteeUnits/10 {
-		t.Errorf("the next busy one may use %d", got)
+		t.Errorf("the new busy co-ordinator may use %d", got)
 	}
 	if got := w.usable(0, 0); got > w.nodes[0].shares.HomeShare() {
-		t.Errorf("the one before may still use %d", got)
+		t.Errorf("the previous busy co-ordinator may still use %d", got)
 	}
 }
 
-// At 300, half of which get five times the traffic of the others.
+// 300 co-ordinators, half of which get five times the traffic of the others.
 func TestSharesFollowTheTrafficOf300(t *testing.T) {
 	w := newNetwork(t, 2, 300, 1)
 	w.run(LoanDuration+100*ms, nil)
 	home := w.nodes[0].shares.HomeShare()
 	w.wanted = func(i int, _ uint32) int64 {
 		return map[bool]int64{true: home * 17 / 12, false: home * 17 / 60}[i%2 == 0]
-	} // 0.85 of it in all
+	} // 0.85 of the guarantee in all
 	w.run(5*time.Second, nil)
 	satisfied := 0
 	for i := 0; i < 300; i += 2 {
@@ -221,11 +220,11 @@
 		}
 	}
 	if satisfied < 140 {
-		t.Errorf("%d of 150 may use what they want after 5 s", satisfied)
+		t.Errorf("only %d of 150 may use their demand after 5 s", satisfied)
 	}
 }
 
-// One that is cut off comes back to its home part by steps, whatever it had.
+// A borrower that is cut off from all others returns to its home share gradually.
 func TestIsolatedBorrowerFadesToItsHomeShare(t *testing.T) {
 	w := newNetwork(t, 3, 10, 1)
 	w.run(LoanDuration+time.Second, nil)
@@ -233,7 +232,7 @@
 	w.run(8*time.Second, nil)
 	initial := w.usable(0, 0)
 	if initial < 3*GuaranteeUnits/10 {
-		t.Fatalf("it had %d", initial)
+		t.Fatalf("the borrower may use only %d before the cut", initial)
 	}
 	for _, n := range w.nodes {
 		w.blocked[n.name+"c000"], w.blocked["c000"+n.name] = true, true
@@ -242,18 +241,18 @@
 	w.run(LoanDuration+time.Second, func() {
 		if now := w.usable(0, 0); now != last {
 			if last-now > initial/4 {
-				t.Errorf("from %d to %d at once", last, now)
+				t.Errorf("the share fell from %d to %d in one step", last, now)
 			}
 			last, steps = now, steps+1
 		}
 	})
 	if home := w.nodes[0].shares.HomeShare(); last != home || steps < 4 {
-		t.Errorf("it may use %d in the end, home part %d, %d steps", last, home, steps)
+		t.Errorf("it may use %d in the end, home share %d, after %d steps", last, home, steps)
 	}
 }
 
-// Seeded faults: letters lost, late, repeated and out of order, cuts, stalls, crashes, clocks 1 % apart. The sum of what all may use is
-// never over the guarantee, at any moment.
+// Seeded faults: messages lost, late, repeated and reordered, cut links, stalls, crashes, and clocks that drift by 1 %. The sum of what
+// all co-ordinators may use never exceeds the guarantee.
 func TestSumOfSharesStaysWithinTheGuarantee(t *testing.T) {
 	seeds := 60
 	if n, err := strconv.Atoi(os.Getenv("BIRCHCART_SHARES")); err == nil {
@@ -283,7 +282,7 @@
 					w.start(n)
 				}
 			case 9:
-				w.start(n) // a restart at once
+				w.start(n) // restarts at once
 			case 10:
 				n.stalledUntil = w.now + time.Duration(w.rng.IntN(15_000))*ms
 			case 11:
@@ -293,8 +292,8 @@
 	}
 }
 
-// More co-ordinators lower the parts at once, fewer raise them later, and what is over the guarantee meanwhile is what had been
-// lent, for as long as loans last.
+// A higher number of members lowers home shares at once, a lower one raises them later. Meanwhile the sum exceeds the guarantee by no more
+// than what was lent, for as long as loans last.
 func TestMembershipChange(t *testing.T) {
 	w := newNetwork(t, 4, 8, 1)
 	w.run(LoanDuration+time.Second, nil)
@@ -303,21 +302,21 @@
 	w.agreed = 16
 	w.run(LoanDuration+time.Second, nil)
 	if home := w.nodes[1].shares.HomeShare(); home != GuaranteeUnits/16 || w.maxExcess > GuaranteeUnits/2 {
-		t.Errorf("home part %d, %d over", home, w.maxExcess)
+		t.Errorf("home share %d, sum %d over the guarantee", home, w.maxExcess)
 	}
 	w.maxExcess = 0
 	w.agreed = 8
 	w.run(GrowAfter-time.Second, nil)
 	if home := w.nodes[1].shares.HomeShare(); home != GuaranteeUnits/16 {
-		t.Errorf("home part %d before its time", home)
+		t.Errorf("home share %d before GrowAfter has passed", home)
 	}
 	w.run(2*time.Second, nil)
 	if home := w.nodes[1].shares.HomeShare(); home != GuaranteeUnits/8 || w.maxExcess > 0 {
-		t.Errorf("home part %d, %d over", home, w.maxExcess)
+		t.Errorf("home share %d, sum %d over the guarantee", home, w.maxExcess)
 	}
 }
 
-// Other lanes in force mean other accounts: what was lent and asked under the ones before counts for nothing.
+// After a change of the lanes in force, account numbers stand for other accounts: earlier loans and requests must not count.
 func TestNewConfigDropsLoans(t *testing.T) {
 	a := New(Options{Name: "a", FleetSize: 2})
 	a.Step(0, []Input{Config{1, 3}, Membership{Live: []string{"a", "b"}}})
@@ -327,18 +326,18 @@
 		t.Fatalf("%+v", out)
 	}
 	if use := a.Usable(2); use != GuaranteeUnits/2-GuaranteeUnits/2/LoanDivisor {
-		t.Errorf("may use %d of what it lent", use)
+		t.Errorf("may use %d after lending", use)
 	}
 	out = a.Step(now, []Input{Config{2, 1}, LoanRequest{From: "b", Seq: 2, Revision: 1, Account: 0, Want: GuaranteeUnits}, LoanRequest{From: "b", Seq: 3, Revision: 2, Account: 1, Want: 1}})
 	if l := findReply(out); l != nil {
-		t.Errorf("%+v of lanes that are not in force, or of no account", l)
+		t.Errorf("reply %+v for lanes not in force or an unknown account", l)
 	}
 	if use := a.Usable(0); use != GuaranteeUnits/4 || a.Usable(1) != 0 {
-		t.Errorf("may use %d while what it lent may be in use", use)
+		t.Errorf("may use %d while its loans may still be in use", use)
 	}
 }
 
-// A new process lends nothing and keeps to what is never lent, while loans of the process before may last: it knows of none of them.
+// A new process does not know the loans of the previous one. It must lend nothing and use only what is never lent while they may last.
 func TestRestartedProcessLendsNothing(t *testing.T) {
 	s := New(Options{Name: "a", Incarnation: 2, FleetSize: 2})
 	s.Step(time.Hour, []Input{Config{1, 1}})
@@ -357,7 +356,7 @@
 	}
 }
 
-// What is repeated is the same loan, and what is late none.
+// A repeated request returns the same loan, and a late one is ignored.
 func TestRepeatedAndLateRequestsDoNotChangeALoan(t *testing.T) {
 	s := New(Options{Name: "a", FleetSize: 2})
 	s.Step(0, []Input{Config{1, 1}})
@@ -377,18 +376,18 @@
 		t.Errorf("late: %+v", l)
 	}
 	if l := request(1, 2); l.Amount != 0 || s.lent[loanKey{"b", 0}].expiresAt != expiresAt {
-		t.Errorf("of the next process: %+v", l)
+		t.Errorf("from the borrower's next process: %+v", l)
 	}
 	if l := request(3, 1); l.Amount != GuaranteeUnits/8 || s.lent[loanKey{"b", 0}].expiresAt != now+lenderLoanDuration {
 		t.Errorf("renewed: %+v", l)
 	}
-	s.Step(now, []Input{Demand{0, GuaranteeUnits / 2}}) // it is missed here
+	s.Step(now, []Input{Demand{0, GuaranteeUnits / 2}}) // the amount is needed here
 	if l := request(4, 1); l.Amount != 0 {
-		t.Errorf("renewed though it is missed: %+v", l)
+		t.Errorf("renewed although it is needed here: %+v", l)
 	}
 }
 
-// An answer to an ask of the process before is no loan of this one's, though the numbers are alike.
+// A reply to a request of the previous process must not count as a loan, even if the sequence number matches.
 func TestReplyToPreviousProcessIsIgnored(t *testing.T) {
 	s := New(Options{Name: "a", Incarnation: 2, FleetSize: 2})
 	s.Step(0, []Input{Config{1, 1}, Membership{Live: []string{"a", "b"}}})
@@ -400,7 +399,7 @@
 		}
 	}
 	if no == 0 {
-		t.Fatalf("asked for nothing: %+v", out)
+		t.Fatalf("no request was sent: %+v", out)
 	}
 	late := LoanReply{From: "b", To: "a", Incarnation: 1, Seq: no, Revision: 1, Amount: 1000}
 	if s.Step(2*LoanDuration, []Input{late}); s.Usable(0) != GuaranteeUnits/2 {
@@ -421,7 +420,7 @@
 	return nil
 }
 
-// The same news gives the same words.
+// The same input produces the same output.
 func TestStepIsDeterministic(t *testing.T) {
 	replay := func() (all [][]Output) {
 		s := New(Options{Name: "a", FleetSize: 4, Seed: 9})
@@ -439,6 +438,6 @@
 		return all
 	}
 	if !reflect.DeepEqual(replay(), replay()) {
-		t.Error("two plays differ")
+		t.Error("two runs differ")
 	}
 }
--- a/internal/fleet/shares/types.go
+++ b/internal/fleet/shares/types.go
@@ -1,27 +1,27 @@
 package shares
 
-// Input is news for a Step.
+// Input is an event that Step handles.
 type Input interface{ input() }
 
 type (
-	// Config says which lanes are in force, and how many accounts of them have a guarantee, by their numbers from 0.
+	// Config gives the revision of the lanes in force and the number of their accounts with a guarantee. Accounts are numbered from 0.
 	Config struct {
 		Revision int
 		Accounts int
 	}
-	// Membership says how many co-ordinators are agreed to be there, 0 if that is not known, and who is heard of now. Where more
-	// serve than are agreed, as one does that all others count as gone, the sum of all parts is over the guarantee by as many
-	// home parts: that is the slack.
+	// Membership gives the agreed number of co-ordinators, 0 if unknown, and the names of those that are alive. If more co-ordinators
+	// serve than are agreed, for example one that all others consider gone, the sum of all shares exceeds the guarantee by one home share
+	// for each of them. This excess is accepted.
 	Membership struct {
 		Agreed int
 		Live   []string
 	}
-	// Demand is what came of one account of late, as a part of its guarantee; 0: nothing.
+	// Demand is the recent demand for one account, in units of its guarantee; 0: none.
 	Demand struct {
 		Account uint32
 		Want    int64
 	}
-	// Request is a peer's wish to borrow, or to keep what it has. Numbers of a process only grow.
+	// LoanRequest is a peer's request to borrow, or to keep what it has borrowed. The sequence numbers of one process only grow.
 	LoanRequest struct {
 		From        string
 		Incarnation uint64
@@ -30,12 +30,12 @@
 		Account     uint32
 		Want        int64
 	}
-	// Reply answers an Ask; Amount 0: there is nothing to be had.
+	// LoanReply is the reply to a LoanRequest. Amount 0 means that nothing is lent.
 	LoanReply struct {
 		From        string // the lender
 		To          string
 		Incarnation uint64 // of the borrower
-		Seq         uint64 // of its ask
+		Seq         uint64 // of its request
 		Revision    int
 		Account     uint32
 		Amount      int64
@@ -48,23 +48,23 @@
 func (LoanRequest) input() {}
 func (LoanReply) input()   {}
 
-// Output is something to be done before the next Step.
+// Output is something to do before the next Step.
 type Output interface{ output() }
 
 type (
-	// SendRequest goes to a peer; nothing follows if it is lost.
+	// SendRequest sends a request to a peer. A lost request has no effect.
 	SendRequest struct {
 		To      string
 		Request LoanRequest
 	}
-	// SendReply answers one.
+	// SendReply sends the reply to a peer's request.
 	SendReply struct {
 		To    string
 		Reply LoanReply
 	}
-	// DefaultShare is the part of each account that no Part names.
+	// DefaultShare is the share of each account without an AccountShare of its own.
 	DefaultShare struct{ Share int64 }
-	// Share is what may be used of one account now, until the next one of it.
+	// AccountShare is the share of one account, until the next AccountShare for it.
 	AccountShare struct {
 		Account uint32
 		Share   int64
@@ -76,14 +76,14 @@
 func (DefaultShare) output() {}
 func (AccountShare) output() {}
 
-// UseDefault as the part of one account: that of all that are not named.
+// UseDefault as AccountShare.Share means that the account has the DefaultShare again.
 const UseDefault = -1
 
-// requestTimeout is how long an ask waits for its answer before the same peer is asked again.
+// requestTimeout is how long a request waits for its reply before the same peer is asked again.
 const requestTimeout = 4 * RequestInterval
 
-// lenderLoanDuration is how long a lender counts a loan: its borrower counted from before, by a clock that may be slower.
+// lenderLoanDuration is how long a lender counts a loan: its borrower began to count earlier, by a clock that may be slower.
 const lenderLoanDuration = LoanDuration + LoanDuration/DriftDivisor*2
 
-// borrowerLoanDuration is how long a borrower counts a loan from the sending of its ask.
+// borrowerLoanDuration is how long a borrower counts a loan from sending its request.
 const borrowerLoanDuration = LoanDuration - LoanDuration/DriftDivisor
