--- a/internal/fleet/lanes/admit.go
+++ b/internal/fleet/lanes/admit.go
@@ -54,7 +54,7 @@
 }
 
 // WithinGuarantee reports whether the query was admitted within a guarantee, for pressure.Meter.
-func (v *Decision) WithinGuarantee() bool { return v.Reason == Guaranteed }
+func (d *Decision) WithinGuarantee() bool { return d.Reason == Guaranteed }
 
 // PartitionKey returns the key by which one partition of a key's queries is shed. Partition 0 stands for all of them.
 func PartitionKey(key, partition uint64) uint64 { return key + partition*0x9e3779b97f4a7c15 }
@@ -70,80 +70,80 @@
 // Admit admits or refuses a query. Only an admitted query is charged to buckets.
 func (g *Gate) Admit(now time.Duration, q Query) Decision {
 	now = g.advance(now)
-	v := g.decide(now, &q)
-	if v.Admitted = !v.Reason.Refused(); v.Admitted {
-		g.charge(&q, &v)
+	d := g.decide(now, &q)
+	if d.Admitted = !d.Reason.Refused(); d.Admitted {
+		g.charge(&q, &d)
 	}
-	g.counts.Queries[v.Lane][v.Reason]++
-	g.counts.Cost[v.Lane][v.Reason] += q.Cost
+	g.counts.Queries[d.Lane][d.Reason]++
+	g.counts.Cost[d.Lane][d.Reason] += q.Cost
 	if q.Retry {
 		g.counts.Retries++
 	}
-	g.auditor.observe(now, g, &q, &v)
-	return v
+	g.auditor.observe(now, g, &q, &d)
+	return d
 }
 
 // decide determines the decision on a query. It refills buckets but takes nothing out of them.
-func (g *Gate) decide(now time.Duration, q *Query) (v Decision) {
+func (g *Gate) decide(now time.Duration, q *Query) (d Decision) {
 	if !(q.Cost >= 0) || math.IsInf(q.Cost, 0) {
 		q.Cost = 1
 	}
 	last := len(g.set.Lanes) - 1
-	v.Lane, v.PromiseDivisor = last, 1
+	d.Lane, d.PromiseDivisor = last, 1
 	key, guaranteed, overLimit := q.Key, false, false
 	var a *account
 	var config *laneconfig.Account
 	rate := 0.0
 	if q.Account >= 0 && q.Account < len(g.accounts) {
 		a, config = &g.accounts[q.Account], &g.set.Accounts[q.Account]
-		key, v.Lane, guaranteed = PartitionKey(config.Key, q.Partition), config.Lane, config.Guarantee > 0
+		key, d.Lane, guaranteed = PartitionKey(config.Key, q.Partition), config.Lane, config.Guarantee > 0
 		share := a.share
 		if g.stale(now) {
 			share = min(share, config.Guarantee/g.members)
 		}
 		if rate = share * g.capacity; rate > 0 && a.guaranteed.refill(now, rate, guaranteeBurst(rate)) > 0 {
-			v.Reason = Guaranteed
-			return v
+			d.Reason = Guaranteed
+			return d
 		}
 		if config.MaxShare > 0 {
 			limitRate := g.limitRate(a, config)
 			overLimit = a.limit.refill(now, limitRate, guaranteeBurst(limitRate)) <= 0
 		}
 	}
-	if l := &g.lanes[v.Lane]; guaranteed || g.set.Lanes[v.Lane].MaxShare > 0 && l.limit.refill(now, l.limitRate, burstSize(l.limitRate)) <= 0 {
-		v.Lane = last
+	if l := &g.lanes[d.Lane]; guaranteed || g.set.Lanes[d.Lane].MaxShare > 0 && l.limit.refill(now, l.limitRate, burstSize(l.limitRate)) <= 0 {
+		d.Lane = last
 	}
-	l := &g.lanes[v.Lane]
-	v.PromiseDivisor = l.promiseDivisor
+	l := &g.lanes[d.Lane]
+	d.PromiseDivisor = l.promiseDivisor
 	if g.level == 0 {
-		return v
+		return d
 	}
 	if overLimit {
-		v.Reason, v.RetryAfter = OverLimit, g.retryAfter(now, q, -a.limit.tokens, g.limitRate(a, config))
-		return v
+		d.Reason, d.RetryAfter = OverLimit, g.retryAfter(now, q, -a.limit.tokens, g.limitRate(a, config))
+		return d
 	}
 	if !l.shedAll && slotHash(key, g.slot) >= l.shedBelow {
-		return v
+		return d
 	}
 	if l.floor.refill(now, l.floorRate, burstSize(l.floorRate)) > 0 {
-		v.Reason, v.PromiseDivisor = Floor, 1
-		return v
+		d.Reason, d.PromiseDivisor = Floor, 1
+		return d
 	}
 	if q.Class >= 0 && q.Class < len(g.classes) {
 		if c := &g.classes[q.Class]; c.floor.refill(now, c.rate, burstSize(c.rate)) > 0 {
-			v.Reason, v.PromiseDivisor = ClassFloor, 1
-			return v
+			d.Reason, d.PromiseDivisor = ClassFloor, 1
+			return d
 		}
 	}
 	if guaranteed && g.idle.refill(now, g.idleRate, idleBurstSeconds*g.idleRate) > 0 {
-		v.Reason = Borrowed
-		return v
+		d.Reason = Borrowed
+		return d
 	}
-	v.Reason = Shed
-	if v.RetryAfter = g.retryAfter(now, q, 0, 0); rate > 0 {
-		v.RetryAfter = min(v.RetryAfter, g.retryAfter(now, q, max(0, -a.guaranteed.tokens), rate))
+	d.Reason = Shed
+	if d.RetryAfter = g.retryAfter(now, q, 0, 0); rate > 0 {
+		d.RetryAfter = min(d.RetryAfter, g.retryAfter(now, q, max(0, -a.guaranteed.tokens), rate))
 	}
-	return v
+	return d
 }
 
 // stale reports whether this co-ordinator counts as stalled, see StaleAfter.
@@ -158,30 +158,30 @@
 }
 
 // charge takes the cost of an admitted query out of each bucket that it counts towards.
-func (g *Gate) charge(q *Query, v *Decision) {
+func (g *Gate) charge(q *Query, d *Decision) {
 	if q.Account >= 0 && q.Account < len(g.accounts) {
 		a, config := &g.accounts[q.Account], &g.set.Accounts[q.Account]
-		if v.Reason == Guaranteed {
+		if d.Reason == Guaranteed {
 			a.guaranteed.tokens -= q.Cost
 		}
 		if config.MaxShare > 0 {
 			a.limit.spend(q.Cost, guaranteeBurst(g.limitRate(a, config)))
 		}
 	}
-	l := &g.lanes[v.Lane]
-	if g.set.Lanes[v.Lane].MaxShare > 0 {
+	l := &g.lanes[d.Lane]
+	if g.set.Lanes[d.Lane].MaxShare > 0 {
 		l.limit.spend(q.Cost, burstSize(l.limitRate))
 	}
-	if v.Reason == Guaranteed || g.level == 0 {
+	if d.Reason == Guaranteed || g.level == 0 {
 		return
 	}
 	// A query admitted for another reason also uses up the floors of its lane and class, but does not drive them below zero.
-	l.floor.tokens = max(l.floor.tokens-q.Cost, min(l.floor.tokens, lowestFloorBalance(v.Reason == Floor, q.Cost)))
+	l.floor.tokens = max(l.floor.tokens-q.Cost, min(l.floor.tokens, lowestFloorBalance(d.Reason == Floor, q.Cost)))
 	if q.Class >= 0 && q.Class < len(g.classes) {
 		c := &g.classes[q.Class]
-		c.floor.tokens = max(c.floor.tokens-q.Cost, min(c.floor.tokens, lowestFloorBalance(v.Reason == ClassFloor, q.Cost)))
+		c.floor.tokens = max(c.floor.tokens-q.Cost, min(c.floor.tokens, lowestFloorBalance(d.Reason == ClassFloor, q.Cost)))
 	}
-	if v.Reason == Borrowed {
+	if d.Reason == Borrowed {
 		g.idle.tokens -= q.Cost
 	}
 }
--- a/internal/fleet/lanes/check.go
+++ b/internal/fleet/lanes/check.go
@@ -75,46 +75,47 @@
 }
 
 // observe records a decision and checks it if it is a refusal.
-func (au *auditor) observe(now time.Duration, g *Gate, q *Query, v *Decision) {
-	l := &au.lanes[v.Lane]
+func (au *auditor) observe(now time.Duration, g *Gate, q *Query, d *Decision) {
+	l := &au.lanes[d.Lane]
 	l.refill(now)
 	var a *allowance
 	if q.Account >= 0 && q.Account < len(au.accounts) {
 		a = &au.accounts[q.Account]
 		a.refill(now)
 	}
-	if !v.Admitted {
+	if !d.Admitted {
 		au.refused++
-		au.checkRefusal(g, q, v, l, a)
+		au.checkRefusal(g, q, d, l, a)
 		return
 	}
 	au.admitted++
-	if v.Reason == Guaranteed {
+	if d.Reason == Guaranteed {
 		a.remaining -= q.Cost
 	} else if g.level > 0 {
 		lowest := min(l.remaining, 0)
-		if v.Reason == Floor {
+		if d.Reason == Floor {
 			lowest = -q.Cost
 		}
 		l.remaining = max(l.remaining-q.Cost, lowest)
 	}
 }
 
-func (au *auditor) checkRefusal(g *Gate, q *Query, v *Decision, l, a *allowance) {
+func (au *auditor) checkRefusal(g *Gate, q *Query, d *Decision, l, a *allowance) {
 	if au.violation != nil {
 		return
 	}
-	name := g.set.Lanes[v.Lane].Name
+	name := g.set.Lanes[d.Lane].Name
 	switch {
 	case g.level == 0:
-		au.violation = fmt.Errorf("L6: query of cost %.2f in lane %s was refused (%s) at level 0", q.Cost, name, v.Reason)
-	case v.Reason == Shed && l.remaining > tolerance:
-		au.violation = fmt.Errorf("L1: query of cost %.2f in lane %s was refused with %.3f unused of the lane's floor of %.3f/s", q.Cost, name, l.remaining, l.rate)
+		au.violation = fmt.Errorf("L6: query of cost %.2f in lane %s was refused (%s) at level 0", q.Cost, name, d.Reason)
+	case d.Reason == Shed && l.remaining > tolerance:
+		au.violation = fmt.Errorf("L1: query of cost %.2f in lane %s was refused with %.3f unused of the lane's floor of %.3f/s",
+			q.Cost, name, l.remaining, l.rate)
 	case a != nil && a.rate > 0 && a.remaining > tolerance && !g.stale(g.now):
 		au.violation = fmt.Errorf("L2: query of cost %.2f of account %s was refused (%s) with %.3f unused of its guarantee of %.3f/s", q.Cost,
-			g.set.Accounts[q.Account].Name, v.Reason, a.remaining, a.rate)
-	case v.RetryAfter < 0 || v.RetryAfter > MaxRetryAfter:
-		au.violation = fmt.Errorf("L3: refused query in lane %s has invalid retry time %v", name, v.RetryAfter)
+			g.set.Accounts[q.Account].Name, d.Reason, a.remaining, a.rate)
+	case d.RetryAfter < 0 || d.RetryAfter > MaxRetryAfter:
+		au.violation = fmt.Errorf("L3: refused query in lane %s has invalid retry time %v", name, d.RetryAfter)
 	}
 }
 
@@ -136,7 +137,8 @@
 		}
 	}
 	if admitted != g.auditor.admitted || refused != g.auditor.refused {
-		return fmt.Errorf("L3: %d admitted and %d refused in the counts by reason, %d and %d by the auditor", admitted, refused, g.auditor.admitted, g.auditor.refused)
+		return fmt.Errorf("L3: %d admitted and %d refused in the counts by reason, %d and %d by the auditor",
+			admitted, refused, g.auditor.admitted, g.auditor.refused)
 	}
 	return nil
 }
--- a/internal/fleet/lanes/control.go
+++ b/internal/fleet/lanes/control.go
@@ -98,8 +98,8 @@
 	cutLimit         float64       // lowest estimate that this cut may reach
 	knee             float64       // throughput when pressure was last over TargetPressure
 	kneeConfirmed    bool          // the knee was seen while queues grew, not while policy refused nearly everything
-	smoothedPressure float64
-	capacity         float64 // estimated cost per second that the fleet can serve, or this co-ordinator alone while isolated
+	smoothedPressure float64       // pressure smoothed over PressureWindow
+	capacity         float64       // estimated cost per second that the fleet can serve, or this co-ordinator alone while isolated
 	offered          float64
 	level            float64
 	isolatedSince    time.Duration // when fresh reports ended; -1 while there are some
@@ -141,7 +141,8 @@
 
 // Estimate returns the estimates of the last step.
 func (c *Control) Estimate() Estimate {
-	return Estimate{Capacity: c.capacity, Offered: c.offered, Throughput: c.throughput, PeakThroughput: c.peakThroughput, Knee: c.knee, Overloaded: c.overloaded}
+	return Estimate{Capacity: c.capacity, Offered: c.offered, Throughput: c.throughput, PeakThroughput: c.peakThroughput,
+		Knee: c.knee, Overloaded: c.overloaded}
 }
 
 // Step computes the level from the fleet's figures or, if there are no fresh ones, from the co-ordinator's own.
@@ -159,7 +160,8 @@
 	}
 	level := 0.0
 	if c.overloaded {
-		level = min(c.maxLevel, max(0, 1-c.capacity*(1+Damping*(TargetPressure-min(HighPressure, max(TargetPressure, c.smoothedPressure))))/max(c.offered, 1e-9)))
+		level = min(c.maxLevel,
+			max(0, 1-c.capacity*(1+Damping*(TargetPressure-min(HighPressure, max(TargetPressure, c.smoothedPressure))))/max(c.offered, 1e-9)))
 	}
 	if !fresh {
 		level = min(level, max(ownLevel(own), c.isolatedLevel*(1-float64(c.now-c.isolatedSince)/float64(FadeTime))))
@@ -191,7 +193,8 @@
 		c.isolatedSince, c.isolatedLevel, c.offered = c.now, c.level, own.Offered
 		c.capacity = (1 - c.level) * own.Offered
 	}
-	return pressure.FleetLoad{Known: own.Known, Pressure: own.Pressure, Offered: own.Offered, InTime: own.InTime, Completed: own.Completed, Members: 1}, false
+	return pressure.FleetLoad{Known: own.Known, Pressure: own.Pressure, Offered: own.Offered, InTime: own.InTime,
+		Completed: own.Completed, Members: 1}, false
 }
 
 func finite(fleet pressure.FleetLoad) bool {
@@ -293,7 +296,8 @@
 		return fmt.Errorf("L6: level %v is not between 0 and %v", c.level, c.maxLevel)
 	}
 	if c.isolatedSince >= 0 && c.now-c.isolatedSince > FadeTime && c.level > ownLevel(c.own)+1e-9 {
-		return fmt.Errorf("L4: level %.3f without fresh reports for %v; own pressure %.3f justifies level %.3f", c.level, c.now-c.isolatedSince, c.own.Pressure, ownLevel(c.own))
+		return fmt.Errorf("L4: level %.3f without fresh reports for %v; own pressure %.3f justifies level %.3f",
+			c.level, c.now-c.isolatedSince, c.own.Pressure, ownLevel(c.own))
 	}
 	if c.level > 0 && c.now-c.lastCauseAt > MaxCauseAge {
 		return fmt.Errorf("L6: level %.3f without pressure over %v for %v", c.level, TargetPressure, c.now-c.lastCauseAt)
--- a/internal/fleet/lanes/control_test.go
+++ b/internal/fleet/lanes/control_test.go
@@ -33,9 +33,9 @@
 }
 
 // settlingTime is the time from from until the mean level is within maxError of level and stays so for three seconds.
-func (p *fleetModel) settlingTime(from, level, maxError float64) float64 {
+func (model *fleetModel) settlingTime(from, level, maxError float64) float64 {
 	since := math.Inf(1)
-	for _, m := range p.samples {
+	for _, m := range model.samples {
 		switch {
 		case m.t < from:
 		case math.Abs(m.mean-level) > maxError:
@@ -51,8 +51,8 @@
 }
 
 // firstLoss is the first time after from when more than 2 % of the work was refused by policy, late or abandoned.
-func (p *fleetModel) firstLoss(from float64) float64 {
-	for _, m := range p.samples {
+func (model *fleetModel) firstLoss(from float64) float64 {
+	for _, m := range model.samples {
 		if m.t > from && m.refused+m.late+m.abandoned > 0.02*m.offered {
 			return m.t - 0.25
 		}
@@ -89,12 +89,12 @@
 		} else if x.load == 1.2 {
 			continue
 		}
-		p := newFleetModel(n, 1)
-		p.load = stepLoad(x.load)
-		p.run(until)
-		want, sum := 1-1/x.load, p.aggregate(14, until)
-		firstLoss, swings := p.firstLoss(4), float64(p.swings(14, until, 0.05))*60/(until-14)
-		settled, inTime := p.settlingTime(4, want, 0.1), sum.inTime/(float64(n)*capacityPerMember*(until-14))
+		model := newFleetModel(n, 1)
+		model.load = stepLoad(x.load)
+		model.run(until)
+		want, sum := 1-1/x.load, model.aggregate(14, until)
+		firstLoss, swings := model.firstLoss(4), float64(model.swings(14, until, 0.05))*60/(until-14)
+		settled, inTime := model.settlingTime(4, want, 0.1), sum.inTime/(float64(n)*capacityPerMember*(until-14))
 		t.Logf("%.1f x load: first loss %.1f s after the step, level settled after %.1f s; then %.3f, %.1f swings a minute, %.3f of capacity answered in time, %.3f refused by policy",
 			x.load, firstLoss-4, settled, sum.mean, swings, inTime, sum.refused/sum.offered)
 		if x.load > 1 && settled > min(firstLoss-4, 3)+2.5 || math.Abs(sum.mean-want) > 0.03 || swings > x.swings || inTime < minInTime {
@@ -105,25 +105,26 @@
 
 func TestLevelFollowsLoadAndReturnsToZero(t *testing.T) {
 	n, _ := modelSize(t)
-	p := newFleetModel(n, 2)
-	p.load = func(t float64) float64 {
+	model := newFleetModel(n, 2)
+	model.load = func(t float64) float64 {
 		if t > 20 {
 			return 0.7
 		}
 		return stepLoad(2)(t)
 	}
-	p.run(34)
-	settled, sum := p.settlingTime(20, 0, 0.1), p.aggregate(26, 34)
+	model.run(34)
+	settled, sum := model.settlingTime(20, 0, 0.1), model.aggregate(26, 34)
 	t.Logf("load from 2 x to 0.7 x: level within 0.1 of 0 after %.1f s, at most %.3f after 6 s", settled, sum.high)
 	if settled > 3.5 || sum.mean > 0.005 {
 		t.Error("the level does not return to zero")
 	}
-	p = newFleetModel(n, 3)
-	p.load = func(t float64) float64 { return 1.6 * math.Pow(1.3, float64(int(t/3)%4-2)) } // 0.95 to 2.1 in four steps
-	p.run(40)
-	sum = p.aggregate(10, 40)
+	model = newFleetModel(n, 3)
+	model.load = func(t float64) float64 { return 1.6 * math.Pow(1.3, float64(int(t/3)%4-2)) } // 0.95 to 2.1 in four steps
+	model.run(40)
+	sum = model.aggregate(10, 40)
 	inTime := sum.inTime / (float64(n) * capacityPerMember * 30)
-	t.Logf("load steps of 30 %% every 3 s: mean level %.3f, %.3f of capacity answered in time, %.3f refused by policy", sum.mean, inTime, sum.refused/sum.offered)
+	t.Logf("load steps of 30 %% every 3 s: mean level %.3f, %.3f of capacity answered in time, %.3f refused by policy",
+		sum.mean, inTime, sum.refused/sum.offered)
 	if inTime < 0.8 || sum.refused/sum.offered > 0.12 {
 		t.Error("too little answered in time or too much refused by policy during load steps")
 	}
@@ -131,9 +132,9 @@
 
 func TestLevelWhenHalfTheReplicasFailAndRecover(t *testing.T) {
 	n, _ := modelSize(t)
-	p := newFleetModel(n, 4)
-	p.load = func(float64) float64 { return 0.8 }
-	p.capacity = func(t float64) float64 {
+	model := newFleetModel(n, 4)
+	model.load = func(float64) float64 { return 0.8 }
+	model.capacity = func(t float64) float64 {
 		switch {
 		case t < 6:
 			return 1
@@ -142,12 +143,13 @@
 		}
 		return min(1, 0.5+0.5*(t-16)/15)
 	}
-	p.run(60)
-	settled, recovered := p.settlingTime(6, 0.375, 0.1), p.settlingTime(16, 0, 0.02)
-	sum, after := p.aggregate(16, 45), p.aggregate(52, 60)
-	t.Logf("half the replicas fail at 0.8 x load: settled after %.1f s; recovery over 15 s: level 0 after %.1f s, %.3f refused by policy meanwhile", settled, recovered, sum.refused/sum.offered)
+	model.run(60)
+	settled, recovered := model.settlingTime(6, 0.375, 0.1), model.settlingTime(16, 0, 0.02)
+	sum, after := model.aggregate(16, 45), model.aggregate(52, 60)
+	t.Logf("half the replicas fail at 0.8 x load: settled after %.1f s; recovery over 15 s: level 0 after %.1f s, %.3f refused by policy meanwhile",
+		settled, recovered, sum.refused/sum.offered)
 	if settled > 8 || sum.refused/sum.offered > 0.03 || after.mean > 0.01 || after.inTime < 0.99*after.offered {
-		t.Errorf("%s", p)
+		t.Errorf("%s", model)
 	}
 }
 
@@ -155,28 +157,37 @@
 func TestFalseReportsFromATenthDoNotMoveTheLevel(t *testing.T) {
 	n, long := modelSize(t)
 	huge := pressure.LocalLoad{Known: true, Pressure: 1, Offered: 1e9, Guaranteed: 1e9}
-	for name, corrupt := range map[string]func(w *pressure.Report){
-		"always total loss": func(w *pressure.Report) { w.Pressure, w.InTime, w.Completed, w.Level, w.Known = 1, 0, 0, 1, true },
-		"always no traffic": func(w *pressure.Report) { w.Pressure, w.Level, w.Offered, w.InTime, w.Completed = 0, 0, 0, 0, 0 },
-		"always calm":       func(w *pressure.Report) { w.Pressure, w.Level, w.InTime, w.Completed = 0, 0, w.Offered, w.Offered },
-		"NaN and infinity":  func(w *pressure.Report) { w.Pressure, w.Offered, w.Level = math.NaN(), math.Inf(1), math.NaN() },
-		"huge rates":        func(w *pressure.Report) { w.LocalLoad, w.Level = huge, 1 },
+	for name, corrupt := range map[string]func(report *pressure.Report){
+		"always total loss": func(report *pressure.Report) {
+			report.Pressure, report.InTime, report.Completed, report.Level, report.Known = 1, 0, 0, 1, true
+		},
+		"always no traffic": func(report *pressure.Report) {
+			report.Pressure, report.Level, report.Offered, report.InTime, report.Completed = 0, 0, 0, 0, 0
+		},
+		"always calm": func(report *pressure.Report) {
+			report.Pressure, report.Level, report.InTime, report.Completed = 0, 0, report.Offered, report.Offered
+		},
+		"NaN and infinity": func(report *pressure.Report) {
+			report.Pressure, report.Offered, report.Level = math.NaN(), math.Inf(1), math.NaN()
+		},
+		"huge rates": func(report *pressure.Report) { report.LocalLoad, report.Level = huge, 1 },
 	} {
 		if !long && name != "always total loss" && name != "huge rates" && name != "always no traffic" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			for _, load := range []float64{0.8, 1.5} {
-				p := newFleetModel(n, 5)
-				p.load = stepLoad(load)
-				p.corrupt = func(i int, _ float64, w *pressure.Report) {
+				model := newFleetModel(n, 5)
+				model.load = stepLoad(load)
+				model.corrupt = func(i int, _ float64, report *pressure.Report) {
 					if i%10 == 3 {
-						corrupt(w)
+						corrupt(report)
 					}
 				}
-				p.run(40)
-				sum := p.aggregate(15, 40)
-				t.Logf("%.1f x load: mean level %.3f, single co-ordinators %.3f to %.3f, %.3f answered in time", load, sum.mean, sum.low, sum.high, sum.inTime/(float64(n)*capacityPerMember*25*min(1, load)))
+				model.run(40)
+				sum := model.aggregate(15, 40)
+				t.Logf("%.1f x load: mean level %.3f, single co-ordinators %.3f to %.3f, %.3f answered in time",
+					load, sum.mean, sum.low, sum.high, sum.inTime/(float64(n)*capacityPerMember*25*min(1, load)))
 				if load < 1 && sum.high > 0 {
 					t.Errorf("sheds without overload: level %.3f", sum.high)
 				}
@@ -192,34 +203,39 @@
 	n, _ := modelSize(t)
 	half := func(i, to int, t float64) bool { return (i < n/4) != (to < n/4) }
 	for name, x := range map[string]struct {
-		setUp              func(p *fleetModel)
+		setUp              func(model *fleetModel)
 		minInTime          float64
 		minLevel, maxLevel float64 // of the mean level
 	}{
-		"partition, uneven":  {func(p *fleetModel) { p.blocked = half }, 0.93, 0.28, 0.4},
-		"partition, one way": {func(p *fleetModel) { p.blocked = func(i, to int, t float64) bool { return i < n/4 && to >= n/4 } }, 0.93, 0.28, 0.4},
-		"delay of 5 s":       {func(p *fleetModel) { p.delay = func(float64) (float64, float64) { return 4, 6 } }, 0.75, 0, 0.5},
-		"all lost":           {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return true } }, 0.75, 0, 0.5},
-		"half lost":          {func(p *fleetModel) { p.blocked = func(int, int, float64) bool { return p.rng.IntN(2) == 0 } }, 0.93, 0.28, 0.4},
-		"7 in 10 restart": {func(p *fleetModel) {
-			p.blocked = func(i, to int, t float64) bool {
-				if c := p.coordinators[i]; t > 20 && i%10 < 7 && c.seq > 0 && c.seq < 1<<40 {
+		"partition, uneven": {func(model *fleetModel) { model.blocked = half }, 0.93, 0.28, 0.4},
+		"partition, one way": {func(model *fleetModel) {
+			model.blocked = func(i, to int, t float64) bool { return i < n/4 && to >= n/4 }
+		}, 0.93, 0.28, 0.4},
+		"delay of 5 s": {func(model *fleetModel) { model.delay = func(float64) (float64, float64) { return 4, 6 } }, 0.75, 0, 0.5},
+		"all lost":     {func(model *fleetModel) { model.blocked = func(int, int, float64) bool { return true } }, 0.75, 0, 0.5},
+		"half lost": {func(model *fleetModel) {
+			model.blocked = func(int, int, float64) bool { return model.rng.IntN(2) == 0 }
+		}, 0.93, 0.28, 0.4},
+		"7 in 10 restart": {func(model *fleetModel) {
+			model.blocked = func(i, to int, t float64) bool {
+				if c := model.coordinators[i]; t > 20 && i%10 < 7 && c.seq > 0 && c.seq < 1<<40 {
 					*c = coordinator{name: c.name, rate: c.rate, control: NewControl(0.9), seq: 1 << 40}
-					c.reports.SetMembers(p.names())
+					c.reports.SetMembers(model.names())
 				}
 				return false
 			}
 		}, 0.93, 0.28, 0.4},
-		"5 x traffic at one co-ordinator": {func(p *fleetModel) { p.coordinators[n/2].rate *= 5 }, 0.95, 0.28, 0.42},
+		"5 x traffic at one co-ordinator": {func(model *fleetModel) { model.coordinators[n/2].rate *= 5 }, 0.95, 0.28, 0.42},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newFleetModel(n, 6)
-			p.load = stepLoad(1.5)
-			x.setUp(p)
-			p.run(44)
-			sum := p.aggregate(14, 44)
+			model := newFleetModel(n, 6)
+			model.load = stepLoad(1.5)
+			x.setUp(model)
+			model.run(44)
+			sum := model.aggregate(14, 44)
 			inTime := sum.inTime / (float64(n) * capacityPerMember * 30)
-			t.Logf("mean level %.3f, single co-ordinators %.3f to %.3f, %.3f of capacity answered in time, %.3f refused by policy", sum.mean, sum.low, sum.high, inTime, sum.refused/sum.offered)
+			t.Logf("mean level %.3f, single co-ordinators %.3f to %.3f, %.3f of capacity answered in time, %.3f refused by policy",
+				sum.mean, sum.low, sum.high, inTime, sum.refused/sum.offered)
 			if inTime < x.minInTime || sum.mean < x.minLevel || sum.mean > x.maxLevel {
 				t.Error("mean level or work answered in time out of bounds")
 			}
@@ -277,7 +293,8 @@
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
 		for range 10 {
 			now += StepInterval
-			l := c.Step(now, pressure.FleetLoad{Known: true, Pressure: v, Offered: v, InTime: v, Completed: v, Level: v}, pressure.LocalLoad{Known: true, Pressure: 0, Offered: 1, InTime: 1})
+			l := c.Step(now, pressure.FleetLoad{Known: true, Pressure: v, Offered: v, InTime: v, Completed: v, Level: v},
+				pressure.LocalLoad{Known: true, Pressure: 0, Offered: 1, InTime: 1})
 			if !(l >= 0 && l <= 0.9) {
 				t.Fatalf("level %v from figures of %v", l, v)
 			}
@@ -290,13 +307,14 @@
 func TestCapacityEstimateIsNotBelowThroughput(t *testing.T) {
 	c := NewControl(0.95)
 	own := pressure.LocalLoad{Known: true, Pressure: 0.5}
-	for i, step := range []struct{ asked, done, pressure float64 }{ // reported rates after a jump to 250 per second, of which 120 can be served
+	for i, step := range []struct{ offered, completed, pressure float64 }{ // reported rates after a jump to 250 per second, of which 120 can be served
 		{32, 11, 0}, {48, 20, 0.23}, {109, 46, 0.5}, {169, 75, 0.5}, {229, 103, 0.57}, {249, 125, 0.4},
 		{245, 125, 0.43}, {245, 120, 0.36}, {245, 115, 0.2}, {243, 110, 0}, {245, 110, 0}, {245, 110, 0},
 	} {
-		own.Offered = step.asked / 3
+		own.Offered = step.offered / 3
 		c.Step(time.Duration(i)*StepInterval, pressure.FleetLoad{
-			Known: true, Pressure: step.pressure, RecentPressure: step.pressure, Offered: step.asked, InTime: step.done, Completed: step.done, FreshReports: 3, Members: 3, Level: c.Level(),
+			Known: true, Pressure: step.pressure, RecentPressure: step.pressure,
+			Offered: step.offered, InTime: step.completed, Completed: step.completed, FreshReports: 3, Members: 3, Level: c.Level(),
 		}, own)
 		if e := c.Estimate(); e.Overloaded && e.Capacity < 0.9*e.Throughput {
 			t.Errorf("step %d: throughput %.0f per second, estimated capacity only %.0f", i, e.Throughput, e.Capacity)
--- a/internal/fleet/lanes/gate_test.go
+++ b/internal/fleet/lanes/gate_test.go
@@ -18,8 +18,8 @@
 // newTestSet has three lanes. Account gold is guaranteed 0.2 of the capacity, silver 0.1, and copper nothing.
 func newTestSet(extraAccounts int) *laneconfig.Set {
 	lane := func(name string) laneconfig.Lane { return laneconfig.Lane{Name: name, Floor: 0.02, Lend: true} }
-	account := func(name string, lane int, guarantee, most float64) laneconfig.Account {
-		return laneconfig.Account{Name: name, Lane: lane, Guarantee: guarantee, MaxShare: most, Key: laneconfig.HashName(name)}
+	account := func(name string, lane int, guarantee, maxShare float64) laneconfig.Account {
+		return laneconfig.Account{Name: name, Lane: lane, Guarantee: guarantee, MaxShare: maxShare, Key: laneconfig.HashName(name)}
 	}
 	s := &laneconfig.Set{Slot: 10 * sec, Lanes: []laneconfig.Lane{lane("premium"), lane("plus"), lane("standard")},
 		Classes:  []laneconfig.Class{{Floor: 0.02, SendRetryAfter: true}, {Floor: 0.02}},
@@ -34,8 +34,8 @@
 // overloadedFleet has ten members, a capacity of 1000 and an offered load of 1500, a tenth of it at this co-ordinator.
 func overloadedFleet(level float64) LevelUpdate {
 	own := pressure.LocalLoad{Known: true, Offered: 150, ByLane: [pressure.MaxLanes]float64{0, 30, 120}}
-	fl := pressure.FleetLoad{Known: true, Offered: 1500, ByLane: [pressure.MaxLanes]float64{0, 300, 1200}, Members: 10}
-	return LevelUpdate{Level: level, Capacity: 1000, Members: 10, Fleet: fl, Own: own, Slot: 7, SlotLeft: 4 * sec}
+	fleet := pressure.FleetLoad{Known: true, Offered: 1500, ByLane: [pressure.MaxLanes]float64{0, 300, 1200}, Members: 10}
+	return LevelUpdate{Level: level, Capacity: 1000, Members: 10, Fleet: fleet, Own: own, Slot: 7, SlotLeft: 4 * sec}
 }
 
 func newTestGate(t testing.TB, level float64) *Gate {
@@ -125,16 +125,16 @@
 
 // A false report of a huge rate that is in no lane must not raise what is shed of the known lanes.
 func TestRateWithoutLaneDoesNotRaiseShedding(t *testing.T) {
-	cut := func(asked float64) uint64 {
+	threshold := func(offered float64) uint64 {
 		g, s := newTestGate(t, 0), overloadedFleet(0.3)
-		s.Fleet.Offered = asked
+		s.Fleet.Offered = offered
 		g.SetLevel(2*sec, s)
 		if g.lanes[2].shedAll {
 			return math.MaxUint64
 		}
 		return g.lanes[2].shedBelow
 	}
-	if a, b := cut(1500), cut(150_000); a != b {
+	if a, b := threshold(1500), threshold(150_000); a != b {
 		t.Errorf("the last lane's hash threshold is %x, with a huge rate %x", a, b)
 	}
 }
@@ -166,44 +166,44 @@
 }
 
 func TestLastLaneIsShedFirstByKeyAndSlot(t *testing.T) {
-	cut := func(g *Gate, account int, key uint64) bool {
+	isShed := func(g *Gate, account int, key uint64) bool {
 		v := g.decide(2*sec, &Query{Account: account, Key: key, Class: -1, Cost: 1})
 		return v.Reason != Free
 	}
-	share := func(g *Gate) (n float64) {
+	shedShare := func(g *Gate) (n float64) {
 		for k := range 10_000 {
-			if cut(g, -1, laneconfig.HashName(fmt.Sprint(k))) {
+			if isShed(g, -1, laneconfig.HashName(fmt.Sprint(k))) {
 				n += 1e-4
 			}
 		}
 		return n
 	}
 	a, b := newTestGate(t, 0.4), newTestGate(t, 0.4) // 0.4 of 1500 is 600, half of the last lane's 1200
-	if s := share(a); math.Abs(s-0.5) > 0.02 || cut(a, 2, 0) {
-		t.Errorf("%.3f of the last lane is shed; middle lane shed: %v", s, cut(a, 2, 0))
+	if s := shedShare(a); math.Abs(s-0.5) > 0.02 || isShed(a, 2, 0) {
+		t.Errorf("%.3f of the last lane is shed; middle lane shed: %v", s, isShed(a, 2, 0))
 	}
-	same := 0
+	shedOnce := 0
 	for k := range uint64(1000) {
-		if cut(a, -1, k) != cut(b, -1, k) {
+		if isShed(a, -1, k) != isShed(b, -1, k) {
 			t.Fatalf("key %d is shed by one gate only", k)
 		}
-		if cut(a, -1, k) {
-			same++
+		if isShed(a, -1, k) {
+			shedOnce++
 		}
 	}
 	s := overloadedFleet(0.4)
 	s.Slot++
 	b.SetLevel(sec, s)
 	for k := range uint64(1000) {
-		if cut(a, -1, k) && cut(b, -1, k) {
-			same--
+		if isShed(a, -1, k) && isShed(b, -1, k) {
+			shedOnce--
 		}
 	}
-	if same < 150 {
-		t.Errorf("only %d keys were shed in one slot and not in the next", same)
+	if shedOnce < 150 {
+		t.Errorf("only %d keys were shed in one slot and not in the next", shedOnce)
 	}
 	c := newTestGate(t, 0.9) // 1350 of 1200 and 300: half of the middle lane as well
-	if s := share(c); s < 0.999 || math.Abs(float64(c.lanes[1].shedBelow)/math.MaxUint64-0.5) > 0.01 || c.lanes[0].shedBelow != 0 || c.lanes[0].shedAll {
+	if s := shedShare(c); s < 0.999 || math.Abs(float64(c.lanes[1].shedBelow)/math.MaxUint64-0.5) > 0.01 || c.lanes[0].shedBelow != 0 || c.lanes[0].shedAll {
 		t.Errorf("%.3f of the last lane is shed; lanes %v", s, c.lanes[:3])
 	}
 }
@@ -232,7 +232,7 @@
 func TestLaneAndAccountLimits(t *testing.T) {
 	g := newTestGate(t, 0.3)
 	n := admitRepeatedly(g, sec, 10, 100, Query{Account: 1, Cost: 1}) // guaranteed 10/s, at most 15/s
-	if in := n[Guaranteed] + n[Free] + n[Floor] + n[ClassFloor] + n[Borrowed]; in < 140 || in > 185 || n[OverLimit] < 600 {
+	if admitted := n[Guaranteed] + n[Free] + n[Floor] + n[ClassFloor] + n[Borrowed]; admitted < 140 || admitted > 185 || n[OverLimit] < 600 {
 		t.Errorf("account over its limit: %v", n)
 	}
 	set := newTestSet(0)
@@ -244,8 +244,8 @@
 		g.Admit(21*sec+time.Duration(i)*10*time.Millisecond, Query{Account: 2, Cost: 1})
 	}
 	c := g.Counts()
-	if own, last := c.Queries[1][Free], c.Queries[2][Shed]+c.Queries[2][Free]; own < 90 || own > 140 || last < 800 {
-		t.Errorf("%d admitted in its lane, %d counted in the last lane", own, last)
+	if inLane, inLastLane := c.Queries[1][Free], c.Queries[2][Shed]+c.Queries[2][Free]; inLane < 90 || inLane > 140 || inLastLane < 800 {
+		t.Errorf("%d admitted in its lane, %d counted in the last lane", inLane, inLastLane)
 	}
 	if err := g.Check(); err != nil {
 		t.Error(err)
@@ -254,7 +254,7 @@
 
 func TestRefusalsSetRetryAfterAndAdmissionsYieldWhileShedding(t *testing.T) {
 	g := newTestGate(t, 1)
-	seen := map[time.Duration]bool{}
+	retryTimes := map[time.Duration]bool{}
 	for i := range 200 {
 		v := g.Admit(sec, Query{Account: -1, Class: i % 2, Cost: 5, Key: 5})
 		if v.Admitted {
@@ -263,10 +263,10 @@
 		if i%2 == 1 && v.RetryAfter != 0 || i%2 == 0 && (v.RetryAfter < 4*sec || v.RetryAfter > 14*sec) {
 			t.Fatalf("class %d: retry after %v", i%2, v.RetryAfter)
 		}
-		seen[v.RetryAfter] = true
+		retryTimes[v.RetryAfter] = true
 	}
-	if len(seen) < 80 {
-		t.Errorf("only %d different retry times", len(seen))
+	if len(retryTimes) < 80 {
+		t.Errorf("only %d different retry times", len(retryTimes))
 	}
 	if v := g.Admit(sec, Query{Account: 0, Cost: 1}); v.PromiseDivisor != 1 || v.Reason != Guaranteed {
 		t.Errorf("%+v", v)
@@ -348,10 +348,12 @@
 				next.Accounts[0].Guarantee = rapid.Float64Range(0, 0.3).Draw(t, "guarantee")
 				g.SetConfig(now, next)
 			default:
-				q := Query{Account: rapid.IntRange(-1, 9).Draw(t, "query account"), Class: rapid.IntRange(-1, 3).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
+				q := Query{Account: rapid.IntRange(-1, 9).Draw(t, "query account"), Class: rapid.IntRange(-1, 3).Draw(t, "class"),
+					Key:  rapid.Uint64().Draw(t, "key"),
 					Cost: rapid.SampledFrom([]float64{0, 0.1, 1, 1, 50, math.NaN(), -3}).Draw(t, "cost"), Retry: rapid.Bool().Draw(t, "retry")}
 				v := g.Admit(now, q)
-				if v.Admitted == v.Reason.Refused() || v.RetryAfter < 0 || !(v.PromiseDivisor >= 1 && v.PromiseDivisor <= MaxPromiseDivisor) || v.Admitted && v.RetryAfter != 0 {
+				if v.Admitted == v.Reason.Refused() || v.RetryAfter < 0 ||
+					!(v.PromiseDivisor >= 1 && v.PromiseDivisor <= MaxPromiseDivisor) || v.Admitted && v.RetryAfter != 0 {
 					t.Fatalf("%+v", v)
 				}
 			}
--- a/internal/fleet/lanes/plant_test.go
+++ b/internal/fleet/lanes/plant_test.go
@@ -14,12 +14,12 @@
 // arrive 0.25 to 1 s late, and each co-ordinator receives about twenty per second.
 type fleetModel struct {
 	n             int
-	moduleRefuses bool
+	policyRefuses bool
 	load          func(t float64) float64 // relative to the full capacity
 	capacity      func(t float64) float64 // fraction of the full capacity
-	corrupt       func(i int, t float64, w *pressure.Report)
+	corrupt       func(i int, t float64, report *pressure.Report)
 	blocked       func(from, to int, t float64) bool // the report is dropped
-	delay         func(t float64) (least, most float64)
+	delay         func(t float64) (minDelay, maxDelay float64)
 
 	rng          *rand.Rand
 	now          float64
@@ -67,66 +67,66 @@
 )
 
 func newFleetModel(n int, seed uint64) *fleetModel {
-	p := &fleetModel{n: n, moduleRefuses: true, rng: rand.New(rand.NewPCG(seed, 1))}
-	p.load = func(float64) float64 { return 1.5 }
-	p.capacity = func(float64) float64 { return 1 }
-	p.delay = func(float64) (float64, float64) { return 0.25, 1 }
+	model := &fleetModel{n: n, policyRefuses: true, rng: rand.New(rand.NewPCG(seed, 1))}
+	model.load = func(float64) float64 { return 1.5 }
+	model.capacity = func(float64) float64 { return 1 }
+	model.delay = func(float64) (float64, float64) { return 0.25, 1 }
 	var names []string
 	sum := 0.0
 	for i := range n {
 		c := &coordinator{name: fmt.Sprintf("c%03d", i), rate: 1 + 4*float64(i)/float64(max(1, n-1)), control: NewControl(0.9)}
-		p.coordinators, names, sum = append(p.coordinators, c), append(names, c.name), sum+c.rate
+		model.coordinators, names, sum = append(model.coordinators, c), append(names, c.name), sum+c.rate
 	}
-	for _, c := range p.coordinators {
+	for _, c := range model.coordinators {
 		c.rate *= float64(n) * capacityPerMember / sum
 		c.reports.SetMembers(names)
 	}
-	return p
+	return model
 }
 
-func (p *fleetModel) names() (out []string) {
-	for _, c := range p.coordinators {
+func (model *fleetModel) names() (out []string) {
+	for _, c := range model.coordinators {
 		out = append(out, c.name)
 	}
 	return out
 }
 
-func (p *fleetModel) poisson(mean float64) (k int) {
-	for x := p.rng.Float64(); x > math.Exp(-mean); k++ {
-		x *= p.rng.Float64()
+func (model *fleetModel) poisson(mean float64) (k int) {
+	for x := model.rng.Float64(); x > math.Exp(-mean); k++ {
+		x *= model.rng.Float64()
 	}
 	return k
 }
 
 func toDuration(s float64) time.Duration { return time.Duration(s * 1e9) }
 
-func (p *fleetModel) run(until float64) {
+func (model *fleetModel) run(until float64) {
 	var m sample
 	served, credit := 0, 0.0
-	for step := int(math.Round(p.now / tick)); p.now < until; step++ {
-		p.now = float64(step) * tick
-		now := toDuration(p.now)
-		for i, c := range p.coordinators {
-			for range p.poisson(c.rate * p.load(p.now) * tick) {
+	for step := int(math.Round(model.now / tick)); model.now < until; step++ {
+		model.now = float64(step) * tick
+		now := toDuration(model.now)
+		for i, c := range model.coordinators {
+			for range model.poisson(c.rate * model.load(model.now) * tick) {
 				c.meter.RecordQuery(now, 0, false, 1)
 				m.offered++
-				if p.rng.Float64() < c.level {
+				if model.rng.Float64() < c.level {
 					m.shed++
 					continue
 				}
-				if expected := c.recentTime * math.Exp(c.lastAnswerAt-p.now); p.moduleRefuses && expected > 0.6*promise {
+				if expected := c.recentTime * math.Exp(c.lastAnswerAt-model.now); model.policyRefuses && expected > 0.6*promise {
 					c.meter.RecordOutcome(now, 1, pressure.Refused, 0, toDuration(promise))
 					m.refused++
 					continue
 				}
-				p.queue = append(p.queue, job{i, p.now})
+				model.queue = append(model.queue, job{i, model.now})
 			}
 		}
-		credit += float64(p.n) * capacityPerMember * p.capacity(p.now) * tick
-		for ; credit >= 1 && served < len(p.queue); served++ {
+		credit += float64(model.n) * capacityPerMember * model.capacity(model.now) * tick
+		for ; credit >= 1 && served < len(model.queue); served++ {
 			credit--
-			j := p.queue[served]
-			c, took := p.coordinators[j.coordinator], p.now-j.arrivedAt+serviceTime
+			j := model.queue[served]
+			c, took := model.coordinators[j.coordinator], model.now-j.arrivedAt+serviceTime
 			switch {
 			case took <= promise:
 				c.meter.RecordOutcome(now, 1, pressure.InTime, toDuration(took), toDuration(promise))
@@ -139,83 +139,83 @@
 				m.abandoned++
 			}
 			c.recentTime += 0.3 * (took - c.recentTime)
-			c.lastAnswerAt = p.now
+			c.lastAnswerAt = model.now
 		}
-		if served == len(p.queue) {
+		if served == len(model.queue) {
 			credit = min(credit, 1)
 		}
 		if served > 1<<16 {
-			p.queue, served = append([]job(nil), p.queue[served:]...), 0
+			model.queue, served = append([]job(nil), model.queue[served:]...), 0
 		}
-		p.deliver(now)
-		for i, c := range p.coordinators {
+		model.deliver(now)
+		for i, c := range model.coordinators {
 			if (step+i)%25 == 0 {
-				p.step(i, c, now)
+				model.step(i, c, now)
 			}
 		}
 		if step%25 == 24 {
-			m.t, m.low = p.now, 1
-			for _, c := range p.coordinators {
-				m.mean += c.level / float64(p.n)
+			m.t, m.low = model.now, 1
+			for _, c := range model.coordinators {
+				m.mean += c.level / float64(model.n)
 				m.low, m.high = min(m.low, c.level), max(m.high, c.level)
 			}
-			p.samples = append(p.samples, m)
+			model.samples = append(model.samples, m)
 			m = sample{}
 		}
 	}
-	p.queue = p.queue[served:]
+	model.queue = model.queue[served:]
 }
 
-func (p *fleetModel) deliver(now time.Duration) {
-	remaining := p.messages[:0]
-	for _, l := range p.messages {
-		if l.arrivesAt <= p.now {
-			p.coordinators[l.to].reports.Add(now, l.report)
+func (model *fleetModel) deliver(now time.Duration) {
+	remaining := model.messages[:0]
+	for _, m := range model.messages {
+		if m.arrivesAt <= model.now {
+			model.coordinators[m.to].reports.Add(now, m.report)
 		} else {
-			remaining = append(remaining, l)
+			remaining = append(remaining, m)
 		}
 	}
-	p.messages = remaining
+	model.messages = remaining
 }
 
-func (p *fleetModel) step(i int, c *coordinator, now time.Duration) {
+func (model *fleetModel) step(i int, c *coordinator, now time.Duration) {
 	own := c.meter.Step(now, c.level)
 	c.seq++
-	w := pressure.Report{From: c.name, Incarnation: 1, Seq: c.seq, LocalLoad: own, Level: c.level}
-	c.reports.Add(now, w)
+	report := pressure.Report{From: c.name, Incarnation: 1, Seq: c.seq, LocalLoad: own, Level: c.level}
+	c.reports.Add(now, report)
 	c.level = c.control.Step(now, c.reports.Estimate(now), own)
 	if err := c.control.Check(); err != nil {
 		panic(fmt.Sprintf("%s at %v: %v", c.name, now, err))
 	}
-	w.Level = c.level
-	if p.corrupt != nil {
-		p.corrupt(i, p.now, &w)
+	report.Level = c.level
+	if model.corrupt != nil {
+		model.corrupt(i, model.now, &report)
 	}
 	relayed := c.reports.SelectForForwarding(now, c.name, 3)
-	minDelay, maxDelay := p.delay(p.now)
+	minDelay, maxDelay := model.delay(model.now)
 	for k := range 3 {
-		to := p.rng.IntN(p.n)
-		if p.blocked != nil && p.blocked(i, to, p.now) {
+		to := model.rng.IntN(model.n)
+		if model.blocked != nil && model.blocked(i, to, model.now) {
 			continue
 		}
-		out := []pressure.Report{w}
+		out := []pressure.Report{report}
 		if k < len(relayed) {
 			out = append(out, relayed[k])
 		}
-		for _, w := range out {
-			b, rest, err := pressure.DecodeReport(w.Append(nil))
+		for _, report := range out {
+			decoded, rest, err := pressure.DecodeReport(report.Append(nil))
 			if err != nil || len(rest) > 0 {
 				continue
 			}
-			p.messages = append(p.messages, message{p.now + minDelay + (maxDelay-minDelay)*p.rng.Float64(), to, b})
+			model.messages = append(model.messages, message{model.now + minDelay + (maxDelay-minDelay)*model.rng.Float64(), to, decoded})
 		}
 	}
 }
 
 // swings counts the turns of the mean level by more than threshold between from and to.
-func (p *fleetModel) swings(from, to, threshold float64) (n int) {
+func (model *fleetModel) swings(from, to, threshold float64) (n int) {
 	up, low, high := 0, math.Inf(1), math.Inf(-1)
-	for _, m := range p.samples {
+	for _, m := range model.samples {
 		if m.t < from || m.t > to {
 			continue
 		}
@@ -237,10 +237,10 @@
 }
 
 // aggregate sums the samples between from and to. The level is the mean; low and high are of single co-ordinators.
-func (p *fleetModel) aggregate(from, to float64) (sum sample) {
+func (model *fleetModel) aggregate(from, to float64) (sum sample) {
 	k := 0
 	sum.low = 1
-	for _, m := range p.samples {
+	for _, m := range model.samples {
 		if m.t > from && m.t <= to {
 			k++
 			sum.mean += m.mean
@@ -253,11 +253,12 @@
 	return sum
 }
 
-func (p *fleetModel) String() (out string) {
-	for i, m := range p.samples {
+func (model *fleetModel) String() (out string) {
+	for i, m := range model.samples {
 		if i%2 == 0 {
-			f := float64(p.n) * capacityPerMember / 4
-			out += fmt.Sprintf("%6.2f level %.3f [%.3f %.3f] offered %.2f in time %.2f late %.2f refused %.2f abandoned %.2f\n", m.t, m.mean, m.low, m.high, m.offered/f, m.inTime/f, m.late/f, m.refused/f, m.abandoned/f)
+			f := float64(model.n) * capacityPerMember / 4
+			out += fmt.Sprintf("%6.2f level %.3f [%.3f %.3f] offered %.2f in time %.2f late %.2f refused %.2f abandoned %.2f\n",
+				m.t, m.mean, m.low, m.high, m.offered/f, m.inTime/f, m.late/f, m.refused/f, m.abandoned/f)
 		}
 	}
 	return out
--- a/internal/fleet/shares/codec.go
+++ b/internal/fleet/shares/codec.go
@@ -65,13 +65,16 @@
 			fields[i], b = v, b[size:]
 		}
 		if fields[2] > 1<<31 || fields[3] > 1<<31 || fields[4] > GuaranteeUnits || len(in) >= MaxMessages {
-			return nil, fmt.Errorf("shares: revision %d, account %d, amount %d or number of messages out of bounds in message %d from %s", fields[2], fields[3], fields[4], len(in)+1, from)
+			return nil, fmt.Errorf("shares: revision %d, account %d, amount %d or number of messages out of bounds in message %d from %s",
+				fields[2], fields[3], fields[4], len(in)+1, from)
 		}
 		switch kind {
 		case kindRequest:
-			in = append(in, LoanRequest{From: from, Incarnation: fields[0], Seq: fields[1], Revision: int(fields[2]), Account: uint32(fields[3]), Want: int64(fields[4])})
+			in = append(in, LoanRequest{From: from, Incarnation: fields[0], Seq: fields[1], Revision: int(fields[2]),
+				Account: uint32(fields[3]), Want: int64(fields[4])})
 		case kindReply:
-			in = append(in, LoanReply{From: from, To: to, Incarnation: fields[0], Seq: fields[1], Revision: int(fields[2]), Account: uint32(fields[3]), Amount: int64(fields[4])})
+			in = append(in, LoanReply{From: from, To: to, Incarnation: fields[0], Seq: fields[1], Revision: int(fields[2]),
+				Account: uint32(fields[3]), Amount: int64(fields[4])})
 		default:
 			return nil, fmt.Errorf("shares: unknown message kind %d", kind)
 		}
--- a/internal/fleet/shares/codec_test.go
+++ b/internal/fleet/shares/codec_test.go
@@ -25,7 +25,9 @@
 	if _, err := Decode(b, "a", "b"); err == nil {
 		t.Error("a batch of another version is decoded")
 	}
-	for _, bad := range []Output{SendRequest{"b", LoanRequest{Want: GuaranteeUnits + 1}}, SendRequest{"b", LoanRequest{Revision: -1}}, SendReply{"b", LoanReply{Amount: -1}}} {
+	for _, bad := range []Output{
+		SendRequest{"b", LoanRequest{Want: GuaranteeUnits + 1}}, SendRequest{"b", LoanRequest{Revision: -1}}, SendReply{"b", LoanReply{Amount: -1}},
+	} {
 		if in, err := Decode(Append(nil, bad), "a", "b"); err == nil {
 			t.Errorf("invalid %+v is decoded as %+v", bad, in)
 		}
--- a/internal/fleet/shares/loans.go
+++ b/internal/fleet/shares/loans.go
@@ -7,17 +7,20 @@
 
 // handleRequest lends to a peer from the unused part of the home share and replies to its request.
 func (s *Shares) handleRequest(request LoanRequest) {
-	if request.Revision != s.revision || request.Account >= uint32(s.accounts) || request.From == s.options.Name || request.From == "" || request.Want <= 0 {
+	if request.Revision != s.revision || request.Account >= uint32(s.accounts) ||
+		request.From == s.options.Name || request.From == "" || request.Want <= 0 {
 		return
 	}
 	k := loanKey{request.From, request.Account}
-	reply := LoanReply{From: s.options.Name, To: request.From, Incarnation: request.Incarnation, Seq: request.Seq, Revision: s.revision, Account: request.Account}
+	reply := LoanReply{From: s.options.Name, To: request.From, Incarnation: request.Incarnation, Seq: request.Seq,
+		Revision: s.revision, Account: request.Account}
 	l := s.lent[k]
 	switch {
 	case l == nil:
 		amount := min(request.Want, s.HomeShare()/LoanDivisor, s.lendable(request.Account))
 		if amount > 0 && len(s.lent) < MaxLoans {
-			l = &loan{peer: request.From, incarnation: request.Incarnation, account: request.Account, seq: request.Seq, amount: amount, expiresAt: s.now + lenderLoanDuration}
+			l = &loan{peer: request.From, incarnation: request.Incarnation, account: request.Account, seq: request.Seq,
+				amount: amount, expiresAt: s.now + lenderLoanDuration}
 			s.lent[k] = l
 			s.lentTotal[request.Account] += amount
 			reply.Amount = amount
@@ -58,7 +61,8 @@
 func (s *Shares) handleReply(reply LoanReply) {
 	k := loanKey{reply.From, reply.Account}
 	request, ok := s.pending[k]
-	if !ok || reply.To != s.options.Name || reply.Incarnation != s.options.Incarnation || reply.Revision != s.revision || reply.Seq != request.seq || reply.Account != request.account {
+	if !ok || reply.To != s.options.Name || reply.Incarnation != s.options.Incarnation || reply.Revision != s.revision ||
+		reply.Seq != request.seq || reply.Account != request.account {
 		return
 	}
 	delete(s.pending, k)
@@ -68,7 +72,8 @@
 	if l := s.borrowed[k]; l != nil {
 		l.seq, l.expiresAt, l.amount = reply.Seq, request.sentAt+borrowerLoanDuration, reply.Amount
 	} else if len(s.borrowed) < MaxLoans {
-		s.borrowed[k] = &loan{peer: reply.From, account: reply.Account, seq: reply.Seq, amount: reply.Amount, expiresAt: request.sentAt + borrowerLoanDuration}
+		s.borrowed[k] = &loan{peer: reply.From, account: reply.Account, seq: reply.Seq, amount: reply.Amount,
+			expiresAt: request.sentAt + borrowerLoanDuration}
 	}
 	s.updateBorrowedTotal()
 }
@@ -112,7 +117,8 @@
 	var expiring []loanKey
 	for k, l := range s.borrowed {
 		request, waiting := s.pending[k]
-		if s.now < l.expiresAt-borrowerLoanDuration/2 || waiting && s.now < request.sentAt+requestTimeout || s.wanted[k.account] <= s.HomeShare()-s.lentTotal[k.account] {
+		if s.now < l.expiresAt-borrowerLoanDuration/2 || waiting && s.now < request.sentAt+requestTimeout ||
+			s.wanted[k.account] <= s.HomeShare()-s.lentTotal[k.account] {
 			continue
 		}
 		expiring = append(expiring, k)
@@ -128,6 +134,6 @@
 func (s *Shares) sendRequest(k loanKey, amount int64) {
 	s.lastSeq++
 	s.pending[k] = pendingRequest{seq: s.lastSeq, sentAt: s.now, account: k.account}
-	s.out = append(s.out, SendRequest{To: k.peer, Request: LoanRequest{From: s.options.Name, Incarnation: s.options.Incarnation, Seq: s.lastSeq, Revision: s.revision,
-		Account: k.account, Want: min(amount, GuaranteeUnits)}})
+	s.out = append(s.out, SendRequest{To: k.peer, Request: LoanRequest{From: s.options.Name, Incarnation: s.options.Incarnation,
+		Seq: s.lastSeq, Revision: s.revision, Account: k.account, Want: min(amount, GuaranteeUnits)}})
 }
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -110,8 +110,10 @@
 func New(o Options) *Shares {
 	h := fnv.New64a()
 	h.Write([]byte(o.Name)) // otherwise all co-ordinators would ask the same peers
-	return &Shares{options: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)), members: max(1, o.FleetSize), minMembers: max(1, o.FleetSize), pending: map[loanKey]pendingRequest{}, wanted: map[uint32]int64{},
-		lent: map[loanKey]*loan{}, lentTotal: map[uint32]int64{}, borrowed: map[loanKey]*loan{}, borrowedTotal: map[uint32]int64{}, reported: map[uint32]int64{}}
+	return &Shares{options: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)),
+		members: max(1, o.FleetSize), minMembers: max(1, o.FleetSize), pending: map[loanKey]pendingRequest{}, wanted: map[uint32]int64{},
+		lent: map[loanKey]*loan{}, lentTotal: map[uint32]int64{}, borrowed: map[loanKey]*loan{}, borrowedTotal: map[uint32]int64{},
+		reported: map[uint32]int64{}}
 }
 
 // HomeShare returns this co-ordinator's even share of each account's guarantee, before loans.
--- a/internal/fleet/shares/shares_test.go
+++ b/internal/fleet/shares/shares_test.go
@@ -18,7 +18,7 @@
 	name          string
 	clockRate     float64
 	clockOffset   time.Duration
-	starts        uint64
+	incarnation   uint64
 	down          bool
 	stalledUntil  time.Duration // network time until which it is stalled
 	accountShares map[uint32]int64
@@ -51,9 +51,11 @@
 }
 
 func newNetwork(t testing.TB, seed uint64, nodes, accounts int) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Minute, accounts: accounts, blocked: map[string]bool{}, inFlight: map[string][]delivery{}, maxDelay: 20 * ms}
+	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Minute, accounts: accounts,
+		blocked: map[string]bool{}, inFlight: map[string][]delivery{}, maxDelay: 20 * ms}
 	for i := range nodes {
-		n := &node{name: fmt.Sprintf("c%03d", i), clockRate: 1 + (w.rng.Float64()*2-1)/DriftDivisor, clockOffset: time.Duration(w.rng.IntN(1000)) * time.Second}
+		n := &node{name: fmt.Sprintf("c%03d", i), clockRate: 1 + (w.rng.Float64()*2-1)/DriftDivisor,
+			clockOffset: time.Duration(w.rng.IntN(1000)) * time.Second}
 		w.nodes = append(w.nodes, n)
 	}
 	for _, n := range w.nodes {
@@ -64,8 +66,8 @@
 }
 
 func (w *network) start(n *node) {
-	n.starts++
-	n.shares = New(Options{Name: n.name, Incarnation: n.starts, FleetSize: len(w.nodes), Seed: 3})
+	n.incarnation++
+	n.shares = New(Options{Name: n.name, Incarnation: n.incarnation, FleetSize: len(w.nodes), Seed: 3})
 	n.accountShares, n.defaultShare = map[uint32]int64{}, 0
 	n.down = false
 	w.stepNode(n, Config{Revision: 1, Accounts: w.accounts})
@@ -125,11 +127,11 @@
 			}
 			var in []Input
 			remaining := w.inFlight[n.name][:0]
-			for _, l := range w.inFlight[n.name] {
-				if l.arrivesAt <= w.now {
-					in = append(in, l.in)
+			for _, d := range w.inFlight[n.name] {
+				if d.arrivesAt <= w.now {
+					in = append(in, d.in)
 				} else {
-					remaining = append(remaining, l)
+					remaining = append(remaining, d)
 				}
 			}
 			w.inFlight[n.name] = remaining
@@ -325,15 +327,16 @@
 	if l := findReply(out); l == nil || l.Amount != GuaranteeUnits/2/LoanDivisor {
 		t.Fatalf("%+v", out)
 	}
-	if use := a.Usable(2); use != GuaranteeUnits/2-GuaranteeUnits/2/LoanDivisor {
-		t.Errorf("may use %d after lending", use)
+	if usable := a.Usable(2); usable != GuaranteeUnits/2-GuaranteeUnits/2/LoanDivisor {
+		t.Errorf("may use %d after lending", usable)
 	}
-	out = a.Step(now, []Input{Config{2, 1}, LoanRequest{From: "b", Seq: 2, Revision: 1, Account: 0, Want: GuaranteeUnits}, LoanRequest{From: "b", Seq: 3, Revision: 2, Account: 1, Want: 1}})
+	out = a.Step(now, []Input{Config{2, 1}, LoanRequest{From: "b", Seq: 2, Revision: 1, Account: 0, Want: GuaranteeUnits},
+		LoanRequest{From: "b", Seq: 3, Revision: 2, Account: 1, Want: 1}})
 	if l := findReply(out); l != nil {
 		t.Errorf("reply %+v for lanes not in force or an unknown account", l)
 	}
-	if use := a.Usable(0); use != GuaranteeUnits/4 || a.Usable(1) != 0 {
-		t.Errorf("may use %d while its loans may still be in use", use)
+	if usable := a.Usable(0); usable != GuaranteeUnits/4 || a.Usable(1) != 0 {
+		t.Errorf("may use %d while its loans may still be in use", usable)
 	}
 }
 
@@ -344,13 +347,14 @@
 	request := LoanRequest{From: "b", Revision: 1, Want: GuaranteeUnits}
 	for i, c := range []struct {
 		after   time.Duration
-		use     int64
+		usable  int64
 		reply   int64
 		renewed bool
-	}{{0, GuaranteeUnits / 4, 0, false}, {LoanDuration, GuaranteeUnits / 4, 0, false}, {LoanDuration + LoanDuration/DriftDivisor, GuaranteeUnits/2 - GuaranteeUnits/8, GuaranteeUnits / 8, false}} {
+	}{{0, GuaranteeUnits / 4, 0, false}, {LoanDuration, GuaranteeUnits / 4, 0, false},
+		{LoanDuration + LoanDuration/DriftDivisor, GuaranteeUnits/2 - GuaranteeUnits/8, GuaranteeUnits / 8, false}} {
 		request.Seq++
 		out := s.Step(time.Hour+c.after, []Input{request})
-		if l := findReply(out); l == nil || l.Amount != c.reply || s.Usable(0) != c.use {
+		if l := findReply(out); l == nil || l.Amount != c.reply || s.Usable(0) != c.usable {
 			t.Errorf("%d: %v after its start: %+v, may use %d", i, c.after, l, s.Usable(0))
 		}
 	}
@@ -361,8 +365,8 @@
 	s := New(Options{Name: "a", FleetSize: 2})
 	s.Step(0, []Input{Config{1, 1}})
 	now := 2 * LoanDuration
-	request := func(no, incarnation uint64) *LoanReply {
-		return findReply(s.Step(now, []Input{LoanRequest{From: "b", Incarnation: incarnation, Seq: no, Revision: 1, Want: GuaranteeUnits}}))
+	request := func(seq, incarnation uint64) *LoanReply {
+		return findReply(s.Step(now, []Input{LoanRequest{From: "b", Incarnation: incarnation, Seq: seq, Revision: 1, Want: GuaranteeUnits}}))
 	}
 	if l := request(2, 1); l.Amount != GuaranteeUnits/8 {
 		t.Fatalf("%+v", l)
@@ -392,21 +396,21 @@
 	s := New(Options{Name: "a", Incarnation: 2, FleetSize: 2})
 	s.Step(0, []Input{Config{1, 1}, Membership{Live: []string{"a", "b"}}})
 	out := s.Step(2*LoanDuration, []Input{Demand{0, GuaranteeUnits}})
-	var no uint64
+	var seq uint64
 	for _, o := range out {
 		if a, ok := o.(SendRequest); ok {
-			no = a.Request.Seq
+			seq = a.Request.Seq
 		}
 	}
-	if no == 0 {
+	if seq == 0 {
 		t.Fatalf("no request was sent: %+v", out)
 	}
-	late := LoanReply{From: "b", To: "a", Incarnation: 1, Seq: no, Revision: 1, Amount: 1000}
-	if s.Step(2*LoanDuration, []Input{late}); s.Usable(0) != GuaranteeUnits/2 {
+	reply := LoanReply{From: "b", To: "a", Incarnation: 1, Seq: seq, Revision: 1, Amount: 1000}
+	if s.Step(2*LoanDuration, []Input{reply}); s.Usable(0) != GuaranteeUnits/2 {
 		t.Errorf("may use %d", s.Usable(0))
 	}
-	late.Incarnation = 2
-	if s.Step(2*LoanDuration, []Input{late}); s.Usable(0) != GuaranteeUnits/2+1000 {
+	reply.Incarnation = 2
+	if s.Step(2*LoanDuration, []Input{reply}); s.Usable(0) != GuaranteeUnits/2+1000 {
 		t.Errorf("may use %d", s.Usable(0))
 	}
 }
@@ -427,10 +431,12 @@
 		s.Step(0, []Input{Config{1, 50}, Membership{Live: []string{"a", "b", "c", "d"}}})
 		rng := rand.New(rand.NewPCG(1, 2))
 		for i := range 200 {
-			in := []Input{Demand{uint32(rng.IntN(50)), int64(rng.IntN(GuaranteeUnits))}, LoanRequest{From: "b", Seq: uint64(i + 1), Revision: 1, Account: uint32(rng.IntN(50)), Want: 1000}}
+			in := []Input{Demand{uint32(rng.IntN(50)), int64(rng.IntN(GuaranteeUnits))},
+				LoanRequest{From: "b", Seq: uint64(i + 1), Revision: 1, Account: uint32(rng.IntN(50)), Want: 1000}}
 			for _, o := range s.Step(time.Duration(i)*100*ms, in) {
 				if a, ok := o.(SendRequest); ok && rng.IntN(2) == 0 {
-					s.Step(time.Duration(i)*100*ms, []Input{LoanReply{From: a.To, To: "a", Seq: a.Request.Seq, Revision: 1, Account: a.Request.Account, Amount: 500}})
+					s.Step(time.Duration(i)*100*ms, []Input{LoanReply{From: a.To, To: "a", Seq: a.Request.Seq, Revision: 1,
+						Account: a.Request.Account, Amount: 500}})
 				}
 			}
 			all = append(all, append([]Output(nil), s.out...))
