--- a/internal/fleet/lanes/control.go
+++ b/internal/fleet/lanes/control.go
@@ -23,8 +23,8 @@
 	// Damping is the fraction by which the admitted rate is below the estimated capacity, for each unit of pressure over
 	// TargetPressure.
 	Damping = 0.4
-	// PeakDecay is the time constant with which the peak throughput decays. The peak is kept because policy
-	// refuses nearly everything for a moment at the start of an overload.
+	// PeakDecay is the time constant with which the peak throughput decays. The peak is kept because package
+	// policy refuses nearly everything for a moment at the start of an overload.
 	PeakDecay = 10 * time.Second
 	// MaxRiseRate is the highest relative growth per second of the estimate, reached after RiseRampTime without pressure.
 	MaxRiseRate  = 0.15
--- a/internal/fleet/lanes/gate.go
+++ b/internal/fleet/lanes/gate.go
@@ -11,14 +11,14 @@
 const (
 	// BurstSeconds is how many seconds of its rate a bucket holds; it always holds at least one part.
 	BurstSeconds = 2
-	// idleBurstSeconds is the same for the bucket of idle guarantees.
+	// idleBurstSeconds is how many seconds of its rate the bucket of idle guarantees holds.
 	idleBurstSeconds = 0.5
 	// idleThreshold is how full the bucket of a guarantee must be for the guarantee to count as idle.
 	idleThreshold = 0.95
 	// baselineRate is a cost per second that every member is assumed to have in every lane and class, so that one without traffic
 	// has a share of the floor before its first query.
 	baselineRate = 0.1
-	// MaxPromiseDivisor is the divisor of the promise that package policy applies to queries of the last lane while lanes shed; other
+	// MaxPromiseDivisor is the number by which package policy divides the promise of the last lane's queries while lanes shed; other
 	// lanes have smaller divisors. It is small because queries that lanes admit and policy then refuses count as pressure.
 	MaxPromiseDivisor = 1.2
 	// MinGuaranteeBurst is the least burst of an account's guarantee, in mean parts: about four queries, but no more than
@@ -116,8 +116,8 @@
 	return g.now
 }
 
-// SetConfig switches to another lane configuration. The buckets of accounts are kept by name, those of lanes and classes by index. All lanes get
-// new buckets if their number changes.
+// SetConfig switches to another lane configuration. The buckets of accounts are kept by name, those of lanes and classes by index. All
+// lanes get new buckets if their number changes.
 func (g *Gate) SetConfig(now time.Duration, next *laneconfig.Set) {
 	now = g.advance(now)
 	type previousAccount struct {
--- a/internal/fleet/shares/check.go
+++ b/internal/fleet/shares/check.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// Check returns a violation of rule L5 in this co-ordinator's own state: the amounts lent add up to the totals, no more is lent than
-// allowed, and no loan lasts longer than its time. It cannot check whether all
-// co-ordinators together keep to a guarantee.
+// Check returns a violation of rule L5 in this co-ordinator's own state: the amounts lent must add up to the totals, no more may be lent
+// than allowed, and no loan may last longer than its time. It cannot check whether all co-ordinators together keep to a guarantee.
 func (s *Shares) Check() error {
 	sums := map[uint32]int64{}
 	for k, l := range s.lent {
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -8,8 +8,8 @@
 // Lost, late, repeated or reordered messages never raise the sum of all shares over the guarantee, for these reasons. A lender counts a
 // loan from granting it, its borrower from sending the request, and the lender counts longer to allow for clock drift. The sequence number
 // of a request ensures that a loan takes effect only once. After a restart, a lender does not know the loans of its previous process and
-// uses only what is never lent, for as long as such loans may last. The sum can exceed the guarantee only if the number of
-// co-ordinators is wrong, see Membership.
+// uses only what is never lent, for as long as such loans may last. The sum can exceed the guarantee only because of how
+// co-ordinators are counted, see Membership.
 package shares
 
 import (
@@ -45,7 +45,7 @@
 	// MaxRequestsPerPeer is how many accounts are requested from one peer in a round, the largest shortages first, and how many loans
 	// are renewed in a round.
 	MaxRequestsPerPeer = 64
-	// MaxLoans is the maximum number of loans as a lender, and also as a borrower.
+	// MaxLoans is the maximum number of loans as a lender, and also as a borrower. No further loans are made.
 	MaxLoans = 65_536
 )
 
@@ -123,7 +123,7 @@
 func (s *Shares) unlendableShare() int64 { return s.HomeShare() - s.HomeShare()/LendDivisor }
 
 // recovering reports whether loans that this process does not know of may still last. The previous process granted them before this one
-// started, and their borrowers began to count even earlier, so all have expired when LoanDuration plus the drift has passed since then.
+// started, and their borrowers began to count even earlier. All have expired LoanDuration plus the drift after the start.
 func (s *Shares) recovering() bool {
 	return s.now < s.recoveringSince+LoanDuration+LoanDuration/DriftDivisor
 }
@@ -244,7 +244,8 @@
 	s.updateBorrowedTotal()
 }
 
-// reportShares reports the default share, and each account's share that has changed and differs from it or no longer does.
+// reportShares reports the default share, and each account's share if it changed since it was last reported. An account that has the
+// default share again is reported with UseDefault.
 func (s *Shares) reportShares() {
 	defaultShare := s.HomeShare()
 	if s.recovering() {
