--- a/internal/fleet/lanes/control.go
+++ b/internal/fleet/lanes/control.go
@@ -47,7 +47,8 @@
 	KneeDecay = 0.05
 	// FallTime is the time in which the estimate falls to the throughput when there is pressure.
 	FallTime = 2 * time.Second
-	// HighPressure is the pressure above which the estimate is cut to the peak throughput, less the fraction Margin.
+	// HighPressure is the pressure above which the estimate is cut to the peak throughput, less the fraction Margin, as fast as
+	// MaxFall allows.
 	HighPressure = 0.12
 	Margin       = 0.01
 	// CutSettleTime is how long it takes until reports show the effect of a cut of the estimate. Until then, the reported pressure is
