--- a/internal/fleet/shares/loans.go
+++ b/internal/fleet/shares/loans.go
@@ -5,43 +5,46 @@
 	"slices"
 )
 
-// handleRequest answers a peer's ask out of what is idle of the home part.
+// handleRequest lends to a peer from the unused part of the home share and replies to its request.
 func (s *Shares) handleRequest(request LoanRequest) {
-	if request.Revision != s.revision || request.Account >= uint32(s.accounts) || request.From == s.options.Name || request.From == "" || request.Want <= 0 {
+	if request.Revision != s.revision || request.Account >= uint32(s.accounts) ||
+		request.From == s.options.Name || request.From == "" || request.Want <= 0 {
 		return
 	}
 	k := loanKey{request.From, request.Account}
-	reply := LoanReply{From: s.options.Name, To: request.From, Incarnation: request.Incarnation, Seq: request.Seq, Revision: s.revision, Account: request.Account}
+	reply := LoanReply{From: s.options.Name, To: request.From, Incarnation: request.Incarnation, Seq: request.Seq,
+		Revision: s.revision, Account: request.Account}
 	l := s.lent[k]
 	switch {
 	case l == nil:
 		amount := min(request.Want, s.HomeShare()/LoanDivisor, s.lendable(request.Account))
 		if amount > 0 && len(s.lent) < MaxLoans {
-			l = &loan{peer: request.From, incarnation: request.Incarnation, account: request.Account, seq: request.Seq, amount: amount, expiresAt: s.now + lenderLoanDuration}
+			l = &loan{peer: request.From, incarnation: request.Incarnation, account: request.Account, seq: request.Seq,
+				amount: amount, expiresAt: s.now + lenderLoanDuration}
 			s.lent[k] = l
 			s.lentTotal[request.Account] += amount
 			reply.Amount = amount
 		}
-	case request.Incarnation != l.incarnation: // the process before may have it, and this one doesn't know
-	case request.Seq < l.seq: // late: a newer one was answered
+	case request.Incarnation != l.incarnation: // an earlier process of the borrower may hold the loan, and this one does not know of it
+	case request.Seq < l.seq: // late: a newer request was answered
 		return
-	case request.Seq == l.seq: // repeated: it is the same loan, which ends when it did
+	case request.Seq == l.seq: // repeated: the same loan, which expires when it did before
 		reply.Amount = l.amount
-	case s.lendable(request.Account) >= 0: // it goes on, as long as nothing of it is missed here
+	case s.lendable(request.Account) >= 0: // renewed, as long as the amount is not needed here
 		l.seq, l.expiresAt = request.Seq, s.now+lenderLoanDuration
 		reply.Amount = l.amount
 	}
 	s.out = append(s.out, SendReply{To: request.From, Reply: reply})
 }
 
-// lendable is what of an account may be lent beyond what is: what is neither in use here, with some to spare, nor more than the part
-// of it that may be lent at all. Below 0: what is lent is missed.
+// lendable returns how much more of an account may be lent. It leaves the co-ordinator's own demand plus a reserve, and keeps the sum of
+// loans within the lendable fraction of the home share. A negative result means that some of what is lent is needed here.
 func (s *Shares) lendable(account uint32) int64 {
 	wanted := s.wanted[account]
 	lent := s.lentTotal[account]
 	free := min(s.HomeShare()/LendDivisor-lent, s.HomeShare()-lent-wanted-wanted/ReserveDivisor)
 	if s.recovering() {
-		return min(free, 0) // its own half is all there is for sure
+		return min(free, 0) // only the unlendable share is certain to be available
 	}
 	return free
 }
@@ -53,11 +56,13 @@
 	}
 }
 
-// handleReply notes what a peer lent, if it answers an ask that is still known. Its time counts from the sending of that ask.
+// handleReply records what a peer lent, if it answers a request that is still pending. The loan's time counts from the sending of that
+// request.
 func (s *Shares) handleReply(reply LoanReply) {
 	k := loanKey{reply.From, reply.Account}
 	request, ok := s.pending[k]
-	if !ok || reply.To != s.options.Name || reply.Incarnation != s.options.Incarnation || reply.Revision != s.revision || reply.Seq != request.seq || reply.Account != request.account {
+	if !ok || reply.To != s.options.Name || reply.Incarnation != s.options.Incarnation || reply.Revision != s.revision ||
+		reply.Seq != request.seq || reply.Account != request.account {
 		return
 	}
 	delete(s.pending, k)
@@ -67,18 +72,19 @@
 	if l := s.borrowed[k]; l != nil {
 		l.seq, l.expiresAt, l.amount = reply.Seq, request.sentAt+borrowerLoanDuration, reply.Amount
 	} else if len(s.borrowed) < MaxLoans {
-		s.borrowed[k] = &loan{peer: reply.From, account: reply.Account, seq: reply.Seq, amount: reply.Amount, expiresAt: request.sentAt + borrowerLoanDuration}
+		s.borrowed[k] = &loan{peer: reply.From, account: reply.Account, seq: reply.Seq, amount: reply.Amount,
+			expiresAt: request.sentAt + borrowerLoanDuration}
 	}
 	s.updateBorrowedTotal()
 }
 
-// shortage is an account of which more is wanted than may be used.
+// shortage is the amount by which the demand for an account exceeds what may be used.
 type shortage struct {
 	account uint32
 	amount  int64
 }
 
-// requestLoans keeps what is borrowed and still wanted, and looks for more at peers drawn anew each time.
+// requestLoans renews loans that are still needed and requests more from randomly chosen peers, once per RequestInterval.
 func (s *Shares) requestLoans() {
 	if s.stepped && s.lastRoundAt > 0 && s.now < s.lastRoundAt+RequestInterval {
 		return
@@ -106,12 +112,13 @@
 	}
 }
 
-// renewLoans asks for what is borrowed before it fades, where it is wanted still.
+// renewLoans requests loans that are still needed again before they fade.
 func (s *Shares) renewLoans() {
 	var expiring []loanKey
 	for k, l := range s.borrowed {
 		request, waiting := s.pending[k]
-		if s.now < l.expiresAt-borrowerLoanDuration/2 || waiting && s.now < request.sentAt+requestTimeout || s.wanted[k.account] <= s.HomeShare()-s.lentTotal[k.account] {
+		if s.now < l.expiresAt-borrowerLoanDuration/2 || waiting && s.now < request.sentAt+requestTimeout ||
+			s.wanted[k.account] <= s.HomeShare()-s.lentTotal[k.account] {
 			continue
 		}
 		expiring = append(expiring, k)
@@ -127,6 +134,6 @@
 func (s *Shares) sendRequest(k loanKey, amount int64) {
 	s.lastSeq++
 	s.pending[k] = pendingRequest{seq: s.lastSeq, sentAt: s.now, account: k.account}
-	s.out = append(s.out, SendRequest{To: k.peer, Request: LoanRequest{From: s.options.Name, Incarnation: s.options.Incarnation, Seq: s.lastSeq, Revision: s.revision,
-		Account: k.account, Want: min(amount, GuaranteeUnits)}})
+	s.out = append(s.out, SendRequest{To: k.peer, Request: LoanRequest{From: s.options.Name, Incarnation: s.options.Incarnation,
+		Seq: s.lastSeq, Revision: s.revision, Account: k.account, Want: min(amount, GuaranteeUnits)}})
 }
