--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -10,19 +10,19 @@
 
 const (
 	// patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
-	patience = time.Minute
+	testTimeout = time.Minute
 
-	lookEvery = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 )
 
 // standstills begins to look, once for all tests.
-var standstills = sync.OnceValue(testproc.WatchStandstills)
+var processStalls = sync.OnceValue(testproc.WatchStandstills)
 
 // intime fails if something came too long after a moment. The time for which the machine had this process wait does not
 // count: nobody could have kept that.
-func intime(t *testing.T, came, after time.Time, most time.Duration) {
+func checkLatency(t *testing.T, came, after time.Time, most time.Duration) {
 	t.Helper()
-	waited := standstills().Between(after, came)
+	waited := processStalls().Between(after, came)
 	if took := came.Sub(after); took-waited > most {
 		t.Errorf("heard after %v, %v allowed, for %v of which the machine stood still", took, most, waited)
 	}
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -21,31 +21,31 @@
 
 // Half of the real limits, with what the rules allow.
 var (
-	scaled = config.Limits{
+	scaledLimits = config.Limits{
 		HeadBytes: 16 << 10, BodyBytes: 64 << 10, ListBytes: 100 << 10, LogEvery: time.Second,
 		WatchSilence: 1500 * time.Millisecond, AgentTime: 500 * time.Millisecond,
 		RedialFirst: 25 * time.Millisecond, RedialMost: 50 * time.Millisecond,
 		CallTime: 1100 * time.Millisecond, CallFirst: 100 * time.Millisecond, CallMost: time.Second,
 	}
-	toldBy = 3 * time.Second        // after a watch fell silent, what it missed counts as told
-	slack  = 250 * time.Millisecond // for a busy machine, as it is
+	deliveryLimit = 3 * time.Second        // after a watch fell silent, what it missed counts as told
+	slack         = 250 * time.Millisecond // for a busy machine, as it is
 )
 
 // scripted is an agent on loopback whose answers change. Its list has one replica, whose name is the version.
-type scripted struct {
+type scriptedAgent struct {
 	t  *testing.T
 	ln net.Listener
 
-	mu    sync.Mutex
-	list  func(nc net.Conn) // nil: well
-	watch func(nc net.Conn)
-	index int
-	asked int
-	open  int // connections
+	mu          sync.Mutex
+	answerList  func(nc net.Conn) // nil: well
+	answerWatch func(nc net.Conn)
+	index       int
+	requests    int
+	openConns   int // connections
 }
 
-func newScripted(t *testing.T, ln net.Listener) *scripted {
-	s := &scripted{t: t, ln: ln, index: 1}
+func newScriptedAgent(t *testing.T, ln net.Listener) *scriptedAgent {
+	s := &scriptedAgent{t: t, ln: ln, index: 1}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -60,15 +60,15 @@
 }
 
 // set changes what is answered from now on; what is open goes on.
-func (s *scripted) set(index int, list, watch func(net.Conn)) {
+func (s *scriptedAgent) setAnswers(index int, list, watch func(net.Conn)) {
 	s.mu.Lock()
-	s.index, s.list, s.watch = index, list, watch
+	s.index, s.answerList, s.answerWatch = index, list, watch
 	s.mu.Unlock()
 }
 
-func (s *scripted) serve(nc net.Conn) {
-	s.count(1)
-	defer func() { nc.Close(); s.count(-1) }()
+func (s *scriptedAgent) serve(nc net.Conn) {
+	s.addConns(1)
+	defer func() { nc.Close(); s.addConns(-1) }()
 	for r := bufio.NewReader(nc); ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -81,10 +81,10 @@
 		}
 		target := strings.Fields(line)[1]
 		s.mu.Lock()
-		s.asked++
-		index, do := s.index, s.list
+		s.requests++
+		index, do := s.index, s.answerList
 		if target != "/api/targets" {
-			do = s.watch
+			do = s.answerWatch
 		}
 		s.mu.Unlock()
 		switch {
@@ -93,30 +93,30 @@
 			io.Copy(io.Discard, nc) // nothing more, until the other side leaves
 			return
 		case target == "/api/targets":
-			io.WriteString(nc, whole(list(index, true, entry(fmt.Sprint("v", index), "Ready"))))
+			io.WriteString(nc, httpResponse(listJSON(index, true, endpointJSON(fmt.Sprint("v", index), "Ready"))))
 		default:
-			io.WriteString(nc, opened)
-			for every(nc, 20*time.Millisecond, chunk("\n")) == nil {
+			io.WriteString(nc, watchHead)
+			for writeAfter(nc, 20*time.Millisecond, chunk("\n")) == nil {
 			}
 		}
 	}
 }
 
-func (s *scripted) count(more int) (open int) {
+func (s *scriptedAgent) addConns(more int) (open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open += more
-	return s.open
+	s.openConns += more
+	return s.openConns
 }
 
-func (s *scripted) times() int {
+func (s *scriptedAgent) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.requests
 }
 
 // every waits and then writes.
-func every(nc net.Conn, wait time.Duration, text string) error {
+func writeAfter(nc net.Conn, wait time.Duration, text string) error {
 	time.Sleep(wait)
 	_, err := io.WriteString(nc, text)
 	return err
@@ -125,31 +125,31 @@
 // trickle writes byte by byte for ever, the last byte again and again.
 func trickle(text string) func(net.Conn) {
 	return func(nc net.Conn) {
-		for i := 0; every(nc, 30*time.Millisecond, text[i:i+1]) == nil; i = min(i+1, len(text)-1) {
+		for i := 0; writeAfter(nc, 30*time.Millisecond, text[i:i+1]) == nil; i = min(i+1, len(text)-1) {
 		}
 	}
 }
 
 // repeat writes a head, and then the same again and again for ever.
-func repeat(head, text string) func(net.Conn) {
+func repeatForever(head, text string) func(net.Conn) {
 	return func(nc net.Conn) {
-		for io.WriteString(nc, head); every(nc, 30*time.Millisecond, text) == nil; {
+		for io.WriteString(nc, head); writeAfter(nc, 30*time.Millisecond, text) == nil; {
 		}
 	}
 }
 
-func says(text string) func(net.Conn) { return func(nc net.Conn) { io.WriteString(nc, text) } }
+func respond(text string) func(net.Conn) { return func(nc net.Conn) { io.WriteString(nc, text) } }
 
 // runs starts a client of the agent; names gives what its lists hold, one name each.
-func runs(t *testing.T, address string, ask bool) (c *Client, names func(want string) time.Time, failed chan struct{}) {
-	return runsWith(t, address, ask, scaled, io.Discard)
+func startClient(t *testing.T, address string, ask bool) (c *Client, names func(want string) time.Time, failed chan struct{}) {
+	return startClientWith(t, address, ask, scaledLimits, io.Discard)
 }
 
-func runsWith(t *testing.T, address string, ask bool, limits config.Limits, out io.Writer) (c *Client, names func(want string) time.Time, failed chan struct{}) {
-	standstills()
+func startClientWith(t *testing.T, address string, ask bool, limits config.Limits, out io.Writer) (c *Client, names func(want string) time.Time, failed chan struct{}) {
+	processStalls()
 	log := logrus.New()
 	log.SetOutput(out)
-	s := &sink{make(chan exchange.ReplicaList, 1000), make(chan struct{}, 1000)}
+	s := &testSink{make(chan exchange.ReplicaList, 1000), make(chan struct{}, 1000)}
 	c = New(&config.Config{Discovery: address, Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, NoIndex, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -157,7 +157,7 @@
 	t.Cleanup(func() { stop(); <-done })
 	return c, func(want string) time.Time {
 		t.Helper()
-		for limit := time.After(patience); ; {
+		for limit := time.After(testTimeout); ; {
 			select {
 			case l := <-s.lists:
 				if len(l.Entries) > 0 && l.Entries[0].Name == want {
@@ -170,7 +170,7 @@
 	}, s.failed
 }
 
-func loopback(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -180,90 +180,90 @@
 }
 
 var (
-	partHead = opened[:20]
-	silent   = says("")
-	old      = chunk(list(1, false, entry("v1", "Ready")) + "\n")
-	half     = whole(list(2, true, entry("v2", "Ready")))
-	badWatch = map[string]func(net.Conn){
-		"before the first byte":             silent,
-		"inside the head":                   says(partHead),
+	partialHead    = watchHead[:20]
+	noAnswer       = respond("")
+	staleChange    = chunk(listJSON(1, false, endpointJSON("v1", "Ready")) + "\n")
+	listResponse   = httpResponse(listJSON(2, true, endpointJSON("v2", "Ready")))
+	stalledWatches = map[string]func(net.Conn){
+		"before the first byte":             noAnswer,
+		"inside the head":                   respond(partialHead),
 		"a head that trickles":              trickle("HTTP/1.1 200 OK\r\nX: y"),
-		"after the head":                    says(opened),
-		"between pulses":                    says(opened + chunk("\n") + chunk("\n")),
-		"inside a line":                     says(opened + chunk("\n") + chunk(`{"index":2,"snap`)),
-		"inside a chunk":                    says(opened + chunk("\n") + "ff\r\n{"),
-		"a line that trickles":              repeat(opened, chunk("{")),
-		"an object that trickles":           repeat(opened+chunk("{"), chunk("1")),
-		"an object with no end, over lines": repeat(opened+chunk("{\n"), chunk("\n")),
-		"blanks and no line":                repeat(opened, chunk(" ")),
-		"old lines":                         repeat(opened, old),
+		"after the head":                    respond(watchHead),
+		"between pulses":                    respond(watchHead + chunk("\n") + chunk("\n")),
+		"inside a line":                     respond(watchHead + chunk("\n") + chunk(`{"index":2,"snap`)),
+		"inside a chunk":                    respond(watchHead + chunk("\n") + "ff\r\n{"),
+		"a line that trickles":              repeatForever(watchHead, chunk("{")),
+		"an object that trickles":           repeatForever(watchHead+chunk("{"), chunk("1")),
+		"an object with no end, over lines": repeatForever(watchHead+chunk("{\n"), chunk("\n")),
+		"blanks and no line":                repeatForever(watchHead, chunk(" ")),
+		"old lines":                         repeatForever(watchHead, staleChange),
 	}
-	badList = map[string]func(net.Conn){
-		"before the first byte": silent,
-		"inside the head":       says(partHead),
+	failingLists = map[string]func(net.Conn){
+		"before the first byte": noAnswer,
+		"inside the head":       respond(partialHead),
 		"a head that trickles":  trickle("HTTP/1.1 200 OK\r\nX: y"),
-		"half of the list":      says(half[:len(half)-20]),
-		"a list that trickles":  trickle(half[:len(half)-20] + " "),
+		"half of the list":      respond(listResponse[:len(listResponse)-20]),
+		"a list that trickles":  trickle(listResponse[:len(listResponse)-20] + " "),
 		"closed":                func(nc net.Conn) { nc.Close() },
 	}
 )
 
 // In whatever state a watch falls silent, that is noticed by our clock, and what it missed is had before it counts as told.
-func TestAWatchFallsSilent(t *testing.T) {
-	for name, bad := range badWatch {
+func TestSilentWatchIsReplaced(t *testing.T) {
+	for name, bad := range stalledWatches {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScripted(t, loopback(t))
+			s := newScriptedAgent(t, listenLoopback(t))
 			fell := make(chan time.Time, 1)
-			s.set(1, nil, func(nc net.Conn) {
+			s.setAnswers(1, nil, func(nc net.Conn) {
 				fell <- time.Now() // or later: what is written first is then part of it
-				s.set(2, nil, nil)
+				s.setAnswers(2, nil, nil)
 				bad(nc)
 			})
-			_, names, _ := runs(t, s.ln.Addr().String(), false)
+			_, names, _ := startClient(t, s.ln.Addr().String(), false)
 			names("v1")
-			intime(t, names("v2"), <-fell, min(scaled.WatchSilence+scaled.RedialFirst+scaled.RedialMost+slack, toldBy))
+			checkLatency(t, names("v2"), <-fell, min(scaledLimits.WatchSilence+scaledLimits.RedialFirst+scaledLimits.RedialMost+slack, deliveryLimit))
 		})
 	}
 }
 
 // A flood of old lines keeps no watch alive either, though something waits to be read at all times.
-func TestAFloodOfOldLines(t *testing.T) {
-	s := newScripted(t, loopback(t))
-	s.set(1, nil, func(nc net.Conn) {
-		s.set(2, nil, nil)
-		flood := strings.Repeat(old, 500)
-		for io.WriteString(nc, opened); every(nc, 0, flood) == nil; {
+func TestStaleChangesDoNotKeepWatchAlive(t *testing.T) {
+	s := newScriptedAgent(t, listenLoopback(t))
+	s.setAnswers(1, nil, func(nc net.Conn) {
+		s.setAnswers(2, nil, nil)
+		flood := strings.Repeat(staleChange, 500)
+		for io.WriteString(nc, watchHead); writeAfter(nc, 0, flood) == nil; {
 		}
 	})
-	_, names, _ := runs(t, s.ln.Addr().String(), false)
+	_, names, _ := startClient(t, s.ln.Addr().String(), false)
 	began := names("v1")
-	intime(t, names("v2"), began, toldBy)
+	checkLatency(t, names("v2"), began, deliveryLimit)
 }
 
 // An outage in whatever form ends with what the agent has, an ask's distance after its end, whatever became of the asks
 // meanwhile. Asks stay bounded: one a RedialMost, and none is left open.
-func TestAfterAnOutage(t *testing.T) {
-	for name, bad := range badList {
+func TestListIsReadAfterOutage(t *testing.T) {
+	for name, bad := range failingLists {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScripted(t, loopback(t))
-			s.set(1, bad, bad)
-			_, names, _ := runs(t, s.ln.Addr().String(), false)
+			s := newScriptedAgent(t, listenLoopback(t))
+			s.setAnswers(1, bad, bad)
+			_, names, _ := startClient(t, s.ln.Addr().String(), false)
 			began := time.Now()
 			time.Sleep(1090 * time.Millisecond)
-			for time.Since(began) < patience && s.times() < 3 {
+			for time.Since(began) < testTimeout && s.requestCount() < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if n, most := s.times(), int(time.Since(began)/scaled.RedialMost)+6; n > most || n < 3 {
+			if n, most := s.requestCount(), int(time.Since(began)/scaledLimits.RedialMost)+6; n > most || n < 3 {
 				t.Errorf("asked %d times, %d allowed", n, most)
 			}
-			s.set(2, nil, nil)
+			s.setAnswers(2, nil, nil)
 			back := time.Now()
-			intime(t, names("v2"), back, scaled.RedialMost+slack)
-			for end := time.Now().Add(patience); s.count(0) != 1; time.Sleep(10 * time.Millisecond) {
+			checkLatency(t, names("v2"), back, scaledLimits.RedialMost+slack)
+			for end := time.Now().Add(testTimeout); s.addConns(0) != 1; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("%d connections are open", s.count(0))
+					t.Fatalf("%d connections are open", s.addConns(0))
 				}
 			}
 		})
@@ -271,7 +271,7 @@
 }
 
 // A connection that never comes up is one more form of silence.
-func TestAConnectHangs(t *testing.T) {
+func TestHangingConnectIsRetried(t *testing.T) {
 	t.Parallel()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -294,7 +294,7 @@
 			defer nc.Close()
 		}
 	}
-	_, names, _ := runs(t, address, false)
+	_, names, _ := startClient(t, address, false)
 	time.Sleep(20 * time.Millisecond)
 	if err := syscall.Listen(fd, 100); err != nil { // room again
 		t.Fatal(err)
@@ -310,67 +310,67 @@
 				defer syscall.Close(c)
 				b := make([]byte, 4096)
 				if n, _ := syscall.Read(c, b); n > 0 {
-					syscall.Write(c, []byte(whole(list(2, true, entry("v2", "Ready")))))
+					syscall.Write(c, []byte(httpResponse(listJSON(2, true, endpointJSON("v2", "Ready")))))
 					syscall.Read(c, b)
 				}
 			}()
 		}
 	}()
-	intime(t, names("v2"), back, scaled.RedialMost+slack)
+	checkLatency(t, names("v2"), back, scaledLimits.RedialMost+slack)
 }
 
 // A move to an address that is silent, while the old one is silent too, ends with the first that has a list.
-func TestAMoveWhileBothAreSilent(t *testing.T) {
+func TestMoveWhileBothAddressesAreSilent(t *testing.T) {
 	t.Parallel()
-	a, b := newScripted(t, loopback(t)), newScripted(t, loopback(t))
-	c, names, _ := runs(t, a.ln.Addr().String(), false)
+	a, b := newScriptedAgent(t, listenLoopback(t)), newScriptedAgent(t, listenLoopback(t))
+	c, names, _ := startClient(t, a.ln.Addr().String(), false)
 	names("v1")
-	a.set(2, silent, silent)
-	b.set(3, silent, silent)
+	a.setAnswers(2, noAnswer, noAnswer)
+	b.setAnswers(3, noAnswer, noAnswer)
 	c.Move(b.ln.Addr().String())
 	time.Sleep(560 * time.Millisecond)
-	b.set(3, nil, nil)
+	b.setAnswers(3, nil, nil)
 	back := time.Now()
-	intime(t, names("v3"), back, scaled.RedialMost+slack)
+	checkLatency(t, names("v3"), back, scaledLimits.RedialMost+slack)
 }
 
 // Where the decisions ask, a watch that falls silent is opened anew without them, and its answer tells what was missed.
 // They hear when that does not help. It goes on without them, but no more often than the pace has it.
-func TestABrokenWatchIsAskedForAgain(t *testing.T) {
+func TestSharedDiscoverySilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
-	s := newScripted(t, loopback(t))
-	c, names, failed := runs(t, s.ln.Addr().String(), true)
+	s := newScriptedAgent(t, listenLoopback(t))
+	c, names, failed := startClient(t, s.ln.Addr().String(), true)
 	fell := make(chan time.Time, 1)
-	s.set(1, nil, func(nc net.Conn) {
-		io.WriteString(nc, opened)
+	s.setAnswers(1, nil, func(nc net.Conn) {
+		io.WriteString(nc, watchHead)
 		fell <- time.Now()
-		s.set(2, nil, func(nc net.Conn) {
-			s.set(3, silent, silent)
-			io.WriteString(nc, opened+chunk(list(2, false, entry("v2", "Ready"))+"\n"))
+		s.setAnswers(2, nil, func(nc net.Conn) {
+			s.setAnswers(3, noAnswer, noAnswer)
+			io.WriteString(nc, watchHead+chunk(listJSON(2, false, endpointJSON("v2", "Ready"))+"\n"))
 		})
 	})
 	c.Watch()
-	intime(t, names("v2"), <-fell, scaled.WatchSilence+scaled.CallFirst+slack)
+	checkLatency(t, names("v2"), <-fell, scaledLimits.WatchSilence+scaledLimits.CallFirst+slack)
 	select {
 	case <-failed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("not told")
 	}
-	began, before := time.Now(), s.times()
-	for time.Since(began) < 3*scaled.CallTime {
-		time.Sleep(scaled.CallFirst)
+	began, before := time.Now(), s.requestCount()
+	for time.Since(began) < 3*scaledLimits.CallTime {
+		time.Sleep(scaledLimits.CallFirst)
 	}
-	if n, most := s.times()-before, int(time.Since(began)/scaled.CallTime)+1; n > most {
+	if n, most := s.requestCount()-before, int(time.Since(began)/scaledLimits.CallTime)+1; n > most {
 		t.Errorf("asked %d times of an agent that is silent, %d allowed", n, most)
 	}
-	s.set(3, nil, nil)
+	s.setAnswers(3, nil, nil)
 	back := time.Now()
-	intime(t, names("v3"), back, scaled.CallTime+slack)
+	checkLatency(t, names("v3"), back, scaledLimits.CallTime+slack)
 }
 
 // What came in time and was not read in time, since we stood still, is read; after that nothing is waited for.
-func TestOurOwnStandstillIsNotTheirs(t *testing.T) {
-	ln := loopback(t)
+func TestDataThatArrivedDuringProcessStallIsRead(t *testing.T) {
+	ln := listenLoopback(t)
 	defer ln.Close()
 	there, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -401,17 +401,17 @@
 // A whole list may come indented, and so may a change.
 func TestIndentedLists(t *testing.T) {
 	t.Parallel()
-	s := newScripted(t, loopback(t))
+	s := newScriptedAgent(t, listenLoopback(t))
 	now := make(chan time.Time, 1)
-	s.set(1, says(whole(wide(list(1, true, entry("v1", "Ready"))))+opened), nil)
-	_, names, _ := runs(t, s.ln.Addr().String(), false)
+	s.setAnswers(1, respond(httpResponse(multiline(listJSON(1, true, endpointJSON("v1", "Ready"))))+watchHead), nil)
+	_, names, _ := startClient(t, s.ln.Addr().String(), false)
 	names("v1")
-	s.set(2, nil, func(nc net.Conn) {
-		io.WriteString(nc, opened)
-		time.Sleep(scaled.RedialMost + slack) // it was open for a while
-		s.set(3, nil, nil)
+	s.setAnswers(2, nil, func(nc net.Conn) {
+		io.WriteString(nc, watchHead)
+		time.Sleep(scaledLimits.RedialMost + slack) // it was open for a while
+		s.setAnswers(3, nil, nil)
 		now <- time.Now()
-		io.WriteString(nc, chunk(wide(list(3, false, entry("v3", "Ready")))+"\n"))
+		io.WriteString(nc, chunk(multiline(listJSON(3, false, endpointJSON("v3", "Ready")))+"\n"))
 	})
-	intime(t, names("v3"), <-now, scaled.RedialMost+slack)
+	checkLatency(t, names("v3"), <-now, scaledLimits.RedialMost+slack)
 }
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -16,8 +16,8 @@
 // unread, or that were read and are not yet passed on.
 type listConn struct {
 	net.Conn
-	raw    syscall.RawConn
-	taking atomic.Bool // from before a read that finds something to the next that finds nothing
+	raw     syscall.RawConn
+	reading atomic.Bool // from before a read that finds something to the next that finds nothing
 }
 
 func newListConn(conn net.Conn) (*listConn, error) {
@@ -31,19 +31,19 @@
 // Read reads as the connection does. What it takes from the kernel counts as pending at every moment: taking is set before.
 func (c *listConn) Read(p []byte) (n int, err error) {
 	waited := c.raw.Read(func(fd uintptr) bool {
-		c.taking.Store(true)
+		c.reading.Store(true)
 		for n, err = syscall.Read(int(fd), p); errors.Is(err, syscall.EINTR); {
 			n, err = syscall.Read(int(fd), p)
 		}
 		if errors.Is(err, syscall.EAGAIN) {
-			c.taking.Store(false)
+			c.reading.Store(false)
 			return false
 		}
 		return true
 	})
 	switch {
 	case waited != nil:
-		c.taking.Store(false)
+		c.reading.Store(false)
 		return 0, waited
 	case err != nil:
 		return 0, os.NewSyscallError("read", err)
@@ -55,7 +55,7 @@
 
 // pending says whether something is to be taken in. The kernel is asked first: what the reader takes from it after that is seen by
 // taking.
-func (c *listConn) pending() bool { return duplexconn.Waits(c.Conn) || c.taking.Load() }
+func (c *listConn) pending() bool { return duplexconn.Waits(c.Conn) || c.reading.Load() }
 
 // listConns are the connections that are open.
 type listConns struct {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 }
 
 // One odd entry does not hold back the news of the others.
-func TestOddEntries(t *testing.T) {
+func TestParseKeepsValidEntries(t *testing.T) {
 	l, _, odd, err := Parse([]byte(`{"index":1,"endpoints":[{"name":"","address":"a:1","status":"Ready"},
 		{"name":"b","address":"nowhere","status":"Ready"},{"name":"c","address":"a:1","status":"Odd"},
 		{"name":"d","address":"a:1","status":"Gone"}]}`))
@@ -50,34 +50,34 @@
 	}
 }
 
-type sink struct {
+type testSink struct {
 	lists  chan exchange.ReplicaList
 	failed chan struct{}
 }
 
-func (s *sink) UpdateReplicas(l exchange.ReplicaList) { s.lists <- l }
-func (s *sink) WatchFailed()                          { s.failed <- struct{}{} }
+func (s *testSink) UpdateReplicas(l exchange.ReplicaList) { s.lists <- l }
+func (s *testSink) WatchFailed()                          { s.failed <- struct{}{} }
 
-func (s *sink) next(t *testing.T) exchange.ReplicaList {
+func (s *testSink) next(t *testing.T) exchange.ReplicaList {
 	t.Helper()
 	select {
 	case l := <-s.lists:
 		return l
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no list came")
 	}
 	panic("unreachable")
 }
 
 // agent stands in for discovery: the test answers each request by hand.
-type agent struct {
+type manualAgent struct {
 	*testing.T
 	ln net.Listener
 }
 
-func (a *agent) accept() (net.Conn, *bufio.Reader) {
+func (a *manualAgent) accept() (net.Conn, *bufio.Reader) {
 	a.Helper()
-	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := a.ln.Accept()
 	if err != nil {
 		a.Fatal(err)
@@ -86,7 +86,7 @@
 	return nc, bufio.NewReader(nc)
 }
 
-func (a *agent) expect(r *bufio.Reader, target string) {
+func (a *manualAgent) expectRequest(r *bufio.Reader, target string) {
 	a.Helper()
 	for first := true; ; first = false {
 		line, err := r.ReadString('\n')
@@ -102,39 +102,41 @@
 	}
 }
 
-func entry(name, status string) string {
+func endpointJSON(name, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","group":0,"status":%q}`, name, status)
 }
 
-func list(index int, full bool, entries ...string) string {
+func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
 
-func whole(body string) string {
+func httpResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 func chunk(body string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(body), body) }
 
-const opened = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Limits for agents that answer by hand: in brisk a silence ends soon, in calm none ever does.
 var (
-	brisk = config.Limits{
+	shortLimits = config.Limits{
 		HeadBytes: 1000, BodyBytes: 1000, ListBytes: 1000, WatchSilence: 500 * time.Millisecond, AgentTime: 200 * time.Millisecond, LogEvery: time.Second,
 		RedialFirst: time.Millisecond, RedialMost: 200 * time.Millisecond,
 		CallTime: 200 * time.Millisecond, CallFirst: time.Millisecond, CallMost: 200 * time.Millisecond,
 	}
-	calm = config.Limits{
-		HeadBytes: 1000, BodyBytes: 1000, ListBytes: 1000, WatchSilence: 2 * patience, AgentTime: 2 * patience, LogEvery: time.Second,
+	longLimits = config.Limits{
+		HeadBytes: 1000, BodyBytes: 1000, ListBytes: 1000, WatchSilence: 2 * testTimeout, AgentTime: 2 * testTimeout, LogEvery: time.Second,
 		RedialFirst: time.Millisecond, RedialMost: 200 * time.Millisecond,
-		CallTime: 2 * patience, CallFirst: time.Millisecond, CallMost: 200 * time.Millisecond,
+		CallTime: 2 * testTimeout, CallFirst: time.Millisecond, CallMost: 200 * time.Millisecond,
 	}
 )
 
-func start(t *testing.T, ask bool) (*agent, *sink, *Client) { return startWith(t, ask, brisk) }
+func startAgent(t *testing.T, ask bool) (*manualAgent, *testSink, *Client) {
+	return startAgentWith(t, ask, shortLimits)
+}
 
-func startWith(t *testing.T, ask bool, limits config.Limits) (*agent, *sink, *Client) {
+func startAgentWith(t *testing.T, ask bool, limits config.Limits) (*manualAgent, *testSink, *Client) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,9 +144,9 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &sink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
+	s := &testSink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
 	held := int64(5)
-	if ask { // else the watch is opened at once: see TestAHeldListIsWatchedAtOnce
+	if ask { // else the watch is opened at once: see TestSharedDiscoveryWatchesKnownListAtOnce
 		held = NoIndex
 	}
 	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, held, s, logrus.NewEntry(log))
@@ -152,82 +154,82 @@
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); ln.Close(); <-done })
-	return &agent{t, ln}, s, c
+	return &manualAgent{t, ln}, s, c
 }
 
 // The whole list, then changes as they come, with empty lines between and lines cut across chunks; when the
 // watch is silent over its pulse the list is had again.
 func TestListThenWatch(t *testing.T) {
-	a, s, c := start(t, false)
+	a, s, c := startAgent(t, false)
 	nc, r := a.accept()
-	a.expect(r, "/api/targets")
-	io.WriteString(nc, whole(list(41, true, entry("a", "Ready"), entry("b", "Ready"))))
+	a.expectRequest(r, "/api/targets")
+	io.WriteString(nc, httpResponse(listJSON(41, true, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))))
 	if l := s.next(t); !l.Full || len(l.Entries) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	a.expect(r, "/api/targets?watch=1&after=41")
+	a.expectRequest(r, "/api/targets?watch=1&after=41")
 	if !c.HasList() { // it is asked on only after the list was taken
 		t.Error("the list does not count")
 	}
-	change := list(43, false, entry("a", "Gone")) + "\n"
-	io.WriteString(nc, opened+chunk("\n")+chunk(change[:20])+chunk(change[20:]+"\n"))
+	change := listJSON(43, false, endpointJSON("a", "Gone")) + "\n"
+	io.WriteString(nc, watchHead+chunk("\n")+chunk(change[:20])+chunk(change[20:]+"\n"))
 	if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
 		t.Fatalf("%+v", l)
 	}
-	io.WriteString(nc, chunk(list(42, false, entry("b", "Gone"))+"\n")) // older than what is held
-	nc, r = a.lists(43, entry("b", "Ready"))                            // after the silence
+	io.WriteString(nc, chunk(listJSON(42, false, endpointJSON("b", "Gone"))+"\n")) // older than what is held
+	nc, r = a.serveList(43, endpointJSON("b", "Ready"))                            // after the silence
 	if l := s.next(t); !l.Full {
 		t.Fatalf("%+v", l)
 	}
-	a.watched(nc, r, 43)
-	io.WriteString(nc, chunk(list(44, false, entry("b", "Terminating"))+"\n"))
+	a.acceptWatch(nc, r, 43)
+	io.WriteString(nc, chunk(listJSON(44, false, endpointJSON("b", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].Name != "b" || l.Entries[0].State != policy.Draining {
 		t.Fatalf("%+v", l)
 	}
 }
 
 // A line that can't be read is passed over; what it said comes with the whole list.
-func TestABadLineIsPassedOver(t *testing.T) {
-	a, s, _ := start(t, false)
+func TestInvalidObjectRequestsFullList(t *testing.T) {
+	a, s, _ := startAgent(t, false)
 	nc, r := a.accept()
-	a.expect(r, "/api/targets")
-	io.WriteString(nc, whole(list(41, true, entry("a", "Ready"))))
+	a.expectRequest(r, "/api/targets")
+	io.WriteString(nc, httpResponse(listJSON(41, true, endpointJSON("a", "Ready"))))
 	s.next(t)
-	a.expect(r, "/api/targets?watch=1&after=41")
-	io.WriteString(nc, opened+chunk("nonsense\n"))
+	a.expectRequest(r, "/api/targets?watch=1&after=41")
+	io.WriteString(nc, watchHead+chunk("nonsense\n"))
 	nc, r = a.accept()
-	a.expect(r, "/api/targets")
-	io.WriteString(nc, whole(list(42, true, entry("a", "Ready"))))
+	a.expectRequest(r, "/api/targets")
+	io.WriteString(nc, httpResponse(listJSON(42, true, endpointJSON("a", "Ready"))))
 	if l := s.next(t); !l.Full {
 		t.Fatalf("%+v", l)
 	}
 }
 
 // Failures of every kind lead to a new try.
-func TestFailuresAreTriedAgain(t *testing.T) {
-	a, s, _ := start(t, false)
+func TestFailedRequestsAreRetried(t *testing.T) {
+	a, s, _ := startAgent(t, false)
 	for _, answer := range []string{
-		"", "nonsense\r\n\r\n", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", whole("{"), whole(strings.Repeat("x", 2000)),
+		"", "nonsense\r\n\r\n", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", httpResponse("{"), httpResponse(strings.Repeat("x", 2000)),
 		"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
 	} {
 		nc, r := a.accept()
-		a.expect(r, "/api/targets")
+		a.expectRequest(r, "/api/targets")
 		io.WriteString(nc, answer)
 		nc.Close()
 	}
 	nc, r := a.accept()
-	a.expect(r, "/api/targets")
-	io.WriteString(nc, whole(list(41, true, entry("a", "Ready"))))
+	a.expectRequest(r, "/api/targets")
+	io.WriteString(nc, httpResponse(listJSON(41, true, endpointJSON("a", "Ready"))))
 	s.next(t)
 }
 
 // Where the decisions ask for the list, nothing is asked before their word. They hear when it can't be had, again and
 // again, while it is asked for no more often than the pace has it.
-func TestAskedWatch(t *testing.T) {
-	limits := brisk
+func TestSharedDiscoveryRequestsAreBounded(t *testing.T) {
+	limits := shortLimits
 	limits.CallFirst, limits.CallMost = 20*time.Millisecond, 100*time.Millisecond
-	a, s, c := startWith(t, true, limits)
-	a.quiet()
+	a, s, c := startAgentWith(t, true, limits)
+	a.expectNoRequest()
 	c.Watch()
 	began, asked := time.Now(), 0
 	for told := 0; told < 2; {
@@ -249,7 +251,7 @@
 }
 
 // quiet holds that nobody comes.
-func (a *agent) quiet() {
+func (a *manualAgent) expectNoRequest() {
 	a.Helper()
 	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := a.ln.Accept(); err == nil {
@@ -257,38 +259,38 @@
 	}
 }
 
-func newAgent(t *testing.T) *agent {
+func newManualAgent(t *testing.T) *manualAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	return &agent{t, ln}
+	return &manualAgent{t, ln}
 }
 
-func (a *agent) address() string { return a.ln.Addr().String() }
+func (a *manualAgent) address() string { return a.ln.Addr().String() }
 
 // lists takes a connection that asks for the whole list and answers it.
-func (a *agent) lists(index int, entries ...string) (net.Conn, *bufio.Reader) {
+func (a *manualAgent) serveList(index int, entries ...string) (net.Conn, *bufio.Reader) {
 	a.Helper()
 	nc, r := a.accept()
-	a.expect(r, "/api/targets")
-	io.WriteString(nc, whole(list(index, true, entries...)))
+	a.expectRequest(r, "/api/targets")
+	io.WriteString(nc, httpResponse(listJSON(index, true, entries...)))
 	return nc, r
 }
 
 // watched answers the watch that follows on the connection.
-func (a *agent) watched(nc net.Conn, r *bufio.Reader, index int) {
+func (a *manualAgent) acceptWatch(nc net.Conn, r *bufio.Reader, index int) {
 	a.Helper()
-	a.expect(r, fmt.Sprint("/api/targets?watch=1&after=", index))
-	io.WriteString(nc, opened)
+	a.expectRequest(r, fmt.Sprint("/api/targets?watch=1&after=", index))
+	io.WriteString(nc, watchHead)
 }
 
 // ended tells that the other side has closed.
-func (a *agent) ended(nc net.Conn) {
+func (a *manualAgent) expectClosed(nc net.Conn) {
 	a.Helper()
-	nc.SetReadDeadline(time.Now().Add(patience))
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		a.Fatalf("still open: %v", err)
 	}
@@ -297,26 +299,26 @@
 // A move takes the whole list from the new address, whose versions count from anywhere, and until it has that the
 // old address is heard. From then on the old one is left and its word counts no more.
 func TestMove(t *testing.T) {
-	a, s, c := start(t, false)
-	old, r := a.lists(41, entry("a", "Ready"), entry("b", "Ready"))
+	a, s, c := startAgent(t, false)
+	old, r := a.serveList(41, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
 	s.next(t)
-	a.watched(old, r, 41)
-	b := newAgent(t)
+	a.acceptWatch(old, r, 41)
+	b := newManualAgent(t)
 	c.Move(b.address())
 	c.Move(b.address()) // told twice: nothing is begun anew
 	nc, r := b.accept()
-	b.expect(r, "/api/targets")
-	io.WriteString(old, chunk(list(42, false, entry("a", "Gone"))+"\n"))
+	b.expectRequest(r, "/api/targets")
+	io.WriteString(old, chunk(listJSON(42, false, endpointJSON("a", "Gone"))+"\n"))
 	if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
 		t.Fatalf("%+v", l)
 	}
-	io.WriteString(nc, whole(list(3, true, entry("b", "Ready"))))
+	io.WriteString(nc, httpResponse(listJSON(3, true, endpointJSON("b", "Ready"))))
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
 		t.Fatalf("%+v", l)
 	}
-	a.ended(old)
-	b.watched(nc, r, 3)
-	io.WriteString(nc, chunk(list(4, false, entry("b", "Terminating"))+"\n"))
+	a.expectClosed(old)
+	b.acceptWatch(nc, r, 3)
+	io.WriteString(nc, chunk(listJSON(4, false, endpointJSON("b", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
 		t.Fatalf("%+v", l)
 	}
@@ -328,31 +330,31 @@
 
 // Several moves at once end at the last address, and one that can't be had is tried again while the list goes on
 // coming from the old one.
-func TestMovesInARow(t *testing.T) {
-	a, s, c := start(t, false)
-	old, r := a.lists(41, entry("a", "Ready"))
+func TestLastMoveWins(t *testing.T) {
+	a, s, c := startAgent(t, false)
+	old, r := a.serveList(41, endpointJSON("a", "Ready"))
 	s.next(t)
-	a.watched(old, r, 41)
-	between, b, dead := newAgent(t), newAgent(t), newAgent(t)
+	a.acceptWatch(old, r, 41)
+	between, b, dead := newManualAgent(t), newManualAgent(t), newManualAgent(t)
 	dead.ln.Close()
 	c.Move(between.address())
 	nc, r := between.accept()
-	between.expect(r, "/api/targets")
+	between.expectRequest(r, "/api/targets")
 	c.Move(dead.address())
-	between.ended(nc)
+	between.expectClosed(nc)
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(old, chunk(list(42, false, entry("a", "Terminating"))+"\n"))
+	io.WriteString(old, chunk(listJSON(42, false, endpointJSON("a", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
 		t.Fatalf("%+v", l)
 	}
 	c.Move(b.address())
-	b.lists(1, entry("a", "Ready"), entry("z", "Ready"))
+	b.serveList(1, endpointJSON("a", "Ready"), endpointJSON("z", "Ready"))
 	if l := s.next(t); !l.Full || len(l.Entries) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	a.ended(old)
+	a.expectClosed(old)
 	c.Move(a.address()) // and back again: its versions are not those of before
-	a.lists(2, entry("a", "Ready"))
+	a.serveList(2, endpointJSON("a", "Ready"))
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
 		t.Fatalf("%+v", l)
 	}
@@ -360,27 +362,27 @@
 
 // An agent that takes the connection and says nothing is left soon, also when the list moves to it.
 func TestMoveToASilentAddress(t *testing.T) {
-	_, s, c := start(t, false)
-	b := newAgent(t)
+	_, s, c := startAgent(t, false)
+	b := newManualAgent(t)
 	c.Move(b.address())
 	b.accept()
-	b.lists(1, entry("a", "Ready"))
+	b.serveList(1, endpointJSON("a", "Ready"))
 	s.next(t)
 }
 
 // Where the decisions ask for the list, a move needs no word of theirs, and its failures are not told them while
 // the old address is heard.
-func TestMoveWhereTheListIsAskedFor(t *testing.T) {
-	a, s, c := startWith(t, true, calm)
+func TestMoveOfSharedDiscovery(t *testing.T) {
+	a, s, c := startAgentWith(t, true, longLimits)
 	c.Watch()
-	old, r := a.lists(41, entry("a", "Ready"))
+	old, r := a.serveList(41, endpointJSON("a", "Ready"))
 	s.next(t)
-	a.watched(old, r, 41)
-	b := newAgent(t)
+	a.acceptWatch(old, r, 41)
+	b := newManualAgent(t)
 	c.Move(b.address())
 	nc, _ := b.accept()
 	nc.Close()
-	nc, _ = b.lists(1, entry("a", "Ready"))
+	nc, _ = b.serveList(1, endpointJSON("a", "Ready"))
 	s.next(t)
 	if len(s.failed) > 0 {
 		t.Error("a failure of the move was told")
@@ -389,5 +391,5 @@
 	<-s.failed
 	c.Watch()
 	nc, r = b.accept()
-	b.watched(nc, r, 1)
+	b.acceptWatch(nc, r, 1)
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -10,5 +10,5 @@
 	errMultipleLists   = errors.New("an answer with more than one list")
 	errClosedAfterList = errors.New("closed after the whole list")
 	errStaleIndex      = errors.New("an index below the one that is held")
-	errNoObject        = errors.New("discovery: something else than an object")
+	errNotObject       = errors.New("discovery: something else than an object")
 )
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -18,10 +18,10 @@
 	backoff        time.Duration // before the next connection
 	cancel         context.CancelFunc
 
-	watchNext bool      // the full list has just come, on a connection that closed behind it
-	lastErr   error     // why the connection before is of no more use, nil at the start
-	resumeAt  time.Time // when the next attempt of a request that was left is due, zero for none
-	reopened  bool      // a watch of a shared discovery has fallen silent, and nothing was heard since
+	watchNext            bool      // the full list has just come, on a connection that closed behind it
+	lastErr              error     // why the connection before is of no more use, nil at the start
+	resumeAt             time.Time // when the next attempt of a request that was left is due, zero for none
+	reopenedAfterSilence bool      // a watch of a shared discovery has fallen silent, and nothing was heard since
 }
 
 // run keeps the list up to date until the context ends. Where the decisions poll, their first request begins it, and they are
@@ -40,7 +40,7 @@
 		began := time.Now()
 		if err == nil {
 			err = f.consume(s)
-			f.holdAfter(err, time.Since(began))
+			f.markUnconfirmed(err, time.Since(began))
 			s.close()
 		}
 		if ctx.Err() != nil {
@@ -56,37 +56,37 @@
 			c.sink.WatchFailed()
 		}
 		if errors.Is(err, errSilent) {
-			f.afterSilence(s)
+			f.handleSilence(s)
 		}
 	}
 }
 
-// endHold is for how long after a watch's end the list counts as pending: a watch of an agent may end instead of bringing a change,
+// unconfirmedTime is for how long after a watch's end the list counts as pending: a watch of an agent may end instead of bringing a change,
 // which counts already. The agent is on this machine and gives the full list within milliseconds, or is down; half as long is short
 // for a busy machine, and as long again has every end of a watch cost as much time.
-const endHold = 50 * time.Millisecond
+const unconfirmedTime = 50 * time.Millisecond
 
-// holdAfter has the list count as pending for a moment, where an agent's watch has ended that had lasted: the full list is requested
+// markUnconfirmed has the list count as pending for a moment, where an agent's watch has ended that had lasted: the full list is requested
 // at once then. One that ends soon is followed by a wait.
-func (f *feed) holdAfter(err error, lasted time.Duration) {
+func (f *feed) markUnconfirmed(err error, lasted time.Duration) {
 	c := f.client
 	if c.retry.shared || lasted <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errSilent) || errors.Is(err, errClosedAfterList) {
 		return
 	}
 	c.unconfirmed.Store(true)
-	time.AfterFunc(endHold, func() { c.unconfirmed.Store(false) })
+	time.AfterFunc(unconfirmedTime, func() { c.unconfirmed.Store(false) })
 }
 
-// afterSilence decides what is requested once discovery has been silent. A new watch of an agent may be silent for longer than
+// handleSilence decides what is requested once discovery has been silent. A new watch of an agent may be silent for longer than
 // there is time left for what was missed, while the full list has all of it at once. Of a shared discovery that would be two
 // calls where one has the same: the answer to a watch begins with what was missed. Only when that brings nothing either is the
 // full list requested.
-func (f *feed) afterSilence(s *stream) {
+func (f *feed) handleSilence(s *stream) {
 	switch {
-	case !f.client.retry.shared || f.reopened:
+	case !f.client.retry.shared || f.reopenedAfterSilence:
 		f.fullListNeeded = true
 	case s.watching:
-		f.reopened, f.confirmedAt = true, time.Now()
+		f.reopenedAfterSilence, f.confirmedAt = true, time.Now()
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // confirm notes that the list holds as of now.
 func (f *feed) confirm() {
-	f.confirmedAt, f.reopened = time.Now(), false
+	f.confirmedAt, f.reopenedAfterSilence = time.Now(), false
 	f.client.confirm(f)
 }
 
@@ -114,7 +114,7 @@
 		if _, err := f.applyObject(s.objects.object, true, true); err != nil {
 			return err
 		}
-		f.fullListNeeded, f.reopened, f.confirmedAt = false, false, s.startedAt
+		f.fullListNeeded, f.reopenedAfterSilence, f.confirmedAt = false, false, s.startedAt
 		if s.splitter.Close {
 			return errClosedAfterList
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -30,7 +30,7 @@
 	Since   int64    `json:"since_ms"`
 }
 
-var states = map[string]policy.Readiness{
+var readinessByStatus = map[string]policy.Readiness{
 	"Ready": policy.Up, "Terminating": policy.Draining, "Gone": policy.Removed,
 }
 
@@ -48,7 +48,7 @@
 	list.Full, list.Index = m.Snapshot, *m.Index
 	for i := range m.Endpoints {
 		ep := &m.Endpoints[i]
-		state, known := states[ep.Status]
+		state, known := readinessByStatus[ep.Status]
 		if !known {
 			state = policy.Draining
 			odd = append(odd, fmt.Sprintf("%s: status %q", ep.Name, ep.Status))
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -16,12 +16,12 @@
 // objectScanner cuts a body into its JSON objects, which may be laid out over lines, share one and come in pieces. Whether one
 // is sound is for the parser to say. It keeps its place, so that no byte is looked at twice.
 type objectScanner struct {
-	object   []byte // what has come of the object, until the next one begins
-	maxSize  int    // bytes of one
-	depth    int    // of the braces and brackets that are open, 0 between objects
-	quoted   bool
-	escaped  bool
-	lineUsed bool // the line holds an object or the end of one: its end is no empty line
+	object        []byte // what has come of the object, until the next one begins
+	maxSize       int    // bytes of one
+	depth         int    // of the braces and brackets that are open, 0 between objects
+	inString      bool
+	escaped       bool
+	lineHasObject bool // the line holds an object or the end of one: its end is no empty line
 }
 
 // scan reads a piece up to what it finds first, and tells how far that is.
@@ -31,15 +31,15 @@
 		if o.depth == 0 {
 			switch b {
 			case '{':
-				o.object, o.depth, o.lineUsed, from = o.object[:0], 1, true, i
+				o.object, o.depth, o.lineHasObject, from = o.object[:0], 1, true, i
 			case '\n':
-				pulse := !o.lineUsed
-				if o.lineUsed = false; pulse {
+				pulse := !o.lineHasObject
+				if o.lineHasObject = false; pulse {
 					return i + 1, foundHeartbeat, nil
 				}
 			case ' ', '\t', '\r':
 			default:
-				return i, needMore, errNoObject
+				return i, needMore, errNotObject
 			}
 			continue
 		}
@@ -58,10 +58,10 @@
 	switch {
 	case o.escaped:
 		o.escaped = false
-	case o.quoted:
-		o.escaped, o.quoted = b == '\\', b != '"'
+	case o.inString:
+		o.escaped, o.inString = b == '\\', b != '"'
 	case b == '"':
-		o.quoted = true
+		o.inString = true
 	case b == '{' || b == '[':
 		o.depth++
 	case b == '}' || b == ']':
--- a/internal/discovery/pending_test.go
+++ b/internal/discovery/pending_test.go
@@ -8,27 +8,27 @@
 	"birchcart/internal/exchange"
 )
 
-// gatedSink takes a list only when the test lets it.
-type gatedSink struct {
-	came chan exchange.ReplicaList
-	take chan struct{}
+// blockingSink takes a list only when the test lets it.
+type blockingSink struct {
+	received chan exchange.ReplicaList
+	release  chan struct{}
 }
 
-func (s *gatedSink) UpdateReplicas(l exchange.ReplicaList) {
-	s.came <- l
-	<-s.take
+func (s *blockingSink) UpdateReplicas(l exchange.ReplicaList) {
+	s.received <- l
+	<-s.release
 }
-func (s *gatedSink) WatchFailed() {}
+func (s *blockingSink) WatchFailed() {}
 
 // A change is pending from when it is in the kernel until the sink has it, and nothing is between changes; half an object that has
 // been read waits for its end and holds up nothing.
-func TestAChangeIsPendingUntilItIsPassedOn(t *testing.T) {
-	a, s, c := startWith(t, false, calm)
-	gate := &gatedSink{make(chan exchange.ReplicaList), make(chan struct{})}
-	nc := watching(t, a, s, entry("a", "Ready"))
+func TestChangeIsPendingUntilApplied(t *testing.T) {
+	a, s, c := startAgentWith(t, false, longLimits)
+	gate := &blockingSink{make(chan exchange.ReplicaList), make(chan struct{})}
+	nc := openWatch(t, a, s, endpointJSON("a", "Ready"))
 	until := func(want bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); c.ListPending() != want; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); c.ListPending() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("pending is not %v", want)
 			}
@@ -37,49 +37,49 @@
 	until(false)
 	c.mu.Lock() // the reader has no turn to pass it on
 	c.sink = gate
-	change := list(42, false, entry("a", "Terminating"))
+	change := listJSON(42, false, endpointJSON("a", "Terminating"))
 	io.WriteString(nc, chunk(change))
 	until(true)
 	c.mu.Unlock()
-	<-gate.came
+	<-gate.received
 	if !c.ListPending() {
 		t.Error("a change that the sink has not taken is not pending")
 	}
-	gate.take <- struct{}{}
+	gate.release <- struct{}{}
 	until(false)
-	half := list(43, false, entry("a", "Gone"))
+	half := listJSON(43, false, endpointJSON("a", "Gone"))
 	io.WriteString(nc, chunk(half[:20]))
 	until(false)
 	io.WriteString(nc, chunk(half[20:]))
 	until(true)
-	<-gate.came
-	gate.take <- struct{}{}
+	<-gate.received
+	gate.release <- struct{}{}
 	until(false)
 }
 
 // The end of an agent's watch that had lasted leaves the list pending until the full list is passed on, which is requested at once, or
 // for a moment if that does not come.
-func TestTheListIsPendingAfterAWatchThatEnds(t *testing.T) {
+func TestListIsPendingAfterWatchEnds(t *testing.T) {
 	for name, answered := range map[string]bool{"answered": true, "unanswered": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, s, c := startWith(t, false, calm)
-			nc := watching(t, a, s, entry("a", "Ready"))
-			time.Sleep(calm.RedialMost + 50*time.Millisecond) // it has lasted
+			a, s, c := startAgentWith(t, false, longLimits)
+			nc := openWatch(t, a, s, endpointJSON("a", "Ready"))
+			time.Sleep(longLimits.RedialMost + 50*time.Millisecond) // it has lasted
 			nc.Close()
-			nc, target := a.asked()
+			nc, target := a.nextRequest()
 			asked := time.Now()
 			if target != listTarget {
 				t.Errorf("asked for %s", target)
 			}
-			if !c.ListPending() && time.Since(asked) < endHold/2 {
+			if !c.ListPending() && time.Since(asked) < unconfirmedTime/2 {
 				t.Error("nothing is pending after the end")
 			}
 			if answered {
-				io.WriteString(nc, whole(list(42, true, entry("a", "Terminating"))))
+				io.WriteString(nc, httpResponse(listJSON(42, true, endpointJSON("a", "Terminating"))))
 				s.next(t)
 			}
-			for end := time.Now().Add(patience); c.ListPending(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); c.ListPending(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("pending for ever")
 				}
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -122,7 +122,7 @@
 		conn.Close()
 		f.client.conns.remove(conn)
 	})
-	s := &stream{conn: conn, fullList: whole, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerBy: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: lim.ListBytes}}
+	s := &stream{conn: conn, fullList: whole, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerDeadline: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: lim.ListBytes}}
 	s.splitter.Limits = h1.Limits{Head: lim.HeadBytes}
 	s.scanner = bufio.NewScanner(s)
 	s.scanner.Buffer(nil, lim.HeadBytes+lim.BodyBytes)
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -14,23 +14,25 @@
 
 // stream reads responses from one connection.
 type stream struct {
-	conn      *listConn
-	fullList  bool      // its first answer is the full list
-	startedAt time.Time // before it was dialled
-	scanner   *bufio.Scanner
-	splitter  h1.ResponseSplitter
-	objects   objectScanner
-	deadline  time.Time // when what is waited for has to be complete, however many bytes of it come: an answer, an object or a heartbeat
-	answerBy  time.Time // once its first byte has come: when the answer has to be complete; zero once that is in force
-	lateBytes int       // bytes read after that
-	cancel    context.CancelFunc
-	watching  bool // the watch was answered
+	conn           *listConn
+	fullList       bool      // its first answer is the full list
+	startedAt      time.Time // before it was dialled
+	scanner        *bufio.Scanner
+	splitter       h1.ResponseSplitter
+	objects        objectScanner
+	deadline       time.Time // when what is waited for has to be complete, however many bytes of it come: an answer, an object or a heartbeat
+	answerDeadline time.Time // once its first byte has come: when the answer has to be complete; zero once that is in force
+	lateBytes      int       // bytes read after that
+	cancel         context.CancelFunc
+	watching       bool // the watch was answered
 }
 
 func (s *stream) close() { s.cancel() }
 
 // setDeadline sets the time for what is waited for now.
-func (s *stream) setDeadline(by time.Time) { s.deadline, s.answerBy, s.lateBytes = by, time.Time{}, 0 }
+func (s *stream) setDeadline(by time.Time) {
+	s.deadline, s.answerDeadline, s.lateBytes = by, time.Time{}, 0
+}
 
 // Read reads until the deadline. What has arrived by then and was not read, since this process had no processor, counts as in
 // time, up to the maximum size of an object: our own standstill is not the agent's silence.
@@ -45,8 +47,8 @@
 	if timedOut(err) {
 		err = errSilent
 	}
-	if n > 0 && !s.answerBy.IsZero() { // it has begun to answer
-		s.deadline, s.answerBy = s.answerBy, time.Time{}
+	if n > 0 && !s.answerDeadline.IsZero() { // it has begun to answer
+		s.deadline, s.answerDeadline = s.answerDeadline, time.Time{}
 	}
 	return n, err
 }
