--- a/cmd/birchctl/lint.go
+++ b/cmd/birchctl/lint.go
@@ -52,9 +52,9 @@
 				continue
 			}
 			w := &losses[0]
-			line := lossLine{Of: u.String(), Count: count, Worst: strings.Join(w.Lost, " and "), Holders: w.Least, Gone: len(w.Gone), Whole: map[string]float64{}}
+			line := lossLine{Of: u.String(), Count: count, Worst: strings.Join(w.LostUnits, " and "), Holders: w.MinHolders, Gone: len(w.UncoveredShards), Whole: map[string]float64{}}
 			for i, class := range l.Config.Policy.Classes {
-				line.Whole[l.Config.Names.Classes[i]] = w.Reach(parts, class.Need)
+				line.Whole[l.Config.Names.Classes[i]] = w.CompletableShare(parts, class.Need)
 			}
 			res.Losses = append(res.Losses, line)
 		}
--- a/internal/expect/claim_holders.go
+++ b/internal/expect/claim_holders.go
@@ -39,11 +39,11 @@
 	}
 	switch {
 	case len(few) > 0:
-		return broken(never, "shards %s have fewer than %d holders", placement.Ranges(few), c.Holders)
+		return broken(never, "shards %s have fewer than %d holders", placement.FormatRanges(few), c.Holders)
 	case len(near) > 0:
-		return broken(never, "the holders of shards %s lie in fewer than %d data centres", placement.Ranges(near), c.DataCentres)
+		return broken(never, "the holders of shards %s lie in fewer than %d data centres", placement.FormatRanges(near), c.DataCentres)
 	case len(other) > 0:
-		return broken(never, "shards %s are held by others, the last by %s", placement.Ranges(other), strings.Join(who, ", "))
+		return broken(never, "shards %s are held by others, the last by %s", placement.FormatRanges(other), strings.Join(who, ", "))
 	}
 	return held()
 }
@@ -76,14 +76,14 @@
 		l := &losses[i]
 		reach := 1.0
 		if c.Class != "" {
-			if reach = l.Reach(parts, need); reach < 1-shareSlip {
-				breaks = append(breaks, strings.Join(l.Lost, "+"))
+			if reach = l.CompletableShare(parts, need); reach < 1-shareSlip {
+				breaks = append(breaks, strings.Join(l.LostUnits, "+"))
 			}
 		}
 		switch {
-		case l.Least < c.Holders:
+		case l.MinHolders < c.Holders:
 			return broken(never, "%s", l)
-		case c.Gone != nil && len(l.Gone) > *c.Gone:
+		case c.Gone != nil && len(l.UncoveredShards) > *c.Gone:
 			return broken(never, "%s", l)
 		case c.Whole != nil && reach < *c.Whole-shareSlip:
 			return broken(never, "%s: %.2f of the queries of class %s over %d shards can be whole", l, reach, c.Class, parts)
--- a/internal/expect/claim_routing.go
+++ b/internal/expect/claim_routing.go
@@ -58,7 +58,7 @@
 		s := &j.rec.sends[i]
 		if !seen[s.shard] && j.takes(p, s) {
 			seen[s.shard] = true
-			if slices.ContainsFunc(j.d.Ring.All(s.shard), is) {
+			if slices.ContainsFunc(j.d.Ring.AllHolders(s.shard), is) {
 				return true
 			}
 		}
@@ -131,7 +131,7 @@
 		return vacuous("%s is never told of as draining or gone", c.Reader)
 	}
 	mine := func(shard int) bool {
-		return slices.ContainsFunc(j.d.Ring.All(shard), func(r placement.Replica) bool { return r.Name == c.Reader })
+		return slices.ContainsFunc(j.d.Ring.AllHolders(shard), func(r placement.Replica) bool { return r.Name == c.Reader })
 	}
 	before, later, others := 0, 0, 0
 	for i := range j.rec.sends {
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -159,7 +159,7 @@
 	}
 	holders := make([][]string, c.Shards)
 	for s := range holders {
-		for _, r := range ring.All(s) { // a draining one too: parts may go there within its grace
+		for _, r := range ring.AllHolders(s) { // a draining one too: parts may go there within its grace
 			holders[s] = append(holders[s], r.Name)
 		}
 	}
--- a/internal/ogc/fuzz_test.go
+++ b/internal/ogc/fuzz_test.go
@@ -96,7 +96,7 @@
 			}
 		}
 		var got []string
-		for _, s := range index.Touching(b) {
+		for _, s := range index.Intersecting(b) {
 			got = append(got, s.Name)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -117,7 +117,7 @@
 		width := 20 / float64(side) * 3 // some 16 squares
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				byShard(index.Touching(orb.Bound{Min: orb.Point{-8, 30}, Max: orb.Point{-8 + width, 30 + width}}))
+				byShard(index.Intersecting(orb.Bound{Min: orb.Point{-8, 30}, Max: orb.Point{-8 + width, 30 + width}}))
 			}
 		})
 	}
--- a/internal/ogc/ogc.go
+++ b/internal/ogc/ogc.go
@@ -105,7 +105,7 @@
 	if p.bound != nil {
 		b = *p.bound
 	}
-	found := c.index.Touching(b)
+	found := c.index.Intersecting(b)
 	if fb, ok := p.filter.Bound(); ok {
 		found = slices.DeleteFunc(found, func(s placement.Square) bool { return !s.Bound.Intersects(fb) })
 	}
--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -9,10 +9,10 @@
 
 // Index finds the squares that touch a box, through a grid of even cells.
 type Index struct {
-	squares []Square
-	bound   orb.Bound
-	nx, ny  int
-	cells   [][]int32 // places in squares, by row, then column
+	squares       []Square
+	bound         orb.Bound
+	columns, rows int
+	cells         [][]int32 // places in squares, by row, then column
 }
 
 // Square is a named square and the shards with its records.
@@ -22,7 +22,7 @@
 	Shards []int
 }
 
-const cellSquares = 2 // squares a cell, about: fewer make the grid large, more make each look long
+const squaresPerCell = 2 // squares a cell, about: fewer make the grid large, more make each look long
 
 // NewIndex returns an index of the squares. Squares without area are found as points.
 func NewIndex(squares []Square) *Index {
@@ -34,26 +34,26 @@
 	for _, s := range squares {
 		x.bound = x.bound.Union(s.Bound)
 	}
-	side := max(1, int(math.Sqrt(float64(len(squares))/cellSquares)))
-	x.nx, x.ny = side, side
-	x.cells = make([][]int32, x.nx*x.ny)
+	side := max(1, int(math.Sqrt(float64(len(squares))/squaresPerCell)))
+	x.columns, x.rows = side, side
+	x.cells = make([][]int32, x.columns*x.rows)
 	for i, s := range x.squares {
-		x.each(s.Bound, func(cell int) { x.cells[cell] = append(x.cells[cell], int32(i)) })
+		x.forEachCell(s.Bound, func(cell int) { x.cells[cell] = append(x.cells[cell], int32(i)) })
 	}
 	return x
 }
 
-func (x *Index) each(b orb.Bound, do func(cell int)) {
-	x0, x1 := x.column(b.Min[0], 0, x.nx), x.column(b.Max[0], 0, x.nx)
-	y0, y1 := x.column(b.Min[1], 1, x.ny), x.column(b.Max[1], 1, x.ny)
+func (x *Index) forEachCell(b orb.Bound, do func(cell int)) {
+	x0, x1 := x.cellIndex(b.Min[0], 0, x.columns), x.cellIndex(b.Max[0], 0, x.columns)
+	y0, y1 := x.cellIndex(b.Min[1], 1, x.rows), x.cellIndex(b.Max[1], 1, x.rows)
 	for row := y0; row <= y1; row++ {
 		for col := x0; col <= x1; col++ {
-			do(row*x.nx + col)
+			do(row*x.columns + col)
 		}
 	}
 }
 
-func (x *Index) column(at float64, axis, n int) int {
+func (x *Index) cellIndex(at float64, axis, n int) int {
 	width := x.bound.Max[axis] - x.bound.Min[axis]
 	if width <= 0 {
 		return 0
@@ -67,13 +67,13 @@
 // Bound is that of all squares together.
 func (x *Index) Bound() orb.Bound { return x.bound }
 
-// Touching lists the squares that share a point with the box, in the order given.
-func (x *Index) Touching(b orb.Bound) []Square {
+// Intersecting lists the squares that share a point with the box, in the order given.
+func (x *Index) Intersecting(b orb.Bound) []Square {
 	if len(x.squares) == 0 || !x.bound.Intersects(b) {
 		return nil
 	}
 	var at []int32
-	x.each(b, func(cell int) {
+	x.forEachCell(b, func(cell int) {
 		for _, i := range x.cells[cell] {
 			if x.squares[i].Bound.Intersects(b) {
 				at = append(at, i)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -75,8 +75,8 @@
 	return cells
 }
 
-// All lists the replicas that hold a shard, up or not, by the cells' order.
-func (r *Ring) All(shard int) []Replica {
+// AllHolders lists the replicas that hold a shard, up or not, by the cells' order.
+func (r *Ring) AllHolders(shard int) []Replica {
 	var out []Replica
 	for _, c := range r.cellsOf(shard) {
 		for _, i := range r.cells[c] {
@@ -88,7 +88,7 @@
 
 // Holders lists those of All that are up.
 func (r *Ring) Holders(shard int) []Replica {
-	return slices.DeleteFunc(r.All(shard), func(x Replica) bool { return !x.Up })
+	return slices.DeleteFunc(r.AllHolders(shard), func(x Replica) bool { return !x.Up })
 }
 
 // DataCentres names those in which a shard has holders that are up, in rising order.
@@ -122,18 +122,18 @@
 
 // Loss is what is left when units are lost. Shards are rising.
 type Loss struct {
-	Unit    Unit
-	Lost    []string // what was lost
-	Holders []int    // replicas left that are up, by shard
-	Least   int      // the least of these
-	At      []int    // the shards that have so few
-	Gone    []int    // shards with none
+	Unit            Unit
+	LostUnits       []string // what was lost
+	Holders         []int    // replicas left that are up, by shard
+	MinHolders      int      // the least of these
+	WeakestShards   []int    // the shards that have so few
+	UncoveredShards []int    // shards with none
 }
 
 func (l *Loss) String() string {
-	text := fmt.Sprintf("without %s %s: at least %d holders (shards %s)", l.Unit, strings.Join(l.Lost, " and "), l.Least, Ranges(l.At))
-	if len(l.Gone) > 0 {
-		text = fmt.Sprintf("without %s %s: shards %s have no holder", l.Unit, strings.Join(l.Lost, " and "), Ranges(l.Gone))
+	text := fmt.Sprintf("without %s %s: at least %d holders (shards %s)", l.Unit, strings.Join(l.LostUnits, " and "), l.MinHolders, FormatRanges(l.WeakestShards))
+	if len(l.UncoveredShards) > 0 {
+		text = fmt.Sprintf("without %s %s: shards %s have no holder", l.Unit, strings.Join(l.LostUnits, " and "), FormatRanges(l.UncoveredShards))
 	}
 	return text
 }
@@ -141,7 +141,7 @@
 // Losses goes over all losses of count units of a kind, 1 or 2, worst first: more shards gone, then fewer holders left.
 // The cost is the number of losses times that of the holders touched, not of the ring: 1,000 replicas have 500,000 pairs.
 func (r *Ring) Losses(unit Unit, count int) []Loss {
-	groups := r.groups(unit)
+	groups := r.failureGroups(unit)
 	base := make([]int, r.shape.Shards)
 	for s := range base {
 		base[s] = len(r.Holders(s))
@@ -149,26 +149,26 @@
 	var out []Loss
 	for i := range groups {
 		if count < 2 {
-			out = append(out, r.lose(unit, base, groups[i]))
+			out = append(out, r.lossOf(unit, base, groups[i]))
 			continue
 		}
 		for j := i + 1; j < len(groups); j++ {
-			out = append(out, r.lose(unit, base, groups[i], groups[j]))
+			out = append(out, r.lossOf(unit, base, groups[i], groups[j]))
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Loss) int {
-		return cmp.Or(cmp.Compare(len(b.Gone), len(a.Gone)), cmp.Compare(a.Least, b.Least), cmp.Compare(len(b.At), len(a.At)))
+		return cmp.Or(cmp.Compare(len(b.UncoveredShards), len(a.UncoveredShards)), cmp.Compare(a.MinHolders, b.MinHolders), cmp.Compare(len(b.WeakestShards), len(a.WeakestShards)))
 	})
 	return out
 }
 
-type group struct {
+type failureGroup struct {
 	name    string
 	members []int // places of replicas
 }
 
-func (r *Ring) groups(unit Unit) []group {
-	var out []group
+func (r *Ring) failureGroups(unit Unit) []failureGroup {
+	var out []failureGroup
 	at := map[string]int{}
 	for i, x := range r.replicas {
 		if !x.Up {
@@ -185,21 +185,21 @@
 		if !ok {
 			k = len(out)
 			at[name] = k
-			out = append(out, group{name: name})
+			out = append(out, failureGroup{name: name})
 		}
 		out[k].members = append(out[k].members, i)
 	}
-	slices.SortFunc(out, func(a, b group) int {
+	slices.SortFunc(out, func(a, b failureGroup) int {
 		return cmp.Or(cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
 	})
 	return out
 }
 
 // lose counts down from base. A replica in cell c holds the shards s with (c - s) mod cells < reach.
-func (r *Ring) lose(unit Unit, base []int, lost ...group) Loss {
-	l := Loss{Unit: unit, Holders: slices.Clone(base), Least: math.MaxInt}
+func (r *Ring) lossOf(unit Unit, base []int, lost ...failureGroup) Loss {
+	l := Loss{Unit: unit, Holders: slices.Clone(base), MinHolders: math.MaxInt}
 	for _, g := range lost {
-		l.Lost = append(l.Lost, g.name)
+		l.LostUnits = append(l.LostUnits, g.name)
 		for _, i := range g.members {
 			for j := range min(r.shape.Reach, r.shape.Cells) {
 				first := ((r.replicas[i].Cell-j)%r.shape.Cells + r.shape.Cells) % r.shape.Cells
@@ -211,24 +211,24 @@
 	}
 	for s, n := range l.Holders {
 		if n == 0 {
-			l.Gone = append(l.Gone, s)
+			l.UncoveredShards = append(l.UncoveredShards, s)
 		}
-		if n < l.Least {
-			l.Least, l.At = n, l.At[:0]
+		if n < l.MinHolders {
+			l.MinHolders, l.WeakestShards = n, l.WeakestShards[:0]
 		}
-		if n == l.Least {
-			l.At = append(l.At, s)
+		if n == l.MinHolders {
+			l.WeakestShards = append(l.WeakestShards, s)
 		}
 	}
 	if len(l.Holders) == 0 {
-		l.Least = 0
+		l.MinHolders = 0
 	}
 	return l
 }
 
-// Whole tells whether a query over these shards, with equal weights, can still be whole where need is the share of
+// CanComplete tells whether a query over these shards, with equal weights, can still be whole where need is the share of
 // weight that makes it so.
-func (l *Loss) Whole(shards []int, need float64) bool {
+func (l *Loss) CanComplete(shards []int, need float64) bool {
 	in := 0
 	for _, s := range shards {
 		if l.Holders[s] > 0 {
@@ -238,9 +238,9 @@
 	return float64(in) >= need*float64(len(shards))-1e-9
 }
 
-// Reach tells, for queries over parts different shards with equal weights, the share of all sets of consecutive shards
+// CompletableShare tells, for queries over parts different shards with equal weights, the share of all sets of consecutive shards
 // that can still be whole: 1 if no such query suffers, 0 if none can be whole.
-func (l *Loss) Reach(parts int, need float64) float64 {
+func (l *Loss) CompletableShare(parts int, need float64) float64 {
 	n := len(l.Holders)
 	if n == 0 || parts < 1 {
 		return 0
@@ -250,15 +250,15 @@
 		for i := range set {
 			set[i] = (from + i) % n
 		}
-		if l.Whole(set, need) {
+		if l.CanComplete(set, need) {
 			good++
 		}
 	}
 	return float64(good) / float64(n)
 }
 
-// Ranges writes rising numbers as 0-3, 7.
-func Ranges(list []int) string {
+// FormatRanges writes rising numbers as 0-3, 7.
+func FormatRanges(list []int) string {
 	var parts []string
 	for i := 0; i < len(list); {
 		j := i
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func three(cells, reach, shards, replicas int) *Ring {
+func newTestRing(cells, reach, shards, replicas int) *Ring {
 	var list []Replica
 	for i := range replicas {
 		list = append(list, Replica{
@@ -24,34 +24,34 @@
 
 // Four cells over three data centres: the ring's seam puts cells 3 and 0 in the same one, so shards 3 and 2 lose a
 // data centre though every other shard has as many as it has holders.
-func TestSpreadFailsAtTheSeamOnly(t *testing.T) {
-	r := three(4, 2, 8, 4)
+func TestDataCentreSpreadAtRingSeam(t *testing.T) {
+	r := newTestRing(4, 2, 8, 4)
 	var short []int
 	for s := range r.Shards() {
 		if len(r.DataCentres(s)) < 2 {
 			short = append(short, s)
 		}
 	}
-	if got := Ranges(short); got != "3, 7" {
+	if got := FormatRanges(short); got != "3, 7" {
 		t.Errorf("shards %s lie in one data centre", got)
 	}
 }
 
-func TestLossOfADataCentre(t *testing.T) {
-	r := three(4, 2, 8, 4)
+func TestDataCentreLoss(t *testing.T) {
+	r := newTestRing(4, 2, 8, 4)
 	worst := r.Losses(DataCentreUnit, 1)[0]
-	if worst.Lost[0] != "a" || Ranges(worst.Gone) != "3, 7" {
+	if worst.LostUnits[0] != "a" || FormatRanges(worst.UncoveredShards) != "3, 7" {
 		t.Fatal(worst.String())
 	}
-	if worst.Whole([]int{2, 3}, 1) || !worst.Whole([]int{2, 3}, 0.5) || !worst.Whole([]int{0, 1, 2}, 1) {
+	if worst.CanComplete([]int{2, 3}, 1) || !worst.CanComplete([]int{2, 3}, 0.5) || !worst.CanComplete([]int{0, 1, 2}, 1) {
 		t.Error("whole queries are told wrongly")
 	}
-	if got := worst.Reach(2, 1); got != 0.5 {
+	if got := worst.CompletableShare(2, 1); got != 0.5 {
 		t.Errorf("%v of the pairs of shards can be whole", got)
 	}
 }
 
-func TestRefusesWhatIsNoRing(t *testing.T) {
+func TestNewRejectsInvalidLists(t *testing.T) {
 	for _, list := range [][]Replica{{{Name: "a", Cell: 4}}, {{Name: "a", Cell: -1}}, {{Name: "a"}, {Name: "a", Cell: 1}}} {
 		if _, err := New(Shape{4, 2, 8}, list); err == nil {
 			t.Errorf("%v was taken", list)
@@ -60,10 +60,10 @@
 }
 
 // Whatever the ring, a loss leaves what counting the holders that are left by name comes to.
-func TestLossesAgreeWithCounting(t *testing.T) {
+func TestLossesMatchDirectCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := rapid.IntRange(1, 9).Draw(t, "cells")
-		r := three(cells, rapid.IntRange(1, 10).Draw(t, "reach"), rapid.IntRange(1, 30).Draw(t, "shards"), rapid.IntRange(2, 25).Draw(t, "replicas"))
+		r := newTestRing(cells, rapid.IntRange(1, 10).Draw(t, "reach"), rapid.IntRange(1, 30).Draw(t, "shards"), rapid.IntRange(2, 25).Draw(t, "replicas"))
 		for i := range r.replicas {
 			r.replicas[i].Up = rapid.Bool().Draw(t, "up")
 		}
@@ -72,21 +72,21 @@
 			for s, n := range l.Holders {
 				left := slices.DeleteFunc(r.Holders(s), func(x Replica) bool {
 					name := [...]string{x.Name, fmt.Sprint(x.Cell), x.DataCentre}[unit]
-					return slices.Contains(l.Lost, name)
+					return slices.Contains(l.LostUnits, name)
 				})
 				if len(left) != n {
 					t.Fatalf("shard %d: %d holders left by the loss, %d by name", s, n, len(left))
 				}
 			}
-			if l.Least != slices.Min(l.Holders) {
-				t.Fatalf("least %d of %v", l.Least, l.Holders)
+			if l.MinHolders != slices.Min(l.Holders) {
+				t.Fatalf("least %d of %v", l.MinHolders, l.Holders)
 			}
 		}
 	})
 }
 
 func BenchmarkDoubleLosses1000(b *testing.B) {
-	r := three(999, 3, 2000, 999)
+	r := newTestRing(999, 3, 2000, 999)
 	for b.Loop() {
 		r.Losses(ReplicaUnit, 1)
 	}
--- a/internal/replica/blocked_test.go
+++ b/internal/replica/blocked_test.go
@@ -18,24 +18,24 @@
 	"birchcart/policy"
 )
 
-// smallBuffer is what the test asks for each direction of a socket; the kernel takes a few times that.
-const smallBuffer = 4 << 10
+// socketBufferSize is what the test asks for each direction of a socket; the kernel takes a few times that.
+const socketBufferSize = 4 << 10
 
 // bigText is more than the sockets of a connection hold with small buffers.
 var bigText = []byte(strings.Repeat("q", 4<<20))
 
-func patientLimits() config.Limits {
+func longTimeoutLimits() config.Limits {
 	l := testLimits()
-	l.WriteTime, l.FrameBytes = patience, 8<<20
+	l.WriteTime, l.FrameBytes = testTimeout, 8<<20
 	return l
 }
 
 // settled is for how long a full socket must take no more: within it the kernel, which asks a closed window first after
 // 200 ms, has passed on what little still fitted there.
-const settled = 500 * time.Millisecond
+const socketSettleTime = 500 * time.Millisecond
 
-// smallBuffers has connections hold little that the replica has not read. It must be called before one comes up.
-func (s *stand) smallBuffers() {
+// useSmallBuffers has connections hold little that the replica has not read. It must be called before one comes up.
+func (s *fixture) useSmallBuffers() {
 	s.Helper()
 	raw, err := s.ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	var failed error
 	if err := raw.Control(func(fd uintptr) { // connections inherit it, and it stays as it is
-		failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBuffer)
+		failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBufferSize)
 	}); err != nil || failed != nil {
 		s.Fatal(err, failed)
 	}
@@ -51,14 +51,14 @@
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
 		nc, err := dial(ctx, address)
 		if err == nil {
-			nc.SetWriteBuffer(smallBuffer)
+			nc.SetWriteBuffer(socketBufferSize)
 		}
 		return nc, err
 	}
 }
 
 // fillSockets has connections come up with full sockets: the replica reads *filled bytes before the first frame.
-func (s *stand) fillSockets(filled *int64) {
+func (s *fixture) fillSockets(filled *int64) {
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
 		nc, err := dial(ctx, address)
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for tookAt := time.Now(); time.Since(tookAt) < settled; time.Sleep(time.Millisecond) {
+		for tookAt := time.Now(); time.Since(tookAt) < socketSettleTime; time.Sleep(time.Millisecond) {
 			raw.Write(func(fd uintptr) bool {
 				n, err := syscall.Write(int(fd), bigText[:64<<10])
 				for ; n > 0 || errors.Is(err, syscall.EINTR); n, err = syscall.Write(int(fd), bigText[:64<<10]) {
@@ -84,7 +84,7 @@
 }
 
 // link is the one connection of the replica.
-func (s *stand) link(look func(l *replicaConn) bool) bool {
+func (s *fixture) withConn(look func(l *replicaConn) bool) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	links := s.pool.targets[1].conns
@@ -92,7 +92,7 @@
 }
 
 // acceptFrames takes a connection on which frames of up to so many bytes come.
-func (s *stand) acceptFrames(most int) *peer {
+func (s *fixture) acceptFrames(most int) *peer {
 	s.Helper()
 	p := s.accept()
 	p.in = bufio.NewScanner(p.nc)
@@ -101,16 +101,16 @@
 	return p
 }
 
-func (s *stand) untilBlocked() {
+func (s *fixture) waitUntilBlocked() {
 	s.Helper()
-	s.eventually("the writer is not blocked", func() bool { return s.link(func(l *replicaConn) bool { return l.blocked }) })
+	s.eventually("the writer is not blocked", func() bool { return s.withConn(func(l *replicaConn) bool { return l.blocked }) })
 }
 
 // A call that waits behind another, of which a replica that hangs has taken a part, has not begun: it can be taken back,
 // and does not go when the replica reads on.
-func TestACallBehindABlockedOneHasNotBegun(t *testing.T) {
-	s := newStand(t, patientLimits())
-	s.smallBuffers()
+func TestCallBehindBlockedCallIsUnstarted(t *testing.T) {
+	s := newFixture(t, longTimeoutLimits())
+	s.useSmallBuffers()
 	open := s.holdDials()
 	big, left, withdrawn := attempt("q.1"), attempt("q.2"), attempt("q.3")
 	big.Text = bigText
@@ -119,7 +119,7 @@
 	}
 	open()
 	p := s.acceptFrames(8 << 20)
-	s.untilBlocked()
+	s.waitUntilBlocked()
 	if !s.pool.CancelUnsent(left) {
 		t.Error("a call that has not begun could not be taken back")
 	}
@@ -131,23 +131,23 @@
 	s.pool.mu.Unlock()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.4")})
 	for _, id := range []string{"q.1", "q.4"} {
-		if f := p.frame(); !strings.HasPrefix(f, "A"+id+" ") {
+		if f := p.readFrame(); !strings.HasPrefix(f, "A"+id+" ") {
 			t.Errorf("a frame %q..., not of %s", f[:min(20, len(f))], id)
 		}
 	}
 }
 
-// sendUnbegun sends parts until the full socket takes no byte of one, and returns that.
-func (s *stand) sendUnbegun() *exchange.Attempt {
+// sendUntilBlocked sends parts until the full socket takes no byte of one, and returns that.
+func (s *fixture) sendUntilBlocked() *exchange.Attempt {
 	s.Helper()
 	for i := 0; ; i++ {
 		a := attempt(fmt.Sprint("q.", i))
 		s.pool.Send(1, []*exchange.Attempt{a})
 		blocked := false
 		s.eventually("a part neither went nor waits", func() bool {
-			return s.link(func(l *replicaConn) bool {
+			return s.withConn(func(l *replicaConn) bool {
 				blocked = l.blocked
-				en := s.pool.entries[a]
+				en := s.pool.pending[a]
 				return blocked || en != nil && en.written && en.frameEnd <= l.writtenBytes
 			})
 		})
@@ -158,36 +158,36 @@
 }
 
 // A replica that is told to drain while it takes no bytes gets none of a call that has not begun.
-func TestAReplicaThatHangsIsToldToDrain(t *testing.T) {
+func TestDrainWithdrawsUnstartedCallOfHungReplica(t *testing.T) {
 	var filled int64
-	l := patientLimits()
+	l := longTimeoutLimits()
 	l.PerReplica, l.Streams = 1, 1000
-	s := newStand(t, l)
-	s.smallBuffers()
+	s := newFixture(t, l)
+	s.useSmallBuffers()
 	s.fillSockets(&filled)
-	a := s.sendUnbegun()
+	a := s.sendUntilBlocked()
 	p := s.accept()
-	s.link(func(l *replicaConn) bool { filled += l.writtenBytes; return true })
-	s.set(policy.Draining)
-	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
+	s.withConn(func(l *replicaConn) bool { filled += l.writtenBytes; return true })
+	s.setState(policy.Draining)
+	if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
 	if _, err := io.CopyN(io.Discard, p.nc, filled); err != nil {
 		t.Fatal(err)
 	}
-	p.quiet()
+	p.expectNoFrame()
 }
 
 // What a call tells of the time left counts from when the replica takes its first byte.
-func TestTheTimeLeftIsThatOfTheFirstByte(t *testing.T) {
+func TestRemainingTimeCountsFromFirstByte(t *testing.T) {
 	const left = 10 * time.Minute
 	var filled int64
-	l := patientLimits()
+	l := longTimeoutLimits()
 	l.PerReplica, l.Streams = 1, 1000
-	s := newStand(t, l)
-	s.smallBuffers()
+	s := newFixture(t, l)
+	s.useSmallBuffers()
 	s.fillSockets(&filled)
-	a := s.sendUnbegun()
+	a := s.sendUntilBlocked()
 	p := s.accept()
 	s.pool.mu.Lock()
 	a.Due = time.Now().Add(left) // other than it was when the call was pulled first
@@ -195,9 +195,9 @@
 	if _, err := io.CopyN(io.Discard, p.nc, filled); err != nil {
 		t.Fatal(err)
 	}
-	f := p.frame()
+	f := p.readFrame()
 	for !strings.HasPrefix(f, "A"+a.ID+" ") {
-		f = p.frame()
+		f = p.readFrame()
 	}
 	var told time.Duration
 	if _, err := fmt.Sscanf(f, "A"+a.ID+" 3 d=%d", &told); err != nil || told*time.Millisecond < left/2 || told*time.Millisecond > left {
@@ -207,9 +207,9 @@
 
 // A connection that takes no bytes is reset: a part whose frame was cut never ran, one whose frame was taken whole by
 // then may have, and what had not begun goes on another connection.
-func TestResetUnderACallThatHasNotBegun(t *testing.T) {
-	s := newStand(t, patientLimits())
-	s.smallBuffers()
+func TestResetRequeuesUnstartedCall(t *testing.T) {
+	s := newFixture(t, longTimeoutLimits())
+	s.useSmallBuffers()
 	open := s.holdDials()
 	whole, cut, behind := attempt("q.1"), attempt("q.2"), attempt("q.3")
 	cut.Text = bigText
@@ -218,48 +218,48 @@
 	}
 	open()
 	p := s.accept()
-	p.frame()
-	s.untilBlocked()
+	p.readFrame()
+	s.waitUntilBlocked()
 	p.nc.(*net.TCPConn).SetLinger(0)
 	p.nc.Close()
 	got := map[*exchange.Attempt]policy.Outcome{}
 	for range 2 {
-		r := s.sink.next(t)
+		r := s.sink.nextResult(t)
 		got[r.Attempt] = r.Outcome
 	}
 	if got[whole] != policy.ConnectionBroken || got[cut] != policy.Unreachable {
 		t.Errorf("whole %v, cut %v", got[whole], got[cut])
 	}
-	if f := s.accept().frame(); !strings.HasPrefix(f, "A"+behind.ID+" ") {
+	if f := s.accept().readFrame(); !strings.HasPrefix(f, "A"+behind.ID+" ") {
 		t.Errorf("%q", f)
 	}
 }
 
 // New parts do not queue up behind a call that a replica does not take.
-func TestABlockedConnectionGetsNoNewPart(t *testing.T) {
-	s := newStand(t, patientLimits())
-	s.smallBuffers()
+func TestBlockedConnectionGetsNoNewPart(t *testing.T) {
+	s := newFixture(t, longTimeoutLimits())
+	s.useSmallBuffers()
 	big := attempt("q.1")
 	big.Text = bigText
 	s.pool.Send(1, []*exchange.Attempt{big})
 	s.accept()
-	s.untilBlocked()
+	s.waitUntilBlocked()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
-	if f := s.accept().frame(); !strings.HasPrefix(f, "Aq.2 ") {
+	if f := s.accept().readFrame(); !strings.HasPrefix(f, "Aq.2 ") {
 		t.Errorf("%q", f)
 	}
 }
 
 // A replica drains, moves or restarts between the pull of a call and the kernel's word that it takes no byte of it: the
 // call is taken back then, and does not wait for the replica that was.
-func TestACallIsPutBackWhereAReplicaWas(t *testing.T) {
+func TestPutBackCallIsNotSentToChangedReplica(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
 		"restarted": func(c *exchange.Target) { c.Started = time.Now() },
 		"draining":  func(c *exchange.Target) { c.State = policy.Draining },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, testLimits())
+			s := newFixture(t, testLimits())
 			s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
@@ -290,25 +290,25 @@
 
 // Of a frame in whose middle a replica hangs the rest does not go out once nobody waits for its parts: the attempt would
 // begin with its last byte, for a client that has left.
-func TestHalfAFrameEndsWithItsQuery(t *testing.T) {
+func TestPartialFrameIsAbortedWhenQueryEnds(t *testing.T) {
 	for name, end := range map[string]func(*Pool, *exchange.Attempt) (sent bool){
 		"withdrawn":                 func(p *Pool, a *exchange.Attempt) bool { _, sent := p.Cancel(a); return sent },
 		"query over, no cancelling": func(p *Pool, a *exchange.Attempt) bool { return !p.CancelUnsent(a) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := patientLimits()
-			l.WriteTime = 10 * patience // it is not the time for writing that ends it
-			s := newStand(t, l)
-			s.smallBuffers()
+			l := longTimeoutLimits()
+			l.WriteTime = 10 * testTimeout // it is not the time for writing that ends it
+			s := newFixture(t, l)
+			s.useSmallBuffers()
 			big := attempt("q.1")
 			big.Text = bigText
 			s.pool.Send(1, []*exchange.Attempt{big})
 			p := s.accept()
-			s.untilBlocked()
+			s.waitUntilBlocked()
 			if !end(s.pool, big) {
 				t.Error("a frame that may be whole by now was taken for one that never ran")
 			}
-			s.eventually("the connection goes on", func() bool { return s.links() == 0 })
+			s.eventually("the connection goes on", func() bool { return s.connCount() == 0 })
 			n, err := io.Copy(io.Discard, p.nc)
 			if n >= int64(len(bigText)) {
 				t.Errorf("%d bytes went out: all of the frame", n)
@@ -321,38 +321,38 @@
 }
 
 // The rest of a frame goes out where somebody waits still: for another part of it, or for one that went before.
-func TestHalfAFrameGoesOnForOthers(t *testing.T) {
+func TestPartialFrameContinuesForOtherParts(t *testing.T) {
 	t.Run("of the same frame", func(t *testing.T) {
-		l := patientLimits()
+		l := longTimeoutLimits()
 		l.Streams = 2
-		s := newStand(t, l)
-		s.smallBuffers()
+		s := newFixture(t, l)
+		s.useSmallBuffers()
 		big, other := attempt("q.1"), attempt("r.1")
 		big.Text = bigText
 		s.pool.Send(1, []*exchange.Attempt{big, other})
 		p := s.acceptFrames(8 << 20)
-		s.untilBlocked()
+		s.waitUntilBlocked()
 		s.pool.Cancel(big)
-		if f := p.frame(); !strings.Contains(f, "r.1 ") {
+		if f := p.readFrame(); !strings.Contains(f, "r.1 ") {
 			t.Errorf("a frame without the part that is waited for: %q...", f[:min(40, len(f))])
 		}
 	})
 	t.Run("of one before", func(t *testing.T) {
-		l := patientLimits()
+		l := longTimeoutLimits()
 		l.PerReplica, l.Streams = 1, 2
-		s := newStand(t, l)
-		s.smallBuffers()
+		s := newFixture(t, l)
+		s.useSmallBuffers()
 		before, big := attempt("r.1"), attempt("q.1")
 		big.Text = bigText
 		s.pool.Send(1, []*exchange.Attempt{before})
 		p := s.acceptFrames(8 << 20)
-		p.frame()
+		p.readFrame()
 		s.pool.Send(1, []*exchange.Attempt{big})
-		s.untilBlocked()
+		s.waitUntilBlocked()
 		s.pool.Cancel(big)
-		p.frame()
-		p.say("Er.1 hit 0 -\nvalue")
-		if r := s.sink.next(t); r.Attempt != before || r.Outcome != policy.OK {
+		p.readFrame()
+		p.sendFrame("Er.1 hit 0 -\nvalue")
+		if r := s.sink.nextResult(t); r.Attempt != before || r.Outcome != policy.OK {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -19,16 +19,16 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	start := len(buf)
-	if !c.frameStartedAt.IsZero() && len(c.queue) > 0 && !c.anyWritten() {
+	if !c.frameStartedAt.IsZero() && len(c.queue) > 0 && !c.hasWrittenPartsLocked() {
 		c.finished = true
-		return buf, now, errUnknownPart
+		return buf, now, errUnsolicitedFrame
 	}
 	held := now.Before(c.heldUntil)
 	if !held {
 		buf = c.appendNextCall(buf, now)
 	}
 	if len(buf) == start {
-		buf = c.appendAsides(buf)
+		buf = c.appendControlFrames(buf)
 	} else if len(c.queue) > 0 || len(c.cancels) > 0 || len(c.healthChecks) > 0 && !c.healthChecks[len(c.healthChecks)-1].written {
 		c.wake() // for the rest
 	}
@@ -36,7 +36,7 @@
 	if !c.frameStartedAt.IsZero() && !c.isIdle() { // what trickles counts from its first byte
 		until := c.frameStartedAt.Add(p.limits.FrameTime)
 		if !now.Before(until) {
-			return buf, until, errStalled
+			return buf, until, errFrameStalled
 		}
 		return buf, until, nil
 	}
@@ -44,7 +44,7 @@
 		return buf, time.Time{}, nil
 	}
 	until := c.idleSince.Add(p.limits.ReplicaIdle)
-	if c.suspect() > 0 {
+	if c.suspectRank() > 0 {
 		until = c.suspectSince.Add(p.limits.Silence)
 	}
 	if c.retired || c.silent || !now.Before(until) {
@@ -70,8 +70,8 @@
 	return buf
 }
 
-// appendAsides appends what is not a call: the ids of parts that are given up, and probes.
-func (c *replicaConn) appendAsides(buf []byte) []byte {
+// appendControlFrames appends what is not a call: the ids of parts that are given up, and probes.
+func (c *replicaConn) appendControlFrames(buf []byte) []byte {
 	for _, id := range c.cancels {
 		buf = frame.AppendGiveUp(buf, id)
 	}
@@ -99,10 +99,10 @@
 	parts := make([]frame.Part, 0, len(call))
 	live := call[:0]
 	for _, en := range call {
-		if c.pool.entries[en.request] != en {
+		if c.pool.pending[en.attempt] != en {
 			continue
 		}
-		a := en.request
+		a := en.attempt
 		if !a.Due.After(now) {
 			continue
 		}
@@ -130,7 +130,7 @@
 
 // begin says whether the call that was pulled last may be handed to the kernel, and notes its parts as written if so. The goroutine
 // may have been held up since it built the frame: a part that was taken back meanwhile must not go, nor a time that is over.
-func (c *replicaConn) begin() bool {
+func (c *replicaConn) beginWrite() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := time.Now()
@@ -140,21 +140,21 @@
 	}
 	c.rebuilt = false
 	for _, en := range c.unstarted {
-		if c.pool.entries[en.request] != en || !en.request.Due.After(now) {
+		if c.pool.pending[en.attempt] != en || !en.attempt.Due.After(now) {
 			return false
 		}
 	}
-	if len(c.unstarted) > 0 && !c.anyWritten() {
+	if len(c.unstarted) > 0 && !c.hasWrittenPartsLocked() {
 		c.lastReadAt = now // until now it had nothing to say
 	}
 	for _, en := range c.unstarted {
 		en.written, en.writtenAt = true, now
-		c.pool.log.Debug("a part is written", logrus.Fields{"part": en.request.ID, "replica": c.target.Name, "address": c.address})
+		c.pool.log.Debug("a part is written", logrus.Fields{"part": en.attempt.ID, "replica": c.target.Name, "address": c.address})
 	}
 	return true
 }
 
-func (c *replicaConn) anyWritten() bool {
+func (c *replicaConn) hasWrittenPartsLocked() bool {
 	for _, en := range c.parts {
 		if en.written {
 			return true
--- a/internal/replica/collect.go
+++ b/internal/replica/collect.go
@@ -11,20 +11,20 @@
 	"birchcart/policy"
 )
 
-var outcomes = map[string]policy.Outcome{
+var outcomeByStatus = map[string]policy.Outcome{
 	frame.Hit: policy.OK, frame.Fault: policy.Failed, frame.Overload: policy.Rejected,
 }
 
 // reader tells what was read before it reads on.
-type reader struct{ l *replicaConn }
+type reader struct{ rc *replicaConn }
 
 func (r reader) Read(p []byte) (int, error) {
-	r.l.reportAnswers()
-	return r.l.conn.Read(p)
+	r.rc.reportAnswers()
+	return r.rc.conn.Read(p)
 }
 
 // split notes whether a frame has begun that is not whole.
-func (c *replicaConn) split(f bufio.SplitFunc) bufio.SplitFunc {
+func (c *replicaConn) trackFrames(f bufio.SplitFunc) bufio.SplitFunc {
 	return func(data []byte, atEOF bool) (int, []byte, error) {
 		n, token, err := f(data, atEOF)
 		c.pool.mu.Lock()
@@ -39,13 +39,13 @@
 }
 
 // collect takes in one frame from the replica. An error ends the connection.
-func (c *replicaConn) collect(f []byte) error {
+func (c *replicaConn) handleFrame(f []byte) error {
 	c.pool.mu.Lock()
 	c.lastReadAt, c.silent, c.suspectSince = c.conn.ReadAt(), false, time.Time{}
 	c.pool.mu.Unlock()
 	switch letter, rest := f[0], f[1:]; letter {
 	case frame.Answer:
-		return c.answered(rest)
+		return c.handleAnswer(rest)
 	case frame.Probe, frame.Load:
 		return c.handleHealthReport(rest)
 	case frame.Unfit:
@@ -55,7 +55,7 @@
 	}
 }
 
-func (c *replicaConn) answered(rest []byte) error {
+func (c *replicaConn) handleAnswer(rest []byte) error {
 	r, err := frame.ParseAnswer(rest)
 	if err != nil {
 		return &malformedFrame{id: string(r.ID), reason: err.Error()}
@@ -75,7 +75,7 @@
 		return &malformedFrame{reason: fmt.Sprintf("an answer to a part that was not asked: %q", r.ID[:min(len(r.ID), 200)])}
 	}
 	en.answer = &exchange.Result{
-		Attempt: en.request, Outcome: outcomes[string(r.End)], At: c.conn.ReadAt(), Score: r.Score, Report: report,
+		Attempt: en.attempt, Outcome: outcomeByStatus[string(r.End)], At: c.conn.ReadAt(), Score: r.Score, Report: report,
 		Value: slices.Clone(r.Value),
 	}
 	c.answeredAttempts = append(c.answeredAttempts, en)
@@ -89,9 +89,9 @@
 	p.mu.Lock()
 	var out []exchange.Result
 	for _, en := range c.answeredAttempts {
-		if p.entries[en.request] == en { // else it was given up meanwhile
+		if p.pending[en.attempt] == en { // else it was given up meanwhile
 			p.dropAttempt(en)
-			c.expect(en.request.ID, en.answer.At)
+			c.expectLateAnswer(en.attempt.ID, en.answer.At)
 			out = append(out, *en.answer)
 		}
 	}
@@ -101,7 +101,7 @@
 		c.retired = true
 	}
 	p.mu.Unlock()
-	p.report(out)
+	p.reportResults(out)
 }
 
 func (c *replicaConn) handleHealthReport(rest []byte) error {
--- a/internal/replica/dial.go
+++ b/internal/replica/dial.go
@@ -40,7 +40,7 @@
 	unstartedBytes int64
 	builtAt        time.Time // when it was pulled
 	rebuilt        bool      // it is built anew since the one before was too old
-	holds          int       // in a row, for the list
+	holdCount      int       // in a row, for the list
 	heldUntil      time.Time // no call is pulled before
 
 	lastReadAt       time.Time         // last read, or when parts went out after a pause
@@ -55,7 +55,7 @@
 }
 
 // open starts a connection.
-func (p *Pool) open(t *target) *replicaConn {
+func (p *Pool) openConn(t *target) *replicaConn {
 	now := time.Now()
 	ctx, hangUp := context.WithCancel(context.Background())
 	l := &replicaConn{
@@ -104,7 +104,7 @@
 // suspect is 1 where a part was given up and nothing has been read since it went out. Guards against connections that
 // have fallen silent: they look idle as soon as their parts are given up, and would take one part after the other.
 // Most are in order, the part was just one too many; so they are only used last, and left if nothing clears them.
-func (c *replicaConn) suspect() int {
+func (c *replicaConn) suspectRank() int {
 	if c.suspectSince.IsZero() {
 		return 0
 	}
@@ -113,7 +113,7 @@
 
 // expect notes that an answer to a part that has ended may come: one that was given up is answered perhaps, and a
 // good answer may come twice. What is older than Remember is forgotten.
-func (c *replicaConn) expect(id string, now time.Time) {
+func (c *replicaConn) expectLateAnswer(id string, now time.Time) {
 	if _, twice := c.lateParts[id]; !twice {
 		c.lateOrder = append(c.lateOrder, id)
 	}
@@ -147,9 +147,9 @@
 		c.pool.mu.Unlock()
 		in := bufio.NewScanner(reader{c})
 		in.Buffer(nil, c.pool.limits.FrameBytes+8)
-		in.Split(c.split(frame.Split(c.pool.limits.FrameBytes)))
+		in.Split(c.trackFrames(frame.Split(c.pool.limits.FrameBytes)))
 		for err == nil && in.Scan() {
-			err = c.collect(in.Bytes())
+			err = c.handleFrame(in.Bytes())
 		}
 		if err == nil {
 			err = in.Err()
@@ -159,18 +159,18 @@
 		c.retired = true // before what was read last is told: whoever hears of it may send the next part at once
 		c.pool.mu.Unlock()
 		c.reportAnswers()
-		if c.lastOfReplica = true; c.anyOut() { // else nobody asks
+		if c.lastOfReplica = true; c.hasWrittenParts() { // else nobody asks
 			time.Sleep(c.pool.limits.SiblingTime)
-			c.lastOfReplica = !c.siblings()
+			c.lastOfReplica = !c.hasOpenSibling()
 		}
 	}
-	c.end(err)
+	c.teardown(err)
 }
 
 var (
-	errIdle        = errors.New("closed as idle")
-	errUnknownPart = errors.New("a frame began that nothing had asked for")
-	errStalled     = errors.New("a frame began and did not go on")
+	errIdle             = errors.New("closed as idle")
+	errUnsolicitedFrame = errors.New("a frame began that nothing had asked for")
+	errFrameStalled     = errors.New("a frame began and did not go on")
 )
 
 // malformedFrame is an answer that can't be used. Its part, where its id can be read, has failed and may have run. The
@@ -182,16 +182,16 @@
 
 func (s *malformedFrame) Error() string { return s.reason }
 
-// anyOut says whether parts are out, with the lock taken.
-func (c *replicaConn) anyOut() bool {
+// hasWrittenParts says whether parts are out, with the lock taken.
+func (c *replicaConn) hasWrittenParts() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return c.anyWritten()
+	return c.hasWrittenPartsLocked()
 }
 
 // siblings says whether another connection to the replica is open still. A process that ends takes all of them with
 // it, so then only this one was cut and the machine is none that went down.
-func (c *replicaConn) siblings() bool {
+func (c *replicaConn) hasOpenSibling() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return slices.ContainsFunc(c.target.conns, func(o *replicaConn) bool {
@@ -203,13 +203,13 @@
 func (c *replicaConn) outcome(en *pendingAttempt, err error) policy.Outcome {
 	var s *malformedFrame
 	switch {
-	case errors.Is(err, errStalled) || errors.Is(err, frame.ErrLength):
+	case errors.Is(err, errFrameStalled) || errors.Is(err, frame.ErrLength):
 		return policy.Failed // which one it was for can't be told
 	case !errors.As(err, &s) && c.lastOfReplica:
 		return policy.ConnectionBroken
 	case s == nil:
 		return policy.Failed
-	case s.id == en.request.ID || c.parts[s.id] == nil:
+	case s.id == en.attempt.ID || c.parts[s.id] == nil:
 		return policy.Failed
 	}
 	return policy.Cancelled
@@ -217,7 +217,7 @@
 
 // end takes the connection out of the pool and tells what becomes of its parts: what was not wholly written
 // never ran, the rest may have. Calls that had not begun go on to another connection.
-func (c *replicaConn) end(err error) {
+func (c *replicaConn) teardown(err error) {
 	p := c.pool
 	p.mu.Lock()
 	c.finished = true
@@ -232,22 +232,22 @@
 	if c.target.State == policy.Removed && len(c.target.conns) == 0 && p.targets[c.target.Replica] == c.target {
 		delete(p.targets, c.target.Replica)
 	}
-	c.moveQueue(err)
+	c.requeueCalls(err)
 	var out []exchange.Result
 	for _, en := range c.parts {
 		o := policy.Unreachable
 		if en.written && en.frameEnd <= c.writtenBytes {
 			o = c.outcome(en, err)
 		}
-		delete(p.entries, en.request)
-		out = append(out, exchange.Result{Attempt: en.request, Outcome: o, At: now})
+		delete(p.pending, en.attempt)
+		out = append(out, exchange.Result{Attempt: en.attempt, Outcome: o, At: now})
 	}
 	probes := c.healthChecks
 	clear(c.parts)
 	c.queue, c.healthChecks = nil, nil
 	name := c.target.Name
 	p.mu.Unlock()
-	p.report(out)
+	p.reportResults(out)
 	for _, pr := range probes {
 		o := policy.Unreachable
 		if pr.written {
@@ -263,10 +263,10 @@
 	}
 }
 
-// moveQueue has the calls that wait on a connection that has ended wait on another. That it ended, idle perhaps, says
+// requeueCalls has the calls that wait on a connection that has ended wait on another. That it ended, idle perhaps, says
 // nothing of whether the replica can be reached; one that never came up, or took no bytes for so long, says that. A call
 // moves once: a replica that closes all its connections would have it for ever.
-func (c *replicaConn) moveQueue(err error) {
+func (c *replicaConn) requeueCalls(err error) {
 	p := c.pool
 	if c.conn == nil || errors.Is(err, os.ErrDeadlineExceeded) || c.target.State != policy.Up || c.target.Address != c.address {
 		return
@@ -274,38 +274,38 @@
 	for _, call := range c.queue {
 		var attempts []*exchange.Attempt
 		for _, en := range call {
-			if p.entries[en.request] == en && !en.requeued {
-				attempts = append(attempts, en.request)
+			if p.pending[en.attempt] == en && !en.requeued {
+				attempts = append(attempts, en.attempt)
 			}
 		}
 		if len(attempts) == 0 {
 			continue
 		}
-		to := p.choose(c.target, attempts)
+		to := p.chooseConn(c.target, attempts)
 		if to == nil {
 			return
 		}
 		p.enqueue(to, attempts)
 		for _, a := range attempts {
-			p.entries[a].requeued = true
+			p.pending[a].requeued = true
 			delete(c.parts, a.ID)
 		}
 	}
 }
 
 // unqueue takes back what is not yet written.
-func (c *replicaConn) unqueue(o policy.Outcome) (back []exchange.Result) {
+func (c *replicaConn) withdrawUnwritten(o policy.Outcome) (back []exchange.Result) {
 	for _, en := range c.parts {
 		if !en.written {
 			c.pool.dropAttempt(en)
-			back = append(back, exchange.Result{Attempt: en.request, Outcome: o, At: time.Now()})
+			back = append(back, exchange.Result{Attempt: en.attempt, Outcome: o, At: time.Now()})
 		}
 	}
 	return back
 }
 
-// dropHealthChecks takes back the probes that are not yet written.
-func (c *replicaConn) dropHealthChecks() []*healthCheck {
+// withdrawHealthChecks takes back the probes that are not yet written.
+func (c *replicaConn) withdrawHealthChecks() []*healthCheck {
 	first := slices.IndexFunc(c.healthChecks, func(pr *healthCheck) bool { return !pr.written }) // they are written in order
 	if first < 0 {
 		return nil
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -19,7 +19,7 @@
 
 // holdDials has every connection wait, once it is dialled for real, until open is called: to the pool it is coming up.
 // It must be called before the pool dials.
-func (s *stand) holdDials() (open func()) {
+func (s *fixture) holdDials() (open func()) {
 	gate := make(chan struct{})
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
@@ -40,7 +40,7 @@
 
 // A replica that moved, or restarted, under its name: what waits for a connection to the old process is taken back as
 // never run, probes too, and the connection gets nothing when it is up at last.
-func TestNothingGoesToWhereAReplicaWas(t *testing.T) {
+func TestQueuedPartIsNotSentToChangedReplica(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
 		"restarted": func(c *exchange.Target) { c.Started = time.Now() },
@@ -48,7 +48,7 @@
 		"removed":   func(c *exchange.Target) { c.State = policy.Removed },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, testLimits())
+			s := newFixture(t, testLimits())
 			open := s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
@@ -57,15 +57,15 @@
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
 			open()
-			s.accept().ended() // with no frame before
-			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
+			s.accept().expectClosed() // with no frame before
+			if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			if r := s.sink.nextProbe(t); r.Outcome != policy.NotSent {
+			if r := s.sink.nextHealthCheck(t); r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			s.eventually("the link stays", func() bool { return s.links() == 0 })
-			s.sink.none(t)
+			s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+			s.sink.expectNoResult(t)
 		})
 	}
 }
@@ -73,46 +73,46 @@
 // A part may be queued on a connection in the moment in which its end has come and its goroutine has not looked: nothing
 // of it is written there, and it goes on another connection. That an idle connection was closed says nothing against
 // its replica.
-func TestAPartMeetsTheEndOfItsConnection(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestPartQueuedOnClosedConnectionMoves(t *testing.T) {
+	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	p := s.accept()
-	p.frame()
-	p.say("Eq.1 hit 1 -\nv")
-	s.sink.next(t)
+	p.readFrame()
+	p.sendFrame("Eq.1 hit 1 -\nv")
+	s.sink.nextResult(t)
 	a, b := attempt("q.2"), attempt("q.3")
-	s.untilParked()
-	s.link(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't take the end in yet
+	s.waitUntilParked()
+	s.withConn(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't take the end in yet
 		p.nc.Close()
 		s.eventually("the end does not come", func() bool { return !l.conn.Open() })
 		s.pool.enqueue(l, []*exchange.Attempt{a, b})
 		return true
 	})
 	next := s.accept()
-	if f := next.frame(); !strings.HasPrefix(f, "Aq.2 ") || !strings.Contains(f, "q.3 ") {
+	if f := next.readFrame(); !strings.HasPrefix(f, "Aq.2 ") || !strings.Contains(f, "q.3 ") {
 		t.Fatalf("%q", f)
 	}
-	next.say("Eq.2 hit 1 -\nv")
-	next.say("Eq.3 hit 1 -\nv")
+	next.sendFrame("Eq.2 hit 1 -\nv")
+	next.sendFrame("Eq.3 hit 1 -\nv")
 	for range 2 {
-		if r := s.sink.next(t); r.Outcome != policy.OK {
+		if r := s.sink.nextResult(t); r.Outcome != policy.OK {
 			t.Errorf("%+v", r)
 		}
 	}
-	s.eventually("the link stays", func() bool { return s.links() == 1 })
-	s.sink.none(t)
+	s.eventually("the link stays", func() bool { return s.connCount() == 1 })
+	s.sink.expectNoResult(t)
 }
 
 // A replica that closes each connection at once gets a part on two at the most, and has then taken none.
-func TestAPartMovesOnce(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestPartIsRequeuedOnce(t *testing.T) {
+	s := newFixture(t, testLimits())
 	dialled := 0
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
 		nc, err := dial(ctx, address)
 		p := s.accept()
 		p.nc.Close()
-		for end := time.Now().Add(patience); err == nil && !duplexconn.Waits(nc) && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); err == nil && !duplexconn.Waits(nc) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		dialled++
@@ -120,31 +120,31 @@
 	}
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
-	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.Unreachable {
+	if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.Unreachable {
 		t.Errorf("%+v", r)
 	}
-	s.eventually("the link stays", func() bool { return s.links() == 0 })
+	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
 	if dialled != 2 {
 		t.Errorf("%d connections were dialled", dialled)
 	}
 }
 
-// nextProbe waits for the end of a probe.
-func (s *sink) nextProbe(t *testing.T) exchange.HealthCheck {
+// nextHealthCheck waits for the end of a probe.
+func (s *sink) nextHealthCheck(t *testing.T) exchange.HealthCheck {
 	t.Helper()
 	select {
-	case r := <-s.probes:
+	case r := <-s.healthChecks:
 		return r
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no probe ended")
 	}
 	panic("unreachable")
 }
 
 // What a part tells of the time left is what is left when its connection is up, not when it was queued.
-func TestTheTimeLeftIsThatOfTheConnection(t *testing.T) {
+func TestRemainingTimeExcludesDialing(t *testing.T) {
 	const left, waited = time.Hour, 20 * time.Minute
-	s := newStand(t, testLimits())
+	s := newFixture(t, testLimits())
 	open := s.holdDials()
 	a := attempt("q.1")
 	a.Due = time.Now().Add(left)
@@ -153,7 +153,7 @@
 	a.Due = a.Due.Add(-waited) // stands for as long a wait
 	s.pool.mu.Unlock()
 	open()
-	f := s.accept().frame()
+	f := s.accept().readFrame()
 	var told time.Duration
 	if _, err := fmt.Sscanf(f, "Aq.1 3 d=%d", &told); err != nil || told*time.Millisecond > left-waited || told*time.Millisecond < left-2*waited {
 		t.Errorf("%q, %v", f, err)
@@ -162,11 +162,11 @@
 
 // Whoever is told of an answer may give up another part whose answer was read with it: that one's end is on its way then,
 // and comes once; the replica is told nothing.
-func TestAnAnswerCrossesItsWithdrawal(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestCancelAfterAnswerWasRead(t *testing.T) {
+	s := newFixture(t, testLimits())
 	a, b := attempt("q.1"), attempt("q.2")
 	withdrawn := make(chan [2]bool, 1)
-	s.sink.then = func(r exchange.Result) {
+	s.sink.onResult = func(r exchange.Result) {
 		if r.Attempt == a {
 			found, sent := s.pool.Cancel(b)
 			withdrawn <- [2]bool{found, sent}
@@ -174,23 +174,23 @@
 	}
 	s.pool.Send(1, []*exchange.Attempt{a, b})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	io.WriteString(p.nc, "\x00\x00\x00\x0eEq.1 hit 1 -\nv"+"\x00\x00\x00\x0eEq.2 hit 1 -\nv")
 	for _, want := range []*exchange.Attempt{a, b} {
-		if r := s.sink.next(t); r.Attempt != want || r.Outcome != policy.OK {
+		if r := s.sink.nextResult(t); r.Attempt != want || r.Outcome != policy.OK {
 			t.Errorf("%+v", r)
 		}
 	}
 	if got := <-withdrawn; got != [2]bool{} {
 		t.Errorf("found and sent: %v", got)
 	}
-	s.sink.none(t)
-	p.quiet()
+	s.sink.expectNoResult(t)
+	p.expectNoFrame()
 }
 
-// untilParked waits until the goroutines of all connections wait for their peers: they have looked at what is queued then, and
+// waitUntilParked waits until the goroutines of all connections wait for their peers: they have looked at what is queued then, and
 // will not before they are woken.
-func (s *stand) untilParked() {
+func (s *fixture) waitUntilParked() {
 	s.Helper()
 	s.eventually("a connection's goroutine does not rest", func() bool {
 		stacks := make([]byte, 1<<20)
@@ -224,34 +224,34 @@
 
 // A part may be queued on an idle connection in the moment in which half a line has come there. Nothing that is out can be
 // meant, so the part goes on another connection, and not on one that would end under it.
-func TestAPartMeetsHalfALine(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestPartQueuedBehindPartialFrameMoves(t *testing.T) {
+	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	p := s.accept()
-	p.frame()
-	p.say("Eq.1 hit 1 -\nv")
-	s.sink.next(t)
-	s.untilParked()
-	s.link(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't look at it yet
+	p.readFrame()
+	p.sendFrame("Eq.1 hit 1 -\nv")
+	s.sink.nextResult(t)
+	s.waitUntilParked()
+	s.withConn(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't look at it yet
 		io.WriteString(p.nc, "\x00\x00\x00\x0eEq.9 ")
 		s.eventually("the bytes do not come", p.acknowledged)
 		s.pool.enqueue(l, []*exchange.Attempt{attempt("q.2")})
 		return true
 	})
 	next := s.accept()
-	if f := next.frame(); !strings.HasPrefix(f, "Aq.2 ") {
+	if f := next.readFrame(); !strings.HasPrefix(f, "Aq.2 ") {
 		t.Fatalf("%q", f)
 	}
-	next.say("Eq.2 hit 1 -\nv")
-	if r := s.sink.next(t); r.Outcome != policy.OK {
+	next.sendFrame("Eq.2 hit 1 -\nv")
+	if r := s.sink.nextResult(t); r.Outcome != policy.OK {
 		t.Errorf("%+v", r)
 	}
-	p.ended()
+	p.expectClosed()
 }
 
 // A connection that is still dialled when its replica moved, restarted, drains or is gone is given up, and its place is free
 // at once: a handshake later would cost the replica work, and nothing would come of it.
-func TestADialIsGivenUpWhereAReplicaWas(t *testing.T) {
+func TestDialIsCancelledWhenReplicaChanges(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
 		"restarted": func(c *exchange.Target) { c.Started = time.Now() },
@@ -260,21 +260,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testLimits()
-			l.ConnectTime = 10 * patience
-			s := newStand(t, l)
-			target := exchange.Target{Replica: 2, Name: "h", Address: hanging(t), State: policy.Up}
+			l.ConnectTime = 10 * testTimeout
+			s := newFixture(t, l)
+			target := exchange.Target{Replica: 2, Name: "h", Address: hangingAddress(t), State: policy.Up}
 			s.pool.Update([]exchange.Target{target})
 			a := attempt("q.1")
 			s.pool.Send(2, []*exchange.Attempt{a})
-			if n := s.links(); n != 1 {
+			if n := s.connCount(); n != 1 {
 				t.Fatalf("%d connections, want the one that is dialled", n)
 			}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
-			if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.NotSent {
+			if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			s.eventually("the dialling goes on", func() bool { return s.links() == 0 })
+			s.eventually("the dialling goes on", func() bool { return s.connCount() == 0 })
 		})
 	}
 }
--- a/internal/replica/links_test.go
+++ b/internal/replica/links_test.go
@@ -15,8 +15,8 @@
 )
 
 // More parts than a connection may carry open another; at the most, they go on the least loaded.
-func TestPartsOnAConnection(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestPartsPerConnection(t *testing.T) {
+	s := newFixture(t, testLimits())
 	for i := range 5 {
 		s.pool.Send(1, []*exchange.Attempt{attempt(fmt.Sprint("q.", i))})
 	}
@@ -38,41 +38,41 @@
 
 // Guards against choosing a connection that is ending: whoever is told of its last good answer may send the next part in
 // the same moment, and that part has to go to another one. It used to be told as unreachable.
-func TestNextPartAvoidsAConnectionThatEnds(t *testing.T) {
-	s := newStand(t, testLimits())
-	s.sink.then = func(r exchange.Result) {
+func TestNextPartAvoidsClosingConnection(t *testing.T) {
+	s := newFixture(t, testLimits())
+	s.sink.onResult = func(r exchange.Result) {
 		if r.Attempt.ID == "q.1" {
 			s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 		}
 	}
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	both := "\x00\x00\x00\x0eEq.1 hit 1 -\nv" + "\x00\x00\x00\x06Znoise"
 	io.WriteString(p.nc, both)
-	if r := s.sink.next(t); r.Attempt.ID != "q.1" || r.Outcome != policy.OK {
+	if r := s.sink.nextResult(t); r.Attempt.ID != "q.1" || r.Outcome != policy.OK {
 		t.Fatalf("%+v", r)
 	}
 	next := s.accept()
-	next.frame()
-	next.say("Eq.2 hit 1 -\nv")
-	if r := s.sink.next(t); r.Attempt.ID != "q.2" || r.Outcome != policy.OK {
+	next.readFrame()
+	next.sendFrame("Eq.2 hit 1 -\nv")
+	if r := s.sink.nextResult(t); r.Attempt.ID != "q.2" || r.Outcome != policy.OK {
 		t.Errorf("%+v", r)
 	}
 }
 
 // Guards against taking a connection that was cut for a machine that went down: while another one is open still its
 // parts have failed and may have run. A process that ends takes all of them.
-func TestOneConnectionOfSeveralIsCut(t *testing.T) {
+func TestOneOfSeveralConnectionsIsReset(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		l := testLimits()
 		l.Spread, l.SiblingTime = 2, 20*time.Millisecond
-		s := newStand(t, l)
+		s := newFixture(t, l)
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 		first := s.accept()
-		first.frame()
+		first.readFrame()
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
-		first.frame()
+		first.readFrame()
 		second := s.accept()
 		s.eventually("the second is not up", func() bool {
 			s.pool.mu.Lock()
@@ -80,7 +80,7 @@
 			return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
 		})
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.3")})
-		second.frame()
+		second.readFrame()
 		first.nc.(*net.TCPConn).SetLinger(0)
 		first.nc.Close()
 		want, n := policy.Failed, 2
@@ -89,7 +89,7 @@
 			want, n = policy.ConnectionBroken, 3
 		}
 		for range n {
-			if r := s.sink.next(t); r.Outcome != want {
+			if r := s.sink.nextResult(t); r.Outcome != want {
 				t.Errorf("all %v: %+v", all, r)
 			}
 		}
@@ -98,21 +98,21 @@
 
 // Guards against connections that have fallen silent and look idle, since their parts are given up early: one that has
 // answered goes first, a new one is opened beside, and in the end it is left. An answer clears it.
-func TestAnUnansweredConnectionGoesLast(t *testing.T) {
+func TestUnansweredConnectionIsUsedLast(t *testing.T) {
 	l := testLimits()
 	l.Spread, l.Silence = 2, 200*time.Millisecond
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
 	first := s.accept()
-	first.frame()
+	first.readFrame()
 	s.pool.Cancel(a)
-	first.frame()
+	first.readFrame()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // there is no other yet
-	first.frame()
+	first.readFrame()
 	second := s.accept()
-	first.say("Eq.2 hit 1 -\nv") // in order after all
-	s.sink.next(t)
+	first.sendFrame("Eq.2 hit 1 -\nv") // in order after all
+	s.sink.nextResult(t)
 	b := attempt("q.3")
 	s.pool.Send(1, []*exchange.Attempt{b})
 	peers := [2]*peer{first, second}
@@ -121,29 +121,29 @@
 	} else {
 		second.in = bufio.NewScanner(second.nc)
 		second.in.Split(frame.Split(1000))
-		first.frame()
+		first.readFrame()
 	}
 	s.pool.Cancel(b)
-	peers[0].frame()
+	peers[0].readFrame()
 	for i := range 3 { // the one that said nothing has been idle longest, and stays unused
 		s.pool.Send(1, []*exchange.Attempt{attempt(fmt.Sprint("r.", i))})
-		peers[1].frame()
-		peers[1].say(fmt.Sprint("Er.", i, " hit 1 -\nv"))
-		s.sink.next(t)
+		peers[1].readFrame()
+		peers[1].sendFrame(fmt.Sprint("Er.", i, " hit 1 -\nv"))
+		s.sink.nextResult(t)
 	}
-	peers[0].ended()
+	peers[0].expectClosed()
 }
 
 // Parts share a connection only while others come up: one spoilt answer takes along all that is out beside it.
 func TestPartsAreSpreadOverConnections(t *testing.T) {
 	l := testLimits()
 	l.Spread = 2
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	first := s.accept()
-	first.frame()
+	first.readFrame()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // shares, and opens another
-	first.frame()
+	first.readFrame()
 	second := s.accept()
 	s.eventually("the second is not up", func() bool {
 		s.pool.mu.Lock()
@@ -151,15 +151,15 @@
 		return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
 	})
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.3")})
-	second.frame()
-	second.say("Z")
-	if r := s.sink.next(t); r.Attempt.ID != "q.3" {
+	second.readFrame()
+	second.sendFrame("Z")
+	if r := s.sink.nextResult(t); r.Attempt.ID != "q.3" {
 		t.Fatalf("%+v", r)
 	}
-	first.say("Eq.2 hit 1 -\nv")
-	first.say("Eq.1 hit 1 -\nv")
+	first.sendFrame("Eq.2 hit 1 -\nv")
+	first.sendFrame("Eq.1 hit 1 -\nv")
 	for range 2 {
-		if r := s.sink.next(t); r.Outcome != policy.OK {
+		if r := s.sink.nextResult(t); r.Outcome != policy.OK {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -169,7 +169,7 @@
 func TestEndedPartsAreForgotten(t *testing.T) {
 	l := testLimits()
 	l.Remember = time.Millisecond
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	for i := range 50 {
 		s.pool.Send(1, []*exchange.Attempt{attempt(fmt.Sprint("q.", i))})
 		if i == 0 {
@@ -177,11 +177,11 @@
 			go func() {
 				for p.in.Scan() {
 					id, _, _ := strings.Cut(p.in.Text()[1:], " ")
-					p.say("E" + id + " hit 1 -\nv")
+					p.sendFrame("E" + id + " hit 1 -\nv")
 				}
 			}()
 		}
-		s.sink.next(t)
+		s.sink.nextResult(t)
 		time.Sleep(2 * time.Millisecond)
 	}
 	s.pool.mu.Lock()
@@ -196,51 +196,51 @@
 func TestIdleConnections(t *testing.T) {
 	l := testLimits()
 	l.ReplicaIdle = 50 * time.Millisecond
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	p := s.accept()
-	p.frame()
-	p.say("Eq.1 hit 1 -\nv")
-	s.sink.next(t)
-	p.ended()
-	s.eventually("the link stays", func() bool { return s.links() == 0 })
+	p.readFrame()
+	p.sendFrame("Eq.1 hit 1 -\nv")
+	s.sink.nextResult(t)
+	p.expectClosed()
+	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 	p = s.accept()
-	p.frame()
-	p.say("Eq.2 hit 1 -\nv")
-	s.sink.next(t)
+	p.readFrame()
+	p.sendFrame("Eq.2 hit 1 -\nv")
+	s.sink.nextResult(t)
 	p.nc.Close()
-	s.eventually("the closed link stays", func() bool { return s.links() == 0 })
-	s.sink.none(t)
+	s.eventually("the closed link stays", func() bool { return s.connCount() == 0 })
+	s.sink.expectNoResult(t)
 }
 
 // Guards against machines that vanish: where parts are out and nothing was heard, new parts take a new
 // connection, and the silent one goes when its parts have ended.
-func TestASilentConnectionGetsNoNewPart(t *testing.T) {
+func TestSilentConnectionGetsNoNewPart(t *testing.T) {
 	l := testLimits()
 	l.Silence = 20 * time.Millisecond
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	time.Sleep(40 * time.Millisecond)
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 	second := s.accept()
-	if f := second.frame(); !strings.HasPrefix(f, "Aq.2 ") {
+	if f := second.readFrame(); !strings.HasPrefix(f, "Aq.2 ") {
 		t.Fatalf("%q", f)
 	}
 	s.pool.Cancel(a)
-	p.frame()
-	p.ended()
+	p.readFrame()
+	p.expectClosed()
 }
 
 // At the limit of connections an idle one of another replica makes room; where none is idle, the part is told
 // as never run.
-func TestTheLimitOfConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	l := testLimits()
 	l.ReplicaLinks = 1
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -249,15 +249,15 @@
 	s.pool.Update([]exchange.Target{{Replica: 2, Name: "o", Address: other.Addr().String(), State: policy.Up}})
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	s.pool.Send(2, []*exchange.Attempt{attempt("q.2")})
-	if r := s.sink.next(t); r.Outcome != policy.Unreachable {
+	if r := s.sink.nextResult(t); r.Outcome != policy.Unreachable {
 		t.Fatalf("%+v", r)
 	}
-	p.say("Eq.1 hit 1 -\nv")
-	s.sink.next(t)
+	p.sendFrame("Eq.1 hit 1 -\nv")
+	s.sink.nextResult(t)
 	s.pool.Send(2, []*exchange.Attempt{attempt("q.3")})
-	p.ended()
+	p.expectClosed()
 	nc, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/replica/mux.go
+++ b/internal/replica/mux.go
@@ -14,19 +14,19 @@
 type Mux struct {
 	frames, features exchange.Replicas
 
-	mu      sync.Mutex
-	feature map[uint64]bool // by replica: whether it is a feature server
+	mu              sync.Mutex
+	isFeatureServer map[uint64]bool // by replica: whether it is a feature server
 }
 
 // NewMux puts two replica sides together.
 func NewMux(frames, features exchange.Replicas) *Mux {
-	return &Mux{frames: frames, features: features, feature: map[uint64]bool{}}
+	return &Mux{frames: frames, features: features, isFeatureServer: map[uint64]bool{}}
 }
 
-func (m *Mux) of(replica uint64) exchange.Replicas {
+func (m *Mux) sideFor(replica uint64) exchange.Replicas {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.feature[replica] {
+	if m.isFeatureServer[replica] {
 		return m.features
 	}
 	return m.frames
@@ -42,13 +42,13 @@
 		if isFeature {
 			own, other = &features, &frames
 		}
-		if was, known := m.feature[t.Replica]; known && was != isFeature {
+		if was, known := m.isFeatureServer[t.Replica]; known && was != isFeature {
 			gone := t
 			gone.State = policy.Removed
 			*other = append(*other, gone)
 		}
-		if m.feature[t.Replica] = isFeature; t.State == policy.Removed {
-			delete(m.feature, t.Replica)
+		if m.isFeatureServer[t.Replica] = isFeature; t.State == policy.Removed {
+			delete(m.isFeatureServer, t.Replica)
 		}
 		*own = append(*own, t)
 	}
@@ -58,10 +58,10 @@
 }
 
 // Send sends attempts as one call.
-func (m *Mux) Send(replica uint64, call []*exchange.Attempt) { m.of(replica).Send(replica, call) }
+func (m *Mux) Send(replica uint64, call []*exchange.Attempt) { m.sideFor(replica).Send(replica, call) }
 
 // CheckHealth asks for a sign of life.
-func (m *Mux) CheckHealth(replica uint64) { m.of(replica).CheckHealth(replica) }
+func (m *Mux) CheckHealth(replica uint64) { m.sideFor(replica).CheckHealth(replica) }
 
 // Cancel takes back an attempt from the side that has it.
 func (m *Mux) Cancel(a *exchange.Attempt) (found, sent bool) {
--- a/internal/replica/mux_test.go
+++ b/internal/replica/mux_test.go
@@ -8,24 +8,24 @@
 )
 
 // servers stands in for the side of feature servers.
-type servers struct {
+type fakeFeatureServers struct {
 	exchange.Replicas
 	targets map[uint64]policy.Readiness
 }
 
-func (s *servers) Update(changed []exchange.Target) {
+func (s *fakeFeatureServers) Update(changed []exchange.Target) {
 	for _, t := range changed {
 		s.targets[t.Replica] = t.State
 	}
 }
 
-func (s *servers) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
+func (s *fakeFeatureServers) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
 
 // A replica that comes again as a feature server under its name gets nothing by frames any more, also nothing that waits
 // for a connection, and the other way round.
-func TestAReplicaChangesItsKind(t *testing.T) {
-	s := newStand(t, testLimits())
-	features := &servers{targets: map[uint64]policy.Readiness{}}
+func TestReplicaChangesKind(t *testing.T) {
+	s := newFixture(t, testLimits())
+	features := &fakeFeatureServers{targets: map[uint64]policy.Readiness{}}
 	mux := NewMux(s.pool, features)
 	open := s.holdDials()
 	target := exchange.Target{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: policy.Up}
@@ -34,11 +34,11 @@
 	mux.Send(1, []*exchange.Attempt{waits})
 	target.Kind = KindFeatures
 	mux.Update([]exchange.Target{target})
-	if r := s.sink.next(t); r.Attempt != waits || r.Outcome != policy.NotSent {
+	if r := s.sink.nextResult(t); r.Attempt != waits || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
 	open()
-	s.accept().quiet()
+	s.accept().expectNoFrame()
 	if state, had := features.targets[1]; !had || state != policy.Up {
 		t.Errorf("the feature servers' side has state %v, %v", state, had)
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -35,7 +35,7 @@
 
 	mu        sync.Mutex
 	targets   map[uint64]*target
-	entries   map[*exchange.Attempt]*pendingAttempt
+	pending   map[*exchange.Attempt]*pendingAttempt
 	openConns int
 }
 
@@ -47,7 +47,7 @@
 
 // attempt is one attempt that has not ended.
 type pendingAttempt struct {
-	request   *exchange.Attempt
+	attempt   *exchange.Attempt
 	conn      *replicaConn
 	requeued  bool             // waited on another connection before, which ended
 	written   bool             // handed to the kernel, in part or whole
@@ -62,7 +62,7 @@
 	return &Pool{
 		limits: cfg.Limits, reportNames: cfg.Policy.ReportNames, reportsByHealthCheck: cfg.Report == "on_probe", sink: sink,
 		log: logs.Limit(log, cfg.Limits.LogEvery), targets: map[uint64]*target{},
-		entries: map[*exchange.Attempt]*pendingAttempt{},
+		pending: map[*exchange.Attempt]*pendingAttempt{},
 		dial:    dialer(cfg.Limits.ConnectTime), listPending: func() bool { return false },
 	}
 }
@@ -102,8 +102,8 @@
 			continue
 		}
 		for _, l := range t.conns {
-			back = append(back, l.unqueue(policy.NotSent)...)
-			unasked = append(unasked, l.dropHealthChecks()...)
+			back = append(back, l.withdrawUnwritten(policy.NotSent)...)
+			unasked = append(unasked, l.withdrawHealthChecks()...)
 			l.retire()
 		}
 		if c.State == policy.Removed && len(t.conns) == 0 {
@@ -111,13 +111,13 @@
 		}
 	}
 	p.mu.Unlock()
-	p.report(back)
+	p.reportResults(back)
 	for _, pr := range unasked {
 		p.healthCheckEnded(pr, policy.NotSent, nil)
 	}
 }
 
-func (p *Pool) report(results []exchange.Result) {
+func (p *Pool) reportResults(results []exchange.Result) {
 	for _, r := range results {
 		p.sink.AttemptEnded(r)
 	}
@@ -129,7 +129,7 @@
 	t := p.targets[replica]
 	var l *replicaConn
 	if t != nil && t.State == policy.Up {
-		l = p.choose(t, call)
+		l = p.chooseConn(t, call)
 	}
 	if l == nil { // nowhere to go: that a connection could not be had is what it comes to
 		p.mu.Unlock()
@@ -147,8 +147,8 @@
 func (p *Pool) enqueue(l *replicaConn, call []*exchange.Attempt) {
 	entries := make([]*pendingAttempt, len(call))
 	for i, a := range call {
-		entries[i] = &pendingAttempt{request: a, conn: l}
-		p.entries[a] = entries[i]
+		entries[i] = &pendingAttempt{attempt: a, conn: l}
+		p.pending[a] = entries[i]
 		l.parts[a.ID] = entries[i]
 	}
 	l.queue = append(l.queue, entries)
@@ -159,7 +159,7 @@
 // new one, and one that is silent, or takes no bytes for now, only where no more may be opened. Among open ones those go first on which nothing is
 // out, of these the ones that have answered since, then the least loaded, then the one that has been idle longest:
 // what comes late behind an answer shows by then.
-func (p *Pool) choose(t *target, call []*exchange.Attempt) *replicaConn {
+func (p *Pool) chooseConn(t *target, call []*exchange.Attempt) *replicaConn {
 	now := time.Now()
 	var best *replicaConn
 	rank := func(l *replicaConn) int {
@@ -178,7 +178,7 @@
 			continue
 		}
 		if best == nil || cmp.Or(cmp.Compare(rank(l), rank(best)), cmp.Compare(min(1, len(l.parts)), min(1, len(best.parts))),
-			cmp.Compare(l.suspect(), best.suspect()), cmp.Compare(len(l.parts), len(best.parts)),
+			cmp.Compare(l.suspectRank(), best.suspectRank()), cmp.Compare(len(l.parts), len(best.parts)),
 			l.idleSince.Compare(best.idleSince)) < 0 {
 			best = l
 		}
@@ -186,13 +186,13 @@
 	if best != nil && rank(best) < 2 {
 		// One answer that can't be read takes with it all that is out on its connection, so parts share one only
 		// while others are coming up.
-		if (len(best.parts) > 0 || best.suspect() > 0) && !coming && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
-			p.open(t)
+		if (len(best.parts) > 0 || best.suspectRank() > 0) && !coming && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
+			p.openConn(t)
 		}
 		return best
 	}
-	if len(t.conns) < p.limits.PerReplica && (p.openConns < p.limits.ReplicaLinks || p.evict(now)) {
-		return p.open(t)
+	if len(t.conns) < p.limits.PerReplica && (p.openConns < p.limits.ReplicaLinks || p.evictIdle(now)) {
+		return p.openConn(t)
 	}
 	return best
 }
@@ -203,7 +203,7 @@
 }
 
 // evict closes the connection that has stood idle longest, to make room for another.
-func (p *Pool) evict(now time.Time) bool {
+func (p *Pool) evictIdle(now time.Time) bool {
 	var oldest *replicaConn
 	for _, t := range p.targets {
 		for _, l := range t.conns {
@@ -223,7 +223,7 @@
 func (p *Pool) Cancel(a *exchange.Attempt) (found, sent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	en := p.entries[a]
+	en := p.pending[a]
 	if en == nil {
 		return false, false
 	}
@@ -238,9 +238,9 @@
 		l.suspectSince = now
 	}
 	p.dropAttempt(en)
-	l.expect(a.ID, time.Now())
+	l.expectLateAnswer(a.ID, time.Now())
 	l.cancels = append(l.cancels, a.ID)
-	l.cutFrame()
+	l.abortPartialFrame()
 	l.wake()
 	return true, true
 }
@@ -250,13 +250,13 @@
 func (p *Pool) CancelUnsent(a *exchange.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	en := p.entries[a]
+	en := p.pending[a]
 	switch {
 	case en == nil:
 		return false
 	case en.written:
 		en.cancelled = true
-		en.conn.cutFrame()
+		en.conn.abortPartialFrame()
 		return false
 	}
 	p.dropAttempt(en)
@@ -265,8 +265,8 @@
 
 // dropAttempt takes an entry out of all books.
 func (p *Pool) dropAttempt(en *pendingAttempt) {
-	delete(p.entries, en.request)
-	delete(en.conn.parts, en.request.ID)
+	delete(p.pending, en.attempt)
+	delete(en.conn.parts, en.attempt.ID)
 	if len(en.conn.parts) == 0 {
 		en.conn.idleSince = time.Now()
 	}
@@ -278,11 +278,11 @@
 	t := p.targets[replica]
 	var l *replicaConn
 	if t != nil && t.State == policy.Up {
-		l = p.choose(t, nil)
+		l = p.chooseConn(t, nil)
 	}
 	now := time.Now()
 	if l != nil {
-		pr := &healthCheck{replica: replica, at: now}
+		pr := &healthCheck{replica: replica, requestedAt: now}
 		l.healthChecks = append(l.healthChecks, pr)
 		l.wake()
 		time.AfterFunc(p.limits.ProbeTime, func() { p.healthCheckEnded(pr, policy.TimedOut, nil) })
@@ -295,10 +295,10 @@
 
 // healthCheck is one that is out. Answers come in the order of the questions, so one that is late keeps its place.
 type healthCheck struct {
-	replica uint64
-	at      time.Time
-	written bool
-	ended   bool
+	replica     uint64
+	requestedAt time.Time
+	written     bool
+	ended       bool
 }
 
 func (p *Pool) healthCheckEnded(pr *healthCheck, o policy.Outcome, report []float64) {
@@ -307,7 +307,7 @@
 	pr.ended = true
 	p.mu.Unlock()
 	if now := time.Now(); !over {
-		p.sink.HealthChecked(exchange.HealthCheck{Replica: pr.replica, Outcome: o, At: now, Took: now.Sub(pr.at), Report: report})
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: pr.replica, Outcome: o, At: now, Took: now.Sub(pr.requestedAt), Report: report})
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -19,36 +19,36 @@
 )
 
 // patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
-const patience = time.Minute
+const testTimeout = time.Minute
 
 // sink gathers results.
 type sink struct {
-	results chan exchange.Result
-	probes  chan exchange.HealthCheck
-	then    func(exchange.Result) // called before a result is passed on
+	results      chan exchange.Result
+	healthChecks chan exchange.HealthCheck
+	onResult     func(exchange.Result) // called before a result is passed on
 }
 
 func (s *sink) AttemptEnded(r exchange.Result) {
-	if s.then != nil {
-		s.then(r)
+	if s.onResult != nil {
+		s.onResult(r)
 	}
 	s.results <- r
 }
 
-func (s *sink) HealthChecked(p exchange.HealthCheck) { s.probes <- p }
+func (s *sink) HealthChecked(p exchange.HealthCheck) { s.healthChecks <- p }
 
-func (s *sink) next(t *testing.T) exchange.Result {
+func (s *sink) nextResult(t *testing.T) exchange.Result {
 	t.Helper()
 	select {
 	case r := <-s.results:
 		return r
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no result came")
 	}
 	panic("unreachable")
 }
 
-func (s *sink) none(t *testing.T) {
+func (s *sink) expectNoResult(t *testing.T) {
 	t.Helper()
 	select {
 	case r := <-s.results:
@@ -64,16 +64,16 @@
 	in *bufio.Scanner
 }
 
-func (p *peer) frame() string {
+func (p *peer) readFrame() string {
 	p.t.Helper()
-	p.nc.SetReadDeadline(time.Now().Add(patience))
+	p.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if !p.in.Scan() {
 		p.t.Fatalf("no frame: %v", p.in.Err())
 	}
 	return p.in.Text()
 }
 
-func (p *peer) quiet() {
+func (p *peer) expectNoFrame() {
 	p.t.Helper()
 	p.nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if p.in.Scan() {
@@ -81,21 +81,21 @@
 	}
 }
 
-func (p *peer) say(rest string) {
+func (p *peer) sendFrame(rest string) {
 	n := len(rest)
 	p.nc.Write(append([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, rest...))
 }
 
 // ended tells that the other side has closed.
-func (p *peer) ended() {
+func (p *peer) expectClosed() {
 	p.t.Helper()
-	p.nc.SetReadDeadline(time.Now().Add(patience))
+	p.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := p.nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		p.t.Fatalf("still open: %v", err)
 	}
 }
 
-type stand struct {
+type fixture struct {
 	*testing.T
 	pool *Pool
 	sink *sink
@@ -111,8 +111,8 @@
 	}
 }
 
-// newStand is a pool with one replica, number 1, for which the test speaks.
-func newStand(t *testing.T, l config.Limits) *stand {
+// newFixture is a pool with one replica, number 1, for which the test speaks.
+func newFixture(t *testing.T, l config.Limits) *fixture {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,20 +120,20 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &stand{T: t, ln: ln, sink: &sink{results: make(chan exchange.Result, 1000), probes: make(chan exchange.HealthCheck, 100)}}
+	s := &fixture{T: t, ln: ln, sink: &sink{results: make(chan exchange.Result, 1000), healthChecks: make(chan exchange.HealthCheck, 100)}}
 	s.pool = New(&config.Config{Limits: l, Policy: policy.Config{ReportNames: []string{"cpu"}}}, s.sink, logrus.NewEntry(log))
-	s.set(policy.Up)
+	s.setState(policy.Up)
 	t.Cleanup(func() { ln.Close(); s.pool.Close() })
 	return s
 }
 
-func (s *stand) set(state policy.Readiness) {
+func (s *fixture) setState(state policy.Readiness) {
 	s.pool.Update([]exchange.Target{{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: state}})
 }
 
-func (s *stand) accept() *peer {
+func (s *fixture) accept() *peer {
 	s.Helper()
-	s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := s.ln.Accept()
 	if err != nil {
 		s.Fatal(err)
@@ -144,15 +144,15 @@
 	return p
 }
 
-func (s *stand) links() int {
+func (s *fixture) connCount() int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.pool.openConns
 }
 
-func (s *stand) eventually(what string, ok func() bool) {
+func (s *fixture) eventually(what string, ok func() bool) {
 	s.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			s.Fatal(what)
 		}
@@ -165,71 +165,71 @@
 
 // The parts of a call go in one frame, answers come in any order, and the connection is used again.
 func TestCallAndAnswers(t *testing.T) {
-	s := newStand(t, testLimits())
+	s := newFixture(t, testLimits())
 	a, b := attempt("q.1"), attempt("q.2")
 	s.pool.Send(1, []*exchange.Attempt{a, b})
 	p := s.accept()
-	if f := p.frame(); !strings.HasPrefix(f, "Aq.1 3 d=5") || strings.Count(f, "\n") != 2 {
+	if f := p.readFrame(); !strings.HasPrefix(f, "Aq.1 3 d=5") || strings.Count(f, "\n") != 2 {
 		t.Fatalf("%q", f)
 	}
-	p.say("Eq.2 hit 7 util=0.5\nvalue 2")
-	r := s.sink.next(t)
+	p.sendFrame("Eq.2 hit 7 util=0.5\nvalue 2")
+	r := s.sink.nextResult(t)
 	if r.Attempt != b || r.Outcome != policy.OK || r.Score != 7 || string(r.Value) != "value 2" || r.Report[0] != 0.5 {
 		t.Fatalf("%+v", r)
 	}
-	p.say("Eq.1 fault - -\n")
-	if r = s.sink.next(t); r.Attempt != a || r.Outcome != policy.Failed {
+	p.sendFrame("Eq.1 fault - -\n")
+	if r = s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.Failed {
 		t.Fatalf("%+v", r)
 	}
 	c := attempt("q.3")
 	s.pool.Send(1, []*exchange.Attempt{c})
-	p.frame()
-	p.say("Eq.3 overload - -\n")
-	if r = s.sink.next(t); r.Outcome != policy.Rejected {
+	p.readFrame()
+	p.sendFrame("Eq.3 overload - -\n")
+	if r = s.sink.nextResult(t); r.Outcome != policy.Rejected {
 		t.Fatalf("%+v", r)
 	}
-	if n := s.links(); n != 1 {
+	if n := s.connCount(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
 // What a connection that ends proves: a part whose frame went out may have run.
-func TestABrokenConnectionMayHaveRunItsParts(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestBrokenConnectionOutcome(t *testing.T) {
+	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1"), attempt("q.2")})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	p.nc.Close()
 	for range 2 {
-		if r := s.sink.next(t); r.Outcome != policy.ConnectionBroken {
+		if r := s.sink.nextResult(t); r.Outcome != policy.ConnectionBroken {
 			t.Fatalf("%+v", r)
 		}
 	}
 }
 
-func TestARefusedConnectionNeverRan(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestRefusedConnectionOutcome(t *testing.T) {
+	s := newFixture(t, testLimits())
 	s.ln.Close()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
-	if r := s.sink.next(t); r.Outcome != policy.Unreachable {
+	if r := s.sink.nextResult(t); r.Outcome != policy.Unreachable {
 		t.Fatalf("%+v", r)
 	}
-	s.eventually("the link stays", func() bool { return s.links() == 0 })
+	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
 }
 
 // A frame that is cut by the end of the connection was never whole at the replica: the bytes written decide.
-func TestAFrameThatIsNotWhollyOutNeverRan(t *testing.T) {
+func TestPartiallyWrittenFrameOutcome(t *testing.T) {
 	l := testLimits()
 	l.WriteTime = 50 * time.Millisecond
-	s := newStand(t, l)
+	s := newFixture(t, l)
 	small, big := attempt("q.1"), attempt("q.2")
 	big.Text = make([]byte, 64<<20) // more than the machine takes for a peer that does not read
 	s.pool.Send(1, []*exchange.Attempt{small})
-	s.accept().frame()
+	s.accept().readFrame()
 	s.pool.Send(1, []*exchange.Attempt{big})
 	got := map[string]policy.Outcome{}
 	for range 2 {
-		r := s.sink.next(t)
+		r := s.sink.nextResult(t)
 		got[r.Attempt.ID] = r.Outcome
 	}
 	if got["q.1"] != policy.ConnectionBroken || got["q.2"] != policy.Unreachable {
@@ -239,7 +239,7 @@
 
 // full holds a listener's accept queue so that further dials hang, which is how a machine that says nothing
 // looks from here.
-func hanging(t *testing.T) string {
+func hangingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -250,7 +250,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shrink(t, raw)
+	shrinkAcceptQueue(t, raw)
 	for range 16 { // fill the queue; nobody accepts
 		nc, err := net.DialTimeout("tcp", ln.Addr().String(), 50*time.Millisecond)
 		if err != nil {
@@ -263,11 +263,11 @@
 }
 
 // A part that waits for its connection is not sent once it is given up, nor once its replica drains.
-func TestAWaitingPartThatIsNotWantedIsNotSent(t *testing.T) {
+func TestWithdrawnPartIsNotSent(t *testing.T) {
 	l := testLimits()
 	l.ConnectTime = 30 * time.Second
-	s := newStand(t, l)
-	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: hanging(t), State: policy.Up}})
+	s := newFixture(t, l)
+	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: hangingAddress(t), State: policy.Up}})
 	a, b, c := attempt("q.1"), attempt("q.2"), attempt("q.3")
 	s.pool.Send(2, []*exchange.Attempt{a})
 	s.pool.Send(2, []*exchange.Attempt{b})
@@ -279,152 +279,152 @@
 		t.Fatal("a waiting part could not be taken back once")
 	}
 	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: "127.0.0.1:1", State: policy.Draining}})
-	if r := s.sink.next(t); r.Attempt != c || r.Outcome != policy.NotSent {
+	if r := s.sink.nextResult(t); r.Attempt != c || r.Outcome != policy.NotSent {
 		t.Fatalf("%+v", r)
 	}
-	s.sink.none(t)
+	s.sink.expectNoResult(t)
 }
 
 // A process that was stopped between its turn and the write finds parts whose time is over: they are not written, and can be
 // taken back as such. Beside them what is due later goes.
-func TestAPartWhoseTimeIsOverIsNotWritten(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestExpiredPartIsNotWritten(t *testing.T) {
+	s := newFixture(t, testLimits())
 	late, good := attempt("q.1"), attempt("q.2")
 	late.Due = time.Now().Add(-time.Millisecond)
 	s.pool.Send(1, []*exchange.Attempt{late, good})
 	p := s.accept()
-	if f := p.frame(); strings.Contains(f, "q.1") || !strings.Contains(f, "q.2") {
+	if f := p.readFrame(); strings.Contains(f, "q.1") || !strings.Contains(f, "q.2") {
 		t.Fatalf("frame %q", f)
 	}
 	if found, sent := s.pool.Cancel(late); !found || sent {
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
-	p.say("Eq.2 hit 1 -\nv")
-	if r := s.sink.next(t); r.Attempt != good || r.Outcome != policy.OK {
+	p.sendFrame("Eq.2 hit 1 -\nv")
+	if r := s.sink.nextResult(t); r.Attempt != good || r.Outcome != policy.OK {
 		t.Fatalf("%+v", r)
 	}
-	p.quiet() // nothing of the late one, no word that it is given up
+	p.expectNoFrame() // nothing of the late one, no word that it is given up
 }
 
 // A dial that hangs costs the parts of other replicas nothing, and its own never ran.
-func TestAHangingDialCostsNoOther(t *testing.T) {
+func TestHangingDialDoesNotAffectOtherReplicas(t *testing.T) {
 	l := testLimits()
 	l.ConnectTime = 300 * time.Millisecond
-	s := newStand(t, l)
-	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: hanging(t), State: policy.Up}})
+	s := newFixture(t, l)
+	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: hangingAddress(t), State: policy.Up}})
 	lost, kept := attempt("q.1"), attempt("q.2")
 	s.pool.Send(2, []*exchange.Attempt{lost})
 	s.pool.Send(1, []*exchange.Attempt{kept})
 	p := s.accept()
-	p.frame()
-	p.say("Eq.2 hit 1 -\nv")
-	if r := s.sink.next(t); r.Attempt != kept {
+	p.readFrame()
+	p.sendFrame("Eq.2 hit 1 -\nv")
+	if r := s.sink.nextResult(t); r.Attempt != kept {
 		t.Fatalf("%+v", r)
 	}
-	if r := s.sink.next(t); r.Attempt != lost || r.Outcome != policy.Unreachable {
+	if r := s.sink.nextResult(t); r.Attempt != lost || r.Outcome != policy.Unreachable {
 		t.Fatalf("%+v", r)
 	}
 }
 
 // A part that was sent and is given up is told to the replica; an answer that crosses changes nothing.
-func TestGiveUp(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestCancelSentPart(t *testing.T) {
+	s := newFixture(t, testLimits())
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	if s.pool.CancelUnsent(a) {
 		t.Fatal("a part on the wire was taken back")
 	}
 	if found, sent := s.pool.Cancel(a); !found || !sent {
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
-	if f := p.frame(); f != "Bq.1" {
+	if f := p.readFrame(); f != "Bq.1" {
 		t.Fatalf("%q", f)
 	}
-	p.say("Eq.1 hit 1 -\nlate")
-	s.sink.none(t)
+	p.sendFrame("Eq.1 hit 1 -\nlate")
+	s.sink.expectNoResult(t)
 	// The same id again must not be mistaken for the one that was given up, so it takes another connection.
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
-	p.frame()
-	if n := s.links(); n != 1 {
+	p.readFrame()
+	if n := s.connCount(); n != 1 {
 		t.Errorf("%d connections: the crossing answer ended one", n)
 	}
 }
 
-func TestAnIDThatMayStillBeAnsweredTakesAnotherConnection(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestReusedIDTakesAnotherConnection(t *testing.T) {
+	s := newFixture(t, testLimits())
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
-	p.frame()
+	p.readFrame()
 	s.pool.Cancel(a)
-	p.frame()
+	p.readFrame()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	second := s.accept()
-	if f := second.frame(); !strings.HasPrefix(f, "Aq.1 ") {
+	if f := second.readFrame(); !strings.HasPrefix(f, "Aq.1 ") {
 		t.Fatalf("%q", f)
 	}
-	p.say("Eq.1 fault - -\n") // of the first
-	s.sink.none(t)
+	p.sendFrame("Eq.1 fault - -\n") // of the first
+	s.sink.expectNoResult(t)
 }
 
 // A draining replica gets nothing new, finishes what it has, and its connection then goes.
 func TestDrain(t *testing.T) {
-	s := newStand(t, testLimits())
+	s := newFixture(t, testLimits())
 	a := attempt("q.1")
 	s.pool.Send(1, []*exchange.Attempt{a})
 	p := s.accept()
-	p.frame()
-	s.set(policy.Draining)
+	p.readFrame()
+	s.setState(policy.Draining)
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
-	if r := s.sink.next(t); r.Outcome != policy.Unreachable {
+	if r := s.sink.nextResult(t); r.Outcome != policy.Unreachable {
 		t.Fatalf("%+v", r)
 	}
-	p.quiet()
+	p.expectNoFrame()
 	p.in = bufio.NewScanner(p.nc)
-	p.say("Eq.1 hit 1 -\nv")
-	if r := s.sink.next(t); r.Attempt != a || r.Outcome != policy.OK {
+	p.sendFrame("Eq.1 hit 1 -\nv")
+	if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.OK {
 		t.Fatalf("%+v", r)
 	}
-	p.ended()
+	p.expectClosed()
 }
 
-func TestProbes(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestHealthChecks(t *testing.T) {
+	s := newFixture(t, testLimits())
 	s.pool.CheckHealth(1)
 	s.pool.CheckHealth(1)
 	p := s.accept()
-	if f := p.frame() + p.frame(); f != "CC" {
+	if f := p.readFrame() + p.readFrame(); f != "CC" {
 		t.Fatalf("%q", f)
 	}
-	p.say("Chit")
-	if r := <-s.sink.probes; r.Outcome != policy.OK || r.Replica != 1 {
+	p.sendFrame("Chit")
+	if r := <-s.sink.healthChecks; r.Outcome != policy.OK || r.Replica != 1 {
 		t.Fatalf("%+v", r)
 	}
-	p.say("Cfault")
-	if r := <-s.sink.probes; r.Outcome != policy.Failed {
+	p.sendFrame("Cfault")
+	if r := <-s.sink.healthChecks; r.Outcome != policy.Failed {
 		t.Fatalf("%+v", r)
 	}
 	s.pool.reportsByHealthCheck = true
 	s.pool.CheckHealth(1)
-	if f := p.frame(); f != "D" {
+	if f := p.readFrame(); f != "D" {
 		t.Fatalf("%q", f)
 	}
-	p.say("Dutil=0.25")
-	if r := <-s.sink.probes; r.Outcome != policy.OK || r.Report[0] != 0.25 {
+	p.sendFrame("Dutil=0.25")
+	if r := <-s.sink.healthChecks; r.Outcome != policy.OK || r.Report[0] != 0.25 {
 		t.Fatalf("%+v", r)
 	}
 	s.pool.limits.ProbeTime = 10 * time.Millisecond
 	s.pool.CheckHealth(1)
-	if r := <-s.sink.probes; r.Outcome != policy.TimedOut {
+	if r := <-s.sink.healthChecks; r.Outcome != policy.TimedOut {
 		t.Fatalf("%+v", r)
 	}
 }
 
 // Many goroutines at once, for the race detector.
-func TestManyAtOnce(t *testing.T) {
-	s := newStand(t, testLimits())
+func TestConcurrentCalls(t *testing.T) {
+	s := newFixture(t, testLimits())
 	go func() {
 		for {
 			nc, err := s.ln.Accept()
@@ -437,7 +437,7 @@
 				for p.in.Scan() {
 					if f := p.in.Text(); f[0] == 'A' {
 						id, _, _ := strings.Cut(f[1:], " ")
-						p.say("E" + id + " hit 1 -\nv")
+						p.sendFrame("E" + id + " hit 1 -\nv")
 					}
 				}
 			}()
@@ -460,7 +460,7 @@
 	}
 	wg.Wait()
 	for range 4 * each {
-		s.sink.next(t)
+		s.sink.nextResult(t)
 	}
-	s.sink.none(t)
+	s.sink.expectNoResult(t)
 }
--- a/internal/replica/shrink_test.go
+++ b/internal/replica/shrink_test.go
@@ -6,7 +6,7 @@
 )
 
 // shrink gives a listener the shortest accept queue.
-func shrink(t *testing.T, raw syscall.RawConn) {
+func shrinkAcceptQueue(t *testing.T, raw syscall.RawConn) {
 	t.Helper()
 	var failed error
 	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), 0) }); err != nil {
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -18,7 +18,7 @@
 // the peer takes bytes again.
 type writer struct {
 	*net.TCPConn
-	l *replicaConn
+	rc *replicaConn
 }
 
 // Write writes what was pulled, or, where the peer took nothing of it at first, what is pulled when it does.
@@ -34,26 +34,26 @@
 			if duplexconn.Waits(w.TCPConn) { // perhaps its end, which is to be seen before anything is written
 				pulled = nil
 			} else {
-				pulled, _, _ = w.l.Pull(pulled[:0])
+				pulled, _, _ = w.rc.Pull(pulled[:0])
 			}
-			w.l.wake() // to be asked again: what else it said then is lost
+			w.rc.wake() // to be asked again: what else it said then is lost
 		}
 		switch {
 		case len(pulled) == 0:
-		case w.l.holdForList():
-			w.l.putBack()
-			time.AfterFunc(holdStep, w.l.wake)
+		case w.rc.holdForList():
+			w.rc.putBack()
+			time.AfterFunc(holdInterval, w.rc.wake)
 			pulled = nil
-		case !w.l.begin():
-			w.l.putBack()
-			w.l.wake() // what is still to go is built anew
+		case !w.rc.beginWrite():
+			w.rc.putBack()
+			w.rc.wake() // what is still to go is built anew
 			pulled = nil
 		}
 		if len(pulled) == 0 {
 			return true
 		}
-		wrote, failed = write(fd, pulled)
-		return failed != syscall.EAGAIN || !w.l.putBackBlocked()
+		wrote, failed = writeOnce(fd, pulled)
+		return failed != syscall.EAGAIN || !w.rc.putBackBlocked()
 	})
 	switch {
 	case err != nil:
@@ -63,19 +63,19 @@
 	case wrote == len(pulled):
 		return wrote, nil
 	}
-	w.l.markBlocked()
+	w.rc.markBlocked()
 	rest, err := w.TCPConn.Write(pulled[wrote:])
 	return wrote + rest, err
 }
 
 const (
-	// holdStep is from one look for a pending list to the next: the list is taken in within a millisecond where there is a
+	// holdInterval is from one look for a pending list to the next: the list is taken in within a millisecond where there is a
 	// processor. Half as long looks twice as often for nothing; twice as long adds as much to what waits.
-	holdStep = time.Millisecond
-	// maxHolds bounds how often in a row a call is held for the list, 0.2 s at the least. Looks are counted and not time: after
+	holdInterval = time.Millisecond
+	// maxConsecutiveHolds bounds how often in a row a call is held for the list, 0.2 s at the least. Looks are counted and not time: after
 	// each the reader of the list has had its turn, also where the machine has stopped the process meanwhile. Only a list that
 	// never ends comes to it, which is left after the silence limit of the watch.
-	maxHolds = 200
+	maxConsecutiveHolds = 200
 )
 
 // holdForList says whether the call that was pulled last has to wait, since a change of the list is pending that counts as notified
@@ -84,17 +84,17 @@
 	if len(c.unstarted) == 0 {
 		return false
 	}
-	if !c.pool.listPending() || c.holds >= maxHolds {
-		c.holds = 0
+	if !c.pool.listPending() || c.holdCount >= maxConsecutiveHolds {
+		c.holdCount = 0
 		return false
 	}
-	c.holds++
-	c.heldUntil = time.Now().Add(holdStep) // whatever wakes the goroutine before: it would look on without end
+	c.holdCount++
+	c.heldUntil = time.Now().Add(holdInterval) // whatever wakes the goroutine before: it would look on without end
 	return true
 }
 
 // write asks the kernel once to take bytes.
-func write(fd uintptr, b []byte) (int, error) {
+func writeOnce(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Write(int(fd), b)
 		if !errors.Is(err, syscall.EINTR) {
@@ -130,10 +130,10 @@
 	c.unstarted, c.unstartedBytes = nil, 0
 	var back []exchange.Result
 	if c.retired {
-		back = c.unqueue(policy.NotSent)
+		back = c.withdrawUnwritten(policy.NotSent)
 	}
 	c.pool.mu.Unlock()
-	c.pool.report(back)
+	c.pool.reportResults(back)
 	return true
 }
 
@@ -144,10 +144,10 @@
 	c.pool.mu.Unlock()
 }
 
-// cutFrame ends the connection if it is in the middle of a frame of which the replica takes no more for now, and nobody
+// abortPartialFrame ends the connection if it is in the middle of a frame of which the replica takes no more for now, and nobody
 // waits for any part of that frame: what went out later would begin an attempt for a client that has left. Where other
 // parts are out on the connection it goes on, since they would be lost with it. The pool's lock is held.
-func (c *replicaConn) cutFrame() {
+func (c *replicaConn) abortPartialFrame() {
 	if !c.partlyWritten || len(c.unstarted) == 0 {
 		return
 	}
