--- a/internal/fleet/pressure/news.go
+++ b/internal/fleet/pressure/news.go
@@ -7,136 +7,137 @@
 )
 
 const (
-	// MaxMembers is of how many co-ordinators words are kept.
+	// MaxMembers is the maximum number of co-ordinators whose reports are kept.
 	MaxMembers = 1024
-	// FreshWindow is for how long a word counts.
+	// FreshWindow is the age up to which a report counts.
 	FreshWindow = 2 * time.Second
-	// recentWindow is for how long one counts for Fleet.Young.
+	// recentWindow is the age up to which a report counts in FleetLoad.RecentPressure.
 	recentWindow = time.Second
-	// forwardWindow is until what age a word is passed on, maxForwards how often.
+	// forwardWindow is the age up to which a report is forwarded, and maxForwards the number of times.
 	forwardWindow = time.Second
 	maxForwards   = 2
 )
 
+// receivedReport is the newest report of one member.
 type receivedReport struct {
 	Report
-	measuredAt time.Duration // when its figures were of
-	present    bool
-	forwards   int
+	measuredAt time.Duration // local time of the measurement
+	present    bool          // false until a report is received
+	forwards   int           // number of times it was forwarded
 }
 
-// Reports is what was heard of the fleet's co-ordinators, the own word among them.
+// Reports keeps the newest report of each co-ordinator of the fleet, including the local one.
 type Reports struct {
-	names   []string         // in order
-	entries []receivedReport // of each
-	index   map[string]int
+	names   []string         // of the members, sorted
+	entries []receivedReport // by index in names
+	index   map[string]int   // index in names, by name
 
 	scratch scratch
 }
 
-// SetMembers says who there is, self included: of others no word is taken. Who stays keeps what was heard of it. Of more than
-// MaxMembers the first in order count.
-func (n *Reports) SetMembers(names []string) {
+// SetMembers sets the members of the fleet, including the local one; reports of others are not accepted. The reports of members
+// that remain are kept. Of more than MaxMembers names, the first in sorted order count.
+func (r *Reports) SetMembers(names []string) {
 	names = slices.Clone(names)
 	slices.Sort(names)
 	names = slices.Compact(names)
 	names = names[:min(len(names), MaxMembers)]
-	if slices.Equal(names, n.names) {
+	if slices.Equal(names, r.names) {
 		return
 	}
-	words, place := make([]receivedReport, len(names)), make(map[string]int, len(names))
+	entries, index := make([]receivedReport, len(names)), make(map[string]int, len(names))
 	for i, name := range names {
-		if j, ok := n.index[name]; ok {
-			words[i] = n.entries[j]
+		if j, ok := r.index[name]; ok {
+			entries[i] = r.entries[j]
 		}
-		place[name] = i
+		index[name] = i
 	}
-	n.names, n.entries, n.index = names, words, place
+	r.names, r.entries, r.index = names, entries, index
 }
 
-// Add takes a word, true if it is news: by incarnation and number the newest of its sender. The same word again is at most
-// younger. Figures of no honest co-ordinator (see Word.bound) are put within bounds or the word is left.
-func (n *Reports) Add(now time.Duration, w Report) bool {
-	i, ok := n.index[w.From]
-	if !ok || w.Age < 0 || w.Age > MaxAge || !w.clamp() {
+// Add stores a report and returns whether it is newer, by incarnation and sequence number, than the stored one of its sender. A
+// duplicate can only make the stored report younger. Values that are out of bounds are clamped, and a report with NaN is rejected.
+func (r *Reports) Add(now time.Duration, report Report) bool {
+	i, ok := r.index[report.From]
+	if !ok || report.Age < 0 || report.Age > MaxAge || !report.clamp() {
 		return false
 	}
-	h, at := &n.entries[i], now-w.Age
-	if h.present {
-		if c := cmp.Or(cmp.Compare(w.Incarnation, h.Incarnation), cmp.Compare(w.Seq, h.Seq)); c < 0 {
+	e, measuredAt := &r.entries[i], now-report.Age
+	if e.present {
+		if c := cmp.Or(cmp.Compare(report.Incarnation, e.Incarnation), cmp.Compare(report.Seq, e.Seq)); c < 0 {
 			return false
 		} else if c == 0 {
-			h.measuredAt = max(h.measuredAt, at)
+			e.measuredAt = max(e.measuredAt, measuredAt)
 			return false
 		}
 	}
-	*h = receivedReport{Report: w, measuredAt: at, present: true}
+	*e = receivedReport{Report: report, measuredAt: measuredAt, present: true}
 	return true
 }
 
-// clamp tells whether all numbers are such, and puts them within bounds.
-func (w *Report) clamp() bool {
-	for _, v := range []*float64{&w.Pressure, &w.Level} {
+// clamp brings all values within bounds. It returns false if one of them is NaN.
+func (r *Report) clamp() bool {
+	for _, v := range []*float64{&r.Pressure, &r.Level} {
 		if *v != *v {
 			return false
 		}
 		*v = min(1, max(0, *v))
 	}
-	for _, v := range []*float64{&w.Offered, &w.InTime, &w.Completed, &w.Guaranteed} {
+	for _, v := range []*float64{&r.Offered, &r.InTime, &r.Completed, &r.Guaranteed} {
 		if *v != *v {
 			return false
 		}
 		*v = min(MaxRate, max(0, *v))
 	}
-	for j := range w.ByLane {
-		if w.ByLane[j] != w.ByLane[j] {
+	for j := range r.ByLane {
+		if r.ByLane[j] != r.ByLane[j] {
 			return false
 		}
-		w.ByLane[j] = min(w.Offered, max(0, w.ByLane[j]))
+		r.ByLane[j] = min(r.Offered, max(0, r.ByLane[j]))
 	}
 	return true
 }
 
-// SelectForForwarding gives words to pass on beside the own one, at most room of them: who was passed on least, then the youngest. It counts
-// them as passed on.
-func (n *Reports) SelectForForwarding(now time.Duration, self string, room int) []Report {
-	var pick []int
-	for i := range n.entries {
-		if h := &n.entries[i]; h.present && h.forwards < maxForwards && now-h.measuredAt <= forwardWindow && h.From != self {
-			pick = append(pick, i)
+// SelectForForwarding returns at most limit reports of members other than self: those forwarded least often first, then the most
+// recent. It counts them as forwarded.
+func (r *Reports) SelectForForwarding(now time.Duration, self string, limit int) []Report {
+	var candidates []int
+	for i := range r.entries {
+		if e := &r.entries[i]; e.present && e.forwards < maxForwards && now-e.measuredAt <= forwardWindow && e.From != self {
+			candidates = append(candidates, i)
 		}
 	}
-	slices.SortFunc(pick, func(a, b int) int {
-		x, y := &n.entries[a], &n.entries[b]
+	slices.SortFunc(candidates, func(a, b int) int {
+		x, y := &r.entries[a], &r.entries[b]
 		return cmp.Or(cmp.Compare(x.forwards, y.forwards), cmp.Compare(y.measuredAt, x.measuredAt), cmp.Compare(a, b))
 	})
-	out := make([]Report, 0, min(room, len(pick)))
-	for _, i := range pick[:min(max(0, room), len(pick))] {
-		h := &n.entries[i]
-		h.forwards++
-		w := h.Report
-		w.Age = max(0, now-h.measuredAt)
-		out = append(out, w)
+	out := make([]Report, 0, min(limit, len(candidates)))
+	for _, i := range candidates[:min(max(0, limit), len(candidates))] {
+		e := &r.entries[i]
+		e.forwards++
+		report := e.Report
+		report.Age = max(0, now-e.measuredAt)
+		out = append(out, report)
 	}
 	return out
 }
 
-// NewestRevision is the highest revision that at least two members name, or one of two: who goes by a lower one is behind. A single
-// false word names none.
-func (n *Reports) NewestRevision(now time.Duration) int {
+// NewestRevision returns the highest revision that at least two members have reached, or, of at most two members, the highest that
+// one has reached. A co-ordinator with a lower revision is behind. A single false report has no effect.
+func (r *Reports) NewestRevision(now time.Duration) int {
 	first, second := 0, 0
-	for i := range n.entries {
-		h := &n.entries[i]
-		if !h.present || now-h.measuredAt > MaxAge {
+	for i := range r.entries {
+		e := &r.entries[i]
+		if !e.present || now-e.measuredAt > MaxAge {
 			continue
 		}
-		if h.Revision > first {
-			first, second = h.Revision, first
-		} else if h.Revision > second {
-			second = h.Revision
+		if e.Revision > first {
+			first, second = e.Revision, first
+		} else if e.Revision > second {
+			second = e.Revision
 		}
 	}
-	if len(n.entries) <= 2 {
+	if len(r.entries) <= 2 {
 		return first
 	}
 	return second
--- a/internal/fleet/pressure/pressure.go
+++ b/internal/fleet/pressure/pressure.go
@@ -1,88 +1,94 @@
-// Package pressure works out how hard the fleet is pressed: what one co-ordinator sees of its own queries (Meter), the word that
-// it gives of it to others (Word), what it heard of them (News), and the whole fleet's figures from that (Fleet), which a tenth of
-// false words cannot move beyond what honest ones say.
+// Package pressure estimates how overloaded the fleet is. A Meter measures the load of the local co-ordinator, a Report carries
+// that measurement to other co-ordinators, Reports keeps the newest report of each member, and FleetLoad is the estimate for the
+// whole fleet. False reports from up to a tenth of the members cannot move an estimate outside the range of the honest reports.
 //
-// Pure: time comes in, order never comes from a map, all is bounded. Cost is counted in mean parts (see lanes.Cost), rates are cost
-// a second.
+// The package is pure: times are parameters, results do not depend on map iteration order, and all memory is bounded. Cost is
+// counted in units of a mean part (see lanes.Cost); rates are cost per second.
 package pressure
 
 import "time"
 
-// MaxLanes is how many lanes there may be.
+// MaxLanes is the maximum number of lanes.
 const MaxLanes = 8
 
-// Outcome is how a query ended that this co-ordinator admitted.
+// Outcome is how a query ended that this co-ordinator had admitted.
 type Outcome uint8
 
-// Ends of an admitted query.
+// Outcomes of an admitted query.
 const (
 	InTime    Outcome = iota // served within its promise
-	Late                     // served, later than that
-	Refused                  // by the module, or by the gate of its route: no lane's refusal
-	Failed                   // past its promise; before it, it tells nothing of load
-	Abandoned                // its client went; past its promise it counts as late, else not at all
+	Late                     // served after its promise
+	Refused                  // rejected by the policy module or by the gate of its route, not by a lane
+	Failed                   // failed after its promise; earlier failures say nothing about load and are not counted
+	Abandoned                // the client disconnected: counted as Late after the promise, otherwise not at all
 	outcomeCount
 )
 
 const (
-	// bucketInterval is how finely a Meter counts, the step of its caller.
+	// bucketInterval is the length of a time bucket of Meter, equal to the interval at which its caller steps.
 	bucketInterval = 250 * time.Millisecond
-	// rateBuckets is over how many buckets rates go, a second.
+	// rateBuckets is the number of full buckets over which rates are averaged: one second.
 	rateBuckets = 4
-	// maxBuckets is how far back outcomes are looked for where few queries end.
+	// maxBuckets is the number of full buckets that are searched for outcomes when few queries end.
 	maxBuckets = 8
-	// EnoughOutcomes queries that ended make a figure of pressure; with more, older ones are left out.
+	// EnoughOutcomes is the number of outcomes that is enough to compute the pressure. Once it is reached, older buckets are left out.
 	EnoughOutcomes = 8
-	// MinOutcomes is with how few the own pressure counts as unknown.
+	// MinOutcomes is the number of outcomes below which the local pressure is unknown.
 	MinOutcomes = 4
-	// QueueWeight is the pressure of queues that bring the median query to its promise, from where it is in calm.
+	// QueueWeight is the pressure when queueing alone raises the median latency from its calm baseline to the promise.
 	QueueWeight = 0.3
-	// minCalmMedian and maxCalmMedian bound what counts as calm, as part of the promise; initialCalmMedian holds until it is known.
+	// minCalmMedian and maxCalmMedian bound the calm baseline of the median latency, as a fraction of the promise. initialCalmMedian is
+	// the baseline until one is learned.
 	minCalmMedian, initialCalmMedian, maxCalmMedian = 0.15, 0.5, 0.65
-	// maxCalmTail is the most that may be late or fail in calm and count as none, tailTimeConstant in what time it is learned.
+	// maxCalmTail is the largest share of late and failed queries that counts as normal in calm, and tailTimeConstant the time constant
+	// with which that share is learned.
 	maxCalmTail      = 0.2
 	tailTimeConstant = 5 * time.Minute
-	// medianFallTime and medianRiseTime are in what time the calm median goes down and up to what is seen while nothing is turned away.
+	// medianFallTime and medianRiseTime are the time constants with which the calm median moves down and up to the observed median. It
+	// moves up only while nothing is refused.
 	medianFallTime, medianRiseTime = 2 * time.Second, 10 * time.Minute
 
-	latencyBuckets = 16 // kinds of time over promise that a bucket tells apart: by eighths, up to two
+	latencyBuckets = 16 // histogram buckets of latency over promise: an eighth each, up to two
 )
 
-// LocalLoad is what one co-ordinator sees of itself.
+// LocalLoad is the load that one co-ordinator measures on its own queries. Rates are cost per second.
 type LocalLoad struct {
-	Known      bool    // enough ended to tell
-	Pressure   float64 // 0 to 1
-	Offered    float64 // decodeRate asked for, of all lanes and with what was refused
-	InTime     float64 // decodeRate that came back in time
-	Completed  float64 // decodeRate that came back at all
-	Guaranteed float64 // of Asked: what was within guarantees
-	ByLane     [MaxLanes]float64
+	Known      bool              // enough queries ended to compute Pressure
+	Pressure   float64           // 0 to 1
+	Offered    float64           // rate of all queries received in all lanes, including refused ones
+	InTime     float64           // rate of queries served within their promise
+	Completed  float64           // rate of all queries served, in time or late
+	Guaranteed float64           // part of Offered that was within account guarantees
+	ByLane     [MaxLanes]float64 // the rest of Offered, by lane
 }
 
+// bucket holds the counts of one time interval.
 type bucket struct {
 	offered, guaranteed, inTime, completed float64
 	byLane                                 [MaxLanes]float64
-	costByOutcome                          [outcomeCount]float64 // cost
-	outcomes                               int                   // costByOutcome that tell something
-	latencies                              [latencyBuckets]int32
+	costByOutcome                          [outcomeCount]float64
+	outcomes                               int                   // number of outcomes counted
+	latencies                              [latencyBuckets]int32 // histogram of latency over promise of served queries
 }
 
-// Meter counts one co-ordinator's queries. The zero value is ready; its first call says when it began.
+// Meter measures one co-ordinator's queries in a ring of time buckets. The zero value is ready to use; the first call sets its
+// start time.
 type Meter struct {
 	started              bool
-	bucketStart          time.Duration // of the current bucket
-	current              int           // its place
-	fullBuckets          int           // buckets that are full, besides
+	bucketStart          time.Duration // start of the current bucket
+	current              int           // index of the current bucket in ring
+	fullBuckets          int           // number of full buckets before the current one
 	ring                 [maxBuckets + 1]bucket
-	calmMedian, calmTail float64 // the median in calm, and the share that is late or fails
+	calmMedian, calmTail float64 // calm baselines: median of latency over promise, share of late and failed cost
 	lastStep             time.Duration
 }
 
+// advance moves the ring to now and returns the current bucket.
 func (m *Meter) advance(now time.Duration) *bucket {
 	if !m.started {
 		m.started, m.bucketStart, m.lastStep, m.calmMedian = true, now, now, initialCalmMedian
 	}
-	if now-m.bucketStart >= bucketInterval*(maxBuckets+1) { // after a standstill nothing of before counts
+	if now-m.bucketStart >= bucketInterval*(maxBuckets+1) { // after a pause longer than the ring, all counts are out of date
 		*m = Meter{started: true, bucketStart: now, calmMedian: m.calmMedian, calmTail: m.calmTail, lastStep: now}
 	}
 	for now-m.bucketStart >= bucketInterval {
@@ -94,45 +100,47 @@
 	return &m.ring[m.current]
 }
 
-// Offered counts a query when it comes, whatever becomes of it: under its lane, or as within a guarantee.
-func (m *Meter) RecordQuery(now time.Duration, lane int, sure bool, cost float64) {
+// RecordQuery counts an arriving query, whether or not it is admitted: as guaranteed if it is within its account's guarantee,
+// otherwise under its lane.
+func (m *Meter) RecordQuery(now time.Duration, lane int, guaranteed bool, cost float64) {
 	b := m.advance(now)
 	b.offered += cost
-	if sure {
+	if guaranteed {
 		b.guaranteed += cost
 	} else {
 		b.byLane[min(max(0, lane), MaxLanes-1)] += cost
 	}
 }
 
-// RecordOutcome counts how one ended that the lanes had let in. What a lane refused is no end.
-func (m *Meter) RecordOutcome(now time.Duration, cost float64, e Outcome, took, promise time.Duration) {
+// RecordOutcome counts the end of a query that the lanes admitted. A refusal by a lane must not be recorded.
+func (m *Meter) RecordOutcome(now time.Duration, cost float64, outcome Outcome, latency, promise time.Duration) {
 	b := m.advance(now)
-	if (e == Abandoned || e == Failed) && took < promise { // a failure at once is no sign of queues, and shedding mends it not
+	if (outcome == Abandoned || outcome == Failed) && latency < promise { // an early failure is not caused by queueing, and shedding load does not prevent it
 		return
 	}
-	if e == Abandoned {
-		e = Late
-	} else if e <= Late {
+	if outcome == Abandoned {
+		outcome = Late
+	} else if outcome <= Late {
 		b.completed += cost
-		b.latencies[min(max(0, int(8*took/max(1, promise))), latencyBuckets-1)]++
+		b.latencies[min(max(0, int(8*latency/max(1, promise))), latencyBuckets-1)]++
 	}
-	if e == InTime {
+	if outcome == InTime {
 		b.inTime += cost
 	}
-	b.costByOutcome[e] += cost
+	b.costByOutcome[outcome] += cost
 	b.outcomes++
 }
 
-// Step gives the figures of now; shed is the level that this co-ordinator goes by: over 0 it is no calm.
-func (m *Meter) Step(now time.Duration, shed float64) (o LocalLoad) {
+// Step returns the load at now. shedLevel is the level at which this co-ordinator sheds; above 0 the state does not count as calm,
+// so the baselines are not raised.
+func (m *Meter) Step(now time.Duration, shedLevel float64) (o LocalLoad) {
 	m.advance(now)
 	var sum bucket
-	n, rates := 0, 0
+	outcomes, fullCount := 0, 0
 	for i := 0; i <= m.fullBuckets; i++ {
 		b := &m.ring[(m.current-i+len(m.ring))%len(m.ring)]
-		if i <= rateBuckets { // the current one, that has just begun where steps are as long as buckets, and full ones
-			rates = i
+		if i <= rateBuckets { // the full buckets and the current one, which has just begun where the caller steps once per bucket
+			fullCount = i
 			sum.offered += b.offered
 			sum.guaranteed += b.guaranteed
 			sum.inTime += b.inTime
@@ -141,10 +149,10 @@
 				sum.byLane[j] += b.byLane[j]
 			}
 		}
-		if n >= EnoughOutcomes && i > 1 {
+		if outcomes >= EnoughOutcomes && i > 1 {
 			continue
 		}
-		n += b.outcomes
+		outcomes += b.outcomes
 		for e := range b.costByOutcome {
 			sum.costByOutcome[e] += b.costByOutcome[e]
 		}
@@ -152,7 +160,7 @@
 			sum.latencies[j] += b.latencies[j]
 		}
 	}
-	span := (time.Duration(rates)*bucketInterval + now - m.bucketStart).Seconds()
+	span := (time.Duration(fullCount)*bucketInterval + now - m.bucketStart).Seconds()
 	if span < bucketInterval.Seconds() {
 		return LocalLoad{}
 	}
@@ -160,54 +168,54 @@
 	for j := range o.ByLane {
 		o.ByLane[j] = sum.byLane[j] / span
 	}
-	if n < MinOutcomes {
+	if outcomes < MinOutcomes {
 		return o
 	}
 	o.Known = true
 	median, ok := sum.median()
-	if late, all := sum.costByOutcome[Late]+sum.costByOutcome[Failed], sum.totalCost(); all > 0 {
-		quiet := shed == 0 && sum.costByOutcome[Refused] == 0
-		m.calmTail = m.updateBaseline(now, m.calmTail, min(maxCalmTail, late/all), quiet, tailTimeConstant, tailTimeConstant)
-		o.Pressure = max(0, (late+sum.costByOutcome[Refused])/all-m.calmTail) / (1 - m.calmTail)
+	if lateCost, totalCost := sum.costByOutcome[Late]+sum.costByOutcome[Failed], sum.totalCost(); totalCost > 0 {
+		calm := shedLevel == 0 && sum.costByOutcome[Refused] == 0
+		m.calmTail = m.updateBaseline(now, m.calmTail, min(maxCalmTail, lateCost/totalCost), calm, tailTimeConstant, tailTimeConstant)
+		o.Pressure = max(0, (lateCost+sum.costByOutcome[Refused])/totalCost-m.calmTail) / (1 - m.calmTail)
 	}
 	if ok {
-		m.calmMedian = m.updateBaseline(now, m.calmMedian, min(maxCalmMedian, max(minCalmMedian, median)), o.Pressure == 0 && shed == 0, medianFallTime, medianRiseTime)
+		m.calmMedian = m.updateBaseline(now, m.calmMedian, min(maxCalmMedian, max(minCalmMedian, median)), o.Pressure == 0 && shedLevel == 0, medianFallTime, medianRiseTime)
 		o.Pressure = max(o.Pressure, QueueWeight*min(1, max(0, (median-m.calmMedian)/(1-m.calmMedian))))
 	}
 	m.lastStep = now
 	return o
 }
 
-// updateBaseline gives what counts as calm, after a look at what is now. It rises in calm alone.
-func (m *Meter) updateBaseline(now time.Duration, was, is float64, calm bool, fall, rise time.Duration) float64 {
-	in := fall
-	if is > was {
-		if in = rise; !calm {
-			return was
+// updateBaseline returns the baseline moved towards the observed value. It rises only if calm is set.
+func (m *Meter) updateBaseline(now time.Duration, baseline, observed float64, calm bool, fallTime, riseTime time.Duration) float64 {
+	timeConstant := fallTime
+	if observed > baseline {
+		if timeConstant = riseTime; !calm {
+			return baseline
 		}
 	}
-	return was + (is-was)*float64(min(time.Second, max(0, now-m.lastStep)))/float64(in)
+	return baseline + (observed-baseline)*float64(min(time.Second, max(0, now-m.lastStep)))/float64(timeConstant)
 }
 
 func (b *bucket) totalCost() float64 {
 	return b.costByOutcome[InTime] + b.costByOutcome[Late] + b.costByOutcome[Refused] + b.costByOutcome[Failed]
 }
 
-// median of time over promise, false without any.
+// median returns the median of latency over promise, or false if no query was served.
 func (b *bucket) median() (float64, bool) {
-	all := 0.0
+	total := 0.0
 	for _, n := range b.latencies {
-		all += float64(n)
+		total += float64(n)
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0, false
 	}
-	seen := 0.0
+	cumulative := 0.0
 	for j, n := range b.latencies {
-		if seen+float64(n) >= all/2 {
-			return (float64(j) + (all/2-seen)/float64(n)) / 8, true
+		if cumulative+float64(n) >= total/2 {
+			return (float64(j) + (total/2-cumulative)/float64(n)) / 8, true
 		}
-		seen += float64(n)
+		cumulative += float64(n)
 	}
 	return latencyBuckets / 8, true
 }
--- a/internal/fleet/pressure/pressure_test.go
+++ b/internal/fleet/pressure/pressure_test.go
@@ -8,7 +8,7 @@
 
 const promise = time.Second
 
-// runMeter of one that is asked ten a second for five seconds, of which each ends as end says.
+// runMeter feeds a Meter ten queries per second for five seconds; end records how each one ends.
 func runMeter(end func(m *Meter, now time.Duration, i int)) (*Meter, LocalLoad) {
 	m := &Meter{}
 	for i := range 50 {
@@ -25,12 +25,12 @@
 func TestMeterPressureFromOutcomes(t *testing.T) {
 	took := func(share float64) time.Duration { return time.Duration(share * float64(promise)) }
 	for name, x := range map[string]struct {
-		end         func(m *Meter, now time.Duration, i int)
-		least, most float64
-		known       bool
+		end                      func(m *Meter, now time.Duration, i int)
+		minPressure, maxPressure float64
+		known                    bool
 	}{
 		"all in time": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, InTime, took(0.2), promise) }, 0, 0, true},
-		// with short queues: a module that refuses keeps them short
+		// queues stay short because the policy module refuses
 		"a third refused": {func(m *Meter, now time.Duration, i int) {
 			if i%3 == 0 {
 				m.RecordOutcome(now, 1, Refused, 0, promise)
@@ -49,7 +49,7 @@
 		"nothing ends":              {func(m *Meter, now time.Duration, i int) {}, 0, 0, false},
 	} {
 		_, o := runMeter(x.end)
-		if o.Known != x.known || o.Pressure < x.least || o.Pressure > x.most || math.Abs(o.Offered-10) > 1.5 || math.Abs(o.Guaranteed+o.ByLane[1]-o.Offered) > 1e-9 {
+		if o.Known != x.known || o.Pressure < x.minPressure || o.Pressure > x.maxPressure || math.Abs(o.Offered-10) > 1.5 || math.Abs(o.Guaranteed+o.ByLane[1]-o.Offered) > 1e-9 {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
@@ -60,14 +60,14 @@
 	if o := m.Step(time.Minute, 0); o.Known || o.Pressure != 0 || o.Offered != 0 {
 		t.Errorf("%+v", o)
 	}
-	if o := m.Step(time.Second, 0); o.Known { // time that goes back is no time
+	if o := m.Step(time.Second, 0); o.Known { // time that goes backwards counts as no time
 		t.Errorf("%+v", o)
 	}
 }
 
-// What is always late a little is calm after a while, and none is learned while lanes shed.
+// A constant share of late queries becomes part of the baseline, but not while lanes shed load.
 func TestMeterLearnsBaselineOnlyWhenNotShedding(t *testing.T) {
-	for _, shed := range []float64{0, 0.2} {
+	for _, level := range []float64{0, 0.2} {
 		var m Meter
 		sum, n := 0.0, 0.0
 		for i := range 100_000 {
@@ -78,13 +78,13 @@
 			}
 			m.RecordOutcome(now, 1, e, promise/4, promise)
 			if i%12 == 0 {
-				if o := m.Step(now, shed); i > 80_000 {
+				if o := m.Step(now, level); i > 80_000 {
 					sum, n = sum+o.Pressure, n+1
 				}
 			}
 		}
-		if p := sum / n; p < 0.035 != (shed == 0) {
-			t.Errorf("with level %.1f a twentieth that is late is %.3f pressure", shed, p)
+		if p := sum / n; p < 0.035 != (level == 0) {
+			t.Errorf("at shed level %.1f, 5 %% of late queries give pressure %.3f", level, p)
 		}
 	}
 }
--- a/internal/fleet/pressure/word_test.go
+++ b/internal/fleet/pressure/word_test.go
@@ -29,12 +29,12 @@
 	if got.From != w.From || got.Zone != w.Zone || got.Incarnation != w.Incarnation || got.Seq != w.Seq || got.Age != w.Age || got.Revision != w.Revision || !got.Known ||
 		!near(got.Pressure, w.Pressure, 1e-4) || !near(got.Level, w.Level, 1e-4) || !near(got.Offered, w.Offered, 1e-3) || !near(got.InTime, w.InTime, 1e-3) ||
 		!near(got.Completed, w.Completed, 1e-3) || !near(got.Guaranteed, w.Guaranteed, 1e-3) || !near(got.ByLane[1], w.ByLane[1], 0.01) || got.ByLane[3] != 0 {
-		t.Errorf("%+v came of %+v", got, w)
+		t.Errorf("decoded %+v, want %+v", got, w)
 	}
 	long := Report{From: strings.Repeat("n", 200), Incarnation: math.MaxUint64, Seq: math.MaxUint64, Age: time.Hour, Zone: strings.Repeat("z", 200), Revision: math.MaxInt,
 		LocalLoad: LocalLoad{Pressure: math.NaN(), Offered: math.Inf(1), InTime: -1, ByLane: [MaxLanes]float64{7: math.Inf(1)}}, Level: 7}
 	if b = long.Append(nil); len(b) > MaxReportSize {
-		t.Errorf("%d bytes of a word, %d at most", len(b), MaxReportSize)
+		t.Errorf("report of %d bytes, the limit is %d", len(b), MaxReportSize)
 	}
 	if got, _, err = DecodeReport(b); err != nil || got.Pressure != 0 || got.Level != 1 || !near(got.Offered, MaxRate, 1e-3) || got.InTime != 0 {
 		t.Errorf("%+v, %v", got, err)
@@ -45,7 +45,8 @@
 	}
 }
 
-// FuzzDecodeReport: whatever comes is refused or is a word within bounds, that goes on as it came, and no figure of it is beyond them.
+// Any input is rejected, or decodes to a report within bounds that encodes to the same report again. An estimate from it is within
+// bounds too.
 func FuzzDecodeReport(f *testing.F) {
 	w := exampleReport("a")
 	f.Add(w.Append(nil))
@@ -65,16 +66,16 @@
 		}
 		again, _, err := DecodeReport(w.Append(nil))
 		if err != nil || again != w {
-			t.Fatalf("%+v, then %+v: %v", w, again, err)
+			t.Fatalf("%+v, decoded again %+v: %v", w, again, err)
 		}
-		var n Reports
-		n.SetMembers([]string{w.From, "x", "y"})
-		if !n.Add(time.Minute, w) {
-			t.Fatalf("%+v is no news", w)
+		var reports Reports
+		reports.SetMembers([]string{w.From, "x", "y"})
+		if !reports.Add(time.Minute, w) {
+			t.Fatalf("%+v was not accepted", w)
 		}
-		fl := n.Estimate(time.Minute)
+		fl := reports.Estimate(time.Minute)
 		if !(fl.Pressure >= 0 && fl.Pressure <= 1 && fl.Level >= 0 && fl.Level <= 1 && fl.Offered >= 0 && fl.Offered <= 3*MaxRate*1.001) {
-			t.Fatalf("%+v of %+v", fl, w)
+			t.Fatalf("estimate %+v from report %+v", fl, w)
 		}
 	})
 }
@@ -86,142 +87,143 @@
 	return out
 }
 
-// Whatever up to Trim*(1-weightCapQuantile) of the words say, figures lie between what honest ones say; sums within what the busiest honest one,
-// and all but the liars, make.
+// Guards against false reports that mislead the fleet: as long as at most TrimShare*(1-weightCapQuantile) of the reports are false,
+// estimates lie within the range of the honest reports, and the sum of the rates lies between the lowest honest rate times the
+// number of honest members and the highest honest rate times the number of all members.
 func TestFalseReportsStayWithinHonestRange(t *testing.T) {
-	any := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, 1, -1, 1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}))
+	anyValue := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, 1, -1, 1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}))
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(7, 60).Draw(t, "n")
-		liars := rapid.IntRange(0, int(TrimShare*(1-weightCapQuantile)*float64(n))).Draw(t, "liars")
-		var news Reports
-		news.SetMembers(memberNames(n))
+		falseCount := rapid.IntRange(0, int(TrimShare*(1-weightCapQuantile)*float64(n))).Draw(t, "liars")
+		var reports Reports
+		reports.SetMembers(memberNames(n))
 		low, high := Report{LocalLoad: LocalLoad{Pressure: 1, Offered: 1e9, InTime: 1e9}, Level: 1}, Report{}
-		least, most, sum := 1e9, 0.0, 0.0
+		minOffered, maxOffered, sum := 1e9, 0.0, 0.0
 		for i, name := range memberNames(n) {
 			w := Report{From: name, Seq: 1}
 			w.Known = true
-			if i < liars {
-				w.Pressure, w.Offered, w.InTime, w.Completed, w.Guaranteed, w.Level = any.Draw(t, "p"), any.Draw(t, "asked"), any.Draw(t, "in"), any.Draw(t, "done"), any.Draw(t, "sure"), any.Draw(t, "level")
+			if i < falseCount {
+				w.Pressure, w.Offered, w.InTime, w.Completed, w.Guaranteed, w.Level = anyValue.Draw(t, "p"), anyValue.Draw(t, "asked"), anyValue.Draw(t, "in"), anyValue.Draw(t, "done"), anyValue.Draw(t, "sure"), anyValue.Draw(t, "level")
 				for j := range w.ByLane {
-					w.ByLane[j] = any.Draw(t, "lane")
+					w.ByLane[j] = anyValue.Draw(t, "lane")
 				}
 			} else {
 				w.Pressure, w.Level, w.Offered = rapid.Float64Range(0, 0.3).Draw(t, "p"), rapid.Float64Range(0.2, 0.4).Draw(t, "level"), rapid.Float64Range(10, 50).Draw(t, "asked")
-				part := rapid.Float64Range(0.5, 1).Draw(t, "part")
-				w.InTime, w.Completed = part*w.Offered, part*w.Offered
+				inTimeShare := rapid.Float64Range(0.5, 1).Draw(t, "part")
+				w.InTime, w.Completed = inTimeShare*w.Offered, inTimeShare*w.Offered
 				low.Pressure, high.Pressure = min(low.Pressure, w.Pressure), max(high.Pressure, w.Pressure)
 				low.Level, high.Level = min(low.Level, w.Level), max(high.Level, w.Level)
-				low.InTime, high.InTime = min(low.InTime, part), max(high.InTime, part)
-				least, most, sum = min(least, w.Offered), max(most, w.Offered), sum+w.Offered
+				low.InTime, high.InTime = min(low.InTime, inTimeShare), max(high.InTime, inTimeShare)
+				minOffered, maxOffered, sum = min(minOffered, w.Offered), max(maxOffered, w.Offered), sum+w.Offered
 			}
-			news.Add(time.Minute, w)
+			reports.Add(time.Minute, w)
 		}
-		fl := news.Estimate(time.Minute)
+		fl := reports.Estimate(time.Minute)
 		const e = 1e-9
 		if !fl.Known || fl.Pressure < low.Pressure-e || fl.Pressure > high.Pressure+e || fl.RecentPressure > high.Pressure+e || fl.Level < low.Level-e || fl.Level > high.Level+e {
-			t.Fatalf("%+v, honest ones from %+v to %+v", fl, low, high)
+			t.Fatalf("estimate %+v, honest reports from %+v to %+v", fl, low, high)
 		}
-		if part := fl.InTime / fl.Offered; part < low.InTime-e || part > high.InTime+e {
-			t.Fatalf("%.3f in time, honest ones from %.3f to %.3f", part, low.InTime, high.InTime)
+		if inTimeShare := fl.InTime / fl.Offered; inTimeShare < low.InTime-e || inTimeShare > high.InTime+e {
+			t.Fatalf("share in time %.3f, honest reports from %.3f to %.3f", inTimeShare, low.InTime, high.InTime)
 		}
-		if fl.Offered > float64(n)*most+e || fl.Offered < float64(n-liars)*least-e {
-			t.Fatalf("asked %.1f, honest ones make %.1f, from %.1f to %.1f", fl.Offered, sum, least, most)
+		if fl.Offered > float64(n)*maxOffered+e || fl.Offered < float64(n-falseCount)*minOffered-e {
+			t.Fatalf("offered %.1f, honest reports add up to %.1f, each from %.1f to %.1f", fl.Offered, sum, minOffered, maxOffered)
 		}
 	})
 }
 
-// Words that come in any order, twice or not at all change nothing but what is not known.
+// The estimate depends only on the newest report of each sender, not on the order of reports, duplicates or lost older reports.
 func TestReportOrderAndDuplicatesDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Report
+		var received []Report
 		for range rapid.IntRange(1, 40).Draw(t, "words") {
 			w := Report{From: rapid.SampledFrom(memberNames(8)).Draw(t, "from"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"), Seq: rapid.Uint64Range(1, 5).Draw(t, "seq")}
-			w.Known, w.Offered, w.Pressure = true, float64(10*w.Seq+w.Incarnation), float64(w.Seq)/10 // what it says is by its number
+			w.Known, w.Offered, w.Pressure = true, float64(10*w.Seq+w.Incarnation), float64(w.Seq)/10 // the values identify the report
 			w.Age = time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
-			words = append(words, w)
+			received = append(received, w)
 		}
-		hear := func(words []Report) FleetLoad {
-			var n Reports
-			n.SetMembers(memberNames(8))
-			for _, w := range words {
-				n.Add(time.Minute, w)
+		estimate := func(received []Report) FleetLoad {
+			var reports Reports
+			reports.SetMembers(memberNames(8))
+			for _, w := range received {
+				reports.Add(time.Minute, w)
 			}
-			return n.Estimate(time.Minute)
+			return reports.Estimate(time.Minute)
 		}
-		first := hear(words)
-		again := rapid.Permutation(append(words, words[:len(words)/2]...)).Draw(t, "again")
-		if got := hear(again); fmt.Sprint(got) != fmt.Sprint(first) {
-			t.Fatalf("%+v, in another order %+v", first, got)
+		first := estimate(received)
+		again := rapid.Permutation(append(received, received[:len(received)/2]...)).Draw(t, "again")
+		if got := estimate(again); fmt.Sprint(got) != fmt.Sprint(first) {
+			t.Fatalf("estimate %+v, in another order %+v", first, got)
 		}
-		kept := map[string]Report{}
-		for _, w := range words {
-			if k, ok := kept[w.From]; !ok || w.Incarnation > k.Incarnation || w.Incarnation == k.Incarnation && (w.Seq > k.Seq || w.Seq == k.Seq && w.Age < k.Age) {
-				kept[w.From] = w
+		newestBySender := map[string]Report{}
+		for _, w := range received {
+			if old, ok := newestBySender[w.From]; !ok || w.Incarnation > old.Incarnation || w.Incarnation == old.Incarnation && (w.Seq > old.Seq || w.Seq == old.Seq && w.Age < old.Age) {
+				newestBySender[w.From] = w
 			}
 		}
 		var newest []Report
-		for _, w := range kept {
+		for _, w := range newestBySender {
 			newest = append(newest, w)
 		}
-		if got := hear(newest); fmt.Sprint(got) != fmt.Sprint(first) {
-			t.Fatalf("%+v, of the newest alone %+v", first, got)
+		if got := estimate(newest); fmt.Sprint(got) != fmt.Sprint(first) {
+			t.Fatalf("estimate %+v, from the newest reports alone %+v", first, got)
 		}
 	})
 }
 
 func TestEstimateUnknownWithTooFewFreshReports(t *testing.T) {
-	var n Reports
-	n.SetMembers(memberNames(100))
+	var reports Reports
+	reports.SetMembers(memberNames(100))
 	for i, name := range memberNames(4) {
-		if fl := n.Estimate(0); fl.Known {
-			t.Errorf("known by %d of 100", i)
+		if fl := reports.Estimate(0); fl.Known {
+			t.Errorf("known with %d reports of 100 members", i)
 		}
-		n.Add(0, Report{From: name, LocalLoad: LocalLoad{Known: true, Offered: 10}})
+		reports.Add(0, Report{From: name, LocalLoad: LocalLoad{Known: true, Offered: 10}})
 	}
-	if fl := n.Estimate(FreshWindow); !fl.Known || fl.FreshReports != 4 || math.Abs(fl.Offered-1000) > 1e-6 {
+	if fl := reports.Estimate(FreshWindow); !fl.Known || fl.FreshReports != 4 || math.Abs(fl.Offered-1000) > 1e-6 {
 		t.Errorf("%+v", fl)
 	}
-	if fl := n.Estimate(FreshWindow + 1); fl.Known {
-		t.Error("known by old words")
+	if fl := reports.Estimate(FreshWindow + 1); fl.Known {
+		t.Error("known by reports that are too old")
 	}
-	if n.Add(0, Report{From: "stranger"}) || n.Add(0, Report{From: "c000"}) {
-		t.Error("a stranger's, or the same again, is news")
+	if reports.Add(0, Report{From: "stranger"}) || reports.Add(0, Report{From: "c000"}) {
+		t.Error("a report of a non-member or a duplicate was accepted as new")
 	}
-	n.SetMembers(memberNames(2))
-	if fl := n.Estimate(0); !fl.Known || fl.Members != 2 {
+	reports.SetMembers(memberNames(2))
+	if fl := reports.Estimate(0); !fl.Known || fl.Members != 2 {
 		t.Errorf("%+v", fl)
 	}
 }
 
 func TestReportsAreForwardedTwiceWhileRecent(t *testing.T) {
-	var n Reports
-	n.SetMembers(memberNames(10))
+	var reports Reports
+	reports.SetMembers(memberNames(10))
 	for _, name := range memberNames(10) {
 		w := exampleReport(name)
 		w.Age = 0
-		n.Add(0, w)
+		reports.Add(0, w)
 	}
-	sent := map[string]int{}
+	forwards := map[string]int{}
 	for range 10 {
-		for _, w := range n.SelectForForwarding(500*time.Millisecond, "c000", 3) {
-			sent[w.From]++
+		for _, w := range reports.SelectForForwarding(500*time.Millisecond, "c000", 3) {
+			forwards[w.From]++
 			if w.Age != 500*time.Millisecond {
 				t.Fatal(w.Age)
 			}
 		}
 	}
-	if len(sent) != 9 || sent["c001"] != maxForwards || sent["c000"] != 0 || len(n.SelectForForwarding(2*time.Second, "x", 3)) != 0 {
-		t.Error(sent)
+	if len(forwards) != 9 || forwards["c001"] != maxForwards || forwards["c000"] != 0 || len(reports.SelectForForwarding(2*time.Second, "x", 3)) != 0 {
+		t.Error(forwards)
 	}
 }
 
 func TestNewestRevisionNeedsTwoReports(t *testing.T) {
-	var n Reports
-	n.SetMembers(memberNames(10))
+	var reports Reports
+	reports.SetMembers(memberNames(10))
 	for i, r := range []int{4, 9, 4} {
-		n.Add(0, Report{From: memberNames(10)[i], Revision: r})
+		reports.Add(0, Report{From: memberNames(10)[i], Revision: r})
 	}
-	if n.NewestRevision(0) != 4 {
-		t.Error(n.NewestRevision(0))
+	if reports.NewestRevision(0) != 4 {
+		t.Error(reports.NewestRevision(0))
 	}
 }
