--- a/internal/fleet/loadshed/crowd.go
+++ b/internal/fleet/loadshed/crowd.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// heavyDivisor: who asks for over one part of so many is cut in pieces.
+	// A key with more than one part in heavyDivisor of the cost is heavy.
 	heavyDivisor = 8
-	// pieceCount of such a one, by its queries' ids.
+	// pieceCount is the number of pieces that a heavy key is split into, by a hash of the query's ID.
 	pieceCount = 64
-	// decayFactor of what was asked counts still after a step.
+	// decayFactor is the factor by which counted cost decreases at each step.
 	decayFactor = 0.9
 
+	// counterCount is the number of counters that keys are hashed to.
 	counterCount = 64
 )
 
-// shedKeys tells what queries are cut by: the same is cut or not for a slot, by all co-ordinators. That is who asks: the account, else
-// the tenant, else the client's address. But one of them may ask for most of the traffic, as what is behind a gateway's address does,
-// and to cut all of it or nothing would be no level at all: such a one is cut by pieces.
+// shedKeys derives the keys by which queries are shed. For the length of a slot all co-ordinators either shed or admit all queries
+// of a key. The key is that of the account, else of the tenant, else of the client's address. One of these may have most of the
+// traffic, such as the address of a gateway; to shed all of it or none would not reach the shed level, so a heavy key is split into
+// pieces.
 type shedKeys struct {
-	accounts  costCounters // against all that is asked
-	noAccount costCounters // against what is asked by those of no account
+	accounts  costCounters // by account, as part of the cost of all queries
+	noAccount costCounters // by tenant or client, as part of the cost of queries without an account
 }
 
-// key is what a query of no account is cut by.
+// key returns the key of a query that has no account.
 func (c *shedKeys) key(set *laneconfig.Set, q *exchange.Query, cost float64) uint64 {
 	key := uint64(0)
 	switch {
@@ -43,7 +45,7 @@
 	return key
 }
 
-// pieceOf of its account that a query is cut with, from 1; 0 where the account is cut whole.
+// accountPiece returns the piece of its account that a query belongs to, from 1; 0 if the account is not split.
 func (c *shedKeys) accountPiece(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
 	if c.accounts.record(account.Key, cost) {
 		return pieceOf(q)
@@ -58,18 +60,18 @@
 	c.noAccount.decay()
 }
 
-// costCounters counts what was asked of late, by a hash of who asks.
+// costCounters counts recent cost by a hash of the key.
 type costCounters struct {
 	cost  [counterCount]float64
 	total float64
 }
 
-// record counts a query, and tells whether its asker is to be cut in pieces.
+// record counts a query and returns whether its key is heavy.
 func (a *costCounters) record(key uint64, cost float64) bool {
-	at := key % counterCount
-	a.cost[at] += cost
+	i := key % counterCount
+	a.cost[i] += cost
 	a.total += cost
-	return a.cost[at]*heavyDivisor > a.total
+	return a.cost[i]*heavyDivisor > a.total
 }
 
 func (a *costCounters) decay() {
--- a/internal/fleet/loadshed/letters.go
+++ b/internal/fleet/loadshed/letters.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// MessageKind is the first byte of a letter between co-ordinators' lanes. It is no version of peerproto's.
+	// MessageKind is the first byte of messages between the lanes of co-ordinators. It differs from every version number of peerproto.
 	MessageKind = 'L'
-	// messageVersion of letters; another one is left out.
+	// messageVersion is the version of the message format. Messages of other versions are discarded.
 	messageVersion = 1
-	// MaxMessageSize bytes of one: it goes in one packet.
+	// MaxMessageSize is the maximum size of a message in bytes, so that it fits in one packet.
 	MaxMessageSize = member.MaxPacketMessage - 2 - member.MaxNameLength
-	// MaxQueuedMessages wait for the next step; further ones are dropped.
+	// MaxQueuedMessages is the maximum number of messages that wait for the next step; more are dropped.
 	MaxQueuedMessages = 256
-	// MaxReportsPerMessage of one letter are read.
+	// MaxReportsPerMessage is the maximum number of reports in a message; a message with more is discarded.
 	MaxReportsPerMessage = MaxMessageSize / 20
 
-	// fanout members get a word of each step.
+	// fanout is the number of members to which the local report is sent in each step.
 	fanout = 3
-	// maxForwardedReports words of others go in one letter.
+	// maxForwardedReports is the maximum number of other members' reports in a message.
 	maxForwardedReports = 3
-	// ownReportShare of the bytes at most is for own words and heads: with long names fewer members get one, with more words of others.
+	// ownReportShare is the maximum share of the bytes of a step for copies of the local report with their headers. If names are long,
+	// the report goes to fewer members, and more reports of others are forwarded.
 	ownReportShare = 0.75
-	// MaxBytesPerSecond a second are sent on the mean, with heads.
+	// MaxBytesPerSecond limits the mean number of bytes sent per second, including headers.
 	MaxBytesPerSecond = 1900
-	// shareBudgetDivisor of them, at most one part of so many, is for what shares ask and answer beside a word.
+	// At most one part in shareBudgetDivisor of the bytes is for messages of shares that go along with reports.
 	shareBudgetDivisor = 4
-	// headerOverhead a letter beside the sender's name: IP and UDP 28, encryption 29, the engine's and the member's own 8.
+	// headerOverhead is the size of the headers of a message without the sender's name: IP and UDP 28, encryption 29, memberlist and
+	// package member 8.
 	headerOverhead = 65
 )
 
-// inbox keeps letters for the next step.
+// inbox queues messages for the next step.
 type inbox struct {
 	mu       sync.Mutex
 	messages []message
@@ -50,7 +52,7 @@
 	receivedAt time.Duration
 }
 
-// Receive takes a letter; any goroutine may call it.
+// Receive queues a message for the next step. It may be called by any goroutine.
 func (s *Shedder) Receive(from string, raw []byte) {
 	at := s.now()
 	s.inbox.mu.Lock()
@@ -62,162 +64,163 @@
 	s.inbox.messages = append(s.inbox.messages, message{from, raw, at})
 }
 
-// newestReading takes all letters that came.
+// readInbox processes the queued messages.
 func (s *Shedder) readInbox(now time.Duration) {
 	s.inbox.mu.Lock()
-	all := s.inbox.messages
+	messages := s.inbox.messages
 	s.inbox.messages = nil
 	s.inbox.mu.Unlock()
-	for _, l := range all {
-		words, in, err := decodeMessage(l.raw, l.from, s.options.Name)
+	for _, m := range messages {
+		reports, inputs, err := decodeMessage(m.raw, m.from, s.options.Name)
 		if err != nil {
-			s.logState.unreadable, s.logState.lastError = s.logState.unreadable+1, fmt.Sprintf("%s: %v", l.from, err)
+			s.logState.unreadable, s.logState.lastError = s.logState.unreadable+1, fmt.Sprintf("%s: %v", m.from, err)
 			continue
 		}
-		for _, w := range words {
-			if w.From != s.options.Name { // who one is oneself, nobody else knows better
-				w.Age += max(0, now-l.receivedAt)
-				s.reports.Add(now, w)
+		for _, r := range reports {
+			if r.From != s.options.Name { // step adds the local report itself, which is always the newest
+				r.Age += max(0, now-m.receivedAt)
+				s.reports.Add(now, r)
 			}
 		}
-		s.shareInputs = append(s.shareInputs, in...)
+		s.shareInputs = append(s.shareInputs, inputs...)
 	}
 }
 
-// A letter: Kind | version | uvarint length of what shares say, and that | words, the sender's first.
-func encodeMessage(said []byte, words ...pressure.Report) []byte {
-	b := binary.AppendUvarint([]byte{MessageKind, messageVersion}, uint64(len(said)))
-	b = append(b, said...)
-	for i := range words {
-		b = words[i].Append(b)
+// encodeMessage returns a message: MessageKind | messageVersion | uvarint length of the messages of shares | these messages |
+// reports, the sender's first.
+func encodeMessage(shareBytes []byte, reports ...pressure.Report) []byte {
+	b := binary.AppendUvarint([]byte{MessageKind, messageVersion}, uint64(len(shareBytes)))
+	b = append(b, shareBytes...)
+	for i := range reports {
+		b = reports[i].Append(b)
 	}
 	return b
 }
 
-// decodeMessage reads a letter. Nothing of a damaged one counts.
-func decodeMessage(b []byte, from, to string) (words []pressure.Report, in []shares.Input, err error) {
+// decodeMessage decodes a message. A damaged message is rejected as a whole.
+func decodeMessage(b []byte, from, to string) (reports []pressure.Report, inputs []shares.Input, err error) {
 	if len(b) < 3 || b[0] != MessageKind {
-		return nil, nil, fmt.Errorf("shed: no letter of lanes")
+		return nil, nil, fmt.Errorf("loadshed: not a lane message")
 	}
 	if b[1] != messageVersion {
-		return nil, nil, fmt.Errorf("shed: a letter of version %d, known is %d", b[1], messageVersion)
+		return nil, nil, fmt.Errorf("loadshed: message has version %d, this program reads version %d", b[1], messageVersion)
 	}
 	n, size := binary.Uvarint(b[2:])
 	if size <= 0 || n > uint64(len(b)-2-size) {
-		return nil, nil, fmt.Errorf("shed: a letter that is cut short")
+		return nil, nil, fmt.Errorf("loadshed: message is truncated")
 	}
-	said, rest := b[2+size:2+size+int(n)], b[2+size+int(n):]
+	shareBytes, rest := b[2+size:2+size+int(n)], b[2+size+int(n):]
 	if n > 0 {
-		if in, err = shares.Take(said, from, to); err != nil {
+		if inputs, err = shares.Take(shareBytes, from, to); err != nil {
 			return nil, nil, err
 		}
 	}
 	for len(rest) > 0 {
-		var w pressure.Report
-		if w, rest, err = pressure.DecodeReport(rest); err != nil {
+		var r pressure.Report
+		if r, rest, err = pressure.DecodeReport(rest); err != nil {
 			return nil, nil, err
 		}
-		if words = append(words, w); len(words) > MaxReportsPerMessage {
-			return nil, nil, fmt.Errorf("shed: a letter of over %d words", MaxReportsPerMessage)
+		if reports = append(reports, r); len(reports) > MaxReportsPerMessage {
+			return nil, nil, fmt.Errorf("loadshed: message has more than %d reports", MaxReportsPerMessage)
 		}
 	}
-	return words, in, nil
+	return reports, inputs, nil
 }
 
-// sendBudget is bytes that may be sent now.
+// sendBudget is a token bucket of the bytes that may be sent.
 type sendBudget struct {
 	refilledAt           time.Duration
 	started              bool
-	total, shareMessages float64
+	total, shareMessages float64 // bytes left in all, and for messages of shares
 }
 
 func (r *sendBudget) refill(now time.Duration) {
 	if !r.started {
 		r.started, r.refilledAt = true, now-StepInterval
 	}
-	s := max(0, now-r.refilledAt).Seconds()
+	seconds := max(0, now-r.refilledAt).Seconds()
 	r.refilledAt = max(now, r.refilledAt)
-	most := MaxBytesPerSecond * 1.5 * StepInterval.Seconds()
-	r.total = min(most, r.total+MaxBytesPerSecond*s)
-	r.shareMessages = min(most/shareBudgetDivisor, r.shareMessages+MaxBytesPerSecond/shareBudgetDivisor*s)
+	capacity := MaxBytesPerSecond * 1.5 * StepInterval.Seconds()
+	r.total = min(capacity, r.total+MaxBytesPerSecond*seconds)
+	r.shareMessages = min(capacity/shareBudgetDivisor, r.shareMessages+MaxBytesPerSecond/shareBudgetDivisor*seconds)
 }
 
-// sendMessages sends what shares want sent, and the own word to a few members with some of others. What there is no room for is not sent:
-// asks are made again, and words come with each step.
-func (s *Shedder) sendMessages(now time.Duration, crew Membership, word pressure.Report, out []shares.Output) {
+// sendMessages sends the messages of shares, and the local report to a few members along with some reports of others. What exceeds
+// the budget is not sent: requests are repeated, and reports are sent at each step.
+func (s *Shedder) sendMessages(now time.Duration, membership Membership, report pressure.Report, outputs []shares.Output) {
 	s.budget.refill(now)
-	said, to := s.encodeShareMessages(out)
-	live := make([]string, 0, len(crew.Live))
-	for _, name := range crew.Live {
-		if _, too := said[name]; name != s.options.Name && !too {
+	shareBytes, receivers := s.encodeShareMessages(outputs)
+	live := make([]string, 0, len(membership.Live))
+	for _, name := range membership.Live {
+		if _, included := shareBytes[name]; name != s.options.Name && !included {
 			live = append(live, name)
 		}
 	}
-	heads, own := headerOverhead+len(s.options.Name), len(word.Append(nil))
-	fan := fanout
-	for fan > 1 && float64(fan*(heads+own)) > ownReportShare*MaxBytesPerSecond*StepInterval.Seconds() {
-		fan--
+	overhead, reportSize := headerOverhead+len(s.options.Name), len(report.Append(nil))
+	receiverCount := fanout
+	for receiverCount > 1 && float64(receiverCount*(overhead+reportSize)) > ownReportShare*MaxBytesPerSecond*StepInterval.Seconds() {
+		receiverCount--
 	}
-	for i := 0; len(to) < fan && i < len(live); i++ {
+	for i := 0; len(receivers) < receiverCount && i < len(live); i++ {
 		j := i + s.rng.IntN(len(live)-i)
 		live[i], live[j] = live[j], live[i]
-		to = append(to, live[i])
+		receivers = append(receivers, live[i])
 	}
-	letters := make([][]pressure.Report, len(to))
-	for i, name := range to {
-		if size := heads + 3 + len(said[name]) + own; i < fan && s.budget.total >= float64(size) {
+	reports := make([][]pressure.Report, len(receivers))
+	for i, name := range receivers {
+		if size := overhead + 3 + len(shareBytes[name]) + reportSize; i < receiverCount && s.budget.total >= float64(size) {
 			s.budget.total -= float64(size)
-			letters[i] = append(letters[i], word)
-		} else if len(said[name]) > 0 {
-			s.budget.total -= float64(heads + 3 + len(said[name]))
+			reports[i] = append(reports[i], report)
+		} else if len(shareBytes[name]) > 0 {
+			s.budget.total -= float64(overhead + 3 + len(shareBytes[name]))
 		}
 	}
-	for k := 0; k < maxForwardedReports*len(to) && s.budget.total >= float64(own+own/2); k++ { // others' words, where there is room still
-		if i := k % len(to); len(letters[i]) > 0 {
-			for _, w := range s.reports.SelectForForwarding(now, s.options.Name, 1) {
-				s.budget.total -= float64(len(w.Append(nil)))
-				letters[i] = append(letters[i], w)
+	for k := 0; k < maxForwardedReports*len(receivers) && s.budget.total >= float64(reportSize+reportSize/2); k++ { // reports of others, as far as the budget allows
+		if i := k % len(receivers); len(reports[i]) > 0 {
+			for _, r := range s.reports.SelectForForwarding(now, s.options.Name, 1) {
+				s.budget.total -= float64(len(r.Append(nil)))
+				reports[i] = append(reports[i], r)
 			}
 		}
 	}
-	for i, name := range to {
-		if len(letters[i])+len(said[name]) > 0 {
-			s.options.Send(name, encodeMessage(said[name], letters[i]...))
+	for i, name := range receivers {
+		if len(reports[i])+len(shareBytes[name]) > 0 {
+			s.options.Send(name, encodeMessage(shareBytes[name], reports[i]...))
 		}
 	}
 }
 
-// encodeShareMessages are asks and answers by whom they go to, in order: answers first, asks from another place on with each step, so that
-// the same are not left out each time.
-func (s *Shedder) encodeShareMessages(out []shares.Output) (encodeShareMessages map[string][]byte, to []string) {
-	encodeShareMessages = map[string][]byte{}
+// encodeShareMessages encodes the outputs of shares by receiver, and returns the receivers in order. Replies come first. The first
+// request differs at each step, so that not the same ones are left out each time.
+func (s *Shedder) encodeShareMessages(outputs []shares.Output) (encoded map[string][]byte, receivers []string) {
+	encoded = map[string][]byte{}
 	put := func(name string, o shares.Output) {
-		was := encodeShareMessages[name]
-		b := shares.Append(was, o)
-		cost := float64(len(b) - len(was))
-		if was == nil {
-			cost += float64(headerOverhead) / 2 // it may go with a word
+		previous := encoded[name]
+		b := shares.Append(previous, o)
+		cost := float64(len(b) - len(previous))
+		if previous == nil {
+			cost += float64(headerOverhead) / 2 // half of the headers: a report may go in the same message
 		}
 		if s.budget.shareMessages < cost || len(b) > MaxMessageSize/2 {
 			return
 		}
 		s.budget.shareMessages -= cost
-		if encodeShareMessages[name] = b; was == nil {
-			to = append(to, name)
+		if encoded[name] = b; previous == nil {
+			receivers = append(receivers, name)
 		}
 	}
-	var asks []shares.SendAsk
-	for _, o := range out {
+	var requests []shares.SendAsk
+	for _, o := range outputs {
 		switch o := o.(type) {
 		case shares.SendLent:
 			put(o.To, o)
 		case shares.SendAsk:
-			asks = append(asks, o)
+			requests = append(requests, o)
 		}
 	}
-	for i := range asks {
-		o := asks[(i+int(s.seq))%len(asks)]
+	for i := range requests {
+		o := requests[(i+int(s.seq))%len(requests)]
 		put(o.To, o)
 	}
-	return encodeShareMessages, to
+	return encoded, receivers
 }
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -16,33 +16,34 @@
 	return pressure.Report{From: from, Incarnation: 3, Seq: 9, Zone: "z", LocalLoad: pressure.LocalLoad{Known: true, Offered: 10, InTime: 9}, Level: 0.25, Revision: 2}
 }
 
-// A letter holds asks, answers and words; of one that is cut short, of another version or with something behind nothing counts.
+// A message carries requests, replies and reports. One that is truncated, of another version or followed by other bytes is
+// rejected.
 func TestMessageRoundTripAndDamage(t *testing.T) {
-	var said []byte
-	said = shares.Append(said, shares.SendAsk{To: "b", Ask: shares.Ask{From: "a", Incarnation: 1, No: 2, Revision: 2, Account: 7, Want: 5}})
-	said = shares.Append(said, shares.SendLent{To: "b", Lent: shares.Lent{From: "a", To: "b", Incarnation: 4, No: 5, Revision: 2, Account: 6, Amount: 9}})
-	raw := encodeMessage(said, exampleReport("a"), exampleReport("c"))
-	words, in, err := decodeMessage(raw, "a", "b")
-	if err != nil || len(words) != 2 || words[1].From != "c" || len(in) != 2 || in[0].(shares.Ask).Want != 5 {
-		t.Fatal(words, in, err)
+	var shareBytes []byte
+	shareBytes = shares.Append(shareBytes, shares.SendAsk{To: "b", Ask: shares.Ask{From: "a", Incarnation: 1, No: 2, Revision: 2, Account: 7, Want: 5}})
+	shareBytes = shares.Append(shareBytes, shares.SendLent{To: "b", Lent: shares.Lent{From: "a", To: "b", Incarnation: 4, No: 5, Revision: 2, Account: 6, Amount: 9}})
+	raw := encodeMessage(shareBytes, exampleReport("a"), exampleReport("c"))
+	reports, inputs, err := decodeMessage(raw, "a", "b")
+	if err != nil || len(reports) != 2 || reports[1].From != "c" || len(inputs) != 2 || inputs[0].(shares.Ask).Want != 5 {
+		t.Fatal(reports, inputs, err)
 	}
 	if raw[0] == peerproto.Version {
-		t.Error("a letter of lanes passes for one of peerproto's")
+		t.Error("a lane message has the first byte of peerproto messages")
 	}
-	two := len(encodeMessage(said, exampleReport("a"))) // a whole one too
+	shorter := len(encodeMessage(shareBytes, exampleReport("a"))) // the message without its last report is valid too
 	for n := range raw {
-		if _, _, err := decodeMessage(raw[:n], "a", "b"); err == nil && n != two && n != len(encodeMessage(said)) {
-			t.Errorf("%d of %d bytes are read", n, len(raw))
+		if _, _, err := decodeMessage(raw[:n], "a", "b"); err == nil && n != shorter && n != len(encodeMessage(shareBytes)) {
+			t.Errorf("the first %d of %d bytes were decoded", n, len(raw))
 		}
 	}
 	for _, b := range [][]byte{append(bytes.Clone(raw), 1), {MessageKind, 2, 0}, {MessageKind, messageVersion, 9}} {
 		if _, _, err := decodeMessage(b, "a", "b"); err == nil {
-			t.Errorf("%v is read", b)
+			t.Errorf("%v was decoded", b)
 		}
 	}
 }
 
-// However many letters come, and whatever is in them, a bounded number waits, and what can't be read is said.
+// The number of queued messages is bounded, whatever they contain, and unreadable ones are logged.
 func TestInboxIsBounded(t *testing.T) {
 	s := newTestFleet(t, 3, "n%d", compile(t, section(1), 1))
 	p := s.shedders[0]
@@ -55,10 +56,10 @@
 	}
 	p.step(s.now)
 	p.Receive("n1", []byte{MessageKind, 77, 0})
-	p.Receive("n1", encodeMessage(nil, exampleReport("n0"))) // of this one itself: not heard
+	p.Receive("n1", encodeMessage(nil, exampleReport("n0"))) // a report under its own name: ignored
 	s.now += 20 * time.Second
 	p.step(s.now)
-	if !bytes.Contains(s.log.Bytes(), []byte("letters of lanes are left out")) || !bytes.Contains(s.log.Bytes(), []byte("version 77")) {
+	if !bytes.Contains(s.log.Bytes(), []byte("unreadable lane messages discarded")) || !bytes.Contains(s.log.Bytes(), []byte("version 77")) {
 		t.Error(s.log.String())
 	}
 	if p.control.Level() != 0 {
@@ -78,20 +79,20 @@
 			s.now += StepInterval
 		}
 		if p.control.Level() != 0 {
-			t.Errorf("level %v by one letter", p.control.Level())
+			t.Errorf("level %v after one message", p.control.Level())
 		}
 	})
 }
 
-// Slots are by agreed time while it moves on, whatever the wall's clock shows, and by that while it stands.
+// Slots follow agreed time while it advances, whatever the wall clock shows, and the wall clock while it does not.
 func TestSlotClock(t *testing.T) {
 	var s slotClock
 	slot := 10 * time.Second
 	now, agreed := time.Second, 1000*time.Second
 	if n, _ := s.slotAt(now, agreed, 5*slot, slot); n != 5 {
-		t.Errorf("slot %d by a time that may be old", n)
+		t.Errorf("slot %d by the first reading, which may be old", n)
 	}
-	for i := range 200 { // readings up to 1 s old
+	for i := range 200 { // readings that are up to 1 s old
 		now += StepInterval
 		if n, left := s.slotAt(now, agreed+now-time.Duration(i%4)*StepInterval, 5*slot, slot); i > 8 && (n != uint64((agreed+now)/slot) || left != slot-(agreed+now)%slot) {
 			t.Fatalf("at %v: slot %d, %v left", now, n, left)
@@ -100,12 +101,12 @@
 	agreed += now
 	now += AgreedTimeTimeout + time.Second
 	if n, _ := s.slotAt(now, 0, 7*slot, slot); n != 7 {
-		t.Errorf("slot %d while agreed time stands", n)
+		t.Errorf("slot %d while agreed time does not advance", n)
 	}
 }
 
-// A query's way through the lanes takes no memory and under 2 us, with 10,000 accounts; their part of a step keeps turns waiting
-// for a millisecond at the most.
+// A query passes the lanes without allocating and in under 2 us, with 10,000 accounts. The log shows the time of a step with all
+// accounts.
 func TestAdmitAllocationsAndLatency(t *testing.T) {
 	s := newTestFleet(t, 1, "n%d", compile(t, section(10_000), 1))
 	p := s.shedders[0]
@@ -116,23 +117,23 @@
 			&exchange.Query{ID: fmt.Sprint(i), Tenant: -1, Client: fmt.Sprint("c", i%20), Parts: make([]exchange.Part, 4)}) // of no account
 	}
 	at, i := startTime.Add(s.now), 0
-	one := func() {
+	runQuery := func() {
 		i++
 		if e := p.Admit(at, qs[i%len(qs)], -1); !e.Rejected {
 			p.QueryEnded(at, e, exchange.LaneOutcome{Took: time.Millisecond})
 		}
 	}
 	for range qs {
-		one()
+		runQuery()
 	}
-	if n := testing.AllocsPerRun(2000, one); n > 0 {
+	if n := testing.AllocsPerRun(2000, runQuery); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
-	best := time.Hour // of what a busy machine lets through
+	best := time.Hour // the minimum, since other processes may delay a run
 	for range 50 {
 		from := time.Now()
 		for range 200 {
-			one()
+			runQuery()
 		}
 		best = min(best, time.Since(from)/200)
 	}
@@ -143,8 +144,8 @@
 		p.step(s.now)
 		step = min(step, time.Since(from))
 	}
-	t.Logf("%v a query with its end, %v a step of all accounts", best, step)
+	t.Logf("%v per query with its end, %v per step of all accounts", best, step)
 	if best > 2*time.Microsecond && !raceOn {
-		t.Error("over 2 us")
+		t.Error("more than 2 us per query")
 	}
 }
--- a/internal/fleet/loadshed/say.go
+++ b/internal/fleet/loadshed/say.go
@@ -10,73 +10,73 @@
 	"birchcart/internal/fleet/lanes"
 )
 
-// logState is what was told last.
+// logState is what was logged last.
 type logState struct {
 	loggedAt   time.Duration
 	counts     lanes.Counts
 	set        *laneconfig.Set
-	shedding   bool // it was over 0, as told at turned
+	shedding   bool // whether the level was above 0, as logged at changedAt
 	changedAt  time.Duration
-	unreadable int // messages that could not be read since
-	lastError  string
+	unreadable int    // number of unreadable messages since the last summary
+	lastError  string // of the newest one of them
 }
 
-// TransitionLogInterval is between lines that say that shedding begins or ends.
+// TransitionLogInterval is the minimum interval between log lines for the start and the end of shedding.
 const TransitionLogInterval = 2 * time.Second
 
-// logSummary logs when the fleet begins to shed and when it ends, and a summary each SummaryInterval while queries come.
+// logSummary logs when the fleet starts and stops shedding, and a summary every SummaryInterval while queries arrive.
 func (s *Shedder) logSummary(now time.Duration, level float64) {
-	t := &s.logState
-	if on := level > 0; on != t.shedding && now >= t.changedAt+TransitionLogInterval {
-		t.shedding, t.changedAt = on, now
-		text := "sheds no more"
-		if on {
-			text = "the fleet sheds load by lanes"
+	state := &s.logState
+	if shedding := level > 0; shedding != state.shedding && now >= state.changedAt+TransitionLogInterval {
+		state.shedding, state.changedAt = shedding, now
+		message := "the fleet no longer sheds load"
+		if shedding {
+			message = "the fleet sheds load by lanes"
 		}
-		s.options.Log.WithFields(s.logFields(level)).Info(text)
+		s.options.Log.WithFields(s.logFields(level)).Info(message)
 	}
-	if now < t.loggedAt+SummaryInterval || s.set == nil {
+	if now < state.loggedAt+SummaryInterval || s.set == nil {
 		return
 	}
 	s.mu.Lock()
 	counts := s.gate.Counts()
 	s.mu.Unlock()
-	if t.unreadable > 0 {
-		s.options.Log.WithFields(logrus.Fields{"letters": t.unreadable, "newest": t.lastError}).Info("letters of lanes are left out")
+	if state.unreadable > 0 {
+		s.options.Log.WithFields(logrus.Fields{"letters": state.unreadable, "newest": state.lastError}).Info("unreadable lane messages discarded")
 	}
-	was, same := t.counts, t.set != nil && len(t.set.Lanes) == len(s.set.Lanes)
-	t.loggedAt, t.counts, t.set, t.unreadable = now, counts, s.set, 0
-	all := 0.0
+	previous, sameLanes := state.counts, state.set != nil && len(state.set.Lanes) == len(s.set.Lanes)
+	state.loggedAt, state.counts, state.set, state.unreadable = now, counts, s.set, 0
+	totalCost := 0.0
 	for j := range s.set.Lanes {
-		f := logrus.Fields{"lane": s.set.Lanes[j].Name}
-		asked, admitted, refused := 0.0, 0.0, 0.0
+		fields := logrus.Fields{"lane": s.set.Lanes[j].Name}
+		offered, admitted, refused := 0.0, 0.0, 0.0
 		for r := range lanes.Reasons {
 			cost := counts.Cost[j][r]
-			if same {
-				cost -= was.Cost[j][r]
+			if sameLanes {
+				cost -= previous.Cost[j][r]
 			}
-			if asked += cost; r.Refused() {
+			if offered += cost; r.Refused() {
 				refused += cost
 			} else {
 				admitted += cost
 			}
 			if cost > 0 {
-				f[reasonKeys[r]] = rounded(cost)
+				fields[reasonKeys[r]] = rounded(cost)
 			}
 		}
-		if asked == 0 {
+		if offered == 0 {
 			continue
 		}
-		f["asked"], f["admitted"], f["refused"] = rounded(asked), rounded(admitted), rounded(refused)
-		s.options.Log.WithFields(f).Info("lane")
-		all += asked
+		fields["asked"], fields["admitted"], fields["refused"] = rounded(offered), rounded(admitted), rounded(refused)
+		s.options.Log.WithFields(fields).Info("lane summary")
+		totalCost += offered
 	}
-	if all > 0 || level > 0 {
-		s.options.Log.WithFields(s.logFields(level)).Info("the lanes")
+	if totalCost > 0 || level > 0 {
+		s.options.Log.WithFields(s.logFields(level)).Info("load shedding summary")
 	}
 }
 
-// logStep logs at debug what the level of this step was found by.
+// logStep logs the inputs of the shed level of this step, at level debug.
 func (s *Shedder) logStep(level float64) {
 	if s.set == nil || !s.options.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return
@@ -89,22 +89,24 @@
 	}).Debug("a step of the lanes")
 }
 
-// reasonKeys of the summary, by reason.
+// reasonKeys are the log field names of the reasons.
 var reasonKeys = [lanes.Reasons]string{"free", "guaranteed", "floor", "class_floor", "borrowed", "refused_cut", "refused_over_most"}
 
+// logFields returns the fields that describe the state of load shedding.
 func (s *Shedder) logFields(level float64) logrus.Fields {
-	f := logrus.Fields{
+	fields := logrus.Fields{
 		"shed_level": rounded(level), "own_pressure": rounded(s.local.Pressure), "own_known": s.local.Known, "fleet_known": s.fleet.Known,
 		"fresh": s.fleet.FreshReports, "members": s.fleet.Members, "bears": rounded(s.control.Bears()),
 	}
 	if s.fleet.Known {
-		f["fleet_pressure"], f["fleet_asked"], f["fleet_in_time"] = rounded(s.fleet.Pressure), rounded(s.fleet.Offered), rounded(s.fleet.InTime)
-		f["fleet_level"], f["news_age"] = rounded(s.fleet.Level), s.fleet.MeanAge.Round(time.Millisecond)
+		fields["fleet_pressure"], fields["fleet_asked"], fields["fleet_in_time"] = rounded(s.fleet.Pressure), rounded(s.fleet.Offered), rounded(s.fleet.InTime)
+		fields["fleet_level"], fields["news_age"] = rounded(s.fleet.Level), s.fleet.MeanAge.Round(time.Millisecond)
 	}
 	if s.set != nil {
-		f["revision"] = s.set.Revision
+		fields["revision"] = s.set.Revision
 	}
-	return f
+	return fields
 }
 
+// rounded rounds to three decimal places.
 func rounded(v float64) float64 { return math.Round(v*1000) / 1000 }
--- a/internal/fleet/loadshed/share.go
+++ b/internal/fleet/loadshed/share.go
@@ -7,79 +7,79 @@
 	"birchcart/internal/fleet/shares"
 )
 
-// accountDemand are what was asked of late by account, smoothed: of those that were used.
+// accountDemand is the smoothed demand of the accounts that had queries recently.
 type accountDemand struct {
-	rates         []float64 // costModel a second
-	costSinceStep []float64 // costModel since the last step
-	active        []bool
-	accounts      []int32 // accounts whose rate counts, in the order of coming
+	rates         []float64 // cost per second, by account
+	costSinceStep []float64 // by account
+	active        []bool    // by account: whether it is in accounts
+	accounts      []int32   // accounts with a rate above 0, in the order in which they became active
 }
 
 // minDemandRate is the rate below which an account counts as idle.
 const minDemandRate = 0.01
 
-func (w *accountDemand) reset(accounts int) {
-	*w = accountDemand{rates: make([]float64, accounts), costSinceStep: make([]float64, accounts), active: make([]bool, accounts)}
+func (d *accountDemand) reset(accounts int) {
+	*d = accountDemand{rates: make([]float64, accounts), costSinceStep: make([]float64, accounts), active: make([]bool, accounts)}
 }
 
-// collectDemand takes what was asked since the last step. It holds the lock.
+// collectDemand takes over the cost offered since the last step. The caller holds s.mu.
 func (s *Shedder) collectDemand() {
-	w := &s.accountDemand
+	d := &s.accountDemand
 	for _, a := range s.offeredAccounts {
-		w.costSinceStep[a], s.offered[a] = s.offered[a], 0
-		if !w.active[a] {
-			w.active[a] = true
-			w.accounts = append(w.accounts, a)
+		d.costSinceStep[a], s.offered[a] = s.offered[a], 0
+		if !d.active[a] {
+			d.active[a] = true
+			d.accounts = append(d.accounts, a)
 		}
 	}
 	s.offeredAccounts = s.offeredAccounts[:0]
 }
 
-// stepShares steps the shares with what came and what was asked.
-func (s *Shedder) stepShares(now time.Duration, crew Membership) []shares.Output {
-	in := s.shareInputs
+// stepShares makes a step of the shares with the messages received and the demand, and returns its outputs.
+func (s *Shedder) stepShares(now time.Duration, membership Membership) []shares.Output {
+	received := s.shareInputs
 	s.shareInputs = nil
 	if s.set == nil {
 		return nil
 	}
-	news := []shares.Input{shares.Set{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Members{Agreed: crew.AgreedCount, Live: crew.Live}}
-	by, bears := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Bears()
-	w := &s.accountDemand
-	keep := w.accounts[:0]
-	for _, a := range w.accounts {
-		w.rates[a] += (w.costSinceStep[a]/StepInterval.Seconds() - w.rates[a]) * by
-		w.costSinceStep[a] = 0
-		if w.rates[a] < minDemandRate {
-			w.rates[a], w.active[a] = 0, false
+	inputs := []shares.Input{shares.Set{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Members{Agreed: membership.AgreedCount, Live: membership.Live}}
+	smoothing, capacity := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Bears()
+	d := &s.accountDemand
+	stillActive := d.accounts[:0]
+	for _, a := range d.accounts {
+		d.rates[a] += (d.costSinceStep[a]/StepInterval.Seconds() - d.rates[a]) * smoothing
+		d.costSinceStep[a] = 0
+		if d.rates[a] < minDemandRate {
+			d.rates[a], d.active[a] = 0, false
 		} else {
-			keep = append(keep, a)
+			stillActive = append(stillActive, a)
 		}
-		if g := s.set.Accounts[a].Guarantee; g > 0 && bears > 0 {
-			news = append(news, shares.Demand{Account: uint32(a), Want: int64(min(1, w.rates[a]/(g*bears)) * shares.Whole)})
+		if guarantee := s.set.Accounts[a].Guarantee; guarantee > 0 && capacity > 0 {
+			inputs = append(inputs, shares.Demand{Account: uint32(a), Want: int64(min(1, d.rates[a]/(guarantee*capacity)) * shares.Whole)})
 		}
 	}
-	w.accounts = keep
-	return s.shares.Step(now, append(news, in...))
+	d.accounts = stillActive
+	return s.shares.Step(now, append(inputs, received...))
 }
 
-// sharesPerLock are told to the gate under one lock.
+// sharesPerLock is the number of shares that are set at the gate while the lock is held.
 const sharesPerLock = 256
 
-// accountShare is what may be used of one account.
+// accountShare is the share of the fleet's capacity that this co-ordinator may use for an account.
 type accountShare struct {
 	account int
 	share   float64
 }
 
-// applyShares tells the gate what it may use of each guarantee.
-func (s *Shedder) applyShares(now time.Duration, out []shares.Output) {
-	var list []accountShare
+// applyShares sets at the gate which share of each guarantee this co-ordinator may use.
+func (s *Shedder) applyShares(now time.Duration, outputs []shares.Output) {
+	var updates []accountShare
 	add := func(account uint32, amount int64) {
-		if int(account) < len(s.set.Accounts) { // a mixed set has some more
-			list = append(list, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
+		if int(account) < len(s.set.Accounts) { // a merged set of the same revision has more accounts
+			updates = append(updates, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
 		}
 	}
-	for _, o := range out {
+	for _, o := range outputs {
 		switch o := o.(type) {
 		case shares.Even:
 			if o.Part != s.evenShare {
@@ -95,13 +95,13 @@
 			add(o.Account, o.Part)
 		}
 	}
-	for len(list) > 0 {
-		n := min(len(list), sharesPerLock)
+	for len(updates) > 0 {
+		n := min(len(updates), sharesPerLock)
 		s.mu.Lock()
-		for _, p := range list[:n] {
+		for _, p := range updates[:n] {
 			s.gate.Share(now, p.account, p.share)
 		}
 		s.mu.Unlock()
-		list = list[n:]
+		updates = updates[n:]
 	}
 }
--- a/internal/fleet/loadshed/shed.go
+++ b/internal/fleet/loadshed/shed.go
@@ -1,11 +1,13 @@
-// Package loadshed is the thin I/O around the lanes: it stands between the exchange, where queries come and end, the gate that
-// decides on them, and the rest of the fleet. It decides nothing itself.
+// Package loadshed connects load shedding by priority lanes with the rest of the process: with the exchange, where queries arrive
+// and end, and with the gossip between co-ordinators. It only does the I/O and the locking; the decisions are made in packages
+// pressure, lanes and shares.
 //
-//	exchange ──Enter──> lanes.Gate     (in the exchange's turn, under a lock that is held for no I/O)
-//	         ──Over───> pressure.Meter
-//	run, each Every: meter -> own word -> a few members, with some words of others and what shares ask and answer
-//	                 letters -> pressure.Reports -> Fleet -> lanes.Control -> Gate.Level; shares.Shares -> Gate.Share
-//	                 what is agreed -> Gate.Set
+//	exchange ──Admit──────> lanes.Gate      (in the exchange's turn, under a lock that is never held during I/O)
+//	         ──QueryEnded─> pressure.Meter
+//	Run, every StepInterval:
+//	    Meter -> own report -> a few members, with some reports of others and the messages of shares
+//	    received messages -> pressure.Reports -> FleetLoad -> lanes.Control -> Gate.Level; shares.Shares -> Gate.Share
+//	    configuration in force -> Gate.Set
 package loadshed
 
 import (
@@ -25,64 +27,65 @@
 )
 
 const (
-	// StepInterval is between steps, for which the controller's constants are.
+	// StepInterval is the interval between steps. The constants of the level controller are made for it.
 	StepInterval = lanes.Every
-	// DemandTimeConstant is over what an account's demand is smoothed.
+	// DemandTimeConstant is the time constant with which an account's demand is smoothed.
 	DemandTimeConstant = 4 * time.Second
-	// CheckInterval is between looks at whether the rules hold.
+	// CheckInterval is the interval between checks of the invariants.
 	CheckInterval = 10 * time.Second
-	// SummaryInterval is between summaries while queries come.
+	// SummaryInterval is the interval between summaries in the log while queries arrive.
 	SummaryInterval = 10 * time.Second
-	// MaxLevel is the highest level: the rest goes through whatever is seen.
+	// MaxLevel is the highest shed level: the rest of the load is admitted at any pressure.
 	MaxLevel = 0.95
 )
 
-// Membership is who there is.
+// Membership lists the co-ordinators of the fleet.
 type Membership struct {
-	AgreedCount int      // co-ordinators that are agreed to be there; 0: not known
-	Names       []string // of all that count as there, agreed or heard of
-	Live        []string // of who is heard of now
+	AgreedCount int      // number of co-ordinators in the agreed state; 0 if it is not known
+	Names       []string // all members, known from the agreed state or from gossip
+	Live        []string // other members that gossip reports as alive
 }
 
-// Options of one co-ordinator's part. Functions must not wait for disk or network.
+// Options configures a Shedder. Its functions must not wait for disk or network.
 type Options struct {
 	Name, Zone  string
-	Incarnation uint64    // of the process, greater than that of any process before of the same name
-	StartTime   time.Time // of the own monotonic time
-	FleetSize   int       // co-ordinators of the settings, until the agreed number is known
+	Incarnation uint64    // of the process, greater than that of any earlier process of the same name
+	StartTime   time.Time // zero of the local monotonic time
+	FleetSize   int       // number of co-ordinators in the settings, used until the agreed number is known
 	Seed        uint64
 	Policy      *policy.Config
 	Log         *logrus.Entry
-	// CurrentSet is what to go by, whether that is another one than at the last call, and the revision that is applied here; heard is
-	// the highest one that others say they have applied.
-	CurrentSet func(now time.Duration, heard int) (set *laneconfig.Set, changed bool, applied int)
-	// Membership is as of now.
+	// CurrentSet returns the lane set to apply, whether it differs from that of the last call, and the revision that is in force here.
+	// peerRevision is the highest revision that other members report.
+	CurrentSet func(now time.Duration, peerRevision int) (set *laneconfig.Set, changed bool, applied int)
+	// Membership returns the current members.
 	Membership func() Membership
-	// AgreedTime is agreed time as it is known here, of whatever age.
+	// AgreedTime returns the newest agreed time that is known here, which may be old.
 	AgreedTime func() time.Duration
-	// WallTime is the wall's time since 1970.
+	// WallTime returns the wall clock's time since 1970.
 	WallTime func() time.Duration
-	Send     func(to string, raw []byte)
+	// Send sends a message to another co-ordinator.
+	Send func(to string, raw []byte)
 }
 
-// Shedder is one co-ordinator's part. It is an exchange.Lanes.
+// Shedder is the load shedding of one co-ordinator. It implements exchange.LaneGate.
 type Shedder struct {
 	options  Options
 	promises []time.Duration      // by class
 	now      func() time.Duration // local monotonic time
 
-	mu              sync.Mutex // of what the exchange's turns use
+	mu              sync.Mutex // protects the fields up to shedKeys, which the exchange uses in its turns
 	gate            *lanes.Gate
 	set             *laneconfig.Set
 	meter           pressure.Meter
 	costModel       lanes.Cost
-	offered         []float64 // costModel by account since the last step
-	offeredAccounts []int32   // accounts of which that is over 0
+	offered         []float64 // cost by account since the last step
+	offeredAccounts []int32   // accounts with offered cost above 0
 	shedKeys        shedKeys
 
 	inbox inbox
 
-	// What follows belongs to the steps.
+	// The fields below belong to the goroutine of Run.
 	rng           *rand.Rand
 	reports       pressure.Reports
 	control       *lanes.Control
@@ -90,7 +93,7 @@
 	slotClock     slotClock
 	seq           uint64
 	accountDemand accountDemand
-	evenShare     int64
+	evenShare     int64 // share of the guarantee of each account without loans, as last set at the gate; -1: none
 	shareInputs   []shares.Input
 	budget        sendBudget
 	fleet         pressure.FleetLoad
@@ -99,7 +102,7 @@
 	logState      logState
 }
 
-// New makes one that goes by what is agreed, or the own file.
+// New returns a Shedder that applies the set given by o.CurrentSet.
 func New(o Options) *Shedder {
 	return newShedder(o, func() time.Duration { return time.Since(o.StartTime) })
 }
@@ -117,7 +120,7 @@
 	return s
 }
 
-// Admit implements exchange.Lanes.
+// Admit implements exchange.LaneGate.
 func (s *Shedder) Admit(at time.Time, q *exchange.Query, route int) exchange.LaneVerdict {
 	now := at.Sub(s.options.StartTime)
 	s.mu.Lock()
@@ -147,36 +150,36 @@
 	return exchange.LaneVerdict{Rejected: !v.Admitted, RetryAfter: v.After, Account: ask.Account, Lane: v.Lane, Class: q.Class, Cost: cost, YieldBy: v.YieldBy}
 }
 
-// QueryEnded implements exchange.Lanes.
-func (s *Shedder) QueryEnded(at time.Time, e exchange.LaneVerdict, o exchange.LaneOutcome) {
+// QueryEnded implements exchange.LaneGate.
+func (s *Shedder) QueryEnded(at time.Time, verdict exchange.LaneVerdict, outcome exchange.LaneOutcome) {
 	promise := time.Second
-	if uint(e.Class) < uint(len(s.promises)) {
-		promise = s.promises[e.Class]
+	if uint(verdict.Class) < uint(len(s.promises)) {
+		promise = s.promises[verdict.Class]
 	}
-	end := pressure.Failed
+	loadOutcome := pressure.Failed
 	switch {
-	case o.ClientGone:
-		end = pressure.Abandoned
-	case o.Status == exchange.Rejected: // by the gate of its route as well
-		end = pressure.Refused
-	case o.Status == exchange.Served && o.Took <= promise:
-		end = pressure.InTime
-	case o.Status == exchange.Served:
-		end = pressure.Late
+	case outcome.ClientGone:
+		loadOutcome = pressure.Abandoned
+	case outcome.Status == exchange.Rejected: // also if the gate of its route rejected it
+		loadOutcome = pressure.Refused
+	case outcome.Status == exchange.Served && outcome.Took <= promise:
+		loadOutcome = pressure.InTime
+	case outcome.Status == exchange.Served:
+		loadOutcome = pressure.Late
 	}
 	s.mu.Lock()
-	s.meter.RecordOutcome(at.Sub(s.options.StartTime), e.Cost, end, o.Took, promise)
+	s.meter.RecordOutcome(at.Sub(s.options.StartTime), verdict.Cost, loadOutcome, outcome.Took, promise)
 	s.mu.Unlock()
 }
 
-// Run steps until ctx ends.
+// Run makes a step every StepInterval until ctx ends.
 func (s *Shedder) Run(ctx context.Context) {
-	first := time.NewTimer(time.Duration(s.rng.Int64N(int64(StepInterval)))) // not all of a fleet that starts at once together
-	defer first.Stop()
+	initialDelay := time.NewTimer(time.Duration(s.rng.Int64N(int64(StepInterval)))) // spreads the steps of co-ordinators that start at the same time
+	defer initialDelay.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-first.C:
+	case <-initialDelay.C:
 	}
 	tick := time.NewTicker(StepInterval)
 	defer tick.Stop()
@@ -190,10 +193,10 @@
 	}
 }
 
-// step brings all up to now.
+// step processes the messages received, updates the shed level and the shares, and sends the local report.
 func (s *Shedder) step(now time.Duration) {
-	crew := s.options.Membership()
-	s.reports.SetMembers(append([]string{s.options.Name}, crew.Names...))
+	membership := s.options.Membership()
+	s.reports.SetMembers(append([]string{s.options.Name}, membership.Names...))
 	s.readInbox(now)
 	applied := s.applySet(now)
 	s.mu.Lock()
@@ -202,20 +205,20 @@
 	s.shedKeys.decay()
 	s.mu.Unlock()
 	s.seq++
-	word := pressure.Report{From: s.options.Name, Incarnation: s.options.Incarnation, Seq: s.seq, Zone: s.options.Zone, LocalLoad: s.local, Level: s.control.Level(), Revision: applied}
-	s.reports.Add(now, word)
+	report := pressure.Report{From: s.options.Name, Incarnation: s.options.Incarnation, Seq: s.seq, Zone: s.options.Zone, LocalLoad: s.local, Level: s.control.Level(), Revision: applied}
+	s.reports.Add(now, report)
 	s.fleet = s.reports.Estimate(now)
 	level := s.control.Step(now, s.fleet, s.local)
-	word.Level = level
-	out := s.stepShares(now, crew)
+	report.Level = level
+	outputs := s.stepShares(now, membership)
 	if s.set != nil {
-		slot, left := s.slotClock.slotAt(now, s.options.AgreedTime(), s.options.WallTime(), s.set.Slot)
+		slot, slotLeft := s.slotClock.slotAt(now, s.options.AgreedTime(), s.options.WallTime(), s.set.Slot)
 		s.mu.Lock()
-		s.gate.Level(now, lanes.State{Level: level, Bears: s.control.Bears(), Members: s.fleet.Members, Fleet: s.fleet, Own: s.local, Slot: slot, SlotLeft: left})
+		s.gate.Level(now, lanes.State{Level: level, Bears: s.control.Bears(), Members: s.fleet.Members, Fleet: s.fleet, Own: s.local, Slot: slot, SlotLeft: slotLeft})
 		s.mu.Unlock()
-		s.applyShares(now, out)
+		s.applyShares(now, outputs)
 	}
-	s.sendMessages(now, crew, word, out)
+	s.sendMessages(now, membership, report, outputs)
 	s.logSummary(now, level)
 	s.logStep(level)
 	if now >= s.lastCheck+CheckInterval {
@@ -224,7 +227,7 @@
 	}
 }
 
-// applySet goes by what is in force, and gives the revision that is applied here.
+// applySet applies the configuration in force if it has changed, and returns the revision that is in force here.
 func (s *Shedder) applySet(now time.Duration) int {
 	next, changed, applied := s.options.CurrentSet(now, s.reports.NewestRevision(now))
 	if !changed || next == nil {
@@ -240,15 +243,16 @@
 	s.offered, s.offeredAccounts = make([]float64, len(next.Accounts)), make([]int32, 0, len(next.Accounts))
 	s.mu.Unlock()
 	s.accountDemand.reset(len(next.Accounts))
-	s.evenShare = -1 // total parts are told anew
-	f := logrus.Fields{"revision": next.Revision, "lanes": len(next.Lanes), "accounts": len(next.Accounts)}
+	s.evenShare = -1 // so that applyShares sets the shares of all accounts again
+	fields := logrus.Fields{"revision": next.Revision, "lanes": len(next.Lanes), "accounts": len(next.Accounts)}
 	if len(next.Unknown) > 0 {
-		f["unknown"] = next.Unknown
+		fields["unknown"] = next.Unknown
 	}
-	s.options.Log.WithFields(f).Info("sheds by lanes")
+	s.options.Log.WithFields(fields).Info("lane configuration applied")
 	return applied
 }
 
+// checkInvariants logs the invariants that do not hold.
 func (s *Shedder) checkInvariants() {
 	errs := []error{s.control.Check(), s.shares.Check()}
 	if s.set != nil {
@@ -258,7 +262,7 @@
 	}
 	for _, err := range errs {
 		if err != nil {
-			s.options.Log.WithError(err).Error("a rule of the lanes does not hold")
+			s.options.Log.WithError(err).Error("an invariant of the lanes does not hold")
 		}
 	}
 }
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -40,20 +40,21 @@
 	return s
 }
 
-// testFleet is a fleet in one goroutine, by a clock of its own, whose replicas bear so much in all and refuse the rest.
+// testFleet is a fleet that runs in one goroutine with a simulated clock. Its replicas together serve a given capacity and reject
+// the rest.
 type testFleet struct {
 	testing.TB
 	now          time.Duration
 	set          *laneconfig.Set
 	shedders     []*Shedder
 	names        []string
-	bytes        []int               // sent, by place, with heads
-	cut          func(i, j int) bool // nil: no link is
+	bytes        []int               // sent by each node, with headers
+	cut          func(i, j int) bool // whether the link from i to j is cut; nil: none is
 	latency      func() time.Duration
 	inFlight     []packet
 	rng          *rand.Rand
-	capacity     float64
-	capacityLeft float64 // of what they bear now
+	capacity     float64 // cost per second that the replicas serve
+	capacityLeft float64 // of it now
 	log          bytes.Buffer
 }
 
@@ -75,7 +76,7 @@
 	}
 	for i := range n {
 		first := true
-		p := newShedder(Options{
+		shedder := newShedder(Options{
 			Name: s.names[i], Zone: name[:min(len(name), 2)], Incarnation: 1, StartTime: startTime, FleetSize: n, Seed: 7, Log: logrus.NewEntry(log),
 			Policy: &policy.Config{Classes: []policy.Class{{Promise: 1}}},
 			CurrentSet: func(time.Duration, int) (*laneconfig.Set, bool, int) {
@@ -90,60 +91,62 @@
 				j := place[to]
 				s.bytes[i] += headerOverhead + len(s.names[i]) + len(raw)
 				if len(raw) > MaxMessageSize {
-					t.Fatalf("a letter of %d bytes", len(raw))
+					t.Fatalf("message of %d bytes", len(raw))
 				}
 				if s.cut == nil || !s.cut(i, j) {
 					s.inFlight = append(s.inFlight, packet{s.now + s.latency(), i, j, raw})
 				}
 			},
 		}, func() time.Duration { return s.now })
-		s.shedders = append(s.shedders, p)
+		s.shedders = append(s.shedders, shedder)
 	}
 	return s
 }
 
-// run plays the fleet for so long; each asks for what comes of rates, by co-ordinator, and tells how many were admitted of how many.
-func (s *testFleet) run(span time.Duration, ask func(i int) (gold, other float64)) (gold, other [][2]int) {
+// run simulates the fleet for a time span. rates gives the query rates of each node; the results count the admitted and all queries
+// by node.
+func (s *testFleet) run(span time.Duration, rates func(i int) (gold, other float64)) (gold, other [][2]int) {
 	const tick = 10 * time.Millisecond
 	n := len(s.shedders)
 	gold, other = make([][2]int, n), make([][2]int, n)
 	for end := s.now + span; s.now < end; s.now += tick {
 		s.capacityLeft = min(s.capacityLeft+s.capacity*tick.Seconds(), 0.1*s.capacity+1)
-		keep := s.inFlight[:0]
-		for _, l := range s.inFlight {
-			if l.arrivesAt <= s.now {
-				s.shedders[l.to].Receive(s.names[l.from], l.raw)
+		undelivered := s.inFlight[:0]
+		for _, p := range s.inFlight {
+			if p.arrivesAt <= s.now {
+				s.shedders[p.to].Receive(s.names[p.from], p.raw)
 			} else {
-				keep = append(keep, l)
+				undelivered = append(undelivered, p)
 			}
 		}
-		s.inFlight = keep
-		type one struct{ at, tenant int }
-		var come []one
+		s.inFlight = undelivered
+		type arrival struct{ node, tenant int }
+		var arrivals []arrival
 		for i, p := range s.shedders {
 			if (int(s.now/tick)+7*i)%25 == 0 {
 				p.step(s.now)
 			}
-			if ask != nil {
-				g, o := ask(i)
+			if rates != nil {
+				g, o := rates(i)
 				for tenant, rate := range []float64{g, o} {
 					for range s.randomRound(rate * tick.Seconds()) {
-						come = append(come, one{i, tenant})
+						arrivals = append(arrivals, arrival{i, tenant})
 					}
 				}
 			}
 		}
-		s.rng.Shuffle(len(come), func(i, j int) { come[i], come[j] = come[j], come[i] })
-		for _, c := range come {
-			to := &[][][2]int{gold, other}[c.tenant][c.at]
-			if to[1]++; s.query(s.shedders[c.at], c.tenant) {
-				to[0]++
+		s.rng.Shuffle(len(arrivals), func(i, j int) { arrivals[i], arrivals[j] = arrivals[j], arrivals[i] })
+		for _, c := range arrivals {
+			counts := &[][][2]int{gold, other}[c.tenant][c.node]
+			if counts[1]++; s.query(s.shedders[c.node], c.tenant) {
+				counts[0]++
 			}
 		}
 	}
 	return gold, other
 }
 
+// randomRound rounds up or down at random, so that the result has the given mean.
 func (s *testFleet) randomRound(mean float64) (k int) {
 	for k = int(mean); s.rng.Float64() < mean-float64(int(mean)); k++ {
 		mean = float64(int(mean))
@@ -151,24 +154,24 @@
 	return k
 }
 
-// query asks one, and ends it at once as the replicas do.
+// query makes a query at a node, and ends it at once according to the capacity left.
 func (s *testFleet) query(p *Shedder, tenant int) (admitted bool) {
 	at := startTime.Add(s.now)
 	q := &exchange.Query{ID: fmt.Sprint(s.rng.Uint64()), Tenant: tenant, Parts: []exchange.Part{{}}, Received: at}
 	if tenant > 0 {
 		q.Tenant, q.Client = -1, fmt.Sprint("c", s.rng.IntN(1000))
 	}
-	e := p.Admit(at, q, -1)
-	if e.Rejected {
+	verdict := p.Admit(at, q, -1)
+	if verdict.Rejected {
 		return false
 	}
-	o := exchange.LaneOutcome{Status: exchange.Served, Took: 100 * time.Millisecond}
-	if s.capacityLeft < e.Cost {
-		o = exchange.LaneOutcome{Status: exchange.Rejected}
+	outcome := exchange.LaneOutcome{Status: exchange.Served, Took: 100 * time.Millisecond}
+	if s.capacityLeft < verdict.Cost {
+		outcome = exchange.LaneOutcome{Status: exchange.Rejected}
 	} else {
-		s.capacityLeft -= e.Cost
+		s.capacityLeft -= verdict.Cost
 	}
-	p.QueryEnded(at, e, o)
+	p.QueryEnded(at, verdict, outcome)
 	return true
 }
 
@@ -186,17 +189,18 @@
 	return admitted, asked
 }
 
-// While a flood of the standard lane at one of them presses the whole fleet, premium within its guarantee is admitted by all; the
-// fleet sheds with one level, and no more once it is over. The log tells of it by lane, and says nothing at rest.
+// A flood of standard queries at one co-ordinator overloads the whole fleet. All co-ordinators admit premium queries within the
+// guarantee, shed at about the same level, and stop once the flood is over. The log has a summary of each lane, and no lines while
+// no queries arrive.
 func TestFloodIsShedAndPremiumIsAdmitted(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 450
-	// Of one that has most of the traffic sums count what the next one has: the guarantee comes to less, and gold asks for less.
+	// The sums clip the rate of a node that has most of the traffic, so the guarantee is computed from less; gold stays below that.
 	calm := func(int) (float64, float64) { return 8, 50 }
 	gold, other := s.run(10*time.Second, calm)
 	for _, of := range [][][2]int{gold, other} {
 		if admitted, asked := total(of); admitted != asked {
-			t.Errorf("calm: %d of %d", admitted, asked)
+			t.Errorf("before the flood: %d of %d admitted", admitted, asked)
 		}
 	}
 	flood := func(i int) (float64, float64) {
@@ -213,34 +217,34 @@
 	for _, p := range s.shedders {
 		low, high = min(low, p.control.Level()), max(high, p.control.Level())
 		if p.fleet.FreshReports != 5 {
-			t.Errorf("%d fresh words of 5", p.fleet.FreshReports)
+			t.Errorf("%d fresh reports of 5", p.fleet.FreshReports)
 		}
 	}
 	t.Logf("1.8 x: gold %d of %d, standard %d of %d, levels %.2f to %.2f", g, gAll, o, oAll, low, high)
 	if float64(g) < 0.99*float64(gAll) || o > oAll*3/4 || o < oAll/8 || low < 0.25 || high-low > 0.15 {
-		t.Error("a flood")
+		t.Error("during the flood: admissions or levels out of bounds")
 	}
 	text := s.log.String()
-	for _, want := range []string{`msg="sheds by lanes"`, `msg="the fleet sheds load by lanes"`, "lane=premium", "lane=standard", "refused_cut=", "msg=\"the lanes\"", "fleet_pressure="} {
+	for _, want := range []string{`msg="lane configuration applied"`, `msg="the fleet sheds load by lanes"`, "lane=premium", "lane=standard", "refused_cut=", "msg=\"load shedding summary\"", "fleet_pressure="} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the log lacks %s:\n%.3000s", want, text)
+			t.Errorf("the log does not contain %s:\n%.3000s", want, text)
 		}
 	}
 	s.run(30*time.Second, calm)
 	_, other = s.run(5*time.Second, calm)
 	if admitted, asked := total(other); admitted != asked {
-		t.Errorf("calm again: %d of %d", admitted, asked)
+		t.Errorf("after the flood: %d of %d admitted", admitted, asked)
 	}
 	s.run(12*time.Second, nil)
 	s.log.Reset()
 	s.run(30*time.Second, nil)
 	if s.log.Len() > 0 {
-		t.Errorf("at rest: %s", s.log.String())
+		t.Errorf("logged without queries: %s", s.log.String())
 	}
 	s.checkInvariantsHeld()
 }
 
-// One that is cut off goes on: it sheds no more than its own queries ask for, and its guarantee's even part stays.
+// A co-ordinator without contact to the others sheds only what its own queries require, and keeps its even share of the guarantee.
 func TestPartitionedNodeShedsByLocalLoad(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 500
@@ -250,28 +254,29 @@
 		t.Fatalf("level %v", s.shedders[4].control.Level())
 	}
 	s.cut = func(i, j int) bool { return i == 4 || j == 4 }
-	own := func(i int) (float64, float64) {
+	quiet := func(i int) (float64, float64) {
 		if i == 4 {
 			return 20, 30
 		}
 		return 20, 50
 	}
-	s.run(25*time.Second, own)
-	gold, other := s.run(10*time.Second, own)
+	s.run(25*time.Second, quiet)
+	gold, other := s.run(10*time.Second, quiet)
 	p := s.shedders[4]
-	t.Logf("cut off: gold %v, standard %v, level %.2f, news known %v", gold[4], other[4], p.control.Level(), p.fleet.Known)
+	t.Logf("partitioned: gold %v, standard %v, level %.2f, fleet known %v", gold[4], other[4], p.control.Level(), p.fleet.Known)
 	if p.fleet.Known || p.control.Level() > 0 || gold[4][0] != gold[4][1] || other[4][0] != other[4][1] {
-		t.Error("cut off")
+		t.Error("the partitioned node sheds load, or has fresh reports")
 	}
 	s.cut = nil
-	s.run(5*time.Second, own)
+	s.run(5*time.Second, quiet)
 	if !p.fleet.Known {
-		t.Error("back, and nothing known")
+		t.Error("the fleet is not known after the partition")
 	}
 	s.checkInvariantsHeld()
 }
 
-// An account that asks for most of its guarantee at one of them gets it there: parts move with demand.
+// An account that sends most of its guaranteed load to one co-ordinator is admitted there, because shares of the guarantee move
+// with demand.
 func TestGuaranteeMovesToDemand(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 500
@@ -283,14 +288,14 @@
 	}
 	s.run(25*time.Second, ask)
 	gold, _ := s.run(20*time.Second, ask)
-	t.Logf("%v of a home part of 30 a second", gold[0])
+	t.Logf("%v admitted and offered, with an even share of 30 per second", gold[0])
 	if gold[0][0] < gold[0][1]*85/100 {
-		t.Errorf("%v: shares %v of %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
+		t.Errorf("%v admitted and offered, share %v, home share %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
 	}
 	s.checkInvariantsHeld()
 }
 
-// Who asks is cut or not for a slot, but for one behind whom most of the traffic is: that one by pieces.
+// All queries of a client have one key, unless most of the traffic comes from its address: then it has one key per piece.
 func TestHeavyClientIsShedInPieces(t *testing.T) {
 	set := compile(t, section(1), 1)
 	var c shedKeys
@@ -316,28 +321,29 @@
 	}
 }
 
-// Guards against replicas that idle while the fleet sheds: an account that asks for most of the load is cut by pieces, so that
-// what is let in is what the level allows.
+// Guards against replicas that idle while the fleet sheds: an account with most of the load is shed in pieces, so that the admitted
+// load matches the level.
 func TestHeavyAccountIsShedInPieces(t *testing.T) {
 	lanes := section(1)
 	lanes.Accounts[0].Lane, lanes.Accounts[0].Guarantee = "standard", 0
 	s := newTestFleet(t, 5, "n%d", compile(t, lanes, 1))
 	s.capacity = 500
-	storm := func(int) (float64, float64) { return 180, 20 } // 2 x
+	storm := func(int) (float64, float64) { return 180, 20 } // twice the capacity
 	s.run(15*time.Second, storm)
-	const window = 5 * time.Second // half of a slot
+	const window = 5 * time.Second // half a slot
 	for range 4 {
 		gold, other := s.run(window, storm)
 		g, gAll := total(gold)
 		o, oAll := total(other)
 		if float64(g+o) < 0.5*s.capacity*window.Seconds() {
-			t.Errorf("%d of %d of the account and %d of %d of others are let in, of %.0f that the replicas bear", g, gAll, o, oAll, s.capacity*window.Seconds())
+			t.Errorf("%d of %d queries of the account and %d of %d others admitted, capacity %.0f", g, gAll, o, oAll, s.capacity*window.Seconds())
 		}
 	}
 	s.checkInvariantsHeld()
 }
 
-// Another configuration comes into force at all in the middle of a storm: who moved down is cut, nothing else breaks.
+// All co-ordinators change their configuration during overload: an account that moves to a lower lane is shed, and nothing else
+// breaks.
 func TestConfigurationChangeDuringOverload(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 500
@@ -349,26 +355,26 @@
 	s.run(time.Second, flood)
 	gold, _ := s.run(10*time.Second, flood)
 	if admitted, asked := total(gold); admitted > asked*9/10 {
-		t.Errorf("%d of %d of who moved down", admitted, asked)
+		t.Errorf("%d of %d admitted of the account that moved to a lower lane", admitted, asked)
 	}
 	e := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
 	if e.Rejected || e.Lane != 0 || e.Account != 1 {
-		t.Errorf("an account that is new with it: %+v", e)
+		t.Errorf("an account that the new configuration adds: %+v", e)
 	}
 	s.set = compile(t, section(1), 3)
 	s.run(15*time.Second, flood)
 	gold, _ = s.run(10*time.Second, flood)
 	if admitted, asked := total(gold); admitted < asked*98/100 {
-		t.Errorf("%d of %d of who moved up", admitted, asked)
+		t.Errorf("%d of %d admitted of the account that moved to a higher lane", admitted, asked)
 	}
 	s.checkInvariantsHeld()
 }
 
-// What 300 co-ordinators send stays within its bound each second, with long names and with hundreds of accounts that are short, and
-// news come all the same.
+// Each of 300 co-ordinators keeps to its send rate limit, with long names and with hundreds of accounts that borrow shares, and
+// still has enough fresh reports.
 func TestSendRateOf300Coordinators(t *testing.T) {
 	if raceOn {
-		t.Skip("one goroutine, and ten times as long")
+		t.Skip("runs in one goroutine, and takes ten times as long with the race detector")
 	}
 	for _, name := range []string{"n%d", "eu-west-1a-coord-%03d"} {
 		s := newTestFleet(t, 300, name, compile(t, section(400), 1))
@@ -389,12 +395,12 @@
 		for i, p := range s.shedders {
 			most, fresh = max(most, s.bytes[i]/span), min(fresh, p.fleet.FreshReports)
 			if !p.fleet.Known {
-				t.Errorf("%s knows nothing", s.names[i])
+				t.Errorf("%s: the fleet is not known", s.names[i])
 			}
 		}
-		t.Logf("%s: %d bytes a second at the most, %d fresh words at least", name, most, fresh)
+		t.Logf("%s: at most %d bytes per second, at least %d fresh reports", name, most, fresh)
 		if most > 2048 || fresh < 13 {
-			t.Error("bytes, or too few words")
+			t.Error("too many bytes, or too few fresh reports")
 		}
 		s.checkInvariantsHeld()
 	}
@@ -406,7 +412,7 @@
 	}
 }
 
-// Steps, turns of the exchange and letters come in goroutines of their own.
+// Run, the exchange's calls and received messages use a Shedder from different goroutines.
 func TestShedderConcurrentUse(t *testing.T) {
 	set, first := compile(t, section(20), 1), true
 	letters := make(chan []byte, 100)
@@ -437,7 +443,7 @@
 			}
 		case <-time.After(10 * time.Millisecond):
 			if i > 2000 {
-				t.Fatal("no letter in 20 s")
+				t.Fatal("no message in 20 s")
 			}
 		}
 	}
--- a/internal/fleet/loadshed/slots.go
+++ b/internal/fleet/loadshed/slots.go
@@ -3,42 +3,43 @@
 import "time"
 
 const (
-	// AgreedTimeTimeout is how long agreed time may stand still before slots go by the wall's.
+	// AgreedTimeTimeout is how long agreed time may go without advancing before slots are numbered by the wall clock.
 	AgreedTimeTimeout = 10 * time.Second
-	// offsetWindow is for how long a reading of agreed time counts.
+	// offsetWindow is the length of the window in which the offset of agreed time is measured; the previous window still counts.
 	offsetWindow = 30 * time.Second
 )
 
-// slotClock number time for the cut: by agreed time, the latest reading of which is always a little old, so that the greatest of late
-// is nearest; by the wall's time while none comes, as in a fleet that agrees on nothing.
+// slotClock numbers the time slots during which the same keys are shed, by agreed time. A reading of agreed time is always a little
+// old, so the greatest recent offset from local time is the best estimate. While agreed time does not advance, as in a fleet
+// without a raft group, slots are numbered by the wall clock.
 type slotClock struct {
-	newestReading                time.Duration // newest reading
-	readAt                       time.Duration // local time of it
-	maxOffset, previousMaxOffset time.Duration // greatest agreed less own time of this span and the one before
-	windowStart                  time.Duration
+	newestReading                time.Duration // of agreed time
+	readAt                       time.Duration // local time of newestReading
+	maxOffset, previousMaxOffset time.Duration // greatest difference of agreed and local time, in this window and the one before
+	windowStart                  time.Duration // local time
 	started                      bool
 }
 
-// arrivesAt gives the slot of now, and how long it lasts still.
+// slotAt returns the number of the slot at now and the time left in it.
 func (s *slotClock) slotAt(now, agreed, wall, slot time.Duration) (number uint64, left time.Duration) {
 	if s.newestReading == 0 {
-		s.newestReading = agreed // may be hours old
+		s.newestReading = agreed // the first reading may be hours old, so only later ones count
 	}
 	if agreed > s.newestReading {
 		s.newestReading, s.readAt = agreed, now
-		switch off := agreed - now; {
+		switch offset := agreed - now; {
 		case !s.started:
-			s.started, s.windowStart, s.maxOffset, s.previousMaxOffset = true, now, off, off
+			s.started, s.windowStart, s.maxOffset, s.previousMaxOffset = true, now, offset, offset
 		case now-s.windowStart >= offsetWindow:
-			s.windowStart, s.previousMaxOffset, s.maxOffset = now, s.maxOffset, off
+			s.windowStart, s.previousMaxOffset, s.maxOffset = now, s.maxOffset, offset
 		default:
-			s.maxOffset = max(s.maxOffset, off)
+			s.maxOffset = max(s.maxOffset, offset)
 		}
 	}
-	t := wall
+	slotTime := wall
 	if s.started && now-s.readAt < AgreedTimeTimeout {
-		t = now + max(s.maxOffset, s.previousMaxOffset)
+		slotTime = now + max(s.maxOffset, s.previousMaxOffset)
 	}
-	t = max(0, t)
-	return uint64(t / slot), slot - t%slot
+	slotTime = max(0, slotTime)
+	return uint64(slotTime / slot), slot - slotTime%slot
 }
