--- a/internal/fleet/lanepart/part.go
+++ b/internal/fleet/lanepart/part.go
@@ -1,5 +1,6 @@
-// Package lanepart is one co-ordinator's part in shedding load by lanes: which configuration of lanes is in force by the agreed
-// state, its proposal by the leader, and the connection of load shedding with the exchange and the gossip.
+// Package lanepart runs load shedding by lanes at one co-ordinator. It selects the lane configuration that is in force by the
+// agreed state, proposes that of the operators' file while this co-ordinator is the leader, and connects package loadshed with the
+// exchange and the gossip.
 package lanepart
 
 import (
@@ -29,50 +30,50 @@
 // MessageKind is the first byte of the messages between co-ordinators that Receive takes.
 const MessageKind = loadshed.MessageKind
 
-// Host is what this part needs of the node. Functions must not block.
+// Host holds what Part uses of the node. Its functions must not block.
 type Host struct {
 	Name, Zone string
-	StartTime  time.Time // of the own monotonic time
+	StartTime  time.Time // zero of the local monotonic time
 	State      *agreedstate.Copy
 	Names      *settings.Names
 	Policy     *policy.Config
 	Log        *logrus.Entry
-	// MayPropose is the agreed time for a command; false while nothing may be proposed.
+	// MayPropose returns the agreed time for a command, and false while nothing may be proposed.
 	MayPropose func() (time.Duration, bool)
-	// Members is the gossip membership.
+	// Members returns the gossip membership.
 	Members func() []member.Member
 	// Send sends a message to another co-ordinator.
 	Send func(to string, raw []byte) error
-	// Wake has the node's loop make a step soon.
+	// Wake requests a step of the node's loop soon.
 	Wake func()
 }
 
-// StepInput is what a step of the node's loop goes by.
+// StepInput is the input of a step of the node's loop.
 type StepInput struct {
-	Now   time.Duration    // fileSection monotonic
-	Term  uint64           // in which this co-ordinator leads; 0: it does not
-	Group *raftgroup.Group // nil: without a vote
+	Now   time.Duration    // local monotonic time
+	Term  uint64           // raft term in which this co-ordinator is the leader; 0: it is not
+	Group *raftgroup.Group // nil: this co-ordinator has no vote
 }
 
-// Part is one co-ordinator's part. What is not under mu belongs to the node's loop.
+// Part is the load shedding by lanes of one co-ordinator. The fields that mu does not protect belong to the node's loop.
 type Part struct {
 	host          Host
 	shed          *loadshed.Shedder
-	sequence      uint64        // of the newest proposal in this term
-	term          uint64        // of it
-	notBefore     time.Duration // fileSection time before which nothing is proposed
-	loggedInForce string        // sum of the configuration that was logged as in force
+	sequence      uint64        // of the newest proposal in term
+	term          uint64        // of the newest proposal
+	notBefore     time.Duration // local time before which nothing is proposed
+	loggedInForce string        // checksum of the configuration that was logged as in force
 
 	mu          sync.Mutex
-	fileSection *laneconfig.SetBody // of the file; nil: it can't be encoded, which was logged
+	fileSection *laneconfig.SetBody // of the file; nil if it cannot be encoded, which was logged
 	selector    *laneconfig.Selector
-	routes      []string // that it was made for
-	pending     bool     // a proposal is under way
-	rejected    bool     // the newest one was, for good
+	routes      []string // that selector was made for
+	pending     bool     // a proposal is in progress
+	rejected    bool     // the newest proposal was rejected by the state machine
 	warning     string
 }
 
-// Validate rejects a section that can't be agreed on, since it is too large.
+// Validate rejects a file whose lanes section is too large or cannot be compiled.
 func Validate(f *operator.File, names *settings.Names) error {
 	l := f.Fleet.Lanes
 	if l == nil {
@@ -95,14 +96,14 @@
 	return names
 }
 
-// New makes the part of a file that has the section.
+// New returns the Part for a file that has a lanes section.
 func New(h Host, f *operator.File) *Part {
 	p := &Part{host: h}
 	p.Reload(f)
 	return p
 }
 
-// Attach has the exchange's queries go through the lanes. It comes before the exchange runs; Run runs the load shedding.
+// Attach passes the exchange's queries through the lanes. It must be called before the exchange runs. Run runs the load shedding.
 func (p *Part) Attach(e *exchange.Exchange) {
 	r := &membershipCache{host: &p.host}
 	p.shed = loadshed.New(loadshed.Options{
@@ -111,7 +112,7 @@
 		CurrentSet: p.inForce, Membership: r.current, AgreedTime: p.agreedTime,
 		Send: func(to string, raw []byte) {
 			if err := p.host.Send(to, raw); err != nil {
-				p.host.Log.WithError(err).Debug("a letter of lanes is not sent")
+				p.host.Log.WithError(err).Debug("a lane message was not sent")
 			}
 		},
 	})
@@ -121,7 +122,7 @@
 // Run runs the load shedding until ctx ends.
 func (p *Part) Run(ctx context.Context) { p.shed.Run(ctx) }
 
-// Receive takes a message of another co-ordinator. Any goroutine may call it.
+// Receive takes a message of another co-ordinator. It may be called by any goroutine.
 func (p *Part) Receive(from string, raw []byte) { p.shed.Receive(from, raw) }
 
 func (p *Part) agreedTime() (at time.Duration) {
@@ -129,16 +130,16 @@
 	return at
 }
 
-// Reload takes a file that was read again.
+// Reload takes over a file that was read again.
 func (p *Part) Reload(f *operator.File) {
 	b, err := laneconfig.NewSetBody(f.Fleet.Lanes, f.Fleet.Revision)
 	if err != nil {
-		p.host.Log.WithError(err).Error("the section of lanes can't be agreed on")
+		p.host.Log.WithError(err).Error("the lanes section cannot be encoded for a proposal")
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if names := routeNames(f); p.selector == nil || !slices.Equal(names, p.routes) { // queries come with places in this list
+	if names := routeNames(f); p.selector == nil || !slices.Equal(names, p.routes) { // queries refer to routes by their index in this list
 		p.selector, p.routes = laneconfig.NewSelector(p.host.Names, names), names
 	}
 	if p.fileSection == nil || p.fileSection.Revision != b.Revision || p.fileSection.Sum != b.Sum {
@@ -146,98 +147,99 @@
 	}
 }
 
-// inForce is the configuration to go by now, whether that is another one than at the last call, and the revision that was applied
-// here, 0 for none. heard is the highest one that others say they have applied. Any goroutine may call it.
-func (p *Part) inForce(now time.Duration, heard int) (set *laneconfig.Set, changed bool, applied int) {
-	look := laneconfig.SelectorInput{Now: now, PeerRevision: heard}
+// inForce returns the lane set to apply now, whether it differs from that of the last call, and the revision that is in force here,
+// 0 for none. peerRevision is the highest revision that other members report. It may be called by any goroutine.
+func (p *Part) inForce(now time.Duration, peerRevision int) (set *laneconfig.Set, changed bool, applied int) {
+	input := laneconfig.SelectorInput{Now: now, PeerRevision: peerRevision}
 	state := p.host.State
 	state.WithLock(func() {
-		look.AgreedTime = state.Machine.Now()
-		look.Current, look.Previous = state.Lanes.InForce(look.AgreedTime)
+		input.AgreedTime = state.Machine.Now()
+		input.Current, input.Previous = state.Lanes.InForce(input.AgreedTime)
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	look.FileSection = p.fileSection
-	set, changed, note := p.selector.Select(look)
-	if note != "" && note != p.warning {
-		p.host.Log.Warn(note)
+	input.FileSection = p.fileSection
+	set, changed, warning := p.selector.Select(input)
+	if warning != "" && warning != p.warning {
+		p.host.Log.Warn(warning)
 	}
-	p.warning = note
-	if look.Current != nil {
-		applied = look.Current.Revision
+	p.warning = warning
+	if input.Current != nil {
+		applied = input.Current.Revision
 	}
 	return set, changed, applied
 }
 
-// logInForce logs what came in force.
+// logInForce logs a configuration that came into force.
 func (p *Part) logInForce() {
-	var force *laneconfig.Version
+	var current *laneconfig.Version
 	state := p.host.State
-	state.WithLock(func() { force, _ = state.Lanes.InForce(state.Machine.Now()) })
-	if force == nil || force.Sum == p.loggedInForce {
+	state.WithLock(func() { current, _ = state.Lanes.InForce(state.Machine.Now()) })
+	if current == nil || current.Sum == p.loggedInForce {
 		return
 	}
-	p.loggedInForce = force.Sum
-	p.host.Log.WithFields(logrus.Fields{"revision": force.Revision, "sum": force.Sum[:8]}).Info("lanes are in force")
+	p.loggedInForce = current.Sum
+	p.host.Log.WithFields(logrus.Fields{"revision": current.Revision, "sum": current.Sum[:8]}).Info("lanes are in force")
 }
 
-// Step proposes the own file's section while this co-ordinator leads and a lower revision is in force.
+// Step proposes the lanes section of the local file while this co-ordinator is the leader and a lower revision is in force.
 func (p *Part) Step(t StepInput) {
 	p.logInForce()
-	at, may := p.host.MayPropose()
-	if t.Term == 0 || !may || t.Group == nil {
+	agreedTime, allowed := p.host.MayPropose()
+	if t.Term == 0 || !allowed || t.Group == nil {
 		return
 	}
 	if p.term != t.Term {
 		p.term, p.sequence, p.notBefore = t.Term, 0, 0
 	}
-	own := p.sectionToPropose(t.Now)
-	if own == nil || !p.stateAccepts(t.Now, at, own) {
+	section := p.sectionToPropose(t.Now)
+	if section == nil || !p.stateAccepts(t.Now, agreedTime, section) {
 		return
 	}
 	p.sequence++
 	p.notBefore = t.Now + drainctl.ProposalTimeout
-	raw, err := encodeCommand(fmt.Sprintf("l-%d-%d", t.Term, p.sequence), at, *own)
+	raw, err := encodeCommand(fmt.Sprintf("l-%d-%d", t.Term, p.sequence), agreedTime, *section)
 	if err != nil {
 		p.notBefore = t.Now + drainctl.ConfigErrorInterval
-		p.host.Log.WithError(err).Error("the section of lanes can't be proposed")
+		p.host.Log.WithError(err).Error("the lanes section cannot be proposed")
 		return
 	}
 	p.mu.Lock()
 	p.pending = true
 	p.mu.Unlock()
-	go p.propose(t.Group, raw, own.Revision)
+	go p.propose(t.Group, raw, section.Revision)
 }
 
-// sectionToPropose is the own section if it may be proposed now, else nil.
+// sectionToPropose returns the section of the local file, or nil if it may not be proposed now.
 func (p *Part) sectionToPropose(now time.Duration) *laneconfig.SetBody {
 	p.mu.Lock()
-	own, pending, rejected := p.fileSection, p.pending, p.rejected
+	section, pending, rejected := p.fileSection, p.pending, p.rejected
 	p.rejected = false
 	p.mu.Unlock()
 	if rejected {
 		p.notBefore = now + drainctl.ConfigErrorInterval
 	}
-	if own == nil || pending || now < p.notBefore {
+	if section == nil || pending || now < p.notBefore {
 		return nil
 	}
-	return own
+	return section
 }
 
-// stateAccepts says whether the agreed state would take the own section, and logs one that differs under the same revision.
-func (p *Part) stateAccepts(now, at time.Duration, own *laneconfig.SetBody) bool {
-	var takes, differs bool
+// stateAccepts returns whether the agreed state would accept the section. It logs a section that differs from the one in force
+// under the same revision.
+func (p *Part) stateAccepts(now, at time.Duration, section *laneconfig.SetBody) bool {
+	var accepts, differs bool
 	state := p.host.State
 	state.WithLock(func() {
-		takes = state.Lanes.Accepts(own.Revision, at)
-		force, _ := state.Lanes.InForce(at)
-		differs = force != nil && force.Revision == own.Revision && force.Sum != own.Sum
+		accepts = state.Lanes.Accepts(section.Revision, at)
+		current, _ := state.Lanes.InForce(at)
+		differs = current != nil && current.Revision == section.Revision && current.Sum != section.Sum
 	})
 	if differs {
 		p.notBefore = now + drainctl.ConfigErrorInterval
-		p.host.Log.WithField("revision", own.Revision).Warn("the file's lanes differ from those agreed under the same revision: give them a higher one")
+		p.host.Log.WithField("revision", section.Revision).Warn("the file's lanes differ from those agreed under the same revision: give them a higher one")
 	}
-	return takes
+	return accepts
 }
 
 func encodeCommand(id string, at time.Duration, b laneconfig.SetBody) ([]byte, error) {
@@ -248,18 +250,18 @@
 	return statemachine.Command{V: statemachine.Version, ID: id, Part: laneconfig.Part, Kind: laneconfig.KindSet, At: at, Body: body}.Encode()
 }
 
-// propose puts a command to the raft group, beside the step. One of which nothing came is proposed anew: applied twice, the
-// second is of no higher revision.
+// propose proposes a command to the raft group, outside the node's loop. A proposal without a result is made again; if it was
+// applied after all, the second one has no higher revision and is rejected.
 func (p *Part) propose(group *raftgroup.Group, raw []byte, revision int) {
 	err := group.ProposeWithin(raw)
-	e := p.host.Log.WithField("revision", revision)
+	log := p.host.Log.WithField("revision", revision)
 	switch {
 	case err == nil:
-		e.Info("the file's lanes were agreed on")
+		log.Info("the lanes section of the file was committed")
 	case errors.Is(err, statemachine.ErrRejected):
-		e.WithError(err).Warn("the file's lanes were refused")
+		log.WithError(err).Warn("the lanes section of the file was rejected")
 	default:
-		e.WithError(err).Debug("a proposal of lanes came to nothing")
+		log.WithError(err).Debug("a proposal of the lanes section failed")
 	}
 	p.mu.Lock()
 	p.pending, p.rejected = false, errors.Is(err, statemachine.ErrRejected)
@@ -271,12 +273,12 @@
 func (p *Part) AddSummary(f logrus.Fields) {
 	state := p.host.State
 	state.WithLock(func() {
-		force, before := state.Lanes.InForce(state.Machine.Now())
-		if force != nil {
-			f["lanes_revision"] = force.Revision
+		current, previous := state.Lanes.InForce(state.Machine.Now())
+		if current != nil {
+			f["lanes_revision"] = current.Revision
 		}
-		if before != nil {
-			f["lanes_with"] = before.Revision
+		if previous != nil {
+			f["lanes_with"] = previous.Revision
 		}
 	})
 	p.mu.Lock()
--- a/internal/fleet/lanepart/part_test.go
+++ b/internal/fleet/lanepart/part_test.go
@@ -14,7 +14,8 @@
 	"birchcart/internal/settings"
 )
 
-// A co-ordinator goes by what its copy has, and tells what it has applied; a file too large to agree on is refused.
+// A co-ordinator applies the section in its copy of the agreed state and returns its revision. A file with a section that is too
+// large is rejected.
 func TestInForceFollowsAgreedState(t *testing.T) {
 	names := &settings.Names{Classes: []string{"q"}}
 	f := &operator.File{Fleet: &operator.Fleet{Revision: 4, Lanes: &operator.Lanes{Slot: 10, Lanes: []operator.Lane{{Name: "all", Floor: 0.1}}}}}
@@ -26,7 +27,7 @@
 		t.Fatal(err)
 	}
 	p := New(Host{State: state, Names: names, Log: logrus.NewEntry(log)}, f)
-	if set, changed, applied := p.inForce(1, 0); set == nil || !changed || applied != 0 || !strings.Contains(out.String(), "no lanes are agreed on yet") {
+	if set, changed, applied := p.inForce(1, 0); set == nil || !changed || applied != 0 || !strings.Contains(out.String(), "no lanes section is in force") {
 		t.Errorf("%v %v %d: %s", set, changed, applied, out.String())
 	}
 	b, err := laneconfig.NewSetBody(f.Fleet.Lanes, 4)
@@ -37,10 +38,10 @@
 	if err != nil || state.Machine.Apply(1, raw) != nil {
 		t.Fatal(err)
 	}
-	for heard, behind := range map[int]bool{4: false, 5: true} {
+	for peerRevision, behind := range map[int]bool{4: false, 5: true} {
 		out.Reset()
-		if set, changed, applied := p.inForce(1, heard); set == nil || changed || applied != 4 || strings.Contains(out.String(), "is behind") != behind {
-			t.Errorf("heard of %d: %v %v %d: %s", heard, set, changed, applied, out.String())
+		if set, changed, applied := p.inForce(1, peerRevision); set == nil || changed || applied != 4 || strings.Contains(out.String(), "is behind") != behind {
+			t.Errorf("peer revision %d: %v %v %d: %s", peerRevision, set, changed, applied, out.String())
 		}
 	}
 	fields := logrus.Fields{}
--- a/internal/fleet/lanepart/roster.go
+++ b/internal/fleet/lanepart/roster.go
@@ -9,18 +9,18 @@
 	"birchcart/internal/fleet/member"
 )
 
-// MembershipInterval is between looks at who there is.
+// MembershipInterval is the interval at which the membership is updated.
 const MembershipInterval = time.Second
 
-// membershipCache is who there is, for the load shedding's steps alone.
+// membershipCache caches the membership. Only the load shedding's goroutine uses it.
 type membershipCache struct {
 	host       *Host
 	updatedAt  time.Duration
 	membership loadshed.Membership
 }
 
-// current is who is agreed to be there and not gone, and who gossip hears of. What is agreed stays while this one is cut off, so
-// that it knows of how few it hears.
+// current returns the co-ordinators that are in the agreed state and not gone, and those that gossip reports. The agreed ones stay
+// members while this co-ordinator is cut off, so that it notices from how few of them it hears.
 func (r *membershipCache) current() loadshed.Membership {
 	now := time.Since(r.host.StartTime)
 	if r.membership.Names != nil && now < r.updatedAt+MembershipInterval {
@@ -33,7 +33,7 @@
 	return r.membership
 }
 
-func membershipOf(self string, agreed []maintenance.Machine, heard []member.Member) (out loadshed.Membership) {
+func membershipOf(self string, agreed []maintenance.Machine, gossiped []member.Member) (out loadshed.Membership) {
 	out.Names = []string{self}
 	for _, m := range agreed {
 		if m.Kind == maintenance.Coordinator && m.Status != maintenance.Gone {
@@ -41,7 +41,7 @@
 			out.AgreedCount++
 		}
 	}
-	for _, m := range heard {
+	for _, m := range gossiped {
 		if m.State == member.Alive || m.State == member.Suspect {
 			out.Names = append(out.Names, m.Name)
 		}
--- a/internal/fleet/lanepart/roster_test.go
+++ b/internal/fleet/lanepart/roster_test.go
@@ -8,7 +8,8 @@
 	"birchcart/internal/fleet/member"
 )
 
-// Who is agreed to be there counts as there, heard of or not; messages go to who is heard of.
+// A co-ordinator in the agreed state is a member even if gossip does not report it; messages go only to those that gossip reports
+// as alive.
 func TestMembershipFromAgreedStateAndGossip(t *testing.T) {
 	c := membershipOf("a", []maintenance.Machine{
 		{Name: "r1", Kind: maintenance.Replica, Status: maintenance.Up}, {Name: "a", Kind: maintenance.Coordinator, Status: maintenance.Up},
