--- a/internal/fleet/laneconfig/agreed_test.go
+++ b/internal/fleet/laneconfig/agreed_test.go
@@ -15,7 +15,7 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// packText carries any text.
+// packText returns a command body with an arbitrary text.
 func packText(t rapid.TB, revision int, text string) SetBody {
 	z, err := compress.Pack([]byte(text))
 	if err != nil {
@@ -34,9 +34,9 @@
 
 const start = 1000 * time.Second
 
-func (a *State) mustApply(t rapid.TB, now time.Duration, b SetBody) {
-	a.Tick(now)
-	if err := errors.Join(a.Apply(now, nil, KindSet, mustJSON(t, b)), a.Check()); err != nil {
+func (s *State) mustApply(t rapid.TB, now time.Duration, b SetBody) {
+	s.Tick(now)
+	if err := errors.Join(s.Apply(now, nil, KindSet, mustJSON(t, b)), s.Check()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -44,26 +44,26 @@
 func TestPreviousSectionEndsAfterOverlapDuration(t *testing.T) {
 	a := New()
 	if f, b := a.InForce(start); f != nil || b != nil || !a.Empty() || !a.Accepts(1, start) {
-		t.Error("something of nothing")
+		t.Error("a new state has a section")
 	}
 	a.mustApply(t, start, packText(t, 4, "first"))
 	if f, b := a.InForce(start); f.Revision != 4 || b != nil || a.Accepts(4, start) || !a.Accepts(5, start) {
-		t.Error("the first one is in force alone, at once")
+		t.Error("the first section is not in force alone at once")
 	}
 	a.mustApply(t, start+time.Second, packText(t, 6, "second"))
 	end := start + time.Second + OverlapDuration
 	if f, b := a.InForce(end - 1); f.Revision != 6 || b.Revision != 4 || a.Accepts(7, end-1) {
-		t.Error("the one before counts as well")
+		t.Error("the previous section is not in force as well")
 	}
 	if f, b := a.InForce(end); f.Revision != 6 || b != nil || !a.Accepts(7, end) {
-		t.Error("two without a command that tells the time")
+		t.Error("two sections are in force after the overlap, without a command since")
 	}
 	if err := a.Apply(end-1, nil, KindSet, mustJSON(t, packText(t, 7, "third"))); err == nil || !strings.Contains(err.Error(), "in force together") {
-		t.Error("three:", err)
+		t.Error("a third section during the overlap:", err)
 	}
 	a.Tick(end)
 	if err := a.Check(); err != nil || a.previous != nil {
-		t.Error("two past their time:", err)
+		t.Error("two sections are in force after the overlap:", err)
 	}
 	a.mustApply(t, end, packText(t, 7, "third"))
 }
@@ -75,8 +75,8 @@
 	damaged, long, deep := packText(t, 5, "x"), packText(t, 5, "x"), packText(t, 5, strings.Repeat("x", MaxTextSize+1))
 	damaged.Sum, long.Packed = long.Sum[:63]+"-", make([]byte, MaxPackedSize+1)
 	for want, b := range map[string]any{
-		"revision 4, 4 is": packText(t, 4, "other"), "revision 3, 4 is": packText(t, 3, "other"), "revision 0": packText(t, 0, ""), "and says": damaged,
-		"262145 bytes packed": long, "4194304 at most": deep, "revision 1099511627777": packText(t, MaxRevision+1, "x"), "cannot unmarshal": 3,
+		"revision 4 is not above revision 4": packText(t, 4, "other"), "revision 3 is not above revision 4": packText(t, 3, "other"), "revision 0": packText(t, 0, ""), "but the command contains": damaged,
+		"262145 bytes compressed": long, "4194304 at most": deep, "revision 1099511627777": packText(t, MaxRevision+1, "x"), "cannot unmarshal": 3,
 	} {
 		if err := a.Apply(start, nil, KindSet, mustJSON(t, b)); err == nil || errors.Is(err, statemachine.ErrUnknown) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -84,11 +84,11 @@
 	}
 	for kind, b := range map[string]string{"drop": `{}`, KindSet: `{"revision":9,"colour":1}`} {
 		if err := a.Apply(start, nil, kind, []byte(b)); !errors.Is(err, statemachine.ErrUnknown) {
-			t.Errorf("of a newer program: %v", err)
+			t.Errorf("a command of a newer program: %v", err)
 		}
 	}
 	if after, _ := a.Save(); !bytes.Equal(before, after) {
-		t.Error("what was refused has changed something")
+		t.Error("a rejected command changed the state")
 	}
 }
 
@@ -97,8 +97,9 @@
 	return statemachine.New(map[string]statemachine.Part{Part: a}), a
 }
 
-// Whatever commands come in whatever order, some twice, and wherever a copy goes on from a snapshot of another: two copies
-// are alike, rules hold, revisions only rise, and two are never in force for longer than OverlapDuration.
+// Guards against copies of the state that diverge. Commands come in any order, some of them twice, and one copy continues from
+// snapshots of the other: the copies stay equal, the invariants hold, revisions only increase, and two sections are never in force
+// together for OverlapDuration or longer.
 func TestAnyOrderOfCommands(t *testing.T) {
 	texts := make([]SetBody, 8)
 	for i := range texts {
@@ -108,7 +109,7 @@
 		one, a := newCopy(t)
 		two, _ := newCopy(t)
 		now, last := start, 0
-		mixing := map[string]time.Duration{} // pair, to when it was first seen
+		overlapSince := map[string]time.Duration{} // by pair of revisions
 		for i := range rapid.IntRange(1, 30).Draw(t, "commands") {
 			now += time.Duration(rapid.IntRange(-5, 10).Draw(t, "later")) * time.Second
 			c := statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")), Part: Part, Kind: KindSet, At: now,
@@ -130,11 +131,11 @@
 			}
 			if before != nil {
 				pair := fmt.Sprint(before.Revision, force.Revision)
-				if _, seen := mixing[pair]; !seen {
-					mixing[pair] = one.Now()
+				if _, seen := overlapSince[pair]; !seen {
+					overlapSince[pair] = one.Now()
 				}
-				if one.Now() >= mixing[pair]+OverlapDuration {
-					t.Fatalf("%s in force from %v to %v", pair, mixing[pair], one.Now())
+				if one.Now() >= overlapSince[pair]+OverlapDuration {
+					t.Fatalf("%s in force from %v to %v", pair, overlapSince[pair], one.Now())
 				}
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
@@ -151,7 +152,7 @@
 	})
 }
 
-// FuzzLoad: what is loaded holds the rules and saves to the same again; what is not leaves all as it was.
+// State that loads satisfies the invariants and saves to the same bytes again; if loading fails, nothing changes.
 func FuzzLoad(f *testing.F) {
 	a := New()
 	empty, _ := a.Save()
--- a/internal/fleet/laneconfig/mix.go
+++ b/internal/fleet/laneconfig/mix.go
@@ -7,32 +7,33 @@
 	"birchcart/internal/settings"
 )
 
-// SelectorInput is what is known at a moment.
+// SelectorInput is the information that Selector uses.
 type SelectorInput struct {
-	Now               time.Duration // lookupAccount monotonic time
-	AgreedTime        time.Duration // agreed time, as the newest command here tells it
-	Current, Previous *Version      // of Agreed's InForce
-	FileSection       *SetBody      // of the own file; nil: it has no section, and there are no lanes here
-	PeerRevision      int           // the highest revision that others say they have applied; 0: none
+	Now               time.Duration // local monotonic time
+	AgreedTime        time.Duration // by the newest command applied here
+	Current, Previous *Version      // as returned by State.InForce
+	FileSection       *SetBody      // of the local file; nil: it has no lanes section, and no lanes apply here
+	PeerRevision      int           // the highest revision that other members report; 0: none
 }
 
-// Selector is what one co-ordinator goes by: what is in force, the stricter where it is two. One that hears of a higher
-// revision than was applied to its copy is behind: it goes by the stricter of its own and that revision where its file has
-// it, and else by what it has. Where nothing was agreed on yet it goes by its own file.
+// Selector selects the set that a co-ordinator applies: the section in force, or the stricter combination if two are. A
+// co-ordinator is behind if others report a higher revision than its state has. It then applies the stricter combination of its
+// section in force and that of its file, if the file has a revision above it and not above that of the others; otherwise it stays
+// with the section in force. Until a section has been agreed on, it applies the one of its file.
 type Selector struct {
 	names  *settings.Names
 	routes []string
 
 	started      bool
-	currentID    string        // in force, as last seen
-	currentSince time.Duration // lookupAccount time at which it was seen first
+	currentID    string        // ID of the section in force, as last seen
+	currentSince time.Duration // local time at which it was first seen
 	sources      sourceIDs
 	set          *Set
-	failure      string // why key can't be used
+	failure      string // why the selected sections cannot be used
 	cache        []compiledSet
 }
 
-// sourceIDs says which sections a set is of.
+// sourceIDs are the IDs of the sections that a set is made of.
 type sourceIDs struct{ current, previous, file string }
 
 type compiledSet struct {
@@ -40,99 +41,101 @@
 	set *Set
 }
 
-// maxCachedSets is the compiled sets that are kept: force, before and the own one.
+// maxCachedSets is the number of compiled sets that are kept: of the previous and the current section in force, and of the file's.
 const maxCachedSets = 3
 
-// NewSelector is one for these settings and routes.
+// NewSelector returns a Selector for these settings and routes.
 func NewSelector(names *settings.Names, routes []string) *Selector {
 	return &Selector{names: names, routes: routes}
 }
 
-// Select tells what to go by, nil for no lanes, whether it is another one than at the last call, and in words what is not as it
-// should be: "" for nothing.
-func (m *Selector) Select(l SelectorInput) (set *Set, changed bool, note string) {
-	want, note := m.wantedSources(l)
-	if !m.started || want != m.sources {
-		m.started, m.sources, m.failure = true, want, "" // what is wrong is not tried again: the same would come of it
-		next, err := m.build(l, want)
+// Select returns the set to apply, nil for no lanes, whether it differs from that of the last call, and a description of what is
+// not as it should be, "" for nothing.
+func (s *Selector) Select(in SelectorInput) (set *Set, changed bool, note string) {
+	want, note := s.wantedSources(in)
+	if !s.started || want != s.sources {
+		s.started, s.sources, s.failure = true, want, "" // a failed combination is not tried again: it would fail in the same way
+		next, err := s.build(in, want)
 		if err != nil {
-			m.failure = fmt.Sprintf("lanes can't be used here, so this co-ordinator stays with what it has: %v", err)
+			s.failure = fmt.Sprintf("the lanes section cannot be used here, so the previous lanes stay applied: %v", err)
 		} else {
-			changed, m.set = next != m.set, next
+			changed, s.set = next != s.set, next
 		}
 	}
-	if m.failure != "" {
-		note = m.failure
+	if s.failure != "" {
+		note = s.failure
 	}
-	return m.set, changed, note
+	return s.set, changed, note
 }
 
-// wantedSources says which sections count.
-func (m *Selector) wantedSources(l SelectorInput) (w sourceIDs, note string) {
-	if l.FileSection == nil {
+// wantedSources returns the sections to apply.
+func (s *Selector) wantedSources(in SelectorInput) (want sourceIDs, note string) {
+	if in.FileSection == nil {
 		return sourceIDs{}, ""
 	}
-	if l.Current == nil {
-		note = "no lanes are agreed on yet, as far as is known here: those of the own file count"
-		if l.PeerRevision > l.FileSection.Revision {
-			note += fmt.Sprintf("; it is of revision %d, others go by %d", l.FileSection.Revision, l.PeerRevision)
+	if in.Current == nil {
+		note = "no lanes section is in force by the state known here: that of the local file applies"
+		if in.PeerRevision > in.FileSection.Revision {
+			note += fmt.Sprintf("; it has revision %d, others apply %d", in.FileSection.Revision, in.PeerRevision)
 		}
-		return sourceIDs{file: l.FileSection.id()}, note
+		return sourceIDs{file: in.FileSection.id()}, note
 	}
-	w.current = l.Current.id()
-	if w.current != m.currentID {
-		m.currentID, m.currentSince = w.current, l.Now
+	want.current = in.Current.id()
+	if want.current != s.currentID {
+		s.currentID, s.currentSince = want.current, in.Now
 	}
-	// AgreedTime time stands still while nothing is agreed on; the own clock ends it then.
-	if l.Previous != nil && l.AgreedTime < l.Current.Since+OverlapDuration && l.Now < m.currentSince+OverlapDuration {
-		w.previous = l.Previous.id()
+	// Agreed time does not advance while no command is committed, so the overlap also ends by the local clock.
+	if in.Previous != nil && in.AgreedTime < in.Current.Since+OverlapDuration && in.Now < s.currentSince+OverlapDuration {
+		want.previous = in.Previous.id()
 	}
-	if l.PeerRevision > l.Current.Revision {
-		note = fmt.Sprintf("this co-ordinator is behind: lanes of revision %d are applied here, others go by %d", l.Current.Revision, l.PeerRevision)
-		if l.FileSection.Revision > l.Current.Revision && l.FileSection.Revision <= l.PeerRevision {
-			w.file = l.FileSection.id()
-			note += fmt.Sprintf("; the stricter of it and the own file's revision %d counts", l.FileSection.Revision)
+	if in.PeerRevision > in.Current.Revision {
+		note = fmt.Sprintf("this co-ordinator is behind: it applies lanes of revision %d, others apply %d", in.Current.Revision, in.PeerRevision)
+		if in.FileSection.Revision > in.Current.Revision && in.FileSection.Revision <= in.PeerRevision {
+			want.file = in.FileSection.id()
+			note += fmt.Sprintf("; the stricter combination of it and revision %d of the local file applies", in.FileSection.Revision)
 		}
 	}
-	return w, note
+	return want, note
 }
 
 func (b *SetBody) id() string { return fmt.Sprintf("%d %s", b.Revision, b.Sum) }
 
-func (m *Selector) build(l SelectorInput, w sourceIDs) (*Set, error) {
-	var out *Set
-	var used []compiledSet
-	bodies := [maxCachedSets]*SetBody{nil, nil, l.FileSection}
-	if l.Current != nil {
-		bodies[1] = &l.Current.SetBody
+// build returns the stricter combination of the wanted sections, compiled.
+func (s *Selector) build(in SelectorInput, want sourceIDs) (*Set, error) {
+	var merged *Set
+	var cache []compiledSet
+	bodies := [maxCachedSets]*SetBody{nil, nil, in.FileSection}
+	if in.Current != nil {
+		bodies[1] = &in.Current.SetBody
 	}
-	if l.Previous != nil {
-		bodies[0] = &l.Previous.SetBody
+	if in.Previous != nil {
+		bodies[0] = &in.Previous.SetBody
 	}
-	for i, key := range []string{w.previous, w.current, w.file} {
-		if key == "" {
+	for i, id := range []string{want.previous, want.current, want.file} {
+		if id == "" {
 			continue
 		}
-		set := m.cached(key)
+		set := s.cached(id)
 		if set == nil {
 			section, err := bodies[i].Section()
 			if err == nil {
-				set, err = Compile(section, bodies[i].Revision, m.names, m.routes)
+				set, err = Compile(section, bodies[i].Revision, s.names, s.routes)
 			}
 			if err != nil {
 				return nil, err
 			}
 		}
-		used = append(used, compiledSet{key, set})
-		out = Stricter(out, set)
+		cache = append(cache, compiledSet{id, set})
+		merged = Stricter(merged, set)
 	}
-	m.cache = used
-	return out, nil
+	s.cache = cache
+	return merged, nil
 }
 
-func (m *Selector) cached(key string) *Set {
-	for _, c := range m.cache {
-		if c.id == key {
+// cached returns the compiled set of a section, or nil.
+func (s *Selector) cached(id string) *Set {
+	for _, c := range s.cache {
+		if c.id == id {
 			return c.set
 		}
 	}
--- a/internal/fleet/laneconfig/mix_test.go
+++ b/internal/fleet/laneconfig/mix_test.go
@@ -17,51 +17,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, m := New(), NewSelector(names, routes)
-	now, own, heard := start, &first, 0
+	state, selector := New(), NewSelector(names, routes)
+	now, fileSection, peerRevision := start, &first, 0
 	clock := time.Minute
-	step := func(what, lane string, changes bool, notes string) *Set {
+	step := func(what, lane string, changes bool, wantNote string) *Set {
 		t.Helper()
-		force, before := a.InForce(now)
-		set, changed, note := m.Select(SelectorInput{Now: clock, AgreedTime: now, Current: force, Previous: before, FileSection: own, PeerRevision: heard})
+		force, before := state.InForce(now)
+		set, changed, note := selector.Select(SelectorInput{Now: clock, AgreedTime: now, Current: force, Previous: before, FileSection: fileSection, PeerRevision: peerRevision})
 		got := "no lanes"
 		if set != nil {
 			got = set.Lanes[set.LaneOf(set.AccountOf(2, 1, ""))].Name
 		}
-		if got != lane || changed != changes || (notes == "") != (note == "") || !strings.Contains(note, notes) {
+		if got != lane || changed != changes || (wantNote == "") != (note == "") || !strings.Contains(note, wantNote) {
 			t.Fatalf("%s: %s, changed %v, %q", what, got, changed, note)
 		}
 		return set
 	}
-	step("nothing is agreed", "gold", true, "those of the own file count")
-	heard = 5
-	step("others know more", "gold", false, "others go by 5")
-	heard = 1
-	a.mustApply(t, now, first)
-	step("the first, as in the file", "gold", false, "")
-	heard = 2
-	step("behind", "gold", false, "revision 1 are applied here, others go by 2")
-	own = &second
-	step("behind, the file has it", "rest", true, "the stricter of it and the own file's revision 2")
-	heard = 1
-	step("that was none", "gold", true, "")
-	a.mustApply(t, now, second)
-	two := step("both", "rest", true, "")
-	if two.previous == nil || two.Revision != 2 {
-		t.Errorf("not of both: %+v", two)
+	step("nothing is agreed on", "gold", true, "that of the local file applies")
+	peerRevision = 5
+	step("others have a higher revision", "gold", false, "others apply 5")
+	peerRevision = 1
+	state.mustApply(t, now, first)
+	step("the first section, as in the file", "gold", false, "")
+	peerRevision = 2
+	step("behind", "gold", false, "it applies lanes of revision 1, others apply 2")
+	fileSection = &second
+	step("behind, and the file has the revision", "rest", true, "the stricter combination of it and revision 2 of the local file applies")
+	peerRevision = 1
+	step("no longer behind", "gold", true, "")
+	state.mustApply(t, now, second)
+	both := step("both sections", "rest", true, "")
+	if both.previous == nil || both.Revision != 2 {
+		t.Errorf("not a merged set: %+v", both)
 	}
 	clock += OverlapDuration
-	if one := step("the second alone", "rest", true, ""); one.previous != nil {
-		t.Error("the first counts still")
+	if one := step("the second section alone", "rest", true, ""); one.previous != nil {
+		t.Error("the first section still applies")
 	}
 	now += OverlapDuration
-	a.Tick(now)
-	a.mustApply(t, now, packText(t, 3, `{"lanes":[{"name":"a","colour":"red"}]}`))
-	step("of a newer program", "rest", false, "can't be used here")
-	step("of a newer program", "rest", false, "can't be used here")
-	own = nil
-	step("the file has none any more", "no lanes", true, "")
-	own = &second
+	state.Tick(now)
+	state.mustApply(t, now, packText(t, 3, `{"lanes":[{"name":"a","colour":"red"}]}`))
+	step("a section of a newer program", "rest", false, "cannot be used here")
+	step("a section of a newer program", "rest", false, "cannot be used here")
+	fileSection = nil
+	step("no section in the file", "no lanes", true, "")
+	fileSection = &second
 	now += OverlapDuration
-	step("of a newer program alone", "no lanes", false, "can't be used here")
+	step("only a section of a newer program", "no lanes", false, "cannot be used here")
 }
--- a/internal/fleet/laneconfig/save.go
+++ b/internal/fleet/laneconfig/save.go
@@ -7,10 +7,10 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Version of what is saved.
+// savedVersion is the version of the saved format.
 const savedVersion = 1
 
-// saved is the state. The time is the state machine's.
+// saved is the saved form of State. The state machine saves the time.
 type saved struct {
 	V        int      `json:"v"`
 	Current  *Version `json:"force,omitempty"`
@@ -18,42 +18,42 @@
 }
 
 // Empty implements statemachine.Optional.
-func (a *State) Empty() bool { return a.current == nil }
+func (s *State) Empty() bool { return s.current == nil }
 
 // Clear implements statemachine.Optional.
-func (a *State) Clear() { *a = State{} }
+func (s *State) Clear() { *s = State{} }
 
-// Save implements statemachine.Part: the same bytes for the same state.
-func (a *State) Save() ([]byte, error) {
-	raw, err := json.Marshal(saved{savedVersion, a.current, a.previous})
+// Save implements statemachine.Part. Equal states give equal bytes.
+func (s *State) Save() ([]byte, error) {
+	raw, err := json.Marshal(saved{savedVersion, s.current, s.previous})
 	if err != nil {
-		return nil, fmt.Errorf("laneconfig: save: %w", err)
+		return nil, fmt.Errorf("laneconfig: cannot encode state: %w", err)
 	}
 	return raw, nil
 }
 
-// Load implements statemachine.Part: all of raw is taken, or nothing and the reason is told.
-func (a *State) Load(raw []byte) error {
+// Load implements statemachine.Part. If it fails, the state does not change.
+func (s *State) Load(raw []byte) error {
 	var head struct {
 		V int `json:"v"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return fmt.Errorf("laneconfig: what was saved can not be read: %w", err)
+		return fmt.Errorf("laneconfig: cannot decode saved state: %w", err)
 	}
 	if head.V != savedVersion {
-		return fmt.Errorf("laneconfig: saved by version %d, this program reads %d: %w", head.V, savedVersion, statemachine.ErrUnknown)
+		return fmt.Errorf("laneconfig: saved state has version %d, this program reads version %d: %w", head.V, savedVersion, statemachine.ErrUnknown)
 	}
 	var v saved
 	if err := statemachine.Strict(raw, &v); err != nil {
-		return fmt.Errorf("laneconfig: what was saved can not be read: %w", err)
+		return fmt.Errorf("laneconfig: cannot decode saved state: %w", err)
 	}
-	n := State{current: v.Current, previous: v.Previous}
-	if n.current != nil {
-		n.now = n.current.Since
+	loaded := State{current: v.Current, previous: v.Previous}
+	if loaded.current != nil {
+		loaded.now = loaded.current.Since
 	}
-	if err := n.Check(); err != nil {
-		return fmt.Errorf("laneconfig: saved: %w", err)
+	if err := loaded.Check(); err != nil {
+		return fmt.Errorf("laneconfig: saved state is invalid: %w", err)
 	}
-	*a = n
+	*s = loaded
 	return nil
 }
--- a/internal/fleet/laneconfig/set_test.go
+++ b/internal/fleet/laneconfig/set_test.go
@@ -17,7 +17,7 @@
 	routes = []string{"fast", "rest"}
 )
 
-// section is a small one: gold for the coast and two marks, silver for the south.
+// section returns a small section: lane gold for tenant coast and two marks, lane silver for tenant south.
 func section() *operator.Lanes {
 	no := false
 	return &operator.Lanes{
@@ -66,25 +66,25 @@
 
 func TestCompileRejectsInvalidSections(t *testing.T) {
 	for want, spoil := range map[string]func(*operator.Lanes){
-		"0 lanes":            func(l *operator.Lanes) { l.Lanes = nil },
-		"two lanes":          func(l *operator.Lanes) { l.Lanes[1].Name = "gold" },
-		"two accounts":       func(l *operator.Lanes) { l.Accounts[1].Name = "coast" },
-		"which there is not": func(l *operator.Lanes) { l.Accounts[1].Lane = "bronze" },
-		"a slot of 0 s":      func(l *operator.Lanes) { l.Slot = 0 },
-		"over 1 in all":      func(l *operator.Lanes) { l.Accounts[0].Guarantee = 0.9 },
-		"no shares":          func(l *operator.Lanes) { l.Accounts[0].Most = -1 },
-		"10001 accounts":     func(l *operator.Lanes) { l.Accounts = make([]operator.Account, operator.AccountsMost+1) },
-		"40001 tenants":      func(l *operator.Lanes) { l.Accounts[0].Marks = make([]string, operator.KeysMost-5) },
+		"0 lanes":                func(l *operator.Lanes) { l.Lanes = nil },
+		"two lanes":              func(l *operator.Lanes) { l.Lanes[1].Name = "gold" },
+		"two accounts":           func(l *operator.Lanes) { l.Accounts[1].Name = "coast" },
+		"which does not exist":   func(l *operator.Lanes) { l.Accounts[1].Lane = "bronze" },
+		"slot is 0 s":            func(l *operator.Lanes) { l.Slot = 0 },
+		"add up to more than 1":  func(l *operator.Lanes) { l.Accounts[0].Guarantee = 0.9 },
+		"is not between 0 and 1": func(l *operator.Lanes) { l.Accounts[0].Most = -1 },
+		"10001 accounts":         func(l *operator.Lanes) { l.Accounts = make([]operator.Account, operator.AccountsMost+1) },
+		"40001 tenants":          func(l *operator.Lanes) { l.Accounts[0].Marks = make([]string, operator.KeysMost-5) },
 	} {
 		l := section()
 		spoil(l)
 		if _, err := Compile(l, 1, names, routes); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q: %v", want, err)
+			t.Errorf("want %q, got %v", want, err)
 		}
 	}
 }
 
-// largestSection has as many accounts as may be, each with a mark of 32 random digits.
+// largestSection returns a section with the maximum number of accounts, most of them with a mark of 32 random digits.
 func largestSection() *operator.Lanes {
 	l, rng := section(), rand.New(rand.NewPCG(1, 2))
 	for i := len(l.Accounts); i < operator.AccountsMost; i++ {
@@ -99,21 +99,21 @@
 	if err != nil || len(b.Packed) < MaxPackedSize/2 {
 		t.Fatalf("%d bytes, %v", len(b.Packed), err)
 	}
-	t.Logf("10,000 accounts: %d bytes packed", len(b.Packed))
+	t.Logf("10,000 accounts: %d bytes compressed", len(b.Packed))
 	l, err := b.Section()
 	if again, err2 := NewSetBody(l, 1); err != nil || err2 != nil || again.Sum != b.Sum || len(l.Accounts) != operator.AccountsMost {
 		t.Error(err, err2)
 	}
-	wide := largestSection()
-	for i := range wide.Accounts {
-		wide.Accounts[i].Name = fmt.Sprint(i, HashName(fmt.Sprint(i)), HashName(fmt.Sprint(-i)))
+	tooLarge := largestSection()
+	for i := range tooLarge.Accounts {
+		tooLarge.Accounts[i].Name = fmt.Sprint(i, HashName(fmt.Sprint(i)), HashName(fmt.Sprint(-i)))
 	}
-	if _, err := NewSetBody(wide, 1); err == nil || !strings.Contains(err.Error(), "fewer accounts") {
-		t.Error("as large a section as there may not be:", err)
+	if _, err := NewSetBody(tooLarge, 1); err == nil || !strings.Contains(err.Error(), "fewer accounts") {
+		t.Error("a section that is too large was accepted:", err)
 	}
 	b.Sum = strings.Repeat("0", 64)
 	if _, err := b.Section(); err == nil {
-		t.Error("another sum")
+		t.Error("a wrong checksum was accepted")
 	}
 	newer := packText(t, 1, `{"lanes":[{"name":"a","colour":"red"}]}`)
 	if _, err := newer.Section(); !errors.Is(err, statemachine.ErrUnknown) {
@@ -121,11 +121,10 @@
 	}
 }
 
-// No lookup allocates, of a plain set or a mixed one.
 func TestLookupsDoNotAllocate(t *testing.T) {
 	s := compile(t, largestSection(), 1)
 	mark := largestSection().Accounts[7000].Marks[0]
-	for name, set := range map[string]*Set{"plain": s, "mixed": Stricter(compile(t, section(), 1), s)} {
+	for name, set := range map[string]*Set{"plain": s, "merged": Stricter(compile(t, section(), 1), s)} {
 		if n := testing.AllocsPerRun(100, func() { sink = set.AccountOf(1, 1, mark) + set.LaneOf(sink) + set.AccountOf(2, 0, "other") }); n != 0 {
 			t.Errorf("%s: %v", name, n)
 		}
@@ -137,7 +136,7 @@
 func BenchmarkAccount(b *testing.B) {
 	l := largestSection()
 	s := compile(b, l, 1)
-	for name, set := range map[string]*Set{"plain": s, "mixed": Stricter(compile(b, l, 1), s)} {
+	for name, set := range map[string]*Set{"plain": s, "merged": Stricter(compile(b, l, 1), s)} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -153,7 +152,7 @@
 	}
 }
 
-// The summary checks all parts every few seconds, while nothing can be applied.
+// The summary checks all parts of the state every few seconds, and no command can be applied meanwhile.
 func BenchmarkCheck(b *testing.B) {
 	body, err := NewSetBody(largestSection(), 1)
 	if err != nil {
--- a/internal/fleet/laneconfig/stricter.go
+++ b/internal/fleet/laneconfig/stricter.go
@@ -2,88 +2,89 @@
 
 import "slices"
 
-// previous is the set that a mixed one is held to as well.
+// previousSet is the older set whose limits a merged set applies as well.
 type previousSet struct {
 	set          *Set
-	accountIndex []int32 // by place in set.Accounts: place in the mixed set's
+	accountIndex []int32 // index in the merged set's Accounts, by index in set.Accounts
 }
 
-// Stricter is next, held to old as well: a query has what both give it. Lanes, slot and order are next's; a lane or an
-// account that both have by name has the lesser guarantee, floor and most, and the lane further down. An account that
-// only one of them has is guaranteed nothing; so guarantees make no more than either's. A query that belongs to two
-// accounts by the two is of the one in the lane further down and with the lesser guarantee, and of none if that is two, so
-// that who moves up does it when old is out of force, and who moves down at once.
+// Stricter returns next with the limits of old applied as well, so that a query gets no more than either set gives it. Lanes, their
+// order and the slot are those of next. A lane or an account that both sets have by name gets the smaller guarantee, floor and
+// maximum share, and an account the lower of the two lanes. An account that only one set has is guaranteed nothing, so the sum of
+// the guarantees is not above that of either set. A query that the two sets give to different accounts belongs to the one that has
+// both the lower lane and the smaller guarantee; if neither has both, it belongs to no account. As a result an account moves to a
+// lower lane at once, and to a higher one only when old is no longer in force.
 func Stricter(old, next *Set) *Set {
 	if old == nil || old == next {
 		return next
 	}
-	s := *next
-	s.Lanes, s.Accounts, s.Classes = slices.Clone(next.Lanes), slices.Clone(next.Accounts), slices.Clone(next.Classes)
-	laneAt := map[string]int{}
-	for i := range s.Lanes {
-		laneAt[s.Lanes[i].Name] = i
+	merged := *next
+	merged.Lanes, merged.Accounts, merged.Classes = slices.Clone(next.Lanes), slices.Clone(next.Accounts), slices.Clone(next.Classes)
+	laneIndex := map[string]int{}
+	for i := range merged.Lanes {
+		laneIndex[merged.Lanes[i].Name] = i
 	}
-	moved := make([]int, len(old.Lanes)) // lanes of old, in s
+	mergedLane := make([]int, len(old.Lanes)) // by lane of old: index in merged.Lanes
 	for i, o := range old.Lanes {
-		at, same := laneAt[o.Name]
-		if !same {
-			moved[i] = min(i, s.LastLane())
+		index, found := laneIndex[o.Name]
+		if !found {
+			mergedLane[i] = min(i, merged.LastLane())
 			if i == old.LastLane() {
-				moved[i] = s.LastLane()
+				mergedLane[i] = merged.LastLane()
 			}
 			continue
 		}
-		moved[i] = at
-		l := &s.Lanes[at]
+		mergedLane[i] = index
+		l := &merged.Lanes[index]
 		l.Floor, l.MaxShare, l.Lend = min(l.Floor, o.Floor), stricterLimit(l.MaxShare, o.MaxShare), l.Lend && o.Lend
 	}
-	for i := range min(len(s.Classes), len(old.Classes)) {
-		c, o := &s.Classes[i], old.Classes[i]
+	for i := range min(len(merged.Classes), len(old.Classes)) {
+		c, o := &merged.Classes[i], old.Classes[i]
 		c.Floor, c.SendRetryAfter = min(c.Floor, o.Floor), c.SendRetryAfter && o.SendRetryAfter
 	}
-	byName := map[string]int{}
+	accountIndex := map[string]int{}
 	for i := range next.Accounts {
-		byName[next.Accounts[i].Name] = i
+		accountIndex[next.Accounts[i].Name] = i
 	}
-	both := make([]bool, len(next.Accounts))
-	s.previous = &previousSet{old, make([]int32, len(old.Accounts))}
+	inBoth := make([]bool, len(next.Accounts))
+	merged.previous = &previousSet{old, make([]int32, len(old.Accounts))}
 	for i, o := range old.Accounts {
-		at, same := byName[o.Name]
-		if !same {
-			at = len(s.Accounts)
-			s.Accounts = append(s.Accounts, Account{o.Name, moved[o.Lane], 0, o.MaxShare, o.Key})
+		index, found := accountIndex[o.Name]
+		if !found {
+			index = len(merged.Accounts)
+			merged.Accounts = append(merged.Accounts, Account{o.Name, mergedLane[o.Lane], 0, o.MaxShare, o.Key})
 		} else {
-			a := &s.Accounts[at]
-			a.Lane, a.Guarantee, a.MaxShare = max(a.Lane, moved[o.Lane]), min(a.Guarantee, o.Guarantee), stricterLimit(a.MaxShare, o.MaxShare)
-			both[at] = true
+			a := &merged.Accounts[index]
+			a.Lane, a.Guarantee, a.MaxShare = max(a.Lane, mergedLane[o.Lane]), min(a.Guarantee, o.Guarantee), stricterLimit(a.MaxShare, o.MaxShare)
+			inBoth[index] = true
 		}
-		s.previous.accountIndex[i] = int32(at)
+		merged.previous.accountIndex[i] = int32(index)
 	}
-	for i, is := range both {
-		if !is {
-			s.Accounts[i].Guarantee = 0
+	for i, found := range inBoth {
+		if !found {
+			merged.Accounts[i].Guarantee = 0
 		}
 	}
-	return &s
+	return &merged
 }
 
-// stricterAccount picks the account of a query that is of account n by the mixed set's own lists, and of account o of the older
-// set.
-func (x *previousSet) stricterAccount(s *Set, n, o int) int {
-	if o >= 0 {
-		o = int(x.accountIndex[o])
+// stricterAccount returns the account of a query, given its account next by the merged set's own section and its account old by the
+// previous set.
+func (p *previousSet) stricterAccount(s *Set, next, old int) int {
+	if old >= 0 {
+		old = int(p.accountIndex[old])
 	}
-	if o == n {
-		return n
+	if old == next {
+		return next
 	}
-	down, up := s.LaneOf(o)-s.LaneOf(n), s.guaranteeOf(n)-s.guaranteeOf(o) // over 0: the older set's is the stricter
+	laneDiff, guaranteeDiff := s.LaneOf(old)-s.LaneOf(next), s.guaranteeOf(next)-s.guaranteeOf(old) // above 0 if old is the stricter one
 	switch {
-	case down < 0 && up > 0 || down > 0 && up < 0:
+	case laneDiff < 0 && guaranteeDiff > 0 || laneDiff > 0 && guaranteeDiff < 0:
 		return -1
-	case down > 0 || up > 0:
-		return o
+	case laneDiff > 0 || guaranteeDiff > 0:
+		return old
 	}
-	return n
+	return next
 }
 
 func (s *Set) guaranteeOf(account int) float64 {
@@ -93,7 +94,7 @@
 	return s.Accounts[account].Guarantee
 }
 
-// stricterLimit is the lesser of two mosts, of which 0 is none.
+// stricterLimit returns the smaller of two maximum shares, where 0 means no limit.
 func stricterLimit(a, b float64) float64 {
 	if a == 0 || b > 0 && b < a {
 		return b
--- a/internal/fleet/laneconfig/stricter_test.go
+++ b/internal/fleet/laneconfig/stricter_test.go
@@ -14,10 +14,10 @@
 	l := section()
 	l.Slot = 20
 	l.Lanes[0].Floor, l.Lanes[1].Lend = 0.02, nil
-	l.Accounts[0].Lane = "rest"                                 // the coast moves down
-	l.Accounts[1].Guarantee, l.Accounts[1].Most = 0.3, 0.4      // the office has more
+	l.Accounts[0].Lane = "rest"                                 // coast moves to a lower lane
+	l.Accounts[1].Guarantee, l.Accounts[1].Most = 0.3, 0.4      // office gets a larger guarantee and limit
 	l.Accounts[1].Marks = append(l.Accounts[1].Marks, "k3")     // and one more mark
-	l.Accounts[2].Name, l.Accounts[2].Guarantee = "south2", 0.2 // the south has another name
+	l.Accounts[2].Name, l.Accounts[2].Guarantee = "south2", 0.2 // south gets another name
 	l.Accounts = append(l.Accounts, operator.Account{Name: "north", Lane: "gold", Tenants: []string{"north"}, Guarantee: 0.1})
 	next := compile(t, l, 2)
 	s := Stricter(old, next)
@@ -29,12 +29,12 @@
 		mark          string
 		want          string
 	}{
-		{2, 1, "", "coast rest 0.3 0"}, // moved down at once
+		{2, 1, "", "coast rest 0.3 0"}, // the lower lane applies at once
 		{2, 1, "k1", "office gold 0.1 0.2"},
-		{2, 1, "k3", "none"}, // the coast's till then: of the lane further down, but with more guaranteed than the office
-		{0, 1, "k3", "none"}, // that of who moves up
+		{2, 1, "k3", "none"}, // old gives it to coast, with a lower lane but a larger guarantee than office
+		{0, 1, "k3", "none"}, // it moves to a higher lane only later
 		{0, 1, "", "none"},
-		{1, 1, "", "south2 silver 0 0"}, // the same lane under another name, with no guarantee till then
+		{1, 1, "", "south2 silver 0 0"}, // the same lane under another name, without a guarantee until then
 	} {
 		at, got := s.AccountOf(c.tenant, c.route, c.mark), "none"
 		if at >= 0 {
@@ -46,28 +46,28 @@
 		}
 	}
 	if Stricter(nil, next) != next || Stricter(next, next) != next {
-		t.Error("one alone is another set")
+		t.Error("a single set was changed")
 	}
 }
 
-// drawSection is any section over the lanes and accounts of a small world.
+// drawSection draws a section with up to three lanes and three accounts.
 func drawSection(t *rapid.T) *operator.Lanes {
 	l := &operator.Lanes{Slot: 10}
-	share := func(of string) float64 { return float64(rapid.IntRange(0, 8).Draw(t, of)) / 100 }
-	most := func(of string, least float64) float64 {
-		if !rapid.Bool().Draw(t, of) {
+	drawShare := func(label string) float64 { return float64(rapid.IntRange(0, 8).Draw(t, label)) / 100 }
+	drawLimit := func(label string, minimum float64) float64 {
+		if !rapid.Bool().Draw(t, label) {
 			return 0
 		}
-		return least + share(of)
+		return minimum + drawShare(label)
 	}
 	for _, name := range rapid.Permutation([]string{"a", "b", "c"}).Draw(t, "lanes")[:rapid.IntRange(1, 3).Draw(t, "n")] {
 		lend := rapid.Bool().Draw(t, "lend")
-		l.Lanes = append(l.Lanes, operator.Lane{Name: name, Floor: 0.01 + share("floor"), Most: most("most", 0.2), Lend: &lend})
+		l.Lanes = append(l.Lanes, operator.Lane{Name: name, Floor: 0.01 + drawShare("floor"), Most: drawLimit("most", 0.2), Lend: &lend})
 	}
 	keys := rapid.Permutation([]string{"t north", "t south", "t coast", "r fast", "r rest", "m k1", "m k2"}).Draw(t, "keys")
 	for _, name := range rapid.Permutation([]string{"x", "y", "z"}).Draw(t, "accounts") {
-		a := operator.Account{Name: name, Lane: rapid.SampledFrom(l.Lanes).Draw(t, "lane").Name, Guarantee: share("guarantee")}
-		a.Most = most("most of it", a.Guarantee)
+		a := operator.Account{Name: name, Lane: rapid.SampledFrom(l.Lanes).Draw(t, "lane").Name, Guarantee: drawShare("guarantee")}
+		a.Most = drawLimit("most of it", a.Guarantee)
 		n := rapid.IntRange(0, len(keys)).Draw(t, "keys of it")
 		for _, k := range keys[:n] {
 			list := map[byte]*[]string{'t': &a.Tenants, 'r': &a.Routes, 'm': &a.Marks}[k[0]]
@@ -81,8 +81,9 @@
 	return l
 }
 
-// Compile any two sets the mixed one gives no query a better lane, guarantee, most or floor than either, and promises no more than
-// either; a third over it gives no more than any.
+// Guards against a merged set that gives more than one of its sources. No query gets a better lane, a larger guarantee, limit or
+// floor than by either source, and the guarantees do not add up to more than those of either. A set merged with a third one gives
+// no more than the third.
 func TestTheStricterOfTwo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*Set
@@ -93,50 +94,50 @@
 			}
 			all = append(all, s)
 		}
-		mixed := Stricter(Stricter(all[0], all[1]), all[2])
-		two := Stricter(all[1], all[2])
+		ofThree := Stricter(Stricter(all[0], all[1]), all[2])
+		ofTwo := Stricter(all[1], all[2])
 		for tenant := -1; tenant < 3; tenant++ {
 			for route := -1; route < 2; route++ {
 				for _, mark := range []string{"", "k1", "k2", "k3"} {
-					at := two.AccountOf(tenant, route, mark)
+					at := ofTwo.AccountOf(tenant, route, mark)
 					for _, s := range all[1:] {
-						checkNotMore(t, two, at, s, s.AccountOf(tenant, route, mark))
+						checkNotMore(t, ofTwo, at, s, s.AccountOf(tenant, route, mark))
 					}
-					if at := mixed.AccountOf(tenant, route, mark); mixed.LaneOf(at) < all[2].LaneOf(all[2].AccountOf(tenant, route, mark)) ||
-						mixed.guaranteeOf(at) > all[2].guaranteeOf(all[2].AccountOf(tenant, route, mark)) {
-						t.Fatalf("three: %d %d %q", tenant, route, mark)
+					if at := ofThree.AccountOf(tenant, route, mark); ofThree.LaneOf(at) < all[2].LaneOf(all[2].AccountOf(tenant, route, mark)) ||
+						ofThree.guaranteeOf(at) > all[2].guaranteeOf(all[2].AccountOf(tenant, route, mark)) {
+						t.Fatalf("three sets: tenant %d, route %d, mark %q", tenant, route, mark)
 					}
 				}
 			}
 		}
 		for _, s := range all[1:] {
-			if totalGuarantee(two) > totalGuarantee(s)+sumTolerance {
-				t.Fatalf("%v guaranteed, %v by %d alone", totalGuarantee(two), totalGuarantee(s), s.Revision)
+			if totalGuarantee(ofTwo) > totalGuarantee(s)+sumTolerance {
+				t.Fatalf("%v guaranteed in all, %v by revision %d alone", totalGuarantee(ofTwo), totalGuarantee(s), s.Revision)
 			}
 		}
 	})
 }
 
-// checkNotMore says that a of the mixed set has no more than b of one of the two.
-func checkNotMore(t *rapid.T, mixed *Set, a int, one *Set, b int) {
-	if mixed.guaranteeOf(a) > one.guaranteeOf(b) {
-		t.Fatalf("a guarantee of %v, of %v by %d alone", mixed.guaranteeOf(a), one.guaranteeOf(b), one.Revision)
+// checkNotMore fails the test if an account of the merged set gets more than its account in one of the sources.
+func checkNotMore(t *rapid.T, merged *Set, mergedAccount int, source *Set, sourceAccount int) {
+	if merged.guaranteeOf(mergedAccount) > source.guaranteeOf(sourceAccount) {
+		t.Fatalf("guarantee %v, but %v by revision %d alone", merged.guaranteeOf(mergedAccount), source.guaranteeOf(sourceAccount), source.Revision)
 	}
-	have, had := mixed.Lanes[mixed.LaneOf(a)], one.Lanes[one.LaneOf(b)]
-	if one.Revision == mixed.Revision && mixed.LaneOf(a) < one.LaneOf(b) {
-		t.Fatalf("lane %s, of %s by %d alone", have.Name, had.Name, one.Revision)
+	mergedLane, sourceLane := merged.Lanes[merged.LaneOf(mergedAccount)], source.Lanes[source.LaneOf(sourceAccount)]
+	if source.Revision == merged.Revision && merged.LaneOf(mergedAccount) < source.LaneOf(sourceAccount) {
+		t.Fatalf("lane %s, but %s by revision %d alone", mergedLane.Name, sourceLane.Name, source.Revision)
 	}
-	if have.Name == had.Name && (have.Floor > had.Floor || have.Lend && !had.Lend || had.MaxShare > 0 && (have.MaxShare == 0 || have.MaxShare > had.MaxShare)) {
-		t.Fatalf("%+v, of %+v by %d alone", have, had, one.Revision)
+	if mergedLane.Name == sourceLane.Name && (mergedLane.Floor > sourceLane.Floor || mergedLane.Lend && !sourceLane.Lend || sourceLane.MaxShare > 0 && (mergedLane.MaxShare == 0 || mergedLane.MaxShare > sourceLane.MaxShare)) {
+		t.Fatalf("lane %+v, but %+v by revision %d alone", mergedLane, sourceLane, source.Revision)
 	}
-	for i, l := range mixed.Lanes { // the older one's lane, if both have it
-		if one.Revision != mixed.Revision && l.Name == had.Name && mixed.LaneOf(a) < i {
-			t.Fatalf("lane %s, of %s by %d alone", have.Name, had.Name, one.Revision)
+	for i, l := range merged.Lanes { // the lane of the older set, if both sets have it
+		if source.Revision != merged.Revision && l.Name == sourceLane.Name && merged.LaneOf(mergedAccount) < i {
+			t.Fatalf("lane %s, but %s by revision %d alone", mergedLane.Name, sourceLane.Name, source.Revision)
 		}
 	}
-	if a >= 0 && b >= 0 && mixed.Accounts[a].Name == one.Accounts[b].Name {
-		if m, most := mixed.Accounts[a].MaxShare, one.Accounts[b].MaxShare; most > 0 && (m == 0 || m > most) {
-			t.Fatalf("a most of %v, of %v by %d alone", m, most, one.Revision)
+	if mergedAccount >= 0 && sourceAccount >= 0 && merged.Accounts[mergedAccount].Name == source.Accounts[sourceAccount].Name {
+		if m, most := merged.Accounts[mergedAccount].MaxShare, source.Accounts[sourceAccount].MaxShare; most > 0 && (m == 0 || m > most) {
+			t.Fatalf("maximum share %v, but %v by revision %d alone", m, most, source.Revision)
 		}
 	}
 }
--- a/internal/fleet/laneconfig/text.go
+++ b/internal/fleet/laneconfig/text.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// MaxPackedSize bytes of a section, packed: 10,000 accounts with a mark of 32 random digits each have some 210 KB.
+	// MaxPackedSize is the maximum size of a compressed section in bytes. With 10,000 accounts that have a mark of 32 random digits
+	// each it is about 210 KB.
 	MaxPackedSize = 256 << 10
-	// MaxTextSize bytes of a section as it is, which is what an operators' file may render to.
+	// MaxTextSize is the maximum size of an uncompressed section in bytes, the same as that of a rendered operators' file.
 	MaxTextSize = 4 << 20
 )
 
-// SetBody is the command that puts a section in force.
+// SetBody is the body of the command that puts a section in force.
 type SetBody struct {
 	Revision int    `json:"revision"`
 	Sum      string `json:"sum"` // SHA-256 of the text
-	Packed   []byte `json:"z"`   // the text, packed
+	Packed   []byte `json:"z"`   // the text, compressed
 }
 
-// NewSetBody is the command for a section. It fails for one that is too large to be agreed on.
+// NewSetBody returns the command body for a section. It fails if the section is too large.
 func NewSetBody(section *operator.Lanes, revision int) (SetBody, error) {
-	text, err := json.Marshal(section) // fields in their order, maps by key
+	text, err := json.Marshal(section) // deterministic: fields are in order and maps are sorted by key
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
 	if len(text) > MaxTextSize {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, %d at most", len(text), MaxTextSize)
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, the limit is %d", len(text), MaxTextSize)
 	}
-	z, err := compress.Pack(text)
+	packed, err := compress.Pack(text)
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
-	if len(z) > MaxPackedSize {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes packed, %d at most: fewer accounts, or shorter marks", len(z), MaxPackedSize)
+	if len(packed) > MaxPackedSize {
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes compressed, the limit is %d: use fewer accounts or shorter marks", len(packed), MaxPackedSize)
 	}
-	return SetBody{revision, checksum(text), z}, nil
+	return SetBody{revision, checksum(text), packed}, nil
 }
 
-// Section is the one that the command carries. ErrUnknown of the state machine is in the error if a newer program wrote it.
+// Section decodes the section. The error wraps statemachine.ErrUnknown if a newer program wrote it.
 func (b SetBody) Section() (*operator.Lanes, error) {
 	text, err := b.text()
 	if err != nil {
@@ -57,16 +58,17 @@
 	return &l, nil
 }
 
+// text returns the uncompressed section, after checking its size and checksum.
 func (b SetBody) text() ([]byte, error) {
 	if len(b.Packed) > MaxPackedSize {
-		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes packed, %d at most", b.Revision, len(b.Packed), MaxPackedSize)
+		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes compressed, the limit is %d", b.Revision, len(b.Packed), MaxPackedSize)
 	}
 	text, err := compress.Unpack(b.Packed, MaxTextSize)
 	if err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", b.Revision, err)
 	}
 	if sum := checksum(text); sum != b.Sum {
-		return nil, fmt.Errorf("laneconfig: revision %d has the sum %.16s, and says %.16q", b.Revision, sum, b.Sum)
+		return nil, fmt.Errorf("laneconfig: revision %d has checksum %.16s, but the command contains %.16q", b.Revision, sum, b.Sum)
 	}
 	return text, nil
 }
