--- a/internal/fleet/pressure/fleet.go
+++ b/internal/fleet/pressure/fleet.go
@@ -11,7 +11,8 @@
 	// number of fresh reports (in a small fleet: all members but one).
 	MinFreshShare   = 0.04
 	minFreshReports = 3
-	// TrimShare is the share of the total weight at each end of the sorted values that is replaced by the nearest value inside.
+	// TrimShare is the share of the total weight at each end of the sorted values for which the nearest value inside is used instead
+	// (see winsorizedMean).
 	TrimShare = 0.3
 	// A report is weighted by its rate, capped at this quantile of all rates, so that the busiest half of the members has equal
 	// weights. The cap bounds the influence of false reports: a share x of members that claims arbitrary rates holds at most
@@ -30,13 +31,13 @@
 type FleetLoad struct {
 	Known          bool // enough members have fresh reports
 	Pressure       float64
-	RecentPressure float64 // Pressure by the most recent reports only: reacts sooner, is easier to falsify; equal to Pressure if they are too few
+	RecentPressure float64 // Pressure by the most recent reports; it reacts sooner but is easier to falsify. Without enough of them: Pressure
 	Offered        float64 // see LocalLoad for this and the next four
 	InTime         float64
 	Completed      float64
 	Guaranteed     float64
 	ByLane         [MaxLanes]float64
-	Level          float64 // weighted middle of the members' shed levels
+	Level          float64 // winsorized mean of the members' shed levels
 	FreshReports   int     // number of fresh reports
 	Members        int
 	MeanAge        time.Duration // of the fresh reports
--- a/internal/fleet/pressure/news.go
+++ b/internal/fleet/pressure/news.go
@@ -9,7 +9,7 @@
 const (
 	// MaxMembers is the maximum number of co-ordinators whose reports are kept.
 	MaxMembers = 1024
-	// FreshWindow is the age up to which a report counts.
+	// FreshWindow is the age up to which a report counts in an estimate.
 	FreshWindow = 2 * time.Second
 	// recentWindow is the age up to which a report counts in FleetLoad.RecentPressure.
 	recentWindow = time.Second
--- a/internal/fleet/pressure/pressure.go
+++ b/internal/fleet/pressure/pressure.go
@@ -11,7 +11,7 @@
 // MaxLanes is the maximum number of lanes.
 const MaxLanes = 8
 
-// Outcome is how a query ended that this co-ordinator had admitted.
+// Outcome is how an admitted query ended.
 type Outcome uint8
 
 // Outcomes of an admitted query.
@@ -37,11 +37,11 @@
 	MinOutcomes = 4
 	// QueueWeight is the pressure when queueing alone raises the median latency from its calm baseline to the promise.
 	QueueWeight = 0.3
-	// minCalmMedian and maxCalmMedian bound the calm baseline of the median latency, as a fraction of the promise. initialCalmMedian is
-	// the baseline until one is learned.
+	// minCalmMedian and maxCalmMedian bound the calm baseline, which is the median latency while nothing is shed or refused, as a
+	// fraction of the promise. initialCalmMedian is the baseline until one is learned.
 	minCalmMedian, initialCalmMedian, maxCalmMedian = 0.15, 0.5, 0.65
-	// maxCalmTail is the largest share of late and failed queries that counts as normal in calm, and tailTimeConstant the time constant
-	// with which that share is learned.
+	// maxCalmTail is the largest share of late and failed queries that counts as normal while nothing is shed or refused, and
+	// tailTimeConstant the time constant with which that share is learned.
 	maxCalmTail      = 0.2
 	tailTimeConstant = 5 * time.Minute
 	// medianFallTime and medianRiseTime are the time constants with which the calm median moves down and up to the observed median. It
@@ -79,7 +79,7 @@
 	current              int           // index of the current bucket in ring
 	fullBuckets          int           // number of full buckets before the current one
 	ring                 [maxBuckets + 1]bucket
-	calmMedian, calmTail float64 // calm baselines: median of latency over promise, share of late and failed cost
+	calmMedian, calmTail float64 // baselines while nothing is shed or refused: median of latency over promise, share of late and failed cost
 	lastStep             time.Duration
 }
 
@@ -115,7 +115,8 @@
 // RecordOutcome counts the end of a query that the lanes admitted. A refusal by a lane must not be recorded.
 func (m *Meter) RecordOutcome(now time.Duration, cost float64, outcome Outcome, latency, promise time.Duration) {
 	b := m.advance(now)
-	if (outcome == Abandoned || outcome == Failed) && latency < promise { // an early failure is not caused by queueing, and shedding load does not prevent it
+	// An early failure is not caused by queueing, and shedding load would not prevent it.
+	if (outcome == Abandoned || outcome == Failed) && latency < promise {
 		return
 	}
 	if outcome == Abandoned {
--- a/internal/fleet/pressure/pressure_test.go
+++ b/internal/fleet/pressure/pressure_test.go
@@ -23,33 +23,33 @@
 }
 
 func TestMeterPressureFromOutcomes(t *testing.T) {
-	took := func(share float64) time.Duration { return time.Duration(share * float64(promise)) }
-	for name, x := range map[string]struct {
+	latency := func(share float64) time.Duration { return time.Duration(share * float64(promise)) }
+	for name, test := range map[string]struct {
 		end                      func(m *Meter, now time.Duration, i int)
 		minPressure, maxPressure float64
 		known                    bool
 	}{
-		"all in time": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, InTime, took(0.2), promise) }, 0, 0, true},
+		"all in time": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, InTime, latency(0.2), promise) }, 0, 0, true},
 		// queues stay short because the policy module refuses
 		"a third refused": {func(m *Meter, now time.Duration, i int) {
 			if i%3 == 0 {
 				m.RecordOutcome(now, 1, Refused, 0, promise)
 			} else {
-				m.RecordOutcome(now, 1, InTime, took(0.2), promise)
+				m.RecordOutcome(now, 1, InTime, latency(0.2), promise)
 			}
 		}, 0.25, 0.45, true},
-		"all late": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Late, took(1.5), promise) }, 0.9, 1, true},
+		"all late": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Late, latency(1.5), promise) }, 0.9, 1, true},
 		"queues": {func(m *Meter, now time.Duration, i int) {
-			m.RecordOutcome(now, 1, InTime, took(0.2+0.7*float64(i)/50), promise)
+			m.RecordOutcome(now, 1, InTime, latency(0.2+0.7*float64(i)/50), promise)
 		}, 0.1, 0.25, true},
-		"clients leave":             {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, took(0.1), promise) }, 0, 0, false},
-		"clients leave after it":    {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, took(2), promise) }, 0.9, 1, true},
-		"failures at once":          {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, took(0.1), promise) }, 0, 0, false},
-		"failures past the promise": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, took(1.1), promise) }, 0.9, 1, true},
-		"nothing ends":              {func(m *Meter, now time.Duration, i int) {}, 0, 0, false},
+		"clients leave":                   {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, latency(0.1), promise) }, 0, 0, false},
+		"clients leave after the promise": {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Abandoned, latency(2), promise) }, 0.9, 1, true},
+		"failures at once":                {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, latency(0.1), promise) }, 0, 0, false},
+		"failures after the promise":      {func(m *Meter, now time.Duration, i int) { m.RecordOutcome(now, 1, Failed, latency(1.1), promise) }, 0.9, 1, true},
+		"nothing ends":                    {func(m *Meter, now time.Duration, i int) {}, 0, 0, false},
 	} {
-		_, o := runMeter(x.end)
-		if o.Known != x.known || o.Pressure < x.minPressure || o.Pressure > x.maxPressure || math.Abs(o.Offered-10) > 1.5 || math.Abs(o.Guaranteed+o.ByLane[1]-o.Offered) > 1e-9 {
+		_, o := runMeter(test.end)
+		if o.Known != test.known || o.Pressure < test.minPressure || o.Pressure > test.maxPressure || math.Abs(o.Offered-10) > 1.5 || math.Abs(o.Guaranteed+o.ByLane[1]-o.Offered) > 1e-9 {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
@@ -72,11 +72,11 @@
 		sum, n := 0.0, 0.0
 		for i := range 100_000 {
 			now := time.Duration(i) * 20 * time.Millisecond
-			e := InTime
+			outcome := InTime
 			if i%20 == 0 {
-				e = Late
+				outcome = Late
 			}
-			m.RecordOutcome(now, 1, e, promise/4, promise)
+			m.RecordOutcome(now, 1, outcome, promise/4, promise)
 			if i%12 == 0 {
 				if o := m.Step(now, level); i > 80_000 {
 					sum, n = sum+o.Pressure, n+1
--- a/internal/fleet/pressure/word.go
+++ b/internal/fleet/pressure/word.go
@@ -20,8 +20,8 @@
 
 const (
 	reportVersion = 1
-	// MaxNameLength is the maximum length in bytes of a co-ordinator's or zone's name, as in the member records. If both together have
-	// 20 bytes, a report with three lanes has at most 80.
+	// MaxNameLength is the maximum length in bytes of the name of a co-ordinator or a zone, as in the member records. If both names
+	// together have 20 bytes, a report with three lanes has at most 80 bytes.
 	MaxNameLength = 64
 	// MaxRate is the highest rate, in cost per second, that can be encoded; higher ones are encoded as this.
 	MaxRate = 1e9
@@ -134,9 +134,9 @@
 	next := func() uint16 { k := binary.BigEndian.Uint16(b); b = b[2:]; return k }
 	r.Pressure, r.Offered, r.InTime, r.Completed, r.Guaranteed, r.Level = decodeShare(next()), decodeRate(next()), decodeRate(next()), decodeRate(next()), decodeRate(next()), decodeShare(next())
 	laneShareSum := r.Guaranteed / max(r.Offered, minRate)
-	for j, k := range b[:laneCount] {
-		r.ByLane[j] = float64(k) / math.MaxUint8 * r.Offered
-		laneShareSum += float64(k) / math.MaxUint8
+	for j, code := range b[:laneCount] {
+		r.ByLane[j] = float64(code) / math.MaxUint8 * r.Offered
+		laneShareSum += float64(code) / math.MaxUint8
 	}
 	if laneShareSum > 1+float64(MaxLanes+1)/math.MaxUint8 {
 		return r, nil, fmt.Errorf("pressure: report of %s has lane shares that add up to %.2f of its offered load", r.From, laneShareSum)
--- a/internal/fleet/pressure/word_test.go
+++ b/internal/fleet/pressure/word_test.go
@@ -94,7 +94,7 @@
 	anyValue := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, 1, -1, 1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}))
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(7, 60).Draw(t, "n")
-		falseCount := rapid.IntRange(0, int(TrimShare*(1-weightCapQuantile)*float64(n))).Draw(t, "liars")
+		falseCount := rapid.IntRange(0, int(TrimShare*(1-weightCapQuantile)*float64(n))).Draw(t, "false reports")
 		var reports Reports
 		reports.SetMembers(memberNames(n))
 		low, high := Report{LocalLoad: LocalLoad{Pressure: 1, Offered: 1e9, InTime: 1e9}, Level: 1}, Report{}
@@ -103,13 +103,13 @@
 			w := Report{From: name, Seq: 1}
 			w.Known = true
 			if i < falseCount {
-				w.Pressure, w.Offered, w.InTime, w.Completed, w.Guaranteed, w.Level = anyValue.Draw(t, "p"), anyValue.Draw(t, "asked"), anyValue.Draw(t, "in"), anyValue.Draw(t, "done"), anyValue.Draw(t, "sure"), anyValue.Draw(t, "level")
+				w.Pressure, w.Offered, w.InTime, w.Completed, w.Guaranteed, w.Level = anyValue.Draw(t, "p"), anyValue.Draw(t, "offered"), anyValue.Draw(t, "in time"), anyValue.Draw(t, "completed"), anyValue.Draw(t, "guaranteed"), anyValue.Draw(t, "level")
 				for j := range w.ByLane {
 					w.ByLane[j] = anyValue.Draw(t, "lane")
 				}
 			} else {
-				w.Pressure, w.Level, w.Offered = rapid.Float64Range(0, 0.3).Draw(t, "p"), rapid.Float64Range(0.2, 0.4).Draw(t, "level"), rapid.Float64Range(10, 50).Draw(t, "asked")
-				inTimeShare := rapid.Float64Range(0.5, 1).Draw(t, "part")
+				w.Pressure, w.Level, w.Offered = rapid.Float64Range(0, 0.3).Draw(t, "p"), rapid.Float64Range(0.2, 0.4).Draw(t, "level"), rapid.Float64Range(10, 50).Draw(t, "offered")
+				inTimeShare := rapid.Float64Range(0.5, 1).Draw(t, "in time share")
 				w.InTime, w.Completed = inTimeShare*w.Offered, inTimeShare*w.Offered
 				low.Pressure, high.Pressure = min(low.Pressure, w.Pressure), max(high.Pressure, w.Pressure)
 				low.Level, high.Level = min(low.Level, w.Level), max(high.Level, w.Level)
@@ -136,8 +136,8 @@
 func TestReportOrderAndDuplicatesDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var received []Report
-		for range rapid.IntRange(1, 40).Draw(t, "words") {
-			w := Report{From: rapid.SampledFrom(memberNames(8)).Draw(t, "from"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"), Seq: rapid.Uint64Range(1, 5).Draw(t, "seq")}
+		for range rapid.IntRange(1, 40).Draw(t, "reports") {
+			w := Report{From: rapid.SampledFrom(memberNames(8)).Draw(t, "from"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), Seq: rapid.Uint64Range(1, 5).Draw(t, "seq")}
 			w.Known, w.Offered, w.Pressure = true, float64(10*w.Seq+w.Incarnation), float64(w.Seq)/10 // the values identify the report
 			w.Age = time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			received = append(received, w)
