--- a/internal/fleet/loadshed/crowd.go
+++ b/internal/fleet/loadshed/crowd.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// A key with more than one part in heavyDivisor of the cost is heavy.
+	// A key with more than 1/heavyDivisor of the recent cost is heavy.
 	heavyDivisor = 8
-	// pieceCount is the number of pieces that a heavy key is split into, by a hash of the query's ID.
-	pieceCount = 64
+	// partitionCount is the number of partitions that a heavy key is split into, by a hash of the query's ID.
+	partitionCount = 64
 	// decayFactor is the factor by which counted cost decreases at each step.
 	decayFactor = 0.9
 
@@ -18,10 +18,9 @@
 	counterCount = 64
 )
 
-// shedKeys derives the keys by which queries are shed. For the length of a slot all co-ordinators either shed or admit all queries
-// of a key. The key is that of the account, else of the tenant, else of the client's address. One of these may have most of the
-// traffic, such as the address of a gateway; to shed all of it or none would not reach the shed level, so a heavy key is split into
-// pieces.
+// shedKeys derives the keys by which queries are shed. For the length of a slot, all co-ordinators shed the queries of the same
+// keys. The key is that of the account, else of the tenant, else of the client's address. One key may have most of the traffic,
+// such as the address of a gateway. Shedding all of it or none would miss the shed level, so a heavy key is split into partitions.
 type shedKeys struct {
 	accounts  costCounters // by account, as part of the cost of all queries
 	noAccount costCounters // by tenant or client, as part of the cost of queries without an account
@@ -40,20 +39,20 @@
 	}
 	c.accounts.total += cost
 	if c.noAccount.record(key, cost) {
-		key = lanes.PieceKey(key, pieceOf(q))
+		key = lanes.PieceKey(key, partitionOf(q))
 	}
 	return key
 }
 
-// accountPiece returns the piece of its account that a query belongs to, from 1; 0 if the account is not split.
-func (c *shedKeys) accountPiece(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
+// accountPartition returns the partition of its account that a query belongs to, from 1; 0 if the account is not split.
+func (c *shedKeys) accountPartition(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
 	if c.accounts.record(account.Key, cost) {
-		return pieceOf(q)
+		return partitionOf(q)
 	}
 	return 0
 }
 
-func pieceOf(q *exchange.Query) uint64 { return laneconfig.HashName(q.ID)%pieceCount + 1 }
+func partitionOf(q *exchange.Query) uint64 { return laneconfig.HashName(q.ID)%partitionCount + 1 }
 
 func (c *shedKeys) decay() {
 	c.accounts.decay()
@@ -67,16 +66,16 @@
 }
 
 // record counts a query and returns whether its key is heavy.
-func (a *costCounters) record(key uint64, cost float64) bool {
+func (c *costCounters) record(key uint64, cost float64) bool {
 	i := key % counterCount
-	a.cost[i] += cost
-	a.total += cost
-	return a.cost[i]*heavyDivisor > a.total
+	c.cost[i] += cost
+	c.total += cost
+	return c.cost[i]*heavyDivisor > c.total
 }
 
-func (a *costCounters) decay() {
-	a.total *= decayFactor
-	for i := range a.cost {
-		a.cost[i] *= decayFactor
+func (c *costCounters) decay() {
+	c.total *= decayFactor
+	for i := range c.cost {
+		c.cost[i] *= decayFactor
 	}
 }
--- a/internal/fleet/loadshed/letters.go
+++ b/internal/fleet/loadshed/letters.go
@@ -32,10 +32,10 @@
 	ownReportShare = 0.75
 	// MaxBytesPerSecond limits the mean number of bytes sent per second, including headers.
 	MaxBytesPerSecond = 1900
-	// At most one part in shareBudgetDivisor of the bytes is for messages of shares that go along with reports.
+	// At most 1/shareBudgetDivisor of the bytes is for the messages of package shares that are sent along with reports.
 	shareBudgetDivisor = 4
-	// headerOverhead is the size of the headers of a message without the sender's name: IP and UDP 28, encryption 29, memberlist and
-	// package member 8.
+	// headerOverhead is the size of a message's headers in bytes without the sender's name: IP and UDP 28, encryption 29, memberlist
+	// and package member 8.
 	headerOverhead = 65
 )
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// encodeMessage returns a message: MessageKind | messageVersion | uvarint length of the messages of shares | these messages |
-// reports, the sender's first.
+// encodeMessage returns a message: MessageKind | messageVersion | uvarint length of the messages of package shares | these messages
+// | reports, the sender's first.
 func encodeMessage(shareBytes []byte, reports ...pressure.Report) []byte {
 	b := binary.AppendUvarint([]byte{MessageKind, messageVersion}, uint64(len(shareBytes)))
 	b = append(b, shareBytes...)
@@ -131,22 +131,22 @@
 type sendBudget struct {
 	refilledAt           time.Duration
 	started              bool
-	total, shareMessages float64 // bytes left in all, and for messages of shares
+	total, shareMessages float64 // bytes left in all, and for the messages of package shares
 }
 
-func (r *sendBudget) refill(now time.Duration) {
-	if !r.started {
-		r.started, r.refilledAt = true, now-StepInterval
+func (b *sendBudget) refill(now time.Duration) {
+	if !b.started {
+		b.started, b.refilledAt = true, now-StepInterval
 	}
-	seconds := max(0, now-r.refilledAt).Seconds()
-	r.refilledAt = max(now, r.refilledAt)
+	seconds := max(0, now-b.refilledAt).Seconds()
+	b.refilledAt = max(now, b.refilledAt)
 	capacity := MaxBytesPerSecond * 1.5 * StepInterval.Seconds()
-	r.total = min(capacity, r.total+MaxBytesPerSecond*seconds)
-	r.shareMessages = min(capacity/shareBudgetDivisor, r.shareMessages+MaxBytesPerSecond/shareBudgetDivisor*seconds)
+	b.total = min(capacity, b.total+MaxBytesPerSecond*seconds)
+	b.shareMessages = min(capacity/shareBudgetDivisor, b.shareMessages+MaxBytesPerSecond/shareBudgetDivisor*seconds)
 }
 
-// sendMessages sends the messages of shares, and the local report to a few members along with some reports of others. What exceeds
-// the budget is not sent: requests are repeated, and reports are sent at each step.
+// sendMessages sends the messages of package shares, and the local report to a few members along with some reports of others. What
+// exceeds the budget is not sent: requests are repeated, and reports are sent at each step.
 func (s *Shedder) sendMessages(now time.Duration, membership Membership, report pressure.Report, outputs []shares.Output) {
 	s.budget.refill(now)
 	shareBytes, receivers := s.encodeShareMessages(outputs)
@@ -175,7 +175,8 @@
 			s.budget.total -= float64(overhead + 3 + len(shareBytes[name]))
 		}
 	}
-	for k := 0; k < maxForwardedReports*len(receivers) && s.budget.total >= float64(reportSize+reportSize/2); k++ { // reports of others, as far as the budget allows
+	// Reports of others are added as far as the budget allows.
+	for k := 0; k < maxForwardedReports*len(receivers) && s.budget.total >= float64(reportSize+reportSize/2); k++ {
 		if i := k % len(receivers); len(reports[i]) > 0 {
 			for _, r := range s.reports.SelectForForwarding(now, s.options.Name, 1) {
 				s.budget.total -= float64(len(r.Append(nil)))
@@ -190,8 +191,8 @@
 	}
 }
 
-// encodeShareMessages encodes the outputs of shares by receiver, and returns the receivers in order. Replies come first. The first
-// request differs at each step, so that not the same ones are left out each time.
+// encodeShareMessages encodes the outputs of package shares by receiver, and returns the receivers in order. Replies come first.
+// The requests start with a different one at each step, so that not the same ones are left out each time.
 func (s *Shedder) encodeShareMessages(outputs []shares.Output) (encoded map[string][]byte, receivers []string) {
 	encoded = map[string][]byte{}
 	put := func(name string, o shares.Output) {
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -67,6 +67,7 @@
 	}
 }
 
+// Messages from a single member, valid or not, must not raise the shed level.
 func FuzzMessage(f *testing.F) {
 	f.Add(encodeMessage(nil, exampleReport("a")))
 	f.Add(encodeMessage(shares.Append(nil, shares.SendAsk{Ask: shares.Ask{No: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
@@ -79,7 +80,7 @@
 			s.now += StepInterval
 		}
 		if p.control.Level() != 0 {
-			t.Errorf("level %v after one message", p.control.Level())
+			t.Errorf("level %v after messages of one member", p.control.Level())
 		}
 	})
 }
@@ -111,19 +112,19 @@
 	s := newTestFleet(t, 1, "n%d", compile(t, section(10_000), 1))
 	p := s.shedders[0]
 	p.step(s.now)
-	var qs []*exchange.Query
+	var queries []*exchange.Query
 	for i := range 500 {
-		qs = append(qs, &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
+		queries = append(queries, &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
 			&exchange.Query{ID: fmt.Sprint(i), Tenant: -1, Client: fmt.Sprint("c", i%20), Parts: make([]exchange.Part, 4)}) // of no account
 	}
 	at, i := startTime.Add(s.now), 0
 	runQuery := func() {
 		i++
-		if e := p.Admit(at, qs[i%len(qs)], -1); !e.Rejected {
-			p.QueryEnded(at, e, exchange.LaneOutcome{Took: time.Millisecond})
+		if verdict := p.Admit(at, queries[i%len(queries)], -1); !verdict.Rejected {
+			p.QueryEnded(at, verdict, exchange.LaneOutcome{Took: time.Millisecond})
 		}
 	}
-	for range qs {
+	for range queries {
 		runQuery()
 	}
 	if n := testing.AllocsPerRun(2000, runQuery); n > 0 {
--- a/internal/fleet/loadshed/say.go
+++ b/internal/fleet/loadshed/say.go
@@ -21,7 +21,7 @@
 	lastError  string // of the newest one of them
 }
 
-// TransitionLogInterval is the minimum interval between log lines for the start and the end of shedding.
+// TransitionLogInterval is the minimum interval between the log lines that say that shedding starts or ends.
 const TransitionLogInterval = 2 * time.Second
 
 // logSummary logs when the fleet starts and stops shedding, and a summary every SummaryInterval while queries arrive.
--- a/internal/fleet/loadshed/share.go
+++ b/internal/fleet/loadshed/share.go
@@ -35,7 +35,7 @@
 	s.offeredAccounts = s.offeredAccounts[:0]
 }
 
-// stepShares makes a step of the shares with the messages received and the demand, and returns its outputs.
+// stepShares makes a step of the shares with the messages received and the current demand, and returns its outputs.
 func (s *Shedder) stepShares(now time.Duration, membership Membership) []shares.Output {
 	received := s.shareInputs
 	s.shareInputs = nil
@@ -62,7 +62,7 @@
 	return s.shares.Step(now, append(inputs, received...))
 }
 
-// sharesPerLock is the number of shares that are set at the gate while the lock is held.
+// sharesPerLock is the maximum number of shares that are set at the gate before the lock is released.
 const sharesPerLock = 256
 
 // accountShare is the share of the fleet's capacity that this co-ordinator may use for an account.
@@ -75,7 +75,7 @@
 func (s *Shedder) applyShares(now time.Duration, outputs []shares.Output) {
 	var updates []accountShare
 	add := func(account uint32, amount int64) {
-		if int(account) < len(s.set.Accounts) { // a merged set of the same revision has more accounts
+		if int(account) < len(s.set.Accounts) { // a merged set of the same revision, in force before, may have had more accounts
 			updates = append(updates, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
 		}
 	}
@@ -98,8 +98,8 @@
 	for len(updates) > 0 {
 		n := min(len(updates), sharesPerLock)
 		s.mu.Lock()
-		for _, p := range updates[:n] {
-			s.gate.Share(now, p.account, p.share)
+		for _, u := range updates[:n] {
+			s.gate.Share(now, u.account, u.share)
 		}
 		s.mu.Unlock()
 		updates = updates[n:]
--- a/internal/fleet/loadshed/shed.go
+++ b/internal/fleet/loadshed/shed.go
@@ -2,12 +2,12 @@
 // and end, and with the gossip between co-ordinators. It only does the I/O and the locking; the decisions are made in packages
 // pressure, lanes and shares.
 //
-//	exchange ──Admit──────> lanes.Gate      (in the exchange's turn, under a lock that is never held during I/O)
+//	exchange ──Admit──────> lanes.Gate      (called by the exchange, under a lock that is never held during I/O)
 //	         ──QueryEnded─> pressure.Meter
 //	Run, every StepInterval:
 //	    Meter -> own report -> a few members, with some reports of others and the messages of shares
-//	    received messages -> pressure.Reports -> FleetLoad -> lanes.Control -> Gate.Level; shares.Shares -> Gate.Share
-//	    configuration in force -> Gate.Set
+//	    received messages -> pressure.Reports -> FleetLoad -> lanes.Control (shed level), shares.Shares -> lanes.Gate
+//	    configuration in force -> lanes.Gate
 package loadshed
 
 import (
@@ -27,7 +27,7 @@
 )
 
 const (
-	// StepInterval is the interval between steps. The constants of the level controller are made for it.
+	// StepInterval is the interval between steps, which the constants of the level controller presuppose.
 	StepInterval = lanes.Every
 	// DemandTimeConstant is the time constant with which an account's demand is smoothed.
 	DemandTimeConstant = 4 * time.Second
@@ -74,7 +74,7 @@
 	promises []time.Duration      // by class
 	now      func() time.Duration // local monotonic time
 
-	mu              sync.Mutex // protects the fields up to shedKeys, which the exchange uses in its turns
+	mu              sync.Mutex // protects the fields up to shedKeys, which the exchange's goroutine uses too
 	gate            *lanes.Gate
 	set             *laneconfig.Set
 	meter           pressure.Meter
@@ -93,7 +93,7 @@
 	slotClock     slotClock
 	seq           uint64
 	accountDemand accountDemand
-	evenShare     int64 // share of the guarantee of each account without loans, as last set at the gate; -1: none
+	evenShare     int64 // share of each guarantee that accounts without loans have, as last set at the gate; -1: not set
 	shareInputs   []shares.Input
 	budget        sendBudget
 	fleet         pressure.FleetLoad
@@ -137,7 +137,7 @@
 	if ask.Account < 0 {
 		ask.Key = s.shedKeys.key(s.set, q, cost)
 	} else {
-		ask.Piece = s.shedKeys.accountPiece(&s.set.Accounts[ask.Account], q, cost)
+		ask.Piece = s.shedKeys.accountPartition(&s.set.Accounts[ask.Account], q, cost)
 	}
 	v := s.gate.Admit(now, ask)
 	s.meter.RecordQuery(now, v.Lane, v.Sure(), cost)
@@ -174,7 +174,8 @@
 
 // Run makes a step every StepInterval until ctx ends.
 func (s *Shedder) Run(ctx context.Context) {
-	initialDelay := time.NewTimer(time.Duration(s.rng.Int64N(int64(StepInterval)))) // spreads the steps of co-ordinators that start at the same time
+	// The random delay spreads the steps of co-ordinators that start at the same time.
+	initialDelay := time.NewTimer(time.Duration(s.rng.Int64N(int64(StepInterval))))
 	defer initialDelay.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -69,10 +69,10 @@
 	s.latency = func() time.Duration { return time.Duration(s.rng.Int64N(int64(50 * time.Millisecond))) }
 	log := logrus.New()
 	log.Out = &s.log
-	place := map[string]int{}
+	index := map[string]int{}
 	for i := range n {
 		s.names = append(s.names, fmt.Sprintf(name, i))
-		place[s.names[i]] = i
+		index[s.names[i]] = i
 	}
 	for i := range n {
 		first := true
@@ -88,7 +88,7 @@
 			AgreedTime: func() time.Duration { return 0 },
 			WallTime:   func() time.Duration { return s.now },
 			Send: func(to string, raw []byte) {
-				j := place[to]
+				j := index[to]
 				s.bytes[i] += headerOverhead + len(s.names[i]) + len(raw)
 				if len(raw) > MaxMessageSize {
 					t.Fatalf("message of %d bytes", len(raw))
@@ -182,11 +182,11 @@
 	}
 }
 
-func total(of [][2]int) (admitted, asked int) {
-	for _, x := range of {
-		admitted, asked = admitted+x[0], asked+x[1]
+func total(counts [][2]int) (admitted, offered int) {
+	for _, x := range counts {
+		admitted, offered = admitted+x[0], offered+x[1]
 	}
-	return admitted, asked
+	return admitted, offered
 }
 
 // A flood of standard queries at one co-ordinator overloads the whole fleet. All co-ordinators admit premium queries within the
@@ -195,12 +195,13 @@
 func TestFloodIsShedAndPremiumIsAdmitted(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 450
-	// The sums clip the rate of a node that has most of the traffic, so the guarantee is computed from less; gold stays below that.
+	// Sums clip the rate of a node that has most of the traffic, so the guaranteed rate is computed from a lower total. Gold stays
+	// below it.
 	calm := func(int) (float64, float64) { return 8, 50 }
 	gold, other := s.run(10*time.Second, calm)
 	for _, of := range [][][2]int{gold, other} {
-		if admitted, asked := total(of); admitted != asked {
-			t.Errorf("before the flood: %d of %d admitted", admitted, asked)
+		if admitted, offered := total(of); admitted != offered {
+			t.Errorf("before the flood: %d of %d admitted", admitted, offered)
 		}
 	}
 	flood := func(i int) (float64, float64) {
@@ -232,8 +233,8 @@
 	}
 	s.run(30*time.Second, calm)
 	_, other = s.run(5*time.Second, calm)
-	if admitted, asked := total(other); admitted != asked {
-		t.Errorf("after the flood: %d of %d admitted", admitted, asked)
+	if admitted, offered := total(other); admitted != offered {
+		t.Errorf("after the flood: %d of %d admitted", admitted, offered)
 	}
 	s.run(12*time.Second, nil)
 	s.log.Reset()
@@ -245,7 +246,7 @@
 }
 
 // A co-ordinator without contact to the others sheds only what its own queries require, and keeps its even share of the guarantee.
-func TestPartitionedNodeShedsByLocalLoad(t *testing.T) {
+func TestIsolatedNodeShedsByLocalLoad(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 500
 	flood := func(int) (float64, float64) { return 20, 250 }
@@ -263,14 +264,14 @@
 	s.run(25*time.Second, quiet)
 	gold, other := s.run(10*time.Second, quiet)
 	p := s.shedders[4]
-	t.Logf("partitioned: gold %v, standard %v, level %.2f, fleet known %v", gold[4], other[4], p.control.Level(), p.fleet.Known)
+	t.Logf("isolated: gold %v, standard %v, level %.2f, fleet known %v", gold[4], other[4], p.control.Level(), p.fleet.Known)
 	if p.fleet.Known || p.control.Level() > 0 || gold[4][0] != gold[4][1] || other[4][0] != other[4][1] {
-		t.Error("the partitioned node sheds load, or has fresh reports")
+		t.Error("the isolated node sheds load, or has fresh reports")
 	}
 	s.cut = nil
 	s.run(5*time.Second, quiet)
 	if !p.fleet.Known {
-		t.Error("the fleet is not known after the partition")
+		t.Error("the fleet is not known after contact is back")
 	}
 	s.checkInvariantsHeld()
 }
@@ -280,14 +281,14 @@
 func TestGuaranteeMovesToDemand(t *testing.T) {
 	s := newTestFleet(t, 5, "n%d", compile(t, section(1), 1))
 	s.capacity = 500
-	ask := func(i int) (float64, float64) {
+	rates := func(i int) (float64, float64) {
 		if i == 0 {
 			return 70, 230
 		}
 		return 2, 230
 	}
-	s.run(25*time.Second, ask)
-	gold, _ := s.run(20*time.Second, ask)
+	s.run(25*time.Second, rates)
+	gold, _ := s.run(20*time.Second, rates)
 	t.Logf("%v admitted and offered, with an even share of 30 per second", gold[0])
 	if gold[0][0] < gold[0][1]*85/100 {
 		t.Errorf("%v admitted and offered, share %v, home share %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
@@ -295,8 +296,8 @@
 	s.checkInvariantsHeld()
 }
 
-// All queries of a client have one key, unless most of the traffic comes from its address: then it has one key per piece.
-func TestHeavyClientIsShedInPieces(t *testing.T) {
+// All queries of a client have one key, unless most of the traffic comes from its address: then it has one key per partition.
+func TestHeavyClientIsShedInPartitions(t *testing.T) {
 	set := compile(t, section(1), 1)
 	var c shedKeys
 	keys := map[string]map[uint64]bool{}
@@ -316,23 +317,23 @@
 			c.decay()
 		}
 	}
-	if len(keys["gateway"]) != pieceCount || len(keys["c1"]) != 1 || len(keys["c49"]) != 1 {
+	if len(keys["gateway"]) != partitionCount || len(keys["c1"]) != 1 || len(keys["c49"]) != 1 {
 		t.Error(len(keys["gateway"]), len(keys["c1"]), len(keys["c49"]))
 	}
 }
 
-// Guards against replicas that idle while the fleet sheds: an account with most of the load is shed in pieces, so that the admitted
-// load matches the level.
-func TestHeavyAccountIsShedInPieces(t *testing.T) {
+// Guards against replicas that idle while the fleet sheds: an account with most of the load is shed in partitions, so that the
+// admitted load matches the level.
+func TestHeavyAccountIsShedInPartitions(t *testing.T) {
 	lanes := section(1)
 	lanes.Accounts[0].Lane, lanes.Accounts[0].Guarantee = "standard", 0
 	s := newTestFleet(t, 5, "n%d", compile(t, lanes, 1))
 	s.capacity = 500
-	storm := func(int) (float64, float64) { return 180, 20 } // twice the capacity
-	s.run(15*time.Second, storm)
+	overload := func(int) (float64, float64) { return 180, 20 } // twice the capacity
+	s.run(15*time.Second, overload)
 	const window = 5 * time.Second // half a slot
 	for range 4 {
-		gold, other := s.run(window, storm)
+		gold, other := s.run(window, overload)
 		g, gAll := total(gold)
 		o, oAll := total(other)
 		if float64(g+o) < 0.5*s.capacity*window.Seconds() {
@@ -354,18 +355,18 @@
 	s.set = compile(t, next, 2)
 	s.run(time.Second, flood)
 	gold, _ := s.run(10*time.Second, flood)
-	if admitted, asked := total(gold); admitted > asked*9/10 {
-		t.Errorf("%d of %d admitted of the account that moved to a lower lane", admitted, asked)
+	if admitted, offered := total(gold); admitted > offered*9/10 {
+		t.Errorf("%d of %d admitted of the account that moved to a lower lane", admitted, offered)
 	}
-	e := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
-	if e.Rejected || e.Lane != 0 || e.Account != 1 {
-		t.Errorf("an account that the new configuration adds: %+v", e)
+	verdict := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
+	if verdict.Rejected || verdict.Lane != 0 || verdict.Account != 1 {
+		t.Errorf("an account that the new configuration adds: %+v", verdict)
 	}
 	s.set = compile(t, section(1), 3)
 	s.run(15*time.Second, flood)
 	gold, _ = s.run(10*time.Second, flood)
-	if admitted, asked := total(gold); admitted < asked*98/100 {
-		t.Errorf("%d of %d admitted of the account that moved to a higher lane", admitted, asked)
+	if admitted, offered := total(gold); admitted < offered*98/100 {
+		t.Errorf("%d of %d admitted of the account that moved to a higher lane", admitted, offered)
 	}
 	s.checkInvariantsHeld()
 }
@@ -380,26 +381,26 @@
 		s := newTestFleet(t, 300, name, compile(t, section(400), 1))
 		s.capacity = 1e6
 		i := 0
-		ask := func(int) (float64, float64) { return 4, 0 }
-		for _, p := range s.shedders { // total want more than their part of some
+		rates := func(int) (float64, float64) { return 4, 0 }
+		for _, p := range s.shedders { // every node has more demand than its share of some accounts
 			for range 100 {
 				i++
 				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
 			}
 		}
-		s.run(1500*time.Millisecond, ask)
+		s.run(1500*time.Millisecond, rates)
 		clear(s.bytes)
 		const span = 3
-		s.run(span*time.Second, ask)
-		most, fresh := 0, 300
+		s.run(span*time.Second, rates)
+		maxBytes, minFresh := 0, 300
 		for i, p := range s.shedders {
-			most, fresh = max(most, s.bytes[i]/span), min(fresh, p.fleet.FreshReports)
+			maxBytes, minFresh = max(maxBytes, s.bytes[i]/span), min(minFresh, p.fleet.FreshReports)
 			if !p.fleet.Known {
 				t.Errorf("%s: the fleet is not known", s.names[i])
 			}
 		}
-		t.Logf("%s: at most %d bytes per second, at least %d fresh reports", name, most, fresh)
-		if most > 2048 || fresh < 13 {
+		t.Logf("%s: at most %d bytes per second, at least %d fresh reports", name, maxBytes, minFresh)
+		if maxBytes > 2048 || minFresh < 13 {
 			t.Error("too many bytes, or too few fresh reports")
 		}
 		s.checkInvariantsHeld()
@@ -415,7 +416,7 @@
 // Run, the exchange's calls and received messages use a Shedder from different goroutines.
 func TestShedderConcurrentUse(t *testing.T) {
 	set, first := compile(t, section(20), 1), true
-	letters := make(chan []byte, 100)
+	messages := make(chan []byte, 100)
 	p := New(Options{
 		Name: "n0", Incarnation: 1, StartTime: time.Now(), FleetSize: 2, Policy: &policy.Config{Classes: []policy.Class{{Promise: 1}}},
 		Log: logrus.NewEntry(logrus.New()), AgreedTime: func() time.Duration { return 0 },
@@ -425,21 +426,21 @@
 			return set, changed, 1
 		},
 		Membership: func() Membership { return Membership{Names: []string{"n0", "n1"}, Live: []string{"n1"}} },
-		Send:       func(to string, raw []byte) { letters <- raw },
+		Send:       func(to string, raw []byte) { messages <- raw },
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	ended := make(chan struct{})
 	go func() { p.Run(ctx); close(ended) }()
 	for got, i := 0, 0; got < 2; i++ {
-		e := p.Admit(time.Now(), &exchange.Query{Tenant: i % 2, Parts: make([]exchange.Part, 1)}, -1)
-		p.QueryEnded(time.Now(), e, exchange.LaneOutcome{})
+		verdict := p.Admit(time.Now(), &exchange.Query{Tenant: i % 2, Parts: make([]exchange.Part, 1)}, -1)
+		p.QueryEnded(time.Now(), verdict, exchange.LaneOutcome{})
 		p.Receive("n1", encodeMessage(nil, exampleReport("n1")))
 		select {
-		case raw := <-letters:
+		case raw := <-messages:
 			got++
-			if words, _, err := decodeMessage(raw, "n0", "n1"); err != nil || len(words) == 0 || words[0].From != "n0" {
-				t.Error(words, err)
+			if reports, _, err := decodeMessage(raw, "n0", "n1"); err != nil || len(reports) == 0 || reports[0].From != "n0" {
+				t.Error(reports, err)
 			}
 		case <-time.After(10 * time.Millisecond):
 			if i > 2000 {
