--- a/internal/fleet/lanepart/part.go
+++ b/internal/fleet/lanepart/part.go
@@ -58,7 +58,7 @@
 // Part is the load shedding by lanes of one co-ordinator. The fields that mu does not protect belong to the node's loop.
 type Part struct {
 	host          Host
-	shed          *loadshed.Shedder
+	shedder       *loadshed.Shedder
 	sequence      uint64        // of the newest proposal in term
 	term          uint64        // of the newest proposal
 	notBefore     time.Duration // local time before which nothing is proposed
@@ -105,25 +105,25 @@
 
 // Attach passes the exchange's queries through the lanes. It must be called before the exchange runs. Run runs the load shedding.
 func (p *Part) Attach(e *exchange.Exchange) {
-	r := &membershipCache{host: &p.host}
-	p.shed = loadshed.New(loadshed.Options{
+	cache := &membershipCache{host: &p.host}
+	p.shedder = loadshed.New(loadshed.Options{
 		Name: p.host.Name, Zone: p.host.Zone, Incarnation: uint64(p.host.StartTime.UnixMilli()), StartTime: p.host.StartTime,
 		FleetSize: p.host.Policy.Aggregators, Seed: p.host.Policy.Seed, Policy: p.host.Policy, Log: p.host.Log,
-		CurrentSet: p.inForce, Membership: r.current, AgreedTime: p.agreedTime,
+		CurrentSet: p.inForce, Membership: cache.current, AgreedTime: p.agreedTime,
 		Send: func(to string, raw []byte) {
 			if err := p.host.Send(to, raw); err != nil {
 				p.host.Log.WithError(err).Debug("a lane message was not sent")
 			}
 		},
 	})
-	e.SetLaneGate(p.shed)
+	e.SetLaneGate(p.shedder)
 }
 
 // Run runs the load shedding until ctx ends.
-func (p *Part) Run(ctx context.Context) { p.shed.Run(ctx) }
+func (p *Part) Run(ctx context.Context) { p.shedder.Run(ctx) }
 
 // Receive takes a message of another co-ordinator. It may be called by any goroutine.
-func (p *Part) Receive(from string, raw []byte) { p.shed.Receive(from, raw) }
+func (p *Part) Receive(from string, raw []byte) { p.shedder.Receive(from, raw) }
 
 func (p *Part) agreedTime() (at time.Duration) {
 	p.host.State.WithLock(func() { at = p.host.State.Machine.Now() })
@@ -183,31 +183,31 @@
 }
 
 // Step proposes the lanes section of the local file while this co-ordinator is the leader and a lower revision is in force.
-func (p *Part) Step(t StepInput) {
+func (p *Part) Step(in StepInput) {
 	p.logInForce()
 	agreedTime, allowed := p.host.MayPropose()
-	if t.Term == 0 || !allowed || t.Group == nil {
+	if in.Term == 0 || !allowed || in.Group == nil {
 		return
 	}
-	if p.term != t.Term {
-		p.term, p.sequence, p.notBefore = t.Term, 0, 0
+	if p.term != in.Term {
+		p.term, p.sequence, p.notBefore = in.Term, 0, 0
 	}
-	section := p.sectionToPropose(t.Now)
-	if section == nil || !p.stateAccepts(t.Now, agreedTime, section) {
+	section := p.sectionToPropose(in.Now)
+	if section == nil || !p.stateAccepts(in.Now, agreedTime, section) {
 		return
 	}
 	p.sequence++
-	p.notBefore = t.Now + drainctl.ProposalTimeout
-	raw, err := encodeCommand(fmt.Sprintf("l-%d-%d", t.Term, p.sequence), agreedTime, *section)
+	p.notBefore = in.Now + drainctl.ProposalTimeout
+	raw, err := encodeCommand(fmt.Sprintf("l-%d-%d", in.Term, p.sequence), agreedTime, *section)
 	if err != nil {
-		p.notBefore = t.Now + drainctl.ConfigErrorInterval
+		p.notBefore = in.Now + drainctl.ConfigErrorInterval
 		p.host.Log.WithError(err).Error("the lanes section cannot be proposed")
 		return
 	}
 	p.mu.Lock()
 	p.pending = true
 	p.mu.Unlock()
-	go p.propose(t.Group, raw, section.Revision)
+	go p.propose(in.Group, raw, section.Revision)
 }
 
 // sectionToPropose returns the section of the local file, or nil if it may not be proposed now.
@@ -227,12 +227,12 @@
 
 // stateAccepts returns whether the agreed state would accept the section. It logs a section that differs from the one in force
 // under the same revision.
-func (p *Part) stateAccepts(now, at time.Duration, section *laneconfig.SetBody) bool {
+func (p *Part) stateAccepts(now, agreedTime time.Duration, section *laneconfig.SetBody) bool {
 	var accepts, differs bool
 	state := p.host.State
 	state.WithLock(func() {
-		accepts = state.Lanes.Accepts(section.Revision, at)
-		current, _ := state.Lanes.InForce(at)
+		accepts = state.Lanes.Accepts(section.Revision, agreedTime)
+		current, _ := state.Lanes.InForce(agreedTime)
 		differs = current != nil && current.Revision == section.Revision && current.Sum != section.Sum
 	})
 	if differs {
--- a/internal/fleet/lanepart/roster.go
+++ b/internal/fleet/lanepart/roster.go
@@ -21,16 +21,16 @@
 
 // current returns the co-ordinators that are in the agreed state and not gone, and those that gossip reports. The agreed ones stay
 // members while this co-ordinator is cut off, so that it notices from how few of them it hears.
-func (r *membershipCache) current() loadshed.Membership {
-	now := time.Since(r.host.StartTime)
-	if r.membership.Names != nil && now < r.updatedAt+MembershipInterval {
-		return r.membership
+func (c *membershipCache) current() loadshed.Membership {
+	now := time.Since(c.host.StartTime)
+	if c.membership.Names != nil && now < c.updatedAt+MembershipInterval {
+		return c.membership
 	}
-	r.updatedAt = now
+	c.updatedAt = now
 	var agreed []maintenance.Machine
-	r.host.State.WithLock(func() { agreed = r.host.State.Maintenance.Machines() })
-	r.membership = membershipOf(r.host.Name, agreed, r.host.Members())
-	return r.membership
+	c.host.State.WithLock(func() { agreed = c.host.State.Maintenance.Machines() })
+	c.membership = membershipOf(c.host.Name, agreed, c.host.Members())
+	return c.membership
 }
 
 func membershipOf(self string, agreed []maintenance.Machine, gossiped []member.Member) (out loadshed.Membership) {
