--- a/internal/fleet/laneconfig/agreed.go
+++ b/internal/fleet/laneconfig/agreed.go
@@ -38,7 +38,7 @@
 // New returns a State without a section.
 func New() *State { return &State{} }
 
-// Tick implements statemachine.Part. It ends the time in which two sections are in force.
+// Tick implements statemachine.Part. It ends the overlap of two sections.
 func (s *State) Tick(now time.Duration) {
 	s.now = max(s.now, now)
 	if s.previous != nil && s.now >= s.current.Since+OverlapDuration {
--- a/internal/fleet/laneconfig/agreed_test.go
+++ b/internal/fleet/laneconfig/agreed_test.go
@@ -122,15 +122,15 @@
 			if fmt.Sprint(e1) != fmt.Sprint(e2) || one.Check() != nil || one.Digest() != two.Digest() {
 				t.Fatalf("%v, %v, %v", e1, e2, one.Check())
 			}
-			force, before := a.InForce(one.Now())
-			if force != nil {
-				if force.Revision < last {
-					t.Fatalf("revision %d after %d", force.Revision, last)
+			current, previous := a.InForce(one.Now())
+			if current != nil {
+				if current.Revision < last {
+					t.Fatalf("revision %d after %d", current.Revision, last)
 				}
-				last = force.Revision
+				last = current.Revision
 			}
-			if before != nil {
-				pair := fmt.Sprint(before.Revision, force.Revision)
+			if previous != nil {
+				pair := fmt.Sprint(previous.Revision, current.Revision)
 				if _, seen := overlapSince[pair]; !seen {
 					overlapSince[pair] = one.Now()
 				}
@@ -179,10 +179,10 @@
 		if twice, _ := again.Save(); !bytes.Equal(twice, after) {
 			t.Fatalf("%s\n%s", after, twice)
 		}
-		force, _ := b.InForce(start)
-		if force != nil {
-			if l, err := force.Section(); err == nil {
-				_, _ = Compile(l, force.Revision, names, routes)
+		current, _ := b.InForce(start)
+		if current != nil {
+			if l, err := current.Section(); err == nil {
+				_, _ = Compile(l, current.Revision, names, routes)
 			}
 		}
 	})
--- a/internal/fleet/laneconfig/mix.go
+++ b/internal/fleet/laneconfig/mix.go
@@ -49,8 +49,8 @@
 	return &Selector{names: names, routes: routes}
 }
 
-// Select returns the set to apply, nil for no lanes, whether it differs from that of the last call, and a description of what is
-// not as it should be, "" for nothing.
+// Select returns the set to apply, nil for no lanes, whether it differs from that of the last call, and a description of a problem,
+// "" for none.
 func (s *Selector) Select(in SelectorInput) (set *Set, changed bool, note string) {
 	want, note := s.wantedSources(in)
 	if !s.started || want != s.sources {
@@ -74,7 +74,7 @@
 		return sourceIDs{}, ""
 	}
 	if in.Current == nil {
-		note = "no lanes section is in force by the state known here: that of the local file applies"
+		note = "no lanes section is in force in the local state: that of the local file applies"
 		if in.PeerRevision > in.FileSection.Revision {
 			note += fmt.Sprintf("; it has revision %d, others apply %d", in.FileSection.Revision, in.PeerRevision)
 		}
--- a/internal/fleet/laneconfig/mix_test.go
+++ b/internal/fleet/laneconfig/mix_test.go
@@ -22,8 +22,8 @@
 	clock := time.Minute
 	step := func(what, lane string, changes bool, wantNote string) *Set {
 		t.Helper()
-		force, before := state.InForce(now)
-		set, changed, note := selector.Select(SelectorInput{Now: clock, AgreedTime: now, Current: force, Previous: before, FileSection: fileSection, PeerRevision: peerRevision})
+		current, previous := state.InForce(now)
+		set, changed, note := selector.Select(SelectorInput{Now: clock, AgreedTime: now, Current: current, Previous: previous, FileSection: fileSection, PeerRevision: peerRevision})
 		got := "no lanes"
 		if set != nil {
 			got = set.Lanes[set.LaneOf(set.AccountOf(2, 1, ""))].Name
--- a/internal/fleet/laneconfig/save.go
+++ b/internal/fleet/laneconfig/save.go
@@ -43,11 +43,11 @@
 	if head.V != savedVersion {
 		return fmt.Errorf("laneconfig: saved state has version %d, this program reads version %d: %w", head.V, savedVersion, statemachine.ErrUnknown)
 	}
-	var v saved
-	if err := statemachine.Strict(raw, &v); err != nil {
+	var state saved
+	if err := statemachine.Strict(raw, &state); err != nil {
 		return fmt.Errorf("laneconfig: cannot decode saved state: %w", err)
 	}
-	loaded := State{current: v.Current, previous: v.Previous}
+	loaded := State{current: state.Current, previous: state.Previous}
 	if loaded.current != nil {
 		loaded.now = loaded.current.Since
 	}
--- a/internal/fleet/laneconfig/set.go
+++ b/internal/fleet/laneconfig/set.go
@@ -60,7 +60,7 @@
 func (s *Set) LastLane() int { return len(s.Lanes) - 1 }
 
 // Compile compiles a section for the settings and routes of a co-ordinator, both by name. Tenants, routes and classes that these do
-// not have are skipped, since another co-ordinator may have them; see Unknown. It fails for a section that is not valid at any
+// not have are skipped, since another co-ordinator may have them; see Set.Unknown. It fails if the section is not valid at any
 // co-ordinator.
 func Compile(section *operator.Lanes, revision int, names *settings.Names, routes []string) (*Set, error) {
 	if err := validate(section); err != nil {
@@ -97,7 +97,7 @@
 	return s, nil
 }
 
-// assignAccount assigns the named tenants or routes to an account. Unknown names go to Unknown.
+// assignAccount assigns the named tenants or routes to an account. Names that do not exist here are added to s.Unknown.
 func (s *Set) assignAccount(accounts []int32, index map[string]int, names []string, account int) {
 	for _, name := range names {
 		if i, ok := index[name]; ok {
@@ -121,8 +121,8 @@
 // lookupAccount returns the account by this set's own section.
 func (s *Set) lookupAccount(tenant, route int, mark string) int {
 	if mark != "" {
-		if at, ok := s.accountByMark[mark]; ok {
-			return int(at)
+		if account, ok := s.accountByMark[mark]; ok {
+			return int(account)
 		}
 	}
 	if uint(route) < uint(len(s.accountByRoute)) && s.accountByRoute[route] >= 0 {
--- a/internal/fleet/laneconfig/stricter_test.go
+++ b/internal/fleet/laneconfig/stricter_test.go
@@ -32,7 +32,7 @@
 		{2, 1, "", "coast rest 0.3 0"}, // the lower lane applies at once
 		{2, 1, "k1", "office gold 0.1 0.2"},
 		{2, 1, "k3", "none"}, // old gives it to coast, with a lower lane but a larger guarantee than office
-		{0, 1, "k3", "none"}, // it moves to a higher lane only later
+		{0, 1, "k3", "none"}, // k3 moves to a higher lane only later
 		{0, 1, "", "none"},
 		{1, 1, "", "south2 silver 0 0"}, // the same lane under another name, without a guarantee until then
 	} {
@@ -62,13 +62,13 @@
 	}
 	for _, name := range rapid.Permutation([]string{"a", "b", "c"}).Draw(t, "lanes")[:rapid.IntRange(1, 3).Draw(t, "n")] {
 		lend := rapid.Bool().Draw(t, "lend")
-		l.Lanes = append(l.Lanes, operator.Lane{Name: name, Floor: 0.01 + drawShare("floor"), Most: drawLimit("most", 0.2), Lend: &lend})
+		l.Lanes = append(l.Lanes, operator.Lane{Name: name, Floor: 0.01 + drawShare("floor"), Most: drawLimit("max share", 0.2), Lend: &lend})
 	}
 	keys := rapid.Permutation([]string{"t north", "t south", "t coast", "r fast", "r rest", "m k1", "m k2"}).Draw(t, "keys")
 	for _, name := range rapid.Permutation([]string{"x", "y", "z"}).Draw(t, "accounts") {
 		a := operator.Account{Name: name, Lane: rapid.SampledFrom(l.Lanes).Draw(t, "lane").Name, Guarantee: drawShare("guarantee")}
-		a.Most = drawLimit("most of it", a.Guarantee)
-		n := rapid.IntRange(0, len(keys)).Draw(t, "keys of it")
+		a.Most = drawLimit("max share of account", a.Guarantee)
+		n := rapid.IntRange(0, len(keys)).Draw(t, "key count")
 		for _, k := range keys[:n] {
 			list := map[byte]*[]string{'t': &a.Tenants, 'r': &a.Routes, 'm': &a.Marks}[k[0]]
 			*list = append(*list, k[2:])
@@ -136,8 +136,8 @@
 		}
 	}
 	if mergedAccount >= 0 && sourceAccount >= 0 && merged.Accounts[mergedAccount].Name == source.Accounts[sourceAccount].Name {
-		if m, most := merged.Accounts[mergedAccount].MaxShare, source.Accounts[sourceAccount].MaxShare; most > 0 && (m == 0 || m > most) {
-			t.Fatalf("maximum share %v, but %v by revision %d alone", m, most, source.Revision)
+		if mergedShare, sourceShare := merged.Accounts[mergedAccount].MaxShare, source.Accounts[sourceAccount].MaxShare; sourceShare > 0 && (mergedShare == 0 || mergedShare > sourceShare) {
+			t.Fatalf("maximum share %v, but %v by revision %d alone", mergedShare, sourceShare, source.Revision)
 		}
 	}
 }
