--- a/internal/fleet/laneconfig/stricter.go
+++ b/internal/fleet/laneconfig/stricter.go
@@ -11,9 +11,9 @@
 // Stricter returns next with the limits of old applied as well, so that a query gets no more than either set gives it. Lanes, their
 // order and the slot are those of next. A lane or an account that both sets have by name gets the smaller guarantee, floor and
 // maximum share, and an account the lower of the two lanes. An account that only one set has is guaranteed nothing, so the sum of
-// the guarantees is not above that of either set. A query that the two sets give to different accounts belongs to the one that has
-// both the lower lane and the smaller guarantee; if neither has both, it belongs to no account. As a result an account moves to a
-// lower lane at once, and to a higher one only when old is no longer in force.
+// the guarantees is not above that of either set. A query that the two sets give to different accounts belongs to the account that
+// has neither the higher lane nor the larger guarantee; if each account is better in one respect, it belongs to none. As a result
+// an account moves to a lower lane at once, and to a higher one only when old is no longer in force.
 func Stricter(old, next *Set) *Set {
 	if old == nil || old == next {
 		return next
--- a/internal/fleet/pressure/pressure.go
+++ b/internal/fleet/pressure/pressure.go
@@ -54,7 +54,7 @@
 // LocalLoad is the load that one co-ordinator measures on its own queries. Rates are cost per second.
 type LocalLoad struct {
 	Known      bool              // enough queries ended to compute Pressure
-	Pressure   float64           // 0 to 1
+	Pressure   float64           // 0 to 1: the cost share late, failed or refused, above calmTail; or the effect of queueing if that is larger
 	Offered    float64           // rate of all queries received in all lanes, including refused ones
 	InTime     float64           // rate of queries served within their promise
 	Completed  float64           // rate of all queries served, in time or late
