--- a/internal/fleet/lanepart/part.go
+++ b/internal/fleet/lanepart/part.go
@@ -108,7 +108,7 @@
 	cache := &membershipCache{host: &p.host}
 	p.shedder = loadshed.New(loadshed.Options{
 		Name: p.host.Name, Zone: p.host.Zone, Incarnation: uint64(p.host.StartTime.UnixMilli()), StartTime: p.host.StartTime,
-		FleetSize: p.host.Policy.Aggregators, Seed: p.host.Policy.Seed, Policy: p.host.Policy, Log: p.host.Log,
+		FleetSize: p.host.Policy.Coordinators, Seed: p.host.Policy.Seed, Policy: p.host.Policy, Log: p.host.Log,
 		CurrentSet: p.inForce, Membership: cache.current, AgreedTime: p.agreedTime,
 		Send: func(to string, raw []byte) {
 			if err := p.host.Send(to, raw); err != nil {
--- a/internal/fleet/loadshed/crowd.go
+++ b/internal/fleet/loadshed/crowd.go
@@ -39,7 +39,7 @@
 	}
 	c.accounts.total += cost
 	if c.noAccount.record(key, cost) {
-		key = lanes.PieceKey(key, partitionOf(q))
+		key = lanes.PartitionKey(key, partitionOf(q))
 	}
 	return key
 }
--- a/internal/fleet/loadshed/letters.go
+++ b/internal/fleet/loadshed/letters.go
@@ -111,7 +111,7 @@
 	}
 	shareBytes, rest := b[2+size:2+size+int(n)], b[2+size+int(n):]
 	if n > 0 {
-		if inputs, err = shares.Take(shareBytes, from, to); err != nil {
+		if inputs, err = shares.Decode(shareBytes, from, to); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -210,12 +210,12 @@
 			receivers = append(receivers, name)
 		}
 	}
-	var requests []shares.SendAsk
+	var requests []shares.SendRequest
 	for _, o := range outputs {
 		switch o := o.(type) {
-		case shares.SendLent:
+		case shares.SendReply:
 			put(o.To, o)
-		case shares.SendAsk:
+		case shares.SendRequest:
 			requests = append(requests, o)
 		}
 	}
--- a/internal/fleet/loadshed/letters_test.go
+++ b/internal/fleet/loadshed/letters_test.go
@@ -20,11 +20,11 @@
 // rejected.
 func TestMessageRoundTripAndDamage(t *testing.T) {
 	var shareBytes []byte
-	shareBytes = shares.Append(shareBytes, shares.SendAsk{To: "b", Ask: shares.Ask{From: "a", Incarnation: 1, No: 2, Revision: 2, Account: 7, Want: 5}})
-	shareBytes = shares.Append(shareBytes, shares.SendLent{To: "b", Lent: shares.Lent{From: "a", To: "b", Incarnation: 4, No: 5, Revision: 2, Account: 6, Amount: 9}})
+	shareBytes = shares.Append(shareBytes, shares.SendRequest{To: "b", Request: shares.LoanRequest{From: "a", Incarnation: 1, Seq: 2, Revision: 2, Account: 7, Want: 5}})
+	shareBytes = shares.Append(shareBytes, shares.SendReply{To: "b", Reply: shares.LoanReply{From: "a", To: "b", Incarnation: 4, Seq: 5, Revision: 2, Account: 6, Amount: 9}})
 	raw := encodeMessage(shareBytes, exampleReport("a"), exampleReport("c"))
 	reports, inputs, err := decodeMessage(raw, "a", "b")
-	if err != nil || len(reports) != 2 || reports[1].From != "c" || len(inputs) != 2 || inputs[0].(shares.Ask).Want != 5 {
+	if err != nil || len(reports) != 2 || reports[1].From != "c" || len(inputs) != 2 || inputs[0].(shares.LoanRequest).Want != 5 {
 		t.Fatal(reports, inputs, err)
 	}
 	if raw[0] == peerproto.Version {
@@ -70,7 +70,7 @@
 // Messages from a single member, valid or not, must not raise the shed level.
 func FuzzMessage(f *testing.F) {
 	f.Add(encodeMessage(nil, exampleReport("a")))
-	f.Add(encodeMessage(shares.Append(nil, shares.SendAsk{Ask: shares.Ask{No: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
+	f.Add(encodeMessage(shares.Append(nil, shares.SendRequest{Request: shares.LoanRequest{Seq: 1, Want: 2}}), exampleReport("a"), exampleReport("b")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := newTestFleet(t, 3, "n%d", compile(t, section(1), 1))
 		p := s.shedders[0]
@@ -114,7 +114,7 @@
 	p.step(s.now)
 	var queries []*exchange.Query
 	for i := range 500 {
-		queries = append(queries, &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
+		queries = append(queries, &exchange.Query{Tenant: -1, LaneMark: fmt.Sprint("m", 1+i*19%9999), Client: "c", Parts: make([]exchange.Part, 4)},
 			&exchange.Query{ID: fmt.Sprint(i), Tenant: -1, Client: fmt.Sprint("c", i%20), Parts: make([]exchange.Part, 4)}) // of no account
 	}
 	at, i := startTime.Add(s.now), 0
--- a/internal/fleet/loadshed/say.go
+++ b/internal/fleet/loadshed/say.go
@@ -50,7 +50,7 @@
 	for j := range s.set.Lanes {
 		fields := logrus.Fields{"lane": s.set.Lanes[j].Name}
 		offered, admitted, refused := 0.0, 0.0, 0.0
-		for r := range lanes.Reasons {
+		for r := range lanes.NumReasons {
 			cost := counts.Cost[j][r]
 			if sameLanes {
 				cost -= previous.Cost[j][r]
@@ -84,19 +84,19 @@
 	estimate := s.control.Estimate()
 	s.options.Log.WithFields(s.logFields(level)).WithFields(logrus.Fields{
 		"own_asked": rounded(s.local.Offered), "own_in_time": rounded(s.local.InTime), "own_done": rounded(s.local.Completed),
-		"estimate": rounded(estimate.Bears), "asked": rounded(estimate.Asked), "comes_back": rounded(estimate.ComesBack),
-		"peak_back": rounded(estimate.PeakBack), "knee": rounded(estimate.Knee), "storm": estimate.Storm,
+		"estimate": rounded(estimate.Capacity), "asked": rounded(estimate.Offered), "comes_back": rounded(estimate.Throughput),
+		"peak_back": rounded(estimate.PeakThroughput), "knee": rounded(estimate.Knee), "storm": estimate.Overloaded,
 	}).Debug("a step of the lanes")
 }
 
 // reasonKeys are the log field names of the reasons.
-var reasonKeys = [lanes.Reasons]string{"free", "guaranteed", "floor", "class_floor", "borrowed", "refused_cut", "refused_over_most"}
+var reasonKeys = [lanes.NumReasons]string{"free", "guaranteed", "floor", "class_floor", "borrowed", "refused_cut", "refused_over_most"}
 
 // logFields returns the fields that describe the state of load shedding.
 func (s *Shedder) logFields(level float64) logrus.Fields {
 	fields := logrus.Fields{
 		"shed_level": rounded(level), "own_pressure": rounded(s.local.Pressure), "own_known": s.local.Known, "fleet_known": s.fleet.Known,
-		"fresh": s.fleet.FreshReports, "members": s.fleet.Members, "bears": rounded(s.control.Bears()),
+		"fresh": s.fleet.FreshReports, "members": s.fleet.Members, "bears": rounded(s.control.Capacity()),
 	}
 	if s.fleet.Known {
 		fields["fleet_pressure"], fields["fleet_asked"], fields["fleet_in_time"] = rounded(s.fleet.Pressure), rounded(s.fleet.Offered), rounded(s.fleet.InTime)
--- a/internal/fleet/loadshed/share.go
+++ b/internal/fleet/loadshed/share.go
@@ -42,8 +42,8 @@
 	if s.set == nil {
 		return nil
 	}
-	inputs := []shares.Input{shares.Set{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Members{Agreed: membership.AgreedCount, Live: membership.Live}}
-	smoothing, capacity := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Bears()
+	inputs := []shares.Input{shares.Config{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Membership{Agreed: membership.AgreedCount, Live: membership.Live}}
+	smoothing, capacity := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Capacity()
 	d := &s.accountDemand
 	stillActive := d.accounts[:0]
 	for _, a := range d.accounts {
@@ -55,7 +55,7 @@
 			stillActive = append(stillActive, a)
 		}
 		if guarantee := s.set.Accounts[a].Guarantee; guarantee > 0 && capacity > 0 {
-			inputs = append(inputs, shares.Demand{Account: uint32(a), Want: int64(min(1, d.rates[a]/(guarantee*capacity)) * shares.Whole)})
+			inputs = append(inputs, shares.Demand{Account: uint32(a), Want: int64(min(1, d.rates[a]/(guarantee*capacity)) * shares.GuaranteeUnits)})
 		}
 	}
 	d.accounts = stillActive
@@ -76,30 +76,30 @@
 	var updates []accountShare
 	add := func(account uint32, amount int64) {
 		if int(account) < len(s.set.Accounts) { // a merged set of the same revision, in force before, may have had more accounts
-			updates = append(updates, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
+			updates = append(updates, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.GuaranteeUnits})
 		}
 	}
 	for _, o := range outputs {
 		switch o := o.(type) {
-		case shares.Even:
-			if o.Part != s.evenShare {
-				s.evenShare = o.Part
+		case shares.DefaultShare:
+			if o.Share != s.evenShare {
+				s.evenShare = o.Share
 				for a := range s.set.Accounts {
-					add(uint32(a), s.shares.Use(uint32(a)))
+					add(uint32(a), s.shares.Usable(uint32(a)))
 				}
 			}
-		case shares.Part:
-			if o.Part == shares.Evenly {
-				o.Part = s.evenShare
+		case shares.AccountShare:
+			if o.Share == shares.UseDefault {
+				o.Share = s.evenShare
 			}
-			add(o.Account, o.Part)
+			add(o.Account, o.Share)
 		}
 	}
 	for len(updates) > 0 {
 		n := min(len(updates), sharesPerLock)
 		s.mu.Lock()
 		for _, u := range updates[:n] {
-			s.gate.Share(now, u.account, u.share)
+			s.gate.SetShare(now, u.account, u.share)
 		}
 		s.mu.Unlock()
 		updates = updates[n:]
--- a/internal/fleet/loadshed/shed.go
+++ b/internal/fleet/loadshed/shed.go
@@ -28,7 +28,7 @@
 
 const (
 	// StepInterval is the interval between steps, which the constants of the level controller presuppose.
-	StepInterval = lanes.Every
+	StepInterval = lanes.StepInterval
 	// DemandTimeConstant is the time constant with which an account's demand is smoothed.
 	DemandTimeConstant = 4 * time.Second
 	// CheckInterval is the interval between checks of the invariants.
@@ -78,7 +78,7 @@
 	gate            *lanes.Gate
 	set             *laneconfig.Set
 	meter           pressure.Meter
-	costModel       lanes.Cost
+	costModel       lanes.CostEstimator
 	offered         []float64 // cost by account since the last step
 	offeredAccounts []int32   // accounts with offered cost above 0
 	shedKeys        shedKeys
@@ -112,7 +112,7 @@
 		o.WallTime = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 	}
 	s := &Shedder{options: o, now: now, control: lanes.NewControl(MaxLevel), rng: rand.New(rand.NewPCG(o.Seed^laneconfig.HashName(o.Name), o.Incarnation))}
-	s.shares = shares.New(shares.Options{Name: o.Name, Incarnation: o.Incarnation, Fleet: o.FleetSize, Seed: o.Seed})
+	s.shares = shares.New(shares.Options{Name: o.Name, Incarnation: o.Incarnation, FleetSize: o.FleetSize, Seed: o.Seed})
 	for i := range o.Policy.Classes {
 		s.promises = append(s.promises, time.Duration(o.Policy.Classes[i].Promise*float64(time.Second)))
 	}
@@ -133,21 +133,21 @@
 		s.meter.RecordQuery(now, 0, false, cost)
 		return exchange.LaneVerdict{Account: -1, Class: q.Class, Cost: cost}
 	}
-	ask := lanes.Ask{Account: s.set.AccountOf(q.Tenant, route, q.Mark), Class: q.Class, Cost: cost, Retry: q.Retry}
+	ask := lanes.Query{Account: s.set.AccountOf(q.Tenant, route, q.LaneMark), Class: q.Class, Cost: cost, Retry: q.Retry}
 	if ask.Account < 0 {
 		ask.Key = s.shedKeys.key(s.set, q, cost)
 	} else {
-		ask.Piece = s.shedKeys.accountPartition(&s.set.Accounts[ask.Account], q, cost)
+		ask.Partition = s.shedKeys.accountPartition(&s.set.Accounts[ask.Account], q, cost)
 	}
 	v := s.gate.Admit(now, ask)
-	s.meter.RecordQuery(now, v.Lane, v.Sure(), cost)
+	s.meter.RecordQuery(now, v.Lane, v.WithinGuarantee(), cost)
 	if ask.Account >= 0 {
 		if s.offered[ask.Account] == 0 && cost > 0 {
 			s.offeredAccounts = append(s.offeredAccounts, int32(ask.Account))
 		}
 		s.offered[ask.Account] += cost
 	}
-	return exchange.LaneVerdict{Rejected: !v.Admitted, RetryAfter: v.After, Account: ask.Account, Lane: v.Lane, Class: q.Class, Cost: cost, YieldBy: v.YieldBy}
+	return exchange.LaneVerdict{Rejected: !v.Admitted, RetryAfter: v.RetryAfter, Account: ask.Account, Lane: v.Lane, Class: q.Class, Cost: cost, YieldBy: v.PromiseDivisor}
 }
 
 // QueryEnded implements exchange.LaneGate.
@@ -215,7 +215,7 @@
 	if s.set != nil {
 		slot, slotLeft := s.slotClock.slotAt(now, s.options.AgreedTime(), s.options.WallTime(), s.set.Slot)
 		s.mu.Lock()
-		s.gate.Level(now, lanes.State{Level: level, Bears: s.control.Bears(), Members: s.fleet.Members, Fleet: s.fleet, Own: s.local, Slot: slot, SlotLeft: slotLeft})
+		s.gate.SetLevel(now, lanes.LevelUpdate{Level: level, Capacity: s.control.Capacity(), Members: s.fleet.Members, Fleet: s.fleet, Own: s.local, Slot: slot, SlotLeft: slotLeft})
 		s.mu.Unlock()
 		s.applyShares(now, outputs)
 	}
@@ -238,7 +238,7 @@
 	if s.gate == nil {
 		s.gate = lanes.New(now, next, max(1, s.options.FleetSize))
 	} else {
-		s.gate.Set(now, next)
+		s.gate.SetConfig(now, next)
 	}
 	s.set = next
 	s.offered, s.offeredAccounts = make([]float64, len(next.Accounts)), make([]int32, 0, len(next.Accounts))
--- a/internal/fleet/loadshed/shed_test.go
+++ b/internal/fleet/loadshed/shed_test.go
@@ -291,7 +291,7 @@
 	gold, _ := s.run(20*time.Second, rates)
 	t.Logf("%v admitted and offered, with an even share of 30 per second", gold[0])
 	if gold[0][0] < gold[0][1]*85/100 {
-		t.Errorf("%v admitted and offered, share %v, home share %v", gold[0], s.shedders[0].shares.Use(0), s.shedders[0].shares.Home())
+		t.Errorf("%v admitted and offered, share %v, home share %v", gold[0], s.shedders[0].shares.Usable(0), s.shedders[0].shares.HomeShare())
 	}
 	s.checkInvariantsHeld()
 }
@@ -358,7 +358,7 @@
 	if admitted, offered := total(gold); admitted > offered*9/10 {
 		t.Errorf("%d of %d admitted of the account that moved to a lower lane", admitted, offered)
 	}
-	verdict := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: "m1", Parts: make([]exchange.Part, 1)}, -1)
+	verdict := s.shedders[2].Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, LaneMark: "m1", Parts: make([]exchange.Part, 1)}, -1)
 	if verdict.Rejected || verdict.Lane != 0 || verdict.Account != 1 {
 		t.Errorf("an account that the new configuration adds: %+v", verdict)
 	}
@@ -385,7 +385,7 @@
 		for _, p := range s.shedders { // every node has more demand than its share of some accounts
 			for range 100 {
 				i++
-				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, Mark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
+				p.Admit(startTime.Add(s.now), &exchange.Query{Tenant: -1, LaneMark: fmt.Sprint("m", 1+i%399), Parts: make([]exchange.Part, 50)}, -1)
 			}
 		}
 		s.run(1500*time.Millisecond, rates)
--- a/internal/fleet/pressure/pressure.go
+++ b/internal/fleet/pressure/pressure.go
@@ -3,7 +3,7 @@
 // whole fleet. False reports from up to a tenth of the members cannot move an estimate outside the range of the honest reports.
 //
 // The package is pure: times are parameters, results do not depend on map iteration order, and all memory is bounded. Cost is
-// counted in units of a mean part (see lanes.Cost); rates are cost per second.
+// counted in units of a mean part (see lanes.CostEstimator); rates are cost per second.
 package pressure
 
 import "time"
