--- a/internal/fleet/loadshed/crowd.go
+++ b/internal/fleet/loadshed/crowd.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// heavyDivisor: who asks for over one part of so many is cut in pieces.
+	// A key with more than 1/heavyDivisor of the recent cost is heavy.
 	heavyDivisor = 8
-	// pieceCount of such a one, by its queries' ids.
-	pieceCount = 64
-	// decayFactor of what was asked counts still after a step.
+	// partitionCount is the number of partitions that a heavy key is split into, by a hash of the query's ID.
+	partitionCount = 64
+	// decayFactor is the factor by which counted cost decreases at each step.
 	decayFactor = 0.9
 
+	// counterCount is the number of counters that keys are hashed to.
 	counterCount = 64
 )
 
-// shedKeys tells what queries are cut by: the same is cut or not for a slot, by all co-ordinators. That is who asks: the account, else
-// the tenant, else the client's address. But one of them may ask for most of the traffic, as what is behind a gateway's address does,
-// and to cut all of it or nothing would be no level at all: such a one is cut by pieces.
+// shedKeys derives the keys by which queries are shed. For the length of a slot, all co-ordinators shed the queries of the same
+// keys. The key is that of the account, else of the tenant, else of the client's address. One key may have most of the traffic,
+// such as the address of a gateway. Shedding all of it or none would miss the shed level, so a heavy key is split into partitions.
 type shedKeys struct {
-	accounts  costCounters // against all that is asked
-	noAccount costCounters // against what is asked by those of no account
+	accounts  costCounters // by account, as part of the cost of all queries
+	noAccount costCounters // by tenant or client, as part of the cost of queries without an account
 }
 
-// key is what a query of no account is cut by.
+// key returns the key of a query that has no account.
 func (c *shedKeys) key(set *laneconfig.Set, q *exchange.Query, cost float64) uint64 {
 	key := uint64(0)
 	switch {
@@ -38,43 +39,43 @@
 	}
 	c.accounts.total += cost
 	if c.noAccount.record(key, cost) {
-		key = lanes.PartitionKey(key, pieceOf(q))
+		key = lanes.PartitionKey(key, partitionOf(q))
 	}
 	return key
 }
 
-// pieceOf of its account that a query is cut with, from 1; 0 where the account is cut whole.
-func (c *shedKeys) accountPiece(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
+// accountPartition returns the partition of its account that a query belongs to, from 1; 0 if the account is not split.
+func (c *shedKeys) accountPartition(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
 	if c.accounts.record(account.Key, cost) {
-		return pieceOf(q)
+		return partitionOf(q)
 	}
 	return 0
 }
 
-func pieceOf(q *exchange.Query) uint64 { return laneconfig.HashName(q.ID)%pieceCount + 1 }
+func partitionOf(q *exchange.Query) uint64 { return laneconfig.HashName(q.ID)%partitionCount + 1 }
 
 func (c *shedKeys) decay() {
 	c.accounts.decay()
 	c.noAccount.decay()
 }
 
-// costCounters counts what was asked of late, by a hash of who asks.
+// costCounters counts recent cost by a hash of the key.
 type costCounters struct {
 	cost  [counterCount]float64
 	total float64
 }
 
-// record counts a query, and tells whether its asker is to be cut in pieces.
-func (a *costCounters) record(key uint64, cost float64) bool {
-	at := key % counterCount
-	a.cost[at] += cost
-	a.total += cost
-	return a.cost[at]*heavyDivisor > a.total
+// record counts a query and returns whether its key is heavy.
+func (c *costCounters) record(key uint64, cost float64) bool {
+	i := key % counterCount
+	c.cost[i] += cost
+	c.total += cost
+	return c.cost[i]*heavyDivisor > c.total
 }
 
-func (a *costCounters) decay() {
-	a.total *= decayFactor
-	for i := range a.cost {
-		a.cost[i] *= decayFactor
+func (c *costCounters) decay() {
+	c.total *= decayFactor
+	for i := range c.cost {
+		c.cost[i] *= decayFactor
 	}
 }
