--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -10,7 +10,7 @@
 	"birchcart/policy"
 )
 
-// execute carries out one action.
+// execute carries out one action of the policy.
 func (e *Exchange) execute(a *policy.Action) {
 	switch a.Verb {
 	case policy.Send:
@@ -40,11 +40,11 @@
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// send puts an attempt into this turn's call to its replica.
+// send starts an attempt and adds it to this turn's call to its replica.
 func (e *Exchange) send(act *policy.Action) {
 	pt := e.parts[act.Part]
 	if pt == nil || pt.query.closed || e.replicasByID[act.Replica] == nil {
-		e.log.WithField("part", act.Part).Error("the decisions sent what is not open")
+		e.log.WithField("part", act.Part).Error("send ignored: unknown part or replica, or the query is closed")
 		return
 	}
 	a := &Attempt{
@@ -72,9 +72,10 @@
 	e.outgoing = append(e.outgoing, outgoingCall{a.replica, []*Attempt{a}})
 }
 
-// flush hands this turn's calls to the replica side. The first step of a query ends where the first part of
-// its second arrives, and what arrives before that is known everywhere is rejected. So the part that opens
-// a second step goes ahead, and calls with others of that step follow after a short gap.
+// flush hands this turn's calls to the replica side. For the replicas, the first step of a query ends when the
+// first part of its second step arrives at one of them; parts of the second step that reach a replica before it
+// knows that are rejected. The part that opens a second step is therefore sent at once, and calls with other
+// parts of that step are delayed by StepGap.
 func (e *Exchange) flush() {
 	var delayed []outgoingCall
 	for _, c := range e.outgoing {
@@ -88,7 +89,7 @@
 		e.replicas.Send(c.replica, c.attempts)
 	}
 	if len(delayed) > 0 {
-		time.Sleep(e.limits.StepGap) // far less than the least gap between turns
+		time.Sleep(e.limits.StepGap) // far shorter than the minimum gap between turns
 		for _, c := range delayed {
 			e.replicas.Send(c.replica, c.attempts)
 		}
@@ -97,8 +98,8 @@
 	e.outgoing = e.outgoing[:0]
 }
 
-// needsStepGap tells whether a call holds a part of a second step that has been opened in this turn; a part that
-// opens one is noted.
+// needsStepGap reports whether a call holds a part of a second step that another part has already opened in this
+// turn. If a part of the call opens a second step, it records the time on the query.
 func (e *Exchange) needsStepGap(c outgoingCall) bool {
 	wait := false
 	for _, a := range c.attempts {
@@ -115,7 +116,8 @@
 	return wait
 }
 
-// answer ends a query from what is in, or its first step where its class has a second.
+// answer replies to a query with the values received so far. If the query's class has a second step and the query
+// is in its first, answer starts the second step instead.
 func (e *Exchange) answer(a *policy.Action) {
 	q := e.queries[a.Query]
 	if q == nil {
@@ -134,8 +136,8 @@
 	e.finish(a.Query, r)
 }
 
-// answerFirstStep closes the first step and asks the shards with the highest scores, n at most; its parts reach
-// the decisions with the next turn.
+// startSecondStep closes the first step and creates parts for at most n shards, those with the highest scores. The
+// policy receives the new parts in the next turn.
 func (e *Exchange) startSecondStep(q *query, n int, complete bool) {
 	var answered []*part
 	for _, pt := range q.parts {
@@ -160,7 +162,7 @@
 	}
 }
 
-// finish gives a query its one answer. What of it is not yet written is taken back before.
+// finish closes a query and sends its only reply. Attempts that are not yet written are cancelled before the reply.
 func (e *Exchange) finish(id uint64, r Reply) {
 	q := e.queries[id]
 	if q == nil {
@@ -179,7 +181,7 @@
 		e.log.WithFields(logrus.Fields{
 			"query": q.ID, "class": e.names.Classes[q.Class], "status": r.Status, "whole": r.Complete,
 			"found": len(r.Values), "step": q.step, "reason": r.Reason.String(), "took": e.turnAt.Sub(q.Received),
-		}).Debug("a query ended")
+		}).Debug("query ended")
 	}
 	q.Reply(r)
 }
--- a/internal/exchange/drains.go
+++ b/internal/exchange/drains.go
@@ -10,32 +10,32 @@
 	"birchcart/policy"
 )
 
-// drainOverlay is what a fleet's drains change in discovery's list: a replica in it wants nothing new, whatever discovery says. It
-// only ever narrows. Its sizes are those of the list and of the set that was last given.
+// drainOverlay applies the fleet's drains to discovery's list: a drained replica gets no new parts even if discovery lists it as
+// up. It never makes a replica available that discovery does not. Its memory is bounded by the list and the latest set of drains.
 type drainOverlay struct {
-	entries   map[string]Endpoint // as discovery has them, without those that are gone
+	entries   map[string]Endpoint // as discovery lists them, without removed ones
 	drained   map[string]bool
-	stale     bool // the full list before was from disk
+	stale     bool // the last full list was read from disk
 	onList    func(list []Endpoint, stale bool)
 	onApplied func()
 }
 
-// setDrains is the message that the set of replicas to be drained is now this one.
+// setDrains is the message that replaces the set of replicas to drain.
 type setDrains []string
 
-// WatchReplicas begins to keep discovery's list apart from what SetDrains changes in it. Of what is given, nil is left out: after
-// each change onList gets the complete list, as discovery has it and sorted by name, and whether it is an old one from disk;
-// onApplied is called once for each set that SetDrains gave, when from then on nothing new is decided for what is in it. Both are
-// called in the turn, may keep what they get, and must not block. To be called before Run.
+// WatchReplicas enables SetDrains and reports the endpoint list; it must be called before Run. After each change, onList gets the
+// complete list as discovery has it, sorted by name, and whether that list is a stale one from disk. onApplied is called once for
+// each set passed to SetDrains; from then on the policy chooses none of the set's replicas for new parts. Either function may be
+// nil. Both are called within a turn and must not block; they may keep their arguments.
 func (e *Exchange) WatchReplicas(onList func(list []Endpoint, stale bool), onApplied func()) {
 	e.drainOverlay = &drainOverlay{entries: map[string]Endpoint{}, drained: map[string]bool{}, onList: onList, onApplied: onApplied}
 }
 
-// SetDrains has these replicas, and no others, shown as draining while discovery says that they are up. A name that is not
-// on the list counts once it is. Without WatchReplicas before it does nothing.
+// SetDrains replaces the set of drained replicas: those that discovery lists as up are treated as draining. A name that is not on
+// the list takes effect once it is listed. SetDrains does nothing unless WatchReplicas was called before.
 func (e *Exchange) SetDrains(drained []string) { e.enqueue(setDrains(slices.Clone(drained))) }
 
-// withDrains keeps a change of the endpoint list, and returns it as the decisions and the replica side are to have it.
+// withDrains stores a change of the endpoint list and returns it with the drains applied, for the policy and the replica side.
 func (e *Exchange) withDrains(l ReplicaList) ReplicaList {
 	d := e.drainOverlay
 	if d == nil {
@@ -61,7 +61,7 @@
 	return shown
 }
 
-// handleDrains takes another set of drains: what differs by it is a change of the endpoint list, and nothing else is.
+// handleDrains replaces the set of drains. Only replicas whose state changes by it are passed on, as a change of the endpoint list.
 func (e *Exchange) handleDrains(set setDrains) {
 	d := e.drainOverlay
 	if d == nil {
@@ -79,7 +79,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		e.log.WithFields(logrus.Fields{"drained": len(d.drained), "changed": len(changed)}).Info("the fleet's drains over the list changed")
+		e.log.WithFields(logrus.Fields{"drained": len(d.drained), "changed": len(changed)}).Info("fleet drains changed")
 		e.applyReplicaList(ReplicaList{Entries: changed})
 	}
 	if d.onApplied != nil {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -16,10 +16,11 @@
 	"birchcart/policy"
 )
 
-// policyStartTime is the decisions' clock at our start: far from 0, which means 'long ago' in the list.
+// policyStartTime is the policy's clock, in seconds, when the exchange is created. It is far from 0, because a start time of 0 in
+// the list means "long ago".
 const policyStartTime = 1e6
 
-// Exchange owns the decisions and what is open.
+// Exchange owns the policy, the open queries and their values. See the package comment.
 type Exchange struct {
 	policy     *policy.Policy
 	config     policy.Config
@@ -31,70 +32,71 @@
 	watcher    Watcher
 	start      time.Time
 
-	listsQueued atomic.Int32 // changes of the list that are not yet in force
+	listsQueued atomic.Int32 // changes of the list that are not yet applied
 
 	mu    sync.Mutex
 	inbox []message
 	wake  chan struct{}
 
-	// What follows belongs to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run, and before it starts.
 	batch           []message // the inbox of this turn
 	events          []policy.Event
-	deferred        []policy.Event // for the next turn: second steps, and attempts that were withdrawn
+	deferred        []policy.Event // events for the next turn: parts of second steps, ends of cancelled attempts
 	lastID          uint64
-	record          *record.Writer // nil: nothing is recorded
-	routes          *routeState    // nil: no query has one
-	clientsGone     []*query       // their clients have gone in this turn
+	record          *record.Writer // nil: recording is off
+	routes          *routeState    // nil: no routes are configured
+	clientsGone     []*query       // queries to close at the end of this turn: client gone or rejected
 	queries         map[uint64]*query
-	byRequestID     map[string]*query // open, or of late with parts sent: till its end their ids may be at replicas
+	byRequestID     map[string]*query // open queries, and closed ones that sent parts, until they are overdue: replicas may still hold their parts' ids
 	parts           map[uint64]*part
-	openCount       int // queries and parts open
+	openCount       int // open queries plus open parts
 	replicasByName  map[string]*replicaEntry
 	replicasByID    map[uint64]*replicaEntry
 	timers          timers
-	listIndex       int64     // discovery's version of the list in force
-	turnAt          time.Time // the last turn
+	listIndex       int64     // discovery's version of the current list
+	turnAt          time.Time // start of the current or last turn
 	counters        counters
 	summaryLoggedAt time.Time
 	outgoing        []outgoingCall
 	observe         func(now float64, events []policy.Event, actions []policy.Action)
 
-	drainOverlay   *drainOverlay // nil: nothing is laid over the list
-	load           *Load         // nil: not measured
-	sessionGate    SessionGate   // nil: no query is pinned
-	laneGate       LaneGate      // nil: the fleet sheds nothing
+	drainOverlay   *drainOverlay // nil: drains are not supported
+	load           *Load         // nil: load is not measured
+	sessionGate    SessionGate   // nil: there are no sessions
+	laneGate       LaneGate      // nil: no load shedding
 	limitOverrides map[limitKey]*policy.Limits
 }
 
-// newQuery is one that is open.
+// query is a query and its state in the exchange.
 type query struct {
 	*Query
-	id     uint64 // route the query, and of its group
+	id     uint64 // id for the policy, of the query and of its group of parts
 	step   int
 	parts  []*part
-	sent   bool // an attempt has gone
+	sent   bool // an attempt was started
 	closed bool
-	routes *routeState // under which it was taken; nil: none
+	routes *routeState // the table by which it was admitted; nil: none
 	route  int
 
-	secondStepAt time.Time // the turn in which the first part of the second step went
+	secondStepAt time.Time // the turn that sent the first part of the second step
 
-	// Of a session: pinned until its end was reported, and whether it waits, ran, and may have parts that still run.
+	// For queries of a session. pinned: the session gate admitted it and has not been notified of its end; waiting: for Release or
+	// Reject; served: its reply had status Served; ran: a part ran or may have; mayStillRun: a part given up may still be running.
 	pinned, waiting, served, ran, mayStillRun bool
 	openAttempts                              int    // attempts that have not ended
-	sessionReply                              *Reply // yieldBy which its session ended it; nil: it did not
+	sessionReply                              *Reply // the reply of the session gate that rejected it while it was open; nil: none
 
-	laneVerdict LaneVerdict // laned: what the verdict of the lanes; the lanes are notified of its end
+	laneVerdict LaneVerdict // inLane: admitted with this verdict, and the lane gate has not been notified of its end
 	inLane      bool
 }
 
-// part of a query's present step.
+// part is one part of a query's current step.
 type part struct {
 	id       uint64
 	query    *query
-	frameID  string // its id on the frames
+	frameID  string // its id in frames to replicas
 	shard    int
-	previous []int // second step
+	previous []int // second step: the shards that answered the first; else nil
 	complete bool
 	attempts []*Attempt
 	answered bool
@@ -102,20 +104,20 @@
 	value    []byte
 }
 
-// replicaEntry is one replica that discovery named.
+// replicaEntry is a replica that discovery has listed.
 type replicaEntry struct {
 	Target
 	listed    bool
-	removedAt time.Time // since when it is removed
+	removedAt time.Time // when it was removed
 }
 
-// outgoingCall is what one turn sends to one replica.
+// outgoingCall holds the attempts that one turn sends to a replica in one call.
 type outgoingCall struct {
 	replica  uint64
 	attempts []*Attempt
 }
 
-// New returns an exchange; Join connects it before Run.
+// New returns an exchange. Connect must be called before Run.
 func New(cfg *config.Config, log *logrus.Entry) *Exchange {
 	return &Exchange{
 		policy: policy.New(cfg.Policy), config: cfg.Policy, names: cfg.Names, limits: cfg.Limits, log: log, limitedLog: logs.Limit(log, cfg.Limits.LogEvery),
@@ -125,19 +127,20 @@
 	}
 }
 
-// Connect names the replica side and discovery.
+// Connect sets the replica side and the discovery side of the exchange.
 func (e *Exchange) Connect(r Replicas, w Watcher) { e.replicas, e.watcher = r, w }
 
-// Observe calls do after each turn of the decisions, with what went in and what came out; both hold until it returns.
-// It must be called before Run, and do must not block: it runs in the turn.
+// Observe registers a function that is called in each turn with the policy's input events and its actions. The slices are valid
+// only until the function returns. It runs within the turn and must not block. Observe must be called before Run.
 func (e *Exchange) Observe(observe func(now float64, events []policy.Event, actions []policy.Action)) {
 	e.observe = observe
 }
 
-// Submit takes a query from the client side. Like all of the following it may be called from anywhere.
+// Submit hands a query from the client side to the exchange. Like the methods that follow, it may be called from any goroutine.
 func (e *Exchange) Submit(q *Query) { e.enqueue(q) }
 
-// ClientGone says that the client of a query has gone. It may overtake the query's own Submit, which another goroutine calls.
+// ClientGone reports that the client of a query has disconnected. Another goroutine may call the query's Submit, so ClientGone can
+// come before it.
 func (e *Exchange) ClientGone(q *Query) {
 	e.mu.Lock()
 	q.clientGone = true
@@ -151,22 +154,22 @@
 	return q.clientGone
 }
 
-// AttemptEnded takes the end of an attempt from the replica side.
+// AttemptEnded reports the end of an attempt; the replica side calls it.
 func (e *Exchange) AttemptEnded(r Result) { e.enqueue(r) }
 
-// HealthChecked takes the outcome of a health check.
+// HealthChecked reports the outcome of a health check.
 func (e *Exchange) HealthChecked(p HealthCheck) { e.enqueue(p) }
 
-// UpdateReplicas takes a change of the endpoint list.
+// UpdateReplicas passes on a change of the endpoint list.
 func (e *Exchange) UpdateReplicas(l ReplicaList) {
 	e.listsQueued.Add(1)
 	e.enqueue(l)
 }
 
-// ListPending says whether a change of the list was taken that the replica side does not know yet.
+// ListPending reports whether a change passed to UpdateReplicas has not yet reached the replica side.
 func (e *Exchange) ListPending() bool { return e.listsQueued.Load() > 0 }
 
-// WatchFailed says that a watch could not be opened or has ended.
+// WatchFailed reports that a watch of the list could not be opened or has ended.
 func (e *Exchange) WatchFailed() { e.enqueue(watchFailed{}) }
 
 func (e *Exchange) enqueue(m message) {
@@ -179,10 +182,10 @@
 	}
 }
 
-// Run plays turns until the context ends. Turns lie at least the settings' resolution apart, as on the bench,
-// and are taken when something happened or a timer is due.
+// Run runs turns until the context ends. A turn runs when a message has arrived or a timer is due, at least the settings'
+// resolution after the turn before, the same spacing as on the bench.
 func (e *Exchange) Run(ctx context.Context) {
-	e.turn() // the module's first, which arms its timer
+	e.turn() // the first turn has no events and lets the policy set its timer
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -200,7 +203,7 @@
 	}
 }
 
-// armTimer sets the timer to the next thing that is due.
+// armTimer sets the timer to when the next turn is due.
 func (e *Exchange) armTimer(timer *time.Timer) {
 	switch {
 	case len(e.deferred) > 0:
@@ -212,7 +215,7 @@
 	}
 }
 
-// turn is one round: all that came in goes to the decisions, and what they want is done.
+// turn passes all messages and due timers to the policy and carries out the actions that it returns.
 func (e *Exchange) turn() {
 	e.mu.Lock()
 	e.batch, e.inbox = e.inbox, e.batch[:0]
@@ -249,16 +252,16 @@
 	}
 }
 
-// counters count what happened since the last summary.
+// counters counts what happened since the last summary.
 type counters struct {
 	queries, attempts, rejectedFull int
 	replies                         [Conflict + 1]int
-	reasons                         [policy.BreaksReplica + 1]int // route refusals and failures by the decisions
-	clientsGone                     int
+	reasons                         [policy.BreaksReplica + 1]int // of the policy's replies
+	abandoned                       int
 	outcomes                        [policy.NotSent + 1]int
 }
 
-// notAdmitted counts the queries that the decisions refused at their arrival, for whatever reason.
+// notAdmitted returns how many queries the policy refused when they arrived, over all reasons.
 func (c *counters) notAdmitted() (sum int) {
 	for reason, n := range c.reasons {
 		if policy.Reason(reason).NotAdmitted() {
@@ -268,12 +271,12 @@
 	return sum
 }
 
-// logSummary logs what an on-call reader wants to see at a glance.
+// logSummary logs the counters since the last summary for on-call engineers, then resets them.
 func (e *Exchange) logSummary() {
 	if s := &e.counters; s.queries > 0 || len(e.queries) > 0 {
 		e.log.WithFields(logrus.Fields{
 			"queries": s.queries, "served": s.replies[Served], "refused": s.replies[Rejected],
-			"failed": s.replies[Failed], "left": s.clientsGone, "full": s.rejectedFull, "open": len(e.queries), "held": e.openCount,
+			"failed": s.replies[Failed], "left": s.abandoned, "full": s.rejectedFull, "open": len(e.queries), "held": e.openCount,
 			"attempts": s.attempts, "ok": s.outcomes[policy.OK], "fault": s.outcomes[policy.Failed],
 			"overload": s.outcomes[policy.Rejected], "unreachable": s.outcomes[policy.Unreachable],
 			"broken": s.outcomes[policy.ConnectionBroken], "timed_out": s.outcomes[policy.TimedOut],
@@ -289,10 +292,10 @@
 	e.counters, e.summaryLoggedAt = counters{}, e.turnAt
 }
 
-// policyTime translates a time into the decisions' seconds.
+// policyTime converts a time to seconds on the policy's clock.
 func (e *Exchange) policyTime(t time.Time) float64 { return policyStartTime + t.Sub(e.start).Seconds() }
 
-// timer is one thing that will be due: the decisions' own, the end of an attempt or of a query.
+// timer is the deadline of an attempt or of a query or, if both are nil, a timer of the policy with its handle.
 type timer struct {
 	at      time.Time
 	handle  uint64
@@ -300,6 +303,7 @@
 	query   *query
 }
 
+// timers is a heap of timers, the earliest first.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
@@ -314,7 +318,7 @@
 	return x
 }
 
-// fireTimers reports what is due by now.
+// fireTimers handles all timers that are due in this turn.
 func (e *Exchange) fireTimers() {
 	for len(e.timers) > 0 && !e.timers[0].at.After(e.turnAt) {
 		t := heap.Pop(&e.timers).(timer)
--- a/internal/exchange/lanes.go
+++ b/internal/exchange/lanes.go
@@ -6,39 +6,39 @@
 	"birchcart/policy"
 )
 
-// LaneGate decides on a query before the decisions see it, by what the whole fleet sheds. It only restricts: a query is rejected
-// at once, or goes on to its route's gate and to the decisions, which may reject it still. What was taken is never shed
-// later. Its calls come in the turn and must not block.
+// LaneGate decides whether to admit a query, by the load shedding of the whole fleet, before the policy sees it. It rejects the
+// query at once or passes it on to its route's gate and the policy, either of which may still reject it. An admitted query is
+// never shed later. All methods are called within a turn and must not block.
 type LaneGate interface {
-	// Admit decides on a query whose turn has come; route is that of the table in force, -1 for none.
+	// Admit decides on a query that is about to be opened. route is its index in the current table, -1 for none.
 	Admit(now time.Time, q *Query, route int) LaneVerdict
-	// QueryEnded reports how a query that was taken has ended, in the turn of its end.
+	// QueryEnded reports how an admitted query ended, in the turn in which it ended.
 	QueryEnded(now time.Time, v LaneVerdict, o LaneOutcome)
 }
 
-// LaneVerdict is the decision on one query.
+// LaneVerdict is the decision of a LaneGate on one query. An exchange passes it back to QueryEnded unchanged.
 type LaneVerdict struct {
 	Rejected   bool
-	RetryAfter time.Duration // rejected: when to retry; 0 for no advice
-	Account    int           // for Over, as the next three
+	RetryAfter time.Duration // if rejected: when to retry; 0 for no advice
+	Account    int           // for QueryEnded, as are the next three
 	Lane       int
 	Class      int
 	Cost       float64
-	YieldBy    float64 // see policy.Limits; under 1: not at all
+	YieldBy    float64 // see policy.Limits.PromiseDivisor; no effect at 1 or less
 }
 
-// LaneOutcome is how a query that was taken has ended.
+// LaneOutcome tells how an admitted query ended.
 type LaneOutcome struct {
 	Status          Status
-	ClientGone      bool          // its client went
-	RejectedByRoute bool          // its route's gate rejected it: the decisions never saw it
-	Took            time.Duration // since it was received
+	ClientGone      bool          // its client disconnected
+	RejectedByRoute bool          // its route's gate rejected it, so the policy never saw it
+	Took            time.Duration // since the query was received
 }
 
-// SetLaneGate has queries shown to l first. To be called before Run.
+// SetLaneGate sets the gate that decides on each query first. It must be called before Run.
 func (e *Exchange) SetLaneGate(g LaneGate) { e.laneGate = g }
 
-// admitToLane asks the lanes about a query. What is rejected is answered at once.
+// admitToLane asks the lane gate about a query and replies at once if it is rejected.
 func (e *Exchange) admitToLane(q *query, route int) bool {
 	if e.laneGate == nil {
 		return true
@@ -53,7 +53,7 @@
 	return true
 }
 
-// retryAfter is a Retry-After time as the settings allow it.
+// retryAfter limits a Retry-After time to what the settings allow; 0 if they allow none.
 func (e *Exchange) retryAfter(after time.Duration) time.Duration {
 	if !e.config.RetryAfter {
 		return 0
@@ -61,7 +61,7 @@
 	return min(after, duration(e.config.MaxRetryAfter))
 }
 
-// notifyLaneGate notifies the lane gate that a query of its has ended.
+// notifyLaneGate notifies the lane gate once that a query it admitted has ended.
 func (e *Exchange) notifyLaneGate(q *query, o LaneOutcome) {
 	if !q.inLane {
 		return
@@ -71,14 +71,14 @@
 	e.laneGate.QueryEnded(e.turnAt, q.laneVerdict, o)
 }
 
-// limitKey are limits of a route that yield as a lane says; of no route those are the lane's alone.
+// limitKey identifies the combined limits of a route and a lane.
 type limitKey struct {
-	route   *policy.Limits // nil: no route
-	yieldBy float64
+	route          *policy.Limits // nil: no route
+	promiseDivisor float64
 }
 
-// limits of a query, of its route and its lane together; nil for none. The decisions hold them, so that each pair has one
-// place, for as long as the table is in force.
+// limitsOf returns the combined limits of a query's route and lane, nil for none. The policy keeps the pointer, so each pair of
+// route and lane shares one value, which is cached while the route's table is in use.
 func (e *Exchange) limitsOf(q *query) *policy.Limits {
 	var routeLimits *policy.Limits
 	if q.routes != nil {
@@ -91,7 +91,7 @@
 	l := e.limitOverrides[k]
 	if l == nil {
 		if len(e.limitOverrides) >= maxLimitOverrides {
-			e.limitOverrides = nil // route tables that are gone
+			e.limitOverrides = nil // most belong to replaced tables
 		}
 		if e.limitOverrides == nil {
 			e.limitOverrides = map[limitKey]*policy.Limits{}
@@ -100,11 +100,11 @@
 		if routeLimits != nil {
 			*l = *routeLimits
 		}
-		l.PromiseDivisor = max(l.PromiseDivisor, k.yieldBy)
+		l.PromiseDivisor = max(l.PromiseDivisor, k.promiseDivisor)
 		e.limitOverrides[k] = l
 	}
 	return l
 }
 
-// maxLimitOverrides pairs of limits and lanes are kept: a thousand routes in eight lanes each.
+// maxLimitOverrides limits the cache of combined limits: a thousand routes in eight lanes each.
 const maxLimitOverrides = 8192
--- a/internal/exchange/list.go
+++ b/internal/exchange/list.go
@@ -10,12 +10,12 @@
 	"birchcart/policy"
 )
 
-// handleReplicaList takes a change of the endpoint list.
+// handleReplicaList applies a change of the endpoint list, with the drains added to it.
 func (e *Exchange) handleReplicaList(l ReplicaList) { e.applyReplicaList(e.withDrains(l)) }
 
-// applyReplicaList hands on the list as it is shown: the decisions and the replica side learn of it in the same turn.
+// applyReplicaList passes a change of the list, drains included, to the policy and the replica side in the same turn.
 func (e *Exchange) applyReplicaList(l ReplicaList) {
-	if l.Index != 0 { // else drains changed, not the list
+	if l.Index != 0 { // 0: only the drains changed
 		e.listIndex = l.Index
 	}
 	ev := policy.Event{Kind: policy.ListChanged, Full: l.Full, Stale: l.Stale, Tenant: -1}
@@ -45,7 +45,7 @@
 	e.replicas.Update(changed)
 }
 
-// applyEndpoint updates or adds the replica of an endpoint; nil for one that was removed before it was known.
+// applyEndpoint updates or adds the replica of an endpoint. It returns nil for a removed endpoint that was never listed.
 func (e *Exchange) applyEndpoint(endpoint Endpoint) *replicaEntry {
 	r := e.replicasByName[endpoint.Name]
 	if r == nil {
@@ -54,7 +54,7 @@
 		}
 		r = &replicaEntry{Target: Target{Replica: e.newID(), Name: endpoint.Name}}
 		e.replicasByName[endpoint.Name], e.replicasByID[r.Replica] = r, r
-		e.log.WithFields(logrus.Fields{"replica": r.Name, "id": r.Replica, "address": endpoint.Address}).Info("a new replica")
+		e.log.WithFields(logrus.Fields{"replica": r.Name, "id": r.Replica, "address": endpoint.Address}).Info("new replica")
 	}
 	r.listed = true
 	if endpoint.State == policy.Removed && r.State != policy.Removed {
@@ -66,7 +66,7 @@
 	return r
 }
 
-// policyEntry is an endpoint as the decisions take it.
+// policyEntry converts an endpoint to an entry of the policy's list.
 func (e *Exchange) policyEntry(r *replicaEntry, endpoint Endpoint) policy.Entry {
 	started := 0.0
 	if !endpoint.Started.IsZero() {
@@ -83,10 +83,10 @@
 	if !endpoint.Started.IsZero() {
 		f["age"] = e.turnAt.Sub(endpoint.Started).Round(time.Millisecond)
 	}
-	e.log.WithFields(f).Info("the list changed")
+	e.log.WithFields(f).Info("replica list changed")
 }
 
-// removeUnlisted removes the replicas that a full list does not name.
+// removeUnlisted marks the replicas as removed that a full list does not name, and returns them.
 func (e *Exchange) removeUnlisted() (changed []Target) {
 	for _, r := range e.replicasByName {
 		if !r.listed && r.State != policy.Removed {
@@ -97,8 +97,8 @@
 	return changed
 }
 
-// forgetRemoved guards against growth where replicas are replaced all day under new names. One that comes again within the time
-// is the same as before.
+// forgetRemoved deletes replicas that were removed longer than Forget ago, so that the tables do not grow where replicas are replaced
+// all day under new names. A replica that is listed again before then keeps its id.
 func (e *Exchange) forgetRemoved() {
 	for name, r := range e.replicasByName {
 		if r.State == policy.Removed && e.turnAt.Sub(r.removedAt) > e.limits.Forget {
@@ -108,11 +108,12 @@
 	}
 }
 
-// nameHash is a number of a replica that all co-ordinators read alike: their ids of it are their own.
+// nameHash returns an id of a replica that is the same at all co-ordinators; Target.Replica differs between them.
 func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
+// stateNames names the states of a replica in logs.
 var stateNames = map[policy.Readiness]string{policy.Up: "up", policy.Draining: "draining", policy.Removed: "removed"}
--- a/internal/exchange/load.go
+++ b/internal/exchange/load.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Load measures how many parts are out on average. It is for one reader beside the exchange.
+// Load measures the mean number of attempts in flight. It supports one reader besides the exchange.
 type Load struct {
 	mu           sync.Mutex
 	inFlight     int
-	inFlightTime time.Duration // route the times that parts were out, since the last reading
-	updatedAt    time.Time     // up to which sum counts
-	readAt       time.Time     // route the last reading
+	inFlightTime time.Duration // sum of the times in flight since the last call of Mean
+	updatedAt    time.Time     // the time up to which inFlightTime counts
+	readAt       time.Time     // the last call of Mean
 }
 
-// Load returns a measure of the parts that are out from now on. To be called before Run; without it none is taken.
+// Load starts measuring the attempts in flight and returns the measure. It must be called before Run; without it load is not measured.
 func (e *Exchange) Load() *Load {
 	now := time.Now()
 	e.load = &Load{updatedAt: now, readAt: now}
 	return e.load
 }
 
-// add notes that some parts more, or fewer, are out from a time on.
+// add changes the number of attempts in flight by delta, as of now. It does nothing on a nil Load.
 func (l *Load) add(now time.Time, delta int) {
 	if l == nil {
 		return
@@ -33,13 +33,13 @@
 }
 
 func (l *Load) advance(now time.Time) {
-	if elapsed := now.Sub(l.updatedAt); elapsed > 0 { // a reading may have come between the turn's beginning and its actions
+	if elapsed := now.Sub(l.updatedAt); elapsed > 0 { // Mean may have advanced past the start of the turn
 		l.inFlightTime += elapsed * time.Duration(l.inFlight)
 		l.updatedAt = now
 	}
 }
 
-// Mean tells how many parts were out on average since it was last asked; false if that was not a moment ago.
+// Mean returns the mean number of attempts in flight since its last call. It returns false if no time has passed since then.
 func (l *Load) Mean() (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -2,20 +2,21 @@
 
 import "birchcart/policy"
 
-// message is what reaches the exchange from other goroutines, one after the other, by its inbox.
+// message is what other goroutines send to the exchange through its inbox. A turn handles control messages first; otherwise
+// messages are handled in order of arrival.
 type message interface{ handle(e *Exchange) }
 
-// control is a message that a turn takes before all others: what was read of the list, and of what narrows or routes by it,
-// is in force before anything is sent.
+// control is a message that a turn handles before all others, so that changes of the list, drains and routes are in effect before
+// the turn sends anything.
 type control interface {
 	message
 	isControl()
 }
 
-// handleClientGone is the message that a client has gone.
+// clientGone is the message that the client of a query has disconnected.
 type clientGone struct{ q *Query }
 
-// watchFailed is the message that a watch failed or has ended.
+// watchFailed is the message that a watch of the list failed or has ended.
 type watchFailed struct{}
 
 func (l ReplicaList) handle(e *Exchange) {
--- a/internal/exchange/outcome.go
+++ b/internal/exchange/outcome.go
@@ -6,7 +6,7 @@
 	"birchcart/policy"
 )
 
-// handleResult takes the end of an attempt; of two ends the first counts.
+// handleResult handles the end of an attempt. Only the first end reported for an attempt counts.
 func (e *Exchange) handleResult(r Result) {
 	a := r.Attempt
 	if a.ended {
@@ -19,15 +19,15 @@
 	e.events = append(e.events, e.reportEnd(a, r.Outcome, r.At, r.Report))
 }
 
-// reportEnd closes an attempt and returns the event that tells of its end.
+// reportEnd marks an attempt as ended and returns the event for the policy.
 func (e *Exchange) reportEnd(a *Attempt, o policy.Outcome, at time.Time, report []float64) policy.Event {
-	a.ended, a.Text = true, nil // its timer lives on for a while
+	a.ended, a.Text = true, nil // its timer keeps the attempt reachable until it is due, so release the text
 	e.counters.outcomes[o]++
 	e.traceAttemptEnd(a, o)
 	a.part.query.recordAttemptEnd(o)
 	e.load.add(e.turnAt, -1)
 	if pt := a.part; !pt.inFlight() && (pt.query.closed || pt.query.step == 2 && pt.previous == nil) {
-		delete(e.parts, pt.id) // its step has ended
+		delete(e.parts, pt.id) // its step is over
 	}
 	return policy.Event{
 		Kind: policy.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: a.replica, Outcome: o,
@@ -35,14 +35,14 @@
 	}
 }
 
-// expire gives up an attempt whose time is up.
+// expire gives up an attempt whose deadline has passed.
 func (e *Exchange) expire(a *Attempt) {
 	if a.ended {
 		return
 	}
 	found, sent := e.replicas.Cancel(a)
 	switch {
-	case !found: // its end is on its way
+	case !found: // its result is in the inbox, or soon will be
 	case sent:
 		e.events = append(e.events, e.reportEnd(a, policy.TimedOut, e.turnAt, nil))
 	default:
@@ -50,7 +50,7 @@
 	}
 }
 
-// cancel gives up an attempt that the decisions no longer want; its end comes with the next turn.
+// cancel gives up an attempt that the policy cancelled. The policy is told of its end in the next turn.
 func (e *Exchange) cancel(a *Attempt) {
 	if a.ended {
 		return
@@ -69,14 +69,14 @@
 	}
 }
 
-// cancelUnsent takes back an attempt only if it has not been written.
+// cancelUnsent cancels an attempt only if it has not been written.
 func (e *Exchange) cancelUnsent(a *Attempt) {
 	if e.removeOutgoing(a) || e.replicas.CancelUnsent(a) {
 		e.deferred = append(e.deferred, e.reportEnd(a, policy.NotSent, e.turnAt, nil))
 	}
 }
 
-// removeOutgoing takes an attempt out of this turn's calls.
+// removeOutgoing removes an attempt from this turn's calls and reports whether it was in one.
 func (e *Exchange) removeOutgoing(a *Attempt) bool {
 	for i := range e.outgoing {
 		for j, b := range e.outgoing[i].attempts {
--- a/internal/exchange/query.go
+++ b/internal/exchange/query.go
@@ -7,14 +7,15 @@
 	"birchcart/policy"
 )
 
-// handleQuery takes a query in, or turns it away before it reaches the decisions: what is full or malformed, or was left.
+// handleQuery opens a query, or rejects it before the policy sees it: if its id is in use or the exchange is full. It drops a query
+// whose client has already disconnected.
 func (e *Exchange) handleQuery(m *Query) {
 	e.counters.queries++
-	if e.isClientGone(m) { // nobody waits for it, and the news of that may have come before it
-		e.counters.clientsGone++
+	if e.isClientGone(m) { // nobody waits for a reply; the clientGone message may have come first
+		e.counters.abandoned++
 		return
 	}
-	if e.byRequestID[m.ID] != nil { // the ids of its parts are at replicas, or may be still
+	if e.byRequestID[m.ID] != nil { // replicas may still hold parts with the same ids
 		e.counters.replies[Conflict]++
 		m.Reply(Reply{Status: Conflict})
 		return
@@ -31,7 +32,7 @@
 	}
 }
 
-// open hands a query to the decisions, or tells that its route's gate rejected it.
+// open passes a query to the policy. It returns false if the lane gate or the gate of its route rejected the query.
 func (e *Exchange) open(q *query) bool {
 	m := q.Query
 	if !e.admit(q) {
@@ -67,7 +68,7 @@
 	return e.lastID
 }
 
-// newPart enters a part and returns the event that tells of it.
+// newPart adds a part to a query and returns the event that reports it to the policy.
 func (e *Exchange) newPart(q *query, pt *part, weight, work float64) policy.Event {
 	pt.id, pt.query = e.newID(), q
 	pt.frameID = q.ID + "." + strconv.Itoa(pt.shard)
@@ -83,8 +84,8 @@
 	}
 }
 
-// handleClientGone tells the decisions that a query's client has gone. The query is closed when the turn's actions are done: what
-// they sent for it before they came to this event has an end then like any other.
+// handleClientGone tells the policy that the client of a query has disconnected. The query is closed only after the turn's actions:
+// the policy may send attempts for it before it handles this event, and they must end like any others.
 func (e *Exchange) handleClientGone(m *Query) {
 	if q := e.byRequestID[m.ID]; q != nil && q.Query == m && q.waiting {
 		e.clientGoneWaiting(q)
@@ -94,7 +95,7 @@
 	}
 }
 
-// closeGoneClients closes the queries whose clients have gone in this turn.
+// closeGoneClients closes the queries whose clients disconnected, or whose session rejected them, in this turn.
 func (e *Exchange) closeGoneClients() {
 	for _, q := range e.clientsGone {
 		switch {
@@ -102,7 +103,7 @@
 		case q.sessionReply != nil:
 			e.finish(q.id, *q.sessionReply)
 		default:
-			e.counters.clientsGone++
+			e.counters.abandoned++
 			e.recordEnd(q, "left", 0)
 			e.close(q, LaneOutcome{ClientGone: true})
 		}
@@ -111,8 +112,8 @@
 	e.clientsGone = e.clientsGone[:0]
 }
 
-// queryOverdue guards against a query that nobody ended: its client is told, and the decisions drop it. The id of one
-// that has ended is free from now on.
+// queryOverdue handles a query whose deadline, and the time for closing it, have passed. It fails the query if it is still open, and
+// makes the policy drop it. The id of the query is free from then on.
 func (e *Exchange) queryOverdue(q *query) {
 	if e.byRequestID[q.ID] == q {
 		delete(e.byRequestID, q.ID)
@@ -120,9 +121,9 @@
 	if q.closed {
 		return
 	}
-	e.log.WithField("query", q.ID).Error("a query was still open after its end")
+	e.log.WithField("query", q.ID).Error("query still open after its deadline")
 	if q.waiting {
-		e.endWaiting(q, Reply{Status: Rejected, RetryAfter: e.limits.ComeBack}) // nothing of it ran
+		e.endWaiting(q, Reply{Status: Rejected, RetryAfter: e.limits.ComeBack}) // no part of it was sent
 		return
 	}
 	e.events = append(e.events, policy.Event{Kind: policy.ClientLeft, Query: q.id})
@@ -131,7 +132,7 @@
 	q.Reply(Reply{Status: Failed})
 }
 
-// close forgets a query; attempts that are out live on until they end.
+// close closes a query and removes it from the open ones. Attempts in flight are kept until they end.
 func (e *Exchange) close(q *query, o LaneOutcome) {
 	q.closed = true
 	e.releaseRoute(q)
@@ -142,16 +143,16 @@
 	if !q.sent {
 		delete(e.byRequestID, q.ID)
 	}
-	q.Text = nil // its timers live on for a while
+	q.Text = nil // its timers keep the query reachable until they are due, so release the text
 	e.notifySessionGate(q)
 }
 
-// closeStep ends the parts of a step. Those still out can be cancelled until their end is told.
+// closeStep closes the parts of a step. A part with attempts in flight is kept, so that the policy can cancel them, until they end.
 func (e *Exchange) closeStep(q *query) {
 	e.openCount -= len(q.parts)
 	for _, pt := range q.parts {
 		for _, a := range pt.attempts {
-			// What is not yet written must not go after the end, whether or not it may be cancelled.
+			// An attempt that is not yet written must not be sent after the step, even if the settings forbid cancelling.
 			if !a.ended {
 				e.cancelUnsent(a)
 			}
--- a/internal/exchange/record.go
+++ b/internal/exchange/record.go
@@ -5,10 +5,10 @@
 	"birchcart/internal/route"
 )
 
-// Record writes what comes and how it ends to w from now on. It must be called before Run.
+// Record writes a record of each query and of its end to w. It must be called before Run.
 func (e *Exchange) Record(w *record.Writer) { e.record = w }
 
-// recordQuery notes a query as it was taken in, or rejected.
+// recordQuery records a query when it arrives, including one that a gate then rejects.
 func (e *Exchange) recordQuery(q *query) {
 	if e.record == nil {
 		return
@@ -31,14 +31,14 @@
 	e.record.Put(r)
 }
 
-// recordEnd notes how a query ended.
+// recordEnd records how a query ended and how many values its reply has.
 func (e *Exchange) recordEnd(q *query, status string, values int) {
 	if e.record != nil {
 		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: values})
 	}
 }
 
-// recordStatus names a reply in records.
+// recordStatus returns the status of a reply as records name it.
 func (r *Reply) recordStatus() string {
 	switch {
 	case r.Status == Served && r.Complete:
--- a/internal/exchange/routes.go
+++ b/internal/exchange/routes.go
@@ -7,22 +7,22 @@
 	"birchcart/internal/route"
 )
 
-// setRoutes is one table in force, with the state of its gate and its sums. Queries keep the one that they were taken
-// under, so a new table changes nothing for them.
+// routeState is a route table with the state of its gate and its counters. A query keeps the routeState by which it was admitted,
+// so a new table does not affect it.
 type routeState struct {
 	table    *route.Table
 	gate     *admission.Gate
 	counters []routeCounters
 }
 
-// routeCounters count by route since the last summary.
+// routeCounters counts the queries of one route since the last summary.
 type routeCounters struct {
 	admitted, complete, partial, refused, failed int
-	rejected                                     [len(admission.Reasons)]int // away before the decisions, by reason
+	rejected                                     [len(admission.Reasons)]int // by the route's gate, by reason
 }
 
-// SetRoutes puts a table into force for queries from now on, nil for none. It may be called from anywhere. Rooms begin
-// empty: what is open was taken under the table before.
+// SetRoutes sets the route table for queries opened from now on, nil for none. It may be called from any goroutine. The new table's
+// query limits count from zero: queries already open still count against the table by which they were admitted.
 func (e *Exchange) SetRoutes(t *route.Table) {
 	if t == nil {
 		e.enqueue(&routeState{})
@@ -35,14 +35,14 @@
 	e.enqueue(&routeState{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
 }
 
-// handleRoutes takes a new table.
+// handleRoutes replaces the route table.
 func (e *Exchange) handleRoutes(r *routeState) {
 	if e.routes = r; r.table == nil {
 		e.routes = nil
 	}
 }
 
-// routeOf finds a query's route in the table in force; -1 for none.
+// routeOf returns the index of a query's route in the current table, -1 for none.
 func (e *Exchange) routeOf(q *query) int {
 	if e.routes == nil {
 		return -1
@@ -59,7 +59,7 @@
 	})
 }
 
-// admit finds a query's route and asks the lanes and its gate. What is rejected is answered at once.
+// admit finds a query's route, then asks the lane gate and the route's gate. It replies at once if either rejects the query.
 func (e *Exchange) admit(q *query) bool {
 	r := e.routes
 	i := e.routeOf(q)
@@ -82,14 +82,14 @@
 	return true
 }
 
-// releaseRoute gives back the room of a query that has ended.
+// releaseRoute tells the gate of a query's route that the query has ended, so that it no longer counts as open.
 func (e *Exchange) releaseRoute(q *query) {
 	if q.routes != nil {
 		q.routes.gate.Release(q.route)
 	}
 }
 
-// countReply takes the end of a query into its route's sums.
+// countReply counts the reply of a query in the counters of its route.
 func (q *query) countReply(r Reply) {
 	if q.routes == nil {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// logRoutes logs a line for each route on which something happened.
+// logRoutes logs the counters of each route that had queries since the last summary, then resets them.
 func (e *Exchange) logRoutes() {
 	if e.routes == nil {
 		return
--- a/internal/exchange/session.go
+++ b/internal/exchange/session.go
@@ -7,27 +7,27 @@
 	"birchcart/policy"
 )
 
-// SessionGate keeps the queries of a session in order before the decisions see them. It only restricts: a query waits for its turn,
-// is rejected, or is given a lesser answer than the decisions gave. Its calls come in the turn and must not block; what
-// it wants of a query it says by Release and Reject.
+// SessionGate keeps the queries of a session in order before the policy sees them. It can delay a query, reject it, or replace its
+// reply with a weaker one, for example failed instead of served. All methods are called within a turn and must not block. The gate
+// acts on a query that it admitted by calling Exchange.Release and Exchange.Reject.
 type SessionGate interface {
-	// Admit tells whether a query that names a session is pinned, and takes it if so: it waits for Release or Reject. route
-	// is that of the table in force, "" for none.
+	// Admit reports whether a query that names a session is pinned. If so, the gate takes the query, which waits until Release
+	// or Reject. route is the name of its route in the current table, "" for none.
 	Admit(q *Query, route string) bool
-	// MayBegin is asked right before a released query is handed to the decisions: whether it still may begin, and its answer if
-	// not. Between the release and here the process may have been stopped.
+	// MayBegin is called right before a released query is passed to the policy. It returns whether the query may still begin
+	// and, if not, the reply: the process may have been stopped since the release.
 	MayBegin(q *Query) (Reply, bool)
-	// FinalReply is asked right before the answer of a released query is given: it returns it, or a lesser one.
+	// FinalReply is called right before the reply of a released query is sent. It returns that reply or a weaker one.
 	FinalReply(q *Query, r Reply) Reply
-	// QueryEnded reports how a query that was taken has ended, in the turn of its end.
+	// QueryEnded reports how an admitted query ended, in the turn in which it ended.
 	QueryEnded(q *Query, o QueryOutcome)
 }
 
-// QueryOutcome is how a query that was pinned has ended.
+// QueryOutcome tells how a pinned query ended.
 type QueryOutcome struct {
-	Served      bool      // with a served answer, complete or not
-	Ran         bool      // a part of it ran, or may have
-	MayRunUntil time.Time // parts of it may still run until then; zero: none is out
+	Served      bool      // its reply had status Served, complete or not
+	Ran         bool      // a part of it ran, or may have run
+	MayRunUntil time.Time // parts of it may still run until then; zero: no part is running
 }
 
 type (
@@ -38,17 +38,17 @@
 	}
 )
 
-// SetSessionGate has queries that name a session shown to p first. To be called before Run.
+// SetSessionGate sets the gate that decides first on queries that name a session. It must be called before Run.
 func (e *Exchange) SetSessionGate(g SessionGate) { e.sessionGate = g }
 
-// Release hands a query that waits to the decisions. Of one that has ended it does nothing.
+// Release passes a waiting query to the policy. It does nothing if the query is not waiting.
 func (e *Exchange) Release(q *Query) { e.enqueue(releaseQuery{q}) }
 
-// Reject ends a query that waits or is open with this answer: what is out of it is given up, as if its client had gone.
-// Of one that has ended it does nothing.
+// Reject ends a waiting or open query with the given reply. Its attempts in flight are given up as if its client had disconnected.
+// Reject does nothing if the query has ended.
 func (e *Exchange) Reject(q *Query, r Reply) { e.enqueue(rejectQuery{q, r}) }
 
-// admitToSession has a query of a session wait, if it is pinned.
+// admitToSession reports whether a query is pinned to its session; if so, the query waits for the session gate.
 func (e *Exchange) admitToSession(q *query) bool {
 	if e.sessionGate == nil || q.Session == "" {
 		return false
@@ -61,13 +61,13 @@
 		return false
 	}
 	q.pinned, q.waiting = true, true
-	e.byRequestID[q.ID] = q // its id is taken while it waits
+	e.byRequestID[q.ID] = q // the id is in use while the query waits
 	e.openCount++
 	heap.Push(&e.timers, timer{at: q.Due.Add(e.limits.AnswerBy), query: q})
 	return true
 }
 
-// handleRelease opens a query that waited.
+// handleRelease opens a waiting query unless the session gate no longer lets it begin.
 func (e *Exchange) handleRelease(m *Query) {
 	if q := e.byRequestID[m.ID]; q != nil && q.Query == m && q.waiting {
 		if r, may := e.sessionGate.MayBegin(m); !may {
@@ -81,14 +81,14 @@
 	}
 }
 
-// stopWaiting takes a query out of those that wait. Its timer lives on.
+// stopWaiting removes a query from the waiting ones. Its timer stays.
 func (e *Exchange) stopWaiting(q *query) {
 	q.waiting = false
 	delete(e.byRequestID, q.ID)
 	e.openCount--
 }
 
-// handleRejection ends a query with the answer of its session gate.
+// handleRejection ends a query with the reply of the session gate.
 func (e *Exchange) handleRejection(m *Query, r Reply) {
 	switch q := e.byRequestID[m.ID]; {
 	case q == nil || q.Query != m || q.closed:
@@ -101,7 +101,7 @@
 	}
 }
 
-// endWaiting gives a query that waits its one answer.
+// endWaiting ends a waiting query with its only reply.
 func (e *Exchange) endWaiting(q *query, r Reply) {
 	e.stopWaiting(q)
 	q.closed = true
@@ -111,16 +111,16 @@
 	e.notifySessionGate(q)
 }
 
-// clientGoneWaiting ends a query whose client went while it waited.
+// clientGoneWaiting ends a waiting query whose client has disconnected.
 func (e *Exchange) clientGoneWaiting(q *query) {
 	e.stopWaiting(q)
 	q.closed = true
-	e.counters.clientsGone++
+	e.counters.abandoned++
 	e.recordEnd(q, "left", 0)
 	e.notifySessionGate(q)
 }
 
-// notifySessionGate notifies the session gate that a query has ended.
+// notifySessionGate notifies the session gate once that a pinned query has ended.
 func (e *Exchange) notifySessionGate(q *query) {
 	if !q.pinned {
 		return
@@ -128,12 +128,12 @@
 	q.pinned = false
 	o := QueryOutcome{Served: q.served, Ran: q.ran}
 	if q.mayStillRun || q.openAttempts > 0 {
-		o.Ran, o.MayRunUntil = true, q.Due // the frames carry the deadline: nothing of it runs after
+		o.Ran, o.MayRunUntil = true, q.Due // frames carry the deadline, and replicas run no part after it
 	}
 	e.sessionGate.QueryEnded(q.Query, o)
 }
 
-// recordAttemptEnd notes what the end of an attempt says of whether its part ran, or may run still.
+// recordAttemptEnd records whether a part ran, or may still be running, by the outcome of its attempt.
 func (q *query) recordAttemptEnd(o policy.Outcome) {
 	q.openAttempts--
 	switch o {
--- a/internal/exchange/trace.go
+++ b/internal/exchange/trace.go
@@ -8,19 +8,21 @@
 	"birchcart/policy"
 )
 
-// stallLogThreshold is how late a timer has to be for a log line: well over what a busy machine does to it, and under the least
-// grace of a draining replica, so that work sent after the grace can be told from work that was held up.
+// stallLogThreshold is how late a timer must be for a stall to be logged. It is well over the delay of timers on a busy machine, and
+// below the shortest grace period of a draining replica: for attempts sent after the grace period the log then shows whether a stall
+// delayed them.
 const stallLogThreshold = 100 * time.Millisecond
 
+// outcomeNames names the outcomes of attempts in logs.
 var outcomeNames = map[policy.Outcome]string{
 	policy.OK: "ok", policy.Failed: "failed", policy.Rejected: "rejected", policy.TimedOut: "timed out",
 	policy.Unreachable: "unreachable", policy.ConnectionBroken: "connection broken", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
 }
 
-// debug says whether lines for single queries and attempts are wanted.
+// debug reports whether single queries and attempts are to be logged.
 func (e *Exchange) debug() bool { return e.log.Logger.IsLevelEnabled(logrus.DebugLevel) }
 
-// traceAttempt logs an attempt that is handed to the replica side.
+// traceAttempt logs the start of an attempt at debug level.
 func (e *Exchange) traceAttempt(a *Attempt) {
 	if !e.debug() {
 		return
@@ -28,20 +30,20 @@
 	e.log.WithFields(logrus.Fields{
 		"part": a.ID, "attempt": a.number, "replica": e.replicaName(a.replica), "list": e.listIndex,
 		"wait": a.Due.Sub(e.turnAt).Round(time.Millisecond),
-	}).Debug("an attempt begins")
+	}).Debug("attempt started")
 }
 
-// traceAttemptEnd logs what became of an attempt.
+// traceAttemptEnd logs the outcome of an attempt at debug level.
 func (e *Exchange) traceAttemptEnd(a *Attempt, o policy.Outcome) {
 	if !e.debug() {
 		return
 	}
 	e.log.WithFields(logrus.Fields{
 		"part": a.ID, "attempt": a.number, "replica": e.replicaName(a.replica), "list": e.listIndex, "outcome": outcomeNames[o],
-	}).Debug("an attempt ended")
+	}).Debug("attempt ended")
 }
 
-// replicaName is the name of a replica on the list, "" for one that was forgotten.
+// replicaName returns the name of a replica, "" if it has been forgotten.
 func (e *Exchange) replicaName(id uint64) string {
 	if r := e.replicasByID[id]; r != nil {
 		return r.Name
@@ -49,12 +51,12 @@
 	return ""
 }
 
-// logStall logs that this turn comes late because the process had no processor.
+// logStall logs a turn that comes late because the process got no processor time.
 func (e *Exchange) logStall() {
 	if len(e.timers) == 0 {
 		return
 	}
 	if late := e.turnAt.Sub(e.timers[0].at); late >= stallLogThreshold {
-		e.limitedLog.Warn("the process stood still", logrus.Fields{"late": late.Round(time.Millisecond), "list": e.listIndex})
+		e.limitedLog.Warn("the process was stalled", logrus.Fields{"late": late.Round(time.Millisecond), "list": e.listIndex})
 	}
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -1,6 +1,7 @@
-// Package exchange is the only place where clients and replicas meet. One goroutine owns the decisions, the
-// queries that are open and their values: it gathers what both sides report, gives it to the decisions in
-// turns, and hands out what they want done. It never touches a socket and never blocks.
+// Package exchange connects the client side and the replica side of a co-ordinator; nothing else joins the two. One
+// goroutine, started by Exchange.Run, owns the policy, the open queries and their values. It works in turns: a turn
+// collects the messages that both sides sent to its inbox, passes them to the policy as events, and carries out the
+// actions that the policy returns. It uses no sockets and never waits for one.
 package exchange
 
 import (
@@ -10,26 +11,27 @@
 	"birchcart/policy"
 )
 
-// Query is a client's query, as the client side read it.
+// Query is a client's query as parsed by the client side.
 type Query struct {
 	ID            string
 	Class, Tenant int
 	Retry         bool
 	Front         route.Front
-	Header        func(name string) string // nil: routes see no headers of it; names in lower case
-	Client        string                   // its client, for a budget of retries; "" where none is given
-	Session       string                   // key of its session, as the client named it; "" for none
-	LaneMark      string                   // as the client named it for the lanes; "" for none
-	Received, Due time.Time                // Received: the last byte was read
+	Header        func(name string) string // by lower-case name; nil: routes see no headers
+	Client        string                   // key of its client's retry budget; "" for none
+	Session       string                   // key of its session as sent by the client; "" for none
+	LaneMark      string                   // its lane mark as sent by the client; "" for none
+	Received, Due time.Time                // Received: when its last byte was read
 	Parts         []Part
 	Text          []byte
-	// Reply takes the one answer. It is called from the exchange's goroutine and must not block.
+	// Reply receives the query's only reply, if its client has not disconnected. It is called from the exchange's goroutine
+	// and must not block.
 	Reply func(Reply)
 
-	clientGone bool // its client has left; under the exchange's lock
+	clientGone bool // its client has disconnected; guarded by Exchange.mu
 }
 
-// Part is one part that a query asks for. Work is in seconds, 0 if no hint came.
+// Part is one part of a query. Work is a hint in seconds, 0 if there is none.
 type Part struct {
 	Shard        int
 	Weight, Work float64
@@ -41,35 +43,35 @@
 // Statuses of a reply.
 const (
 	Served   Status = iota
-	Rejected        // a retry is harmless
-	Failed          // nothing is promised
-	Conflict        // a query of the same id is open
+	Rejected        // a retry is safe
+	Failed          // parts may or may not have run
+	Conflict        // a query with the same id is open, or its parts may still be at replicas
 )
 
-// Reply ends a query.
+// Reply is the final reply to a query.
 type Reply struct {
 	Status     Status
 	Complete   bool
 	Values     []Value
 	RetryAfter time.Duration // Rejected: when to retry; 0 for no advice
-	Reason     policy.Reason // Rejected, Failed: why the decisions ended it, for the log
-	Owner      string        // Rejected: the co-ordinator that has its session; "" if none is named
+	Reason     policy.Reason // Rejected, Failed: why the policy ended the query, for the log
+	Owner      string        // Rejected: the co-ordinator that owns its session; "" if not given
 }
 
-// Value is what a replica gave for one part.
+// Value is a replica's value for one part.
 type Value struct {
 	Shard int
 	Item  []byte
 }
 
-// Attempt is one part on its way to one replica. The replica side reads its exported fields and reports its
-// end with it.
+// Attempt is one try to have a replica run a part. The replica side reads its exported fields and reports its end
+// in a Result.
 type Attempt struct {
-	ID       string // route the part
+	ID       string // id of the part in frames
 	Shard    int
 	Text     []byte
 	Due      time.Time
-	Previous []int // second step: the shards that were in, else nil
+	Previous []int // second step: the shards that answered the first; else nil
 	Complete bool
 
 	part    *part
@@ -79,7 +81,7 @@
 	ended   bool
 }
 
-// Result is how an attempt ended, as the replica side saw it.
+// Result is the end of an attempt as reported by the replica side.
 type Result struct {
 	Attempt *Attempt
 	Outcome policy.Outcome
@@ -98,24 +100,24 @@
 	Report  []float64
 }
 
-// Endpoint is one replica on discovery's list.
+// Endpoint is a replica on discovery's list.
 type Endpoint struct {
 	Name, Address, Zone string
-	Kind                string // what it speaks, as discovery names its type
+	Kind                string // its protocol, which discovery calls its type
 	Cell                int
 	State               policy.Readiness
 	Size                float64
-	Started             time.Time // zero for long ago
+	Started             time.Time // zero: long ago
 }
 
-// ReplicaList is a change of the endpoint list: a full one, or the endpoints that changed.
+// ReplicaList is a change of the endpoint list: either the full list or only the endpoints that changed.
 type ReplicaList struct {
 	Entries     []Endpoint
-	Index       int64 // discovery's version of the list with this change
+	Index       int64 // discovery's version of the list after this change
 	Full, Stale bool
 }
 
-// Target is where a replica is to be reached.
+// Target is a replica and the address at which it is reached.
 type Target struct {
 	Replica uint64
 	Name    string
@@ -125,19 +127,20 @@
 	Started time.Time
 }
 
-// Replicas is the replica side. Nothing here blocks. Results come back by Ended and Probed.
+// Replicas is the replica side. Its methods do not block. It reports results by Exchange.AttemptEnded and
+// Exchange.HealthChecked.
 type Replicas interface {
-	// Update takes changed targets; what is not up gets nothing that is not yet written.
+	// Update applies changed targets. Attempts that are not yet written are not sent to a target that is not up.
 	Update(changed []Target)
-	// Send sends attempts as one call.
+	// Send sends attempts to a replica as one call.
 	Send(replica uint64, call []*Attempt)
-	// Cancel takes back an attempt. found is false if it has ended; sent says that it may have run.
+	// Cancel cancels an attempt. found is false if the attempt has already ended; sent is true if it may have run.
 	Cancel(a *Attempt) (found, sent bool)
-	// CancelUnsent takes back an attempt that is not yet written, and says whether it was.
+	// CancelUnsent cancels an attempt only if it is not yet written, and reports whether it did.
 	CancelUnsent(a *Attempt) bool
-	// CheckHealth sends a health check, or asks for the load report.
+	// CheckHealth sends a replica a health check, or asks it for its load report.
 	CheckHealth(replica uint64)
 }
 
-// Watcher is the side of discovery.
+// Watcher is the discovery side. Watch opens a watch of the endpoint list and does not block.
 type Watcher interface{ Watch() }
