--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -72,10 +72,10 @@
 	e.outgoing = append(e.outgoing, outgoingCall{a.replica, []*Attempt{a}})
 }
 
-// flush hands this turn's calls to the replica side. For the replicas, the first step of a query ends when the
-// first part of its second step arrives at one of them; parts of the second step that reach a replica before it
-// knows that are rejected. The part that opens a second step is therefore sent at once, and calls with other
-// parts of that step are delayed by StepGap.
+// flush hands this turn's calls to the replica side. The first step of a query ends when the first part of its
+// second step arrives at a replica; other parts of the second step are rejected until this is known everywhere.
+// The part that opens a second step is therefore sent at once, and calls with other parts of that step only after
+// StepGap.
 func (e *Exchange) flush() {
 	var delayed []outgoingCall
 	for _, c := range e.outgoing {
--- a/internal/exchange/drains_test.go
+++ b/internal/exchange/drains_test.go
@@ -10,7 +10,7 @@
 	"birchcart/policy"
 )
 
-// targetStates are those that the replica side has.
+// targetStates returns the states of the targets that the replica side was given.
 func (s *fixture) targetStates() string {
 	var out []string
 	for _, t := range s.replicas.targets {
@@ -20,8 +20,8 @@
 	return fmt.Sprint(out)
 }
 
-// Drains are laid over what is known, over whole lists and over changes; they lift nothing, and what they leave behind
-// is what discovery has: the same start, so no new one.
+// Drains apply to listed replicas, to full lists and to changes of the list, and never turn a replica up that discovery drains.
+// When a drain is lifted the replica is as discovery lists it, with the same start time, so that it does not look restarted.
 func TestDrainOverlayOnListsAndChanges(t *testing.T) {
 	s := newFixture(t, nil)
 	var lists [][]Endpoint
@@ -50,7 +50,7 @@
 		{apply(list(false, r0)), "[r0 draining r1 up]"},
 		{apply(list(false, as(r1, policy.Draining))), "[r0 draining r1 draining]"},
 		{apply(drains("r1")), "[r0 up r1 draining]"},
-		{apply(drains()), "[r0 up r1 draining]"}, // discovery's own drain stays
+		{apply(drains()), "[r0 up r1 draining]"}, // discovery still drains r1
 		{apply(list(false, as(r1, policy.Removed)), drains("r1")), "[r0 up r1 removed]"},
 		{apply(list(false, r1)), "[r0 up r1 draining]"},
 		{apply(drains(), drains("r0")), "[r0 draining r1 up]"},
@@ -65,7 +65,7 @@
 	for _, ev := range events {
 		for _, e := range ev.List {
 			if e.Replica == s.e.replicasByName["r0"].Replica && e.State != policy.Removed && (e.Size != 2 || e.Started != s.e.policyTime(started) || e.Cell != 0) {
-				t.Errorf("r0 is told as %+v", e)
+				t.Errorf("r0 is reported to the policy as %+v", e)
 			}
 		}
 		if ev.Kind == policy.ListChanged && (ev.Stale || !ev.Full && len(ev.List) == 0) {
@@ -73,14 +73,15 @@
 		}
 	}
 	if applied != 8 {
-		t.Errorf("%d sets were laid", applied)
+		t.Errorf("%d sets were applied", applied)
 	}
 	if last := lists[len(lists)-1]; len(lists) != 8 || !reflect.DeepEqual(last, []Endpoint{r0, r1}) {
-		t.Errorf("told %d lists, the last %v", len(lists), last)
+		t.Errorf("%d lists were reported, the last %v", len(lists), last)
 	}
 }
 
-// What is drained gets nothing new, and its part that was out is answered.
+// A drained replica gets no new parts, and the query that has a part in flight there still gets its value. Once the drain is
+// lifted the replica gets parts again.
 func TestDrainedReplicaGetsNoNewParts(t *testing.T) {
 	s := newFixture(t, nil)
 	s.e.WatchReplicas(nil, nil)
@@ -91,7 +92,7 @@
 	s.submit("first", 0, 0, 1, 2, 3).Reply = func(r Reply) { first = r }
 	out := s.takeSent()
 	if load.inFlight != 4 {
-		t.Errorf("%d parts out", load.inFlight)
+		t.Errorf("%d attempts in flight", load.inFlight)
 	}
 	s.e.SetDrains([]string{"r0"})
 	for i := range 20 {
@@ -100,7 +101,7 @@
 	more := s.takeSent()
 	for _, a := range more {
 		if s.replicas.targets[a.replica].Name == "r0" {
-			t.Fatalf("%s went to what is drained", a.ID)
+			t.Fatalf("%s went to the drained replica", a.ID)
 		}
 	}
 	if len(more) == 0 {
@@ -114,7 +115,7 @@
 		t.Errorf("%+v", first)
 	}
 	if mean, ok := load.Mean(); load.inFlight != 0 || !ok || mean <= 0 {
-		t.Errorf("%d parts out, %v on average", load.inFlight, mean)
+		t.Errorf("%d attempts in flight, %v on average", load.inFlight, mean)
 	}
 	s.e.SetDrains(nil)
 	to := map[string]bool{}
@@ -126,17 +127,17 @@
 		}
 	}
 	if !to["r0"] {
-		t.Error("the lifted replica gets nothing")
+		t.Error("the replica gets no parts after its drain was lifted")
 	}
 }
 
-// Who never asked for it has no narrowing: no event, no update, nothing kept.
+// Without WatchReplicas, SetDrains causes no event and no update and stores nothing, and withDrains allocates nothing.
 func TestSetDrainsWithoutWatchReplicasHasNoEffect(t *testing.T) {
 	s := newFixture(t, nil)
 	before := len(s.replicas.log)
 	s.e.Observe(func(_ float64, in []policy.Event, _ []policy.Action) {
 		for _, ev := range in {
-			if ev.Kind != policy.TimerFired { // which come by time, on a busy machine now
+			if ev.Kind != policy.TimerFired { // timers of the policy may fire on a busy machine
 				t.Errorf("%+v", ev)
 			}
 		}
@@ -144,7 +145,7 @@
 	s.e.SetDrains([]string{"r0"})
 	s.e.turn()
 	if len(s.replicas.log) != before || s.e.drainOverlay != nil {
-		t.Error("something came of it")
+		t.Error("SetDrains had an effect")
 	}
 	if n := testing.AllocsPerRun(10, func() { s.e.withDrains(ReplicaList{}); s.e.load.add(s.e.turnAt, 1) }); n > 0 {
 		t.Errorf("%v allocations", n)
--- a/internal/exchange/endings_test.go
+++ b/internal/exchange/endings_test.go
@@ -10,7 +10,7 @@
 	"birchcart/policy"
 )
 
-// newQuery is one that is not yet submitted.
+// newQuery returns a query without submitting it.
 func (s *fixture) newQuery(id string, class int, shards ...int) *Query {
 	now := time.Now()
 	q := &Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(2 * time.Second), Text: []byte("t")}
@@ -21,7 +21,7 @@
 	return q
 }
 
-// checkNothingSent checks that nothing was sent or answered in some turns, and that nothing is held.
+// checkNothingSent runs some turns and checks that they sent no attempt and no reply, and that no query or part is left open.
 func (s *fixture) checkNothingSent() {
 	s.Helper()
 	for range 3 {
@@ -33,14 +33,14 @@
 	s.checkNothingHeld()
 }
 
-// A client may go in the moment in which its query is handed on, by another goroutine than sees it go: the news of it then
-// comes with the query, or even before. Nothing of it is sent, and its id is free.
+// One goroutine submits a query and another reports that its client has disconnected, so the report may come in the same turn as
+// the query, or before it. No part of the query is sent, and its id is free.
 func TestClientGoneAroundSubmit(t *testing.T) {
 	for name, steps := range map[string]func(s *fixture, q *Query){
-		"behind it in its turn":    func(s *fixture, q *Query) { s.e.Submit(q); s.e.ClientGone(q) },
-		"before it in its turn":    func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.Submit(q) },
-		"in the turn before it":    func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.turn(); s.e.Submit(q) },
-		"twice, and on both sides": func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.Submit(q); s.e.ClientGone(q) },
+		"after Submit, same turn":    func(s *fixture, q *Query) { s.e.Submit(q); s.e.ClientGone(q) },
+		"before Submit, same turn":   func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.Submit(q) },
+		"before Submit, turn before": func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.turn(); s.e.Submit(q) },
+		"before and after Submit":    func(s *fixture, q *Query) { s.e.ClientGone(q); s.e.Submit(q); s.e.ClientGone(q) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, nil)
@@ -48,13 +48,14 @@
 			s.checkNothingSent()
 			s.submit("q", 0, 1)
 			if len(s.takeSent()) != 1 {
-				t.Error("the id is not free")
+				t.Error("the id is still in use")
 			}
 		})
 	}
 }
 
-// answerFirstStep has a query's first step answered; with the next turn its second would begin.
+// answerFirstStep submits a query with two steps, answers its first step, and calls leave with it. The next turn would start the
+// second step.
 func (s *fixture) answerFirstStep(leave func(q *Query)) {
 	q := s.submit("q", 1, 1, 2, 3)
 	for _, a := range s.takeSent() {
@@ -63,16 +64,16 @@
 	leave(q)
 }
 
-// A client that goes as its second step opens, or when that waits for its turn, has none of it sent.
+// If the client disconnects in the turn that starts the second step, or while its parts wait for the next turn, none of them is sent.
 func TestClientGoneAsSecondStepOpens(t *testing.T) {
-	for name, waits := range map[string]bool{"in the turn that opens it": false, "while its parts wait": true} {
+	for name, waits := range map[string]bool{"in the turn that opens it": false, "while its parts are deferred": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, nil)
 			s.answerFirstStep(func(q *Query) {
 				if waits {
 					s.e.turn()
 					if len(s.e.deferred) == 0 {
-						t.Fatal("no second step")
+						t.Fatal("the second step was not started")
 					}
 				}
 				s.e.ClientGone(q)
@@ -82,8 +83,7 @@
 	}
 }
 
-// A part of a second step that waits for its connection when the client goes is taken back, and what was written is
-// given up.
+// When the client disconnects during the second step, both a part that is not yet written and one that is are cancelled.
 func TestClientGoneDuringSecondStep(t *testing.T) {
 	s := newFixture(t, func(c *config.Config) { c.Limits.CallParts = 1 })
 	var submitted *Query
@@ -100,13 +100,13 @@
 	s.e.turn()
 	for _, a := range sent {
 		if !slices.Contains(s.replicas.log, "withdraw "+a.ID) {
-			t.Errorf("%s is out still: %v", a.ID, s.replicas.log)
+			t.Errorf("%s was not cancelled: %v", a.ID, s.replicas.log)
 		}
 	}
 	s.checkNothingSent()
 }
 
-// Where a query may not be cancelled, what of it is not written is taken back all the same when its client goes.
+// Where the settings forbid cancelling, a part that is not yet written is still withdrawn when the client disconnects.
 func TestClientGoneWithoutCancellation(t *testing.T) {
 	s := newFixture(t, func(c *config.Config) { c.Policy.Cancel = false })
 	q := s.submit("q", 0, 1, 2)
@@ -122,7 +122,8 @@
 	s.checkNothingSent()
 }
 
-// The last value and the news that the client has gone come in one turn: there is one answer at most, whichever is first.
+// The last value and the report that the client has disconnected come in the same turn. There is at most one reply, and none if the
+// report comes first.
 func TestClientGoneInTurnOfLastValue(t *testing.T) {
 	for _, goneFirst := range []bool{true, false} {
 		s := newFixture(t, nil)
@@ -137,15 +138,15 @@
 		}
 		s.e.turn()
 		if goneFirst == (len(s.replies) == 1) || len(s.replies) > 1 {
-			t.Errorf("left first %v: %d replies", goneFirst, len(s.replies))
+			t.Errorf("client gone first %v: %d replies", goneFirst, len(s.replies))
 		}
 		s.replies = nil
 		s.checkNothingSent()
 	}
 }
 
-// A query whose end has passed is failed once: not again by the value that comes in the same turn, nor by its client's
-// leaving. What of it is out is given up.
+// An overdue query fails once. A value in the same turn and a disconnect of its client afterwards cause no second reply and no
+// further attempt.
 func TestOverdueQueryFailsOnce(t *testing.T) {
 	s := newFixture(t, nil)
 	q := s.submit("q", 0, 1, 2)
@@ -170,7 +171,7 @@
 	s.checkNothingSent()
 }
 
-// An attempt has no more time than its client, nor than the decisions give it.
+// The deadline of an attempt is the earlier of the query's deadline and the policy's attempt timeout.
 func TestAttemptDeadline(t *testing.T) {
 	for tryFor, fullTime := range map[float64]bool{0: true, 60: true, 1: false} {
 		s := newFixture(t, nil)
@@ -179,12 +180,12 @@
 			Verb: policy.Send, Part: s.e.byRequestID["q"].parts[0].id, Replica: s.e.replicasByName["r0"].Replica, AttemptTimeout: tryFor,
 		})
 		if a := s.e.outgoing[0].attempts[0]; a.Due.Equal(q.Due) != fullTime || a.Due.After(q.Due) {
-			t.Errorf("tried for %v s: due %v after the client", tryFor, a.Due.Sub(q.Due))
+			t.Errorf("attempt timeout %v s: due %v after the query", tryFor, a.Due.Sub(q.Due))
 		}
 	}
 }
 
-// Nor has a further attempt, or one of a second step, more time than the client: it counts from the query's arrival.
+// Retries and attempts of the second step are due no later than the query, whose time counts from its arrival.
 func TestLaterAttemptsKeepQueryDeadline(t *testing.T) {
 	s := newFixture(t, nil)
 	q := s.submit("q", 1, 1, 2)
@@ -193,7 +194,7 @@
 	s.e.turn()
 	retries := s.takeSent()
 	if len(retries) != 1 {
-		t.Fatalf("%d further attempts", len(retries))
+		t.Fatalf("%d retries", len(retries))
 	}
 	s.succeed(retries[0], 1, "v")
 	s.succeed(first[1], 1, "v")
@@ -201,11 +202,11 @@
 	s.e.turn()
 	second := s.takeSent()
 	if len(second) != 2 || second[0].Previous == nil {
-		t.Fatalf("%d attempts of a second step", len(second))
+		t.Fatalf("%d attempts in the second step", len(second))
 	}
 	for _, a := range slices.Concat(retries, second) {
 		if a.Due.After(q.Due) {
-			t.Errorf("%s is due %v after its client", a.ID, a.Due.Sub(q.Due))
+			t.Errorf("%s is due %v after its query", a.ID, a.Due.Sub(q.Due))
 		}
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -47,7 +47,7 @@
 	routes          *routeState    // nil: no routes are configured
 	clientsGone     []*query       // queries to close at the end of this turn: client gone or rejected
 	queries         map[uint64]*query
-	byRequestID     map[string]*query // open queries, and closed ones that sent parts, until they are overdue: replicas may still hold their parts' ids
+	byRequestID     map[string]*query // open, or closed with parts sent and not yet overdue: replicas may still hold those parts
 	parts           map[uint64]*part
 	openCount       int // open queries plus open parts
 	replicasByName  map[string]*replicaEntry
@@ -64,7 +64,7 @@
 	load           *Load         // nil: load is not measured
 	sessionGate    SessionGate   // nil: there are no sessions
 	laneGate       LaneGate      // nil: no load shedding
-	limitOverrides map[limitKey]*policy.Limits
+	combinedLimits map[limitKey]*policy.Limits
 }
 
 // query is a query and its state in the exchange.
@@ -158,7 +158,7 @@
 func (e *Exchange) AttemptEnded(r Result) { e.enqueue(r) }
 
 // HealthChecked reports the outcome of a health check.
-func (e *Exchange) HealthChecked(p HealthCheck) { e.enqueue(p) }
+func (e *Exchange) HealthChecked(h HealthCheck) { e.enqueue(h) }
 
 // UpdateReplicas passes on a change of the endpoint list.
 func (e *Exchange) UpdateReplicas(l ReplicaList) {
@@ -224,14 +224,14 @@
 	e.logStall()
 	e.events = e.events[:0]
 	for _, m := range e.batch {
-		if _, ahead := m.(control); ahead {
+		if _, isControl := m.(control); isControl {
 			m.handle(e)
 		}
 	}
 	e.events = append(e.events, e.deferred...)
 	e.deferred = e.deferred[:0]
 	for _, m := range e.batch {
-		if _, ahead := m.(control); !ahead {
+		if _, isControl := m.(control); !isControl {
 			m.handle(e)
 		}
 	}
@@ -256,7 +256,7 @@
 type counters struct {
 	queries, attempts, rejectedFull int
 	replies                         [Conflict + 1]int
-	reasons                         [policy.BreaksReplica + 1]int // of the policy's replies
+	reasons                         [policy.BreaksReplica + 1]int // of refusals and failures by the policy
 	abandoned                       int
 	outcomes                        [policy.NotSent + 1]int
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -14,12 +14,12 @@
 	"birchcart/policy"
 )
 
-// fakeReplicas stands in for the replica side.
+// fakeReplicas is a fake replica side that logs the calls to it.
 type fakeReplicas struct {
 	sent    []*Attempt
 	calls   [][]*Attempt
 	targets map[uint64]Target
-	written map[*Attempt]bool // sent out; the others wait
+	written map[*Attempt]bool // attempts that count as written; the others are queued
 	log     []string
 }
 
@@ -58,8 +58,8 @@
 	replies  []Reply
 }
 
-// newFixture is an exchange of two classes, the second with a second step of two parts, over two replicas that
-// hold all four shards. Turns are played by hand.
+// newFixture returns an exchange over two replicas that both hold all four shards. Class 0 is plain, class 1 has a
+// second step of two parts, and class 2 is unsafe to repeat. Tests call turn themselves.
 func newFixture(t *testing.T, change func(*config.Config)) *fixture {
 	t.Helper()
 	cfg := &config.Config{
@@ -101,7 +101,7 @@
 	return q
 }
 
-// takeSent returns what was sent since the last call, all of it written.
+// takeSent returns the attempts sent since its last call and marks them as written.
 func (s *fixture) takeSent() []*Attempt {
 	out := s.replicas.sent
 	s.replicas.sent = nil
@@ -125,12 +125,12 @@
 	return r
 }
 
-// checkNothingHeld checks that nothing is held of queries that are over.
+// checkNothingHeld runs a turn and checks that no query or part is left open.
 func (s *fixture) checkNothingHeld() {
 	s.Helper()
 	s.e.turn()
 	if e := s.e; len(e.queries)+len(e.parts)+e.openCount != 0 {
-		s.Errorf("left: %d queries, %d parts, %d held", len(e.queries), len(e.parts), e.openCount)
+		s.Errorf("still open: %d queries, %d parts, %d counted", len(e.queries), len(e.parts), e.openCount)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	for _, c := range s.replicas.calls {
 		if len(c) > 2 {
-			t.Errorf("a call of %d parts", len(c))
+			t.Errorf("a call has %d parts", len(c))
 		}
 	}
 	for _, a := range sent {
@@ -157,7 +157,7 @@
 	s.checkNothingHeld()
 }
 
-// The second step goes to the shards with the highest scores; its values make up the answer.
+// The second step goes to the shards with the highest scores, and the reply holds only its values.
 func TestSecondStep(t *testing.T) {
 	s := newFixture(t, nil)
 	s.submit("q", 1, 1, 2, 3)
@@ -188,8 +188,8 @@
 	s.checkNothingHeld()
 }
 
-// Guards against parts of a second step that reach their replicas before the step is known to be open, which
-// turns them away: the part that opens it goes first, those in other calls after the gap.
+// Replicas reject parts of a second step that arrive before they know that the step is open. The part that opens it is
+// therefore sent first, and other calls of the step only after StepGap.
 func TestPartOpeningSecondStepSentFirst(t *testing.T) {
 	const gap = 30 * time.Millisecond
 	s := newFixture(t, func(c *config.Config) { c.Limits.CallParts, c.Limits.StepGap = 1, gap })
@@ -201,19 +201,20 @@
 	began := time.Now()
 	s.e.turn()
 	if d := time.Since(began); d < gap {
-		t.Errorf("all parts went within %v", d)
+		t.Errorf("all parts were sent within %v", d)
 	}
 	if sent := s.takeSent(); len(sent) != 2 || sent[0].Shard != 3 {
 		t.Errorf("%d sent", len(sent))
 	}
 	began = time.Now()
-	s.submit("other", 0, 1) // nobody else waits
+	s.submit("other", 0, 1) // queries without a second step are not delayed
 	if d := time.Since(began); d >= gap {
-		t.Errorf("a plain query waited %v", d)
+		t.Errorf("a plain query was delayed by %v", d)
 	}
 }
 
-// What waits for its connection when its query ends is taken back before the answer goes.
+// When the client disconnects, attempts that are not yet written are cancelled as well as written ones, and there is no
+// reply.
 func TestClientGoneCancelsUnwrittenParts(t *testing.T) {
 	s := newFixture(t, nil)
 	q := s.submit("q", 0, 1, 2)
@@ -226,13 +227,13 @@
 		t.Errorf("%v", s.replicas.log)
 	}
 	if len(s.replies) != 0 {
-		t.Error("a client that has left was answered")
+		t.Error("a query got a reply after its client had disconnected")
 	}
 	s.checkNothingHeld()
 }
 
-// A part fails and is sent again in the turn in which its client leaves: the decisions are told of an end for that
-// attempt too, or they would count it as out for ever. Nothing of it goes.
+// A part fails and is retried in the turn in which the client disconnects. The retry is not sent, but the policy must be
+// told of its end, or it would count the attempt as in flight forever.
 func TestClientGoneInTurnOfRetry(t *testing.T) {
 	s := newFixture(t, nil)
 	out := 0
@@ -255,12 +256,12 @@
 	s.e.turn()
 	s.e.turn()
 	if out != 0 || len(s.replicas.sent) != 0 {
-		t.Errorf("%d attempts count as out, %d were sent", out, len(s.replicas.sent))
+		t.Errorf("%d attempts count as in flight, %d were sent", out, len(s.replicas.sent))
 	}
 	s.checkNothingHeld()
 }
 
-// An attempt that ended after its query changes nothing, and a second end of one is passed over.
+// A second end of an attempt is ignored, also when it comes after the end of the query.
 func TestLateAndRepeatedAttemptEndsIgnored(t *testing.T) {
 	s := newFixture(t, nil)
 	s.submit("q", 0, 1)
@@ -278,8 +279,7 @@
 	}
 }
 
-// A change of the list that was read is in force before anything is sent in the same turn, though the query
-// came first.
+// A change of the list takes effect before anything is sent in the same turn, even if a query arrived before it.
 func TestListAppliedBeforeSends(t *testing.T) {
 	s := newFixture(t, nil)
 	now := time.Now()
@@ -293,7 +293,7 @@
 	}
 }
 
-// What is not on a whole list is gone; an entry that only says so of one never heard of is passed over.
+// A full list removes the replicas that it does not name. The removal of a replica that was never listed is ignored.
 func TestFullListRemovesUnlistedReplicas(t *testing.T) {
 	s := newFixture(t, nil)
 	s.replicas.log = nil
@@ -305,8 +305,8 @@
 	}
 }
 
-// A start that the list tells of in wall time reaches the decisions' clock, and one of long ago does not look
-// like a young one.
+// Start times in the list are wall-clock times; the policy receives them on its own clock. A start of long ago becomes 0
+// and does not look recent.
 func TestReplicaStartTimeConverted(t *testing.T) {
 	s := newFixture(t, nil)
 	s.e.UpdateReplicas(ReplicaList{Entries: []Endpoint{
@@ -321,10 +321,10 @@
 	s.e.handleReplicaList(m)
 	got := s.e.events[0].List
 	if age := s.e.policyTime(time.Now()) - got[0].Started; age < 2.9 || age > 3.5 {
-		t.Errorf("3 s old, taken for %v s", age)
+		t.Errorf("a replica started 3 s ago counts as %v s old", age)
 	}
 	if got[1].Started != 0 {
-		t.Errorf("long ago is %v", got[1].Started)
+		t.Errorf("a start of long ago is %v", got[1].Started)
 	}
 }
 
@@ -341,7 +341,7 @@
 	}
 }
 
-// At the limit of what may be held a query is refused before the decisions see it, and nothing of it is sent.
+// At the limit of open queries and parts a query is rejected before the policy sees it, and none of its parts is sent.
 func TestOpenLimitRejectsQuery(t *testing.T) {
 	s := newFixture(t, func(c *config.Config) { c.Limits.Held, c.Limits.ComeBack = 3, time.Second })
 	s.submit("a", 0, 1, 2)
@@ -355,7 +355,7 @@
 	}
 }
 
-// An attempt whose time is up is told as such: as never run if it was not written.
+// The policy is told that an attempt past its deadline timed out, or that it never ran if it was not yet written.
 func TestAttemptTimeout(t *testing.T) {
 	for _, written := range []bool{true, false} {
 		s := newFixture(t, func(c *config.Config) { c.Policy.Cancel = false })
@@ -375,7 +375,7 @@
 	}
 }
 
-// A query whose end has passed unanswered is failed by the exchange itself.
+// The exchange itself fails a query that the policy has not ended by its deadline.
 func TestOverdueQueryFails(t *testing.T) {
 	s := newFixture(t, nil)
 	q := s.submit("q", 0, 1)
@@ -433,13 +433,13 @@
 			held += 1 + len(q.parts)
 		}
 		if held != s.e.openCount {
-			t.Fatalf("%d held, counted %d", held, s.e.openCount)
+			t.Fatalf("%d queries and parts are open, counted %d", held, s.e.openCount)
 		}
 	})
 }
 
-// Guards against growth on days when replicas are replaced all the time under new names. One that is off the list
-// for a short while keeps its number.
+// Removed replicas are forgotten after a while, so that the tables do not grow where replicas are often replaced under new
+// names. A replica that is off the list for a shorter time keeps its id.
 func TestRemovedReplicasForgotten(t *testing.T) {
 	s := newFixture(t, func(c *config.Config) { c.Limits.Forget = 20 * time.Millisecond })
 	for i := range 10 {
@@ -458,12 +458,12 @@
 	s.e.UpdateReplicas(ReplicaList{})
 	s.e.turn()
 	if len(s.e.replicasByName) != 3 || len(s.e.replicasByID) != 3 {
-		t.Errorf("%d names and %d numbers are held", len(s.e.replicasByName), len(s.e.replicasByID))
+		t.Errorf("%d names and %d ids are held", len(s.e.replicasByName), len(s.e.replicasByID))
 	}
 }
 
-// An id is not free while parts of its last query may still be at replicas, where the same ids would be taken for
-// those; one of which nothing was sent is free at once, and each is in the end.
+// A query id stays in use while replicas may still hold parts of its last query, which would take new parts with
+// the same ids for those. The id of a query that sent no part is free at once, any other one after the query's deadline.
 func TestQueryIDReuse(t *testing.T) {
 	s := newFixture(t, nil)
 	q := s.submit("q", 0, 1)
@@ -476,9 +476,9 @@
 	if r := s.takeReply(); r.Status != Conflict {
 		t.Errorf("%+v", r)
 	}
-	s.e.ClientGone(q) // route the first one, and late
+	s.e.ClientGone(q) // of the first query, after its end
 	s.e.turn()
-	s.e.UpdateReplicas(ReplicaList{Full: true}) // nobody is there: refused with nothing sent
+	s.e.UpdateReplicas(ReplicaList{Full: true}) // no replicas: queries are rejected with nothing sent
 	s.e.turn()
 	for range 2 {
 		s.submit("r", 0, 1)
--- a/internal/exchange/lanes.go
+++ b/internal/exchange/lanes.go
@@ -35,7 +35,7 @@
 	Took            time.Duration // since the query was received
 }
 
-// SetLaneGate sets the gate that decides on each query first. It must be called before Run.
+// SetLaneGate sets the gate that decides on each query before its route's gate does. It must be called before Run.
 func (e *Exchange) SetLaneGate(g LaneGate) { e.laneGate = g }
 
 // admitToLane asks the lane gate about a query and replies at once if it is rejected.
@@ -77,8 +77,8 @@
 	promiseDivisor float64
 }
 
-// limitsOf returns the combined limits of a query's route and lane, nil for none. The policy keeps the pointer, so each pair of
-// route and lane shares one value, which is cached while the route's table is in use.
+// limitsOf returns the combined limits of a query's route and lane, nil for none. The policy keeps the pointer, so all
+// queries with the same route and lane share one value while the route's table is in use.
 func (e *Exchange) limitsOf(q *query) *policy.Limits {
 	var routeLimits *policy.Limits
 	if q.routes != nil {
@@ -88,23 +88,23 @@
 		return routeLimits
 	}
 	k := limitKey{routeLimits, q.laneVerdict.YieldBy}
-	l := e.limitOverrides[k]
+	l := e.combinedLimits[k]
 	if l == nil {
-		if len(e.limitOverrides) >= maxLimitOverrides {
-			e.limitOverrides = nil // most belong to replaced tables
+		if len(e.combinedLimits) >= maxCombinedLimits {
+			e.combinedLimits = nil // drops the limits of replaced tables
 		}
-		if e.limitOverrides == nil {
-			e.limitOverrides = map[limitKey]*policy.Limits{}
+		if e.combinedLimits == nil {
+			e.combinedLimits = map[limitKey]*policy.Limits{}
 		}
 		l = &policy.Limits{}
 		if routeLimits != nil {
 			*l = *routeLimits
 		}
 		l.PromiseDivisor = max(l.PromiseDivisor, k.promiseDivisor)
-		e.limitOverrides[k] = l
+		e.combinedLimits[k] = l
 	}
 	return l
 }
 
-// maxLimitOverrides limits the cache of combined limits: a thousand routes in eight lanes each.
-const maxLimitOverrides = 8192
+// maxCombinedLimits limits the cache of combined limits: a thousand routes in eight lanes each.
+const maxCombinedLimits = 8192
--- a/internal/exchange/lanes_test.go
+++ b/internal/exchange/lanes_test.go
@@ -8,10 +8,10 @@
 	"birchcart/policy"
 )
 
-// fakeLaneGate stands in for the lanes.
+// fakeLaneGate returns one verdict for all queries and records the calls to it.
 type fakeLaneGate struct {
 	verdict  LaneVerdict
-	routes   []int // routes
+	routes   []int // passed to Admit
 	outcomes []LaneOutcome
 }
 
@@ -20,9 +20,9 @@
 	return l.verdict
 }
 
-func (l *fakeLaneGate) QueryEnded(_ time.Time, e LaneVerdict, o LaneOutcome) {
-	if e != l.verdict {
-		panic("told of another query than was taken")
+func (l *fakeLaneGate) QueryEnded(_ time.Time, v LaneVerdict, o LaneOutcome) {
+	if v != l.verdict {
+		panic("the end of a query with another verdict was reported")
 	}
 	if o.Took < 0 || o.Took > time.Minute {
 		panic("took " + o.Took.String())
@@ -37,7 +37,8 @@
 	return s, l
 }
 
-// What the fleet sheds is refused at once, within what the settings allow, and neither gate nor decisions see it.
+// A query that the lane gate rejects gets its reply at once, with a Retry-After as the settings allow. Neither the route's gate
+// nor the policy sees it.
 func TestLaneRejectionSkipsRouteGateAndPolicy(t *testing.T) {
 	s, l := newLaneFixture(t, LaneVerdict{Rejected: true, RetryAfter: time.Hour})
 	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
@@ -46,24 +47,24 @@
 		t.Fatalf("%+v", r)
 	}
 	if s.e.routes.gate.Open(0) != 0 || len(l.outcomes) != 0 || len(l.routes) != 1 || l.routes[0] != 0 {
-		t.Errorf("open %d, told %+v, asked of routes %v", s.e.routes.gate.Open(0), l.outcomes, l.routes)
+		t.Errorf("open %d, ends %+v, admission of routes %v", s.e.routes.gate.Open(0), l.outcomes, l.routes)
 	}
 	s.e.config.RetryAfter = false
 	s.submit("b", 0, 1)
 	if r := s.takeReply(); r.RetryAfter != 0 {
-		t.Errorf("named %v where no time may be named", r.RetryAfter)
+		t.Errorf("Retry-After is %v though the settings forbid it", r.RetryAfter)
 	}
 	s.checkNothingHeld()
 }
 
-// The lanes are told of each end of what they took, once.
+// The lane gate is notified exactly once of the end of each query that it admitted.
 func TestLaneGateNotifiedOfEachEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(s *fixture, q *Query, a *Attempt)
 		want LaneOutcome
 	}{
-		"served": {func(s *fixture, q *Query, a *Attempt) { s.succeed(a, 1, "v") }, LaneOutcome{Status: Served}},
-		"left":   {func(s *fixture, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
+		"served":      {func(s *fixture, q *Query, a *Attempt) { s.succeed(a, 1, "v") }, LaneOutcome{Status: Served}},
+		"client gone": {func(s *fixture, q *Query, a *Attempt) { s.e.ClientGone(q) }, LaneOutcome{ClientGone: true}},
 		"failed": {func(s *fixture, q *Query, a *Attempt) {
 			s.e.AttemptEnded(Result{Attempt: a, Outcome: policy.ConnectionBroken, At: time.Now()})
 		}, LaneOutcome{Status: Failed}},
@@ -79,12 +80,12 @@
 		s.e.turn()
 		s.e.turn()
 		if len(l.outcomes) != 1 || l.outcomes[0] != c.want {
-			t.Errorf("%s: told %+v", name, l.outcomes)
+			t.Errorf("%s: ends %+v", name, l.outcomes)
 		}
 	}
 }
 
-// A gate behind the lanes may still turn a query away; it never came to the decisions then.
+// The gate of a route may reject a query that the lane gate admitted; the outcome then says that the policy never saw it.
 func TestRouteRejectionReportedToLaneGate(t *testing.T) {
 	s, l := newLaneFixture(t, LaneVerdict{Cost: 1})
 	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
@@ -95,8 +96,8 @@
 	}
 }
 
-// A lane's yielding comes to the decisions with the limits of the route, in one place for all queries alike, and those of the
-// route alone stay as they are.
+// The policy gets the verdict's YieldBy combined with the limits of the route, in one value that all such queries share. The
+// route's own limits are not changed.
 func TestLaneYieldMergedWithRouteLimits(t *testing.T) {
 	s, l := newLaneFixture(t, LaneVerdict{YieldBy: 4})
 	var seen []policy.Event
@@ -119,10 +120,10 @@
 	if *seen[2].Limits != (policy.Limits{PromiseDivisor: 4}) || seen[3].Limits != &s.e.routes.table.Routes[0].Limits || seen[3].Limits.PromiseDivisor != 0 {
 		t.Errorf("%+v, %+v", seen[2].Limits, seen[3].Limits)
 	}
-	for i := range 2 * maxLimitOverrides {
+	for i := range 2 * maxCombinedLimits {
 		s.e.limitsOf(&query{inLane: true, laneVerdict: LaneVerdict{YieldBy: 2 + float64(i)}})
 	}
-	if len(s.e.limitOverrides) > maxLimitOverrides {
-		t.Errorf("%d pairs are kept", len(s.e.limitOverrides))
+	if len(s.e.combinedLimits) > maxCombinedLimits {
+		t.Errorf("%d combined limits are kept", len(s.e.combinedLimits))
 	}
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -35,8 +35,8 @@
 func (watchFailed) isControl() {}
 
 func (q *Query) handle(e *Exchange)       { e.handleQuery(q) }
-func (l clientGone) handle(e *Exchange)   { e.handleClientGone(l.q) }
+func (c clientGone) handle(e *Exchange)   { e.handleClientGone(c.q) }
 func (r releaseQuery) handle(e *Exchange) { e.handleRelease(r.q) }
-func (t rejectQuery) handle(e *Exchange)  { e.handleRejection(t.q, t.r) }
+func (r rejectQuery) handle(e *Exchange)  { e.handleRejection(r.q, r.r) }
 func (r Result) handle(e *Exchange)       { e.handleResult(r) }
-func (p HealthCheck) handle(e *Exchange)  { e.handleHealthCheck(p) }
+func (h HealthCheck) handle(e *Exchange)  { e.handleHealthCheck(h) }
--- a/internal/exchange/outcome.go
+++ b/internal/exchange/outcome.go
@@ -89,9 +89,9 @@
 	return false
 }
 
-func (e *Exchange) handleHealthCheck(p HealthCheck) {
+func (e *Exchange) handleHealthCheck(h HealthCheck) {
 	e.events = append(e.events, policy.Event{
-		Kind: policy.ProbeEnded, Replica: p.Replica, Outcome: p.Outcome, Latency: p.Took.Seconds(), Report: p.Report,
+		Kind: policy.ProbeEnded, Replica: h.Replica, Outcome: h.Outcome, Latency: h.Took.Seconds(), Report: h.Report,
 		Tenant: -1,
 	})
 }
--- a/internal/exchange/routes_test.go
+++ b/internal/exchange/routes_test.go
@@ -19,7 +19,7 @@
 	s.e.SetRoutes(table)
 }
 
-// What a route has no room for is refused at once, with a Retry-After time, and the decisions never see it.
+// A query over its route's limit of open queries is rejected at once with a Retry-After, and the policy never sees it.
 func TestRouteQueryLimitRejects(t *testing.T) {
 	s := newFixture(t, nil)
 	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Room: route.Room{Queries: 1}})
@@ -38,7 +38,7 @@
 	}
 	s.submit("c", 0, 1)
 	if sent := s.takeSent(); len(sent) != 1 {
-		t.Errorf("room that was given back is not there: %d sent", len(sent))
+		t.Errorf("a query after the end of the first was not admitted: %d sent", len(sent))
 	} else {
 		s.succeed(sent[0], 1, "v")
 		s.e.turn()
@@ -47,8 +47,8 @@
 	s.checkNothingHeld()
 }
 
-// A reload under load: queries in flight keep the limits that they were taken under, new ones have the new, and each
-// gets one answer.
+// When routes are reloaded under load, open queries keep the limits under which they were admitted, new ones get the new limits,
+// and each query gets one reply.
 func TestRoutesReloadedUnderLoad(t *testing.T) {
 	s := newFixture(t, nil)
 	s.setRoutes(route.Spec{Name: "plain", Match: route.Match{Class: "plain"}, Limits: policy.Limits{Timeout: 1.5}, Room: route.Room{Queries: 5}})
@@ -59,7 +59,7 @@
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.e.turn()
 	}
-	if len(s.replies) != 1 { // the new one's time is over; the old one's is not
+	if len(s.replies) != 1 { // the new query has timed out, the old one has not
 		t.Fatalf("%d replies", len(s.replies))
 	}
 	s.replies = nil
@@ -71,7 +71,7 @@
 	s.takeSent()
 }
 
-// Routes that change all the time leave nothing behind.
+// Routes that are reloaded before each of many queries leave no query open or counted.
 func TestRepeatedRouteReloadsLeaveNothingOpen(t *testing.T) {
 	s := newFixture(t, func(c *config.Config) { c.Policy.Resolution = 0 })
 	for i := range 2000 {
--- a/internal/exchange/session.go
+++ b/internal/exchange/session.go
@@ -70,7 +70,7 @@
 // handleRelease opens a waiting query unless the session gate no longer lets it begin.
 func (e *Exchange) handleRelease(m *Query) {
 	if q := e.byRequestID[m.ID]; q != nil && q.Query == m && q.waiting {
-		if r, may := e.sessionGate.MayBegin(m); !may {
+		if r, mayBegin := e.sessionGate.MayBegin(m); !mayBegin {
 			e.endWaiting(q, r)
 			return
 		}
--- a/internal/exchange/session_test.go
+++ b/internal/exchange/session_test.go
@@ -9,12 +9,12 @@
 	"birchcart/policy"
 )
 
-// fakeSessionGate notes what it is told, and takes all that names a session.
+// fakeSessionGate pins each query that names a session, other than the session "open", and records the calls to it.
 type fakeSessionGate struct {
 	admitted   []*Query
 	outcomes   []QueryOutcome
 	finalReply func(Reply) Reply
-	beginReply *Reply // what a released query is told instead of beginning
+	beginReply *Reply // the reply to a released query instead of letting it begin
 }
 
 func (p *fakeSessionGate) Admit(q *Query, _ string) bool {
@@ -44,7 +44,7 @@
 	return s, p
 }
 
-// submitInSession asks a query of a session; what of it goes out is written.
+// submitInSession submits a query of a session and runs a turn.
 func (s *fixture) submitInSession(session, id string, class int) *Query {
 	now := time.Now()
 	q := &Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(2 * time.Second), Text: []byte("t"), Session: session,
@@ -59,9 +59,9 @@
 	s, p := newSessionFixture(t)
 	q := s.submitInSession("k", "a", 0)
 	if len(s.takeSent()) != 0 || len(p.admitted) != 1 || len(s.replies) != 0 {
-		t.Fatal("it did not wait")
+		t.Fatal("the query did not wait")
 	}
-	s.submitInSession("k", "a", 0) // its id is taken
+	s.submitInSession("k", "a", 0) // its id is in use
 	if len(s.replies) != 1 || s.replies[0].Status != Conflict {
 		t.Fatalf("%+v", s.replies)
 	}
@@ -81,25 +81,26 @@
 	if want := []QueryOutcome{{Served: true, Ran: true}}; !slices.Equal(p.outcomes, want) {
 		t.Errorf("%+v", p.outcomes)
 	}
-	s.e.Reject(q, Reply{Status: Failed}) // after its end: nothing
+	s.e.Reject(q, Reply{Status: Failed}) // has no effect after the end
 	s.e.turn()
 	if len(s.replies) != 2 || len(p.outcomes) != 1 {
-		t.Error("a second end")
+		t.Error("the query ended twice")
 	}
 	s.checkNothingHeld()
-	s.submitInSession("open", "b", 0) // route no pinned class
+	s.submitInSession("open", "b", 0) // this session is not pinned
 	if len(s.takeSent()) != 1 || len(p.admitted) != 1 {
-		t.Error("what is not pinned waited")
+		t.Error("a query that is not pinned waited")
 	}
 }
 
-// While it waits, a query is rejected at once, may be left by its client, and is never late; nothing of it is sent.
+// A waiting query can be rejected by its session, lose its client or become overdue. Each ends it at once with nothing sent, and a
+// later release has no effect.
 func TestWaitingQueryEnds(t *testing.T) {
 	for name, end := range map[string]func(s *fixture, q *Query){
-		"turned away": func(s *fixture, q *Query) {
+		"rejected": func(s *fixture, q *Query) {
 			s.e.Reject(q, Reply{Status: Rejected, RetryAfter: time.Second, Owner: "c2"})
 		},
-		"left": func(s *fixture, q *Query) { s.e.ClientGone(q) },
+		"client gone": func(s *fixture, q *Query) { s.e.ClientGone(q) },
 		"overdue": func(s *fixture, q *Query) {
 			i := slices.IndexFunc(s.e.timers, func(t timer) bool { return t.query != nil })
 			s.e.timers[i].at = time.Now()
@@ -114,12 +115,12 @@
 			s.e.Release(q) // too late
 			s.e.turn()
 			if len(s.takeSent()) != 0 || !slices.Equal(p.outcomes, []QueryOutcome{{}}) {
-				t.Errorf("sent, or told %+v", p.outcomes)
+				t.Errorf("attempts were sent, or the outcomes are %+v", p.outcomes)
 			}
 			switch {
-			case name == "left" && len(s.replies) == 0:
+			case name == "client gone" && len(s.replies) == 0:
 			case name == "overdue" && len(s.replies) == 1 && s.replies[0].Status == Rejected:
-			case name == "turned away" && len(s.replies) == 1 && s.replies[0].Owner == "c2" && s.replies[0].RetryAfter == time.Second:
+			case name == "rejected" && len(s.replies) == 1 && s.replies[0].Owner == "c2" && s.replies[0].RetryAfter == time.Second:
 			default:
 				t.Errorf("%+v", s.replies)
 			}
@@ -128,7 +129,8 @@
 	}
 }
 
-// A release that comes after the lease was lost begins nothing: what is told then is harmless, and nothing ran.
+// A query that is released but may no longer begin, because the lease was lost since then, is not sent. It gets a reply after
+// which a retry is safe, and its outcome says that no part ran.
 func TestReleasedQueryRecheckedBeforeStart(t *testing.T) {
 	s, p := newSessionFixture(t)
 	q := s.submitInSession("k", "a", 2)
@@ -137,7 +139,7 @@
 	s.e.turn()
 	s.e.turn()
 	if len(s.takeSent()) != 0 || !slices.Equal(p.outcomes, []QueryOutcome{{}}) {
-		t.Errorf("sent, or told %+v", p.outcomes)
+		t.Errorf("attempts were sent, or the outcomes are %+v", p.outcomes)
 	}
 	if len(s.replies) != 1 || s.replies[0].Status != Rejected || s.replies[0].RetryAfter != time.Second {
 		t.Errorf("%+v", s.replies)
@@ -145,7 +147,8 @@
 	s.checkNothingHeld()
 }
 
-// An open one that is rejected gets that answer in the same turn; its part may run until its time, and is told so.
+// An open query that its session rejects gets that reply in the same turn. The session gate is told that its part may run until
+// the query's deadline.
 func TestOpenPinnedQueryRejected(t *testing.T) {
 	s, p := newSessionFixture(t)
 	q := s.submitInSession("k", "a", 2)
@@ -164,11 +167,11 @@
 	}
 	s.e.turn()
 	if len(s.replies) != 1 {
-		t.Error("a second answer")
+		t.Error("a second reply")
 	}
 }
 
-// The answer of the decisions is given only as the session says: one that may not be served any more is not.
+// The session gate may replace the policy's reply, for example when the query may no longer be served.
 func TestSessionGateOverridesReply(t *testing.T) {
 	s, p := newSessionFixture(t)
 	q := s.submitInSession("k", "a", 2)
--- a/internal/exchange/sockets_test.go
+++ b/internal/exchange/sockets_test.go
@@ -16,10 +16,10 @@
 	"birchcart/policy"
 )
 
-// testTimeout is how long a busy machine may take to what comes within milliseconds on a quiet one.
+// testTimeout allows a busy machine time for what takes milliseconds on an idle one.
 const testTimeout = time.Minute
 
-// networkFixture is an exchange that runs over one replica on loopback, which holds all shards.
+// networkFixture is a running exchange and, over loopback sockets, one replica that holds all shards.
 type networkFixture struct {
 	*testing.T
 	e       *exchange.Exchange
@@ -60,7 +60,7 @@
 	return &networkFixture{t, e, r}
 }
 
-func query(id string, class int, shards ...int) (*exchange.Query, chan exchange.Reply) {
+func newQuery(id string, class int, shards ...int) (*exchange.Query, chan exchange.Reply) {
 	now, replies := time.Now(), make(chan exchange.Reply, 2)
 	q := &exchange.Query{ID: id, Class: class, Tenant: -1, Received: now, Due: now.Add(testTimeout), Text: []byte("t")}
 	for _, shard := range shards {
@@ -70,10 +70,10 @@
 	return q, replies
 }
 
-// runQuery runs a query to its end: all that was handed on before it has been taken by then.
+// runQuery runs a query to its end. By then the exchange has handled all messages from before it.
 func (s *networkFixture) runQuery(id string) {
 	s.Helper()
-	q, replies := query(id, 0, 0)
+	q, replies := newQuery(id, 0, 0)
 	s.e.Submit(q)
 	select {
 	case r := <-replies:
@@ -81,14 +81,14 @@
 			s.Fatalf("%+v", r)
 		}
 	case <-time.After(testTimeout):
-		s.Fatal("no answer came")
+		s.Fatal("the query got no reply")
 	}
 }
 
-// The replica is asked nothing for a client whose leaving overtook its query.
+// No attempt is sent for a query whose client disconnected before the query was submitted.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	s := newNetworkFixture(t, func(standin.Asked) standin.Does { return standin.Does{Value: []byte("v")} })
-	q, replies := query("q", 0, 1, 2)
+	q, replies := newQuery("q", 0, 1, 2)
 	s.e.ClientGone(q)
 	s.e.Submit(q)
 	s.runQuery("after")
@@ -98,14 +98,14 @@
 		}
 	}
 	if len(replies) != 0 {
-		t.Error("a client that has left was answered")
+		t.Error("a query got a reply after its client had disconnected")
 	}
 }
 
-// A client leaves just before the last value of its first step is in: the replica is asked for no part of the second.
+// If the client disconnects just before the last value of the first step arrives, no part of the second step is sent.
 func TestNoSecondStepAfterClientGone(t *testing.T) {
 	var s *networkFixture
-	abandoned, _ := query("q", 1, 1, 2)
+	abandoned, _ := newQuery("q", 1, 1, 2)
 	ready := make(chan struct{})
 	s = newNetworkFixture(t, func(a standin.Asked) standin.Does {
 		if a.ID == "q.2" {
@@ -118,11 +118,11 @@
 	s.e.Submit(abandoned)
 	for end := time.Now().Add(testTimeout); len(s.replica.Asked()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the first step did not begin")
+			t.Fatal("the first step did not start")
 		}
 	}
 	s.runQuery("after")
-	s.runQuery("again") // a turn for each step
+	s.runQuery("again") // a second query, so that a turn for the second step has passed
 	for _, a := range s.replica.Asked() {
 		if a.ID != "q.1" && a.ID != "q.2" && a.ID != "after.0" && a.ID != "again.0" {
 			t.Errorf("asked for %s", a.ID)
--- a/internal/exchange/trace.go
+++ b/internal/exchange/trace.go
@@ -8,9 +8,9 @@
 	"birchcart/policy"
 )
 
-// stallLogThreshold is how late a timer must be for a stall to be logged. It is well over the delay of timers on a busy machine, and
-// below the shortest grace period of a draining replica: for attempts sent after the grace period the log then shows whether a stall
-// delayed them.
+// stallLogThreshold is how late a timer must be for a stall to be logged. It is well over the delay of timers on a busy machine. It
+// is below the shortest grace period of a draining replica, so that the log can tell work sent after the grace period from work that
+// a stall delayed.
 const stallLogThreshold = 100 * time.Millisecond
 
 // outcomeNames names the outcomes of attempts in logs.
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -1,7 +1,7 @@
 // Package exchange connects the client side and the replica side of a co-ordinator; nothing else joins the two. One
 // goroutine, started by Exchange.Run, owns the policy, the open queries and their values. It works in turns: a turn
 // collects the messages that both sides sent to its inbox, passes them to the policy as events, and carries out the
-// actions that the policy returns. It uses no sockets and never waits for one.
+// actions that the policy returns. It uses no sockets and never blocks on either side.
 package exchange
 
 import (
@@ -44,7 +44,7 @@
 const (
 	Served   Status = iota
 	Rejected        // a retry is safe
-	Failed          // parts may or may not have run
+	Failed          // a retry may not be safe
 	Conflict        // a query with the same id is open, or its parts may still be at replicas
 )
 
@@ -65,7 +65,7 @@
 }
 
 // Attempt is one try to have a replica run a part. The replica side reads its exported fields and reports its end
-// in a Result.
+// in a Result. Complete is set in the second step if the result of the first was complete.
 type Attempt struct {
 	ID       string // id of the part in frames
 	Shard    int
@@ -81,7 +81,7 @@
 	ended   bool
 }
 
-// Result is the end of an attempt as reported by the replica side.
+// Result is the end of an attempt as reported by the replica side. Report holds the replica's load report, if any.
 type Result struct {
 	Attempt *Attempt
 	Outcome policy.Outcome
@@ -91,7 +91,7 @@
 	Value   []byte
 }
 
-// HealthCheck is the outcome of a health check.
+// HealthCheck is the outcome of a health check. Report holds the replica's load report, if any.
 type HealthCheck struct {
 	Replica uint64
 	Outcome policy.Outcome
@@ -100,7 +100,7 @@
 	Report  []float64
 }
 
-// Endpoint is a replica on discovery's list.
+// Endpoint is a replica on discovery's list. Size is the weight that discovery gives it, 1 by default.
 type Endpoint struct {
 	Name, Address, Zone string
 	Kind                string // its protocol, which discovery calls its type
@@ -111,6 +111,7 @@
 }
 
 // ReplicaList is a change of the endpoint list: either the full list or only the endpoints that changed.
+// Stale marks a list that discovery read from disk.
 type ReplicaList struct {
 	Entries     []Endpoint
 	Index       int64 // discovery's version of the list after this change
