--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -2,20 +2,21 @@
 
 import "birchcart/policy"
 
-// message is what reaches the exchange from other goroutines, one after the other, by its inbox.
+// message is what other goroutines send to the exchange through its inbox. A turn handles control messages first; otherwise
+// messages are handled in order of arrival.
 type message interface{ handle(e *Exchange) }
 
-// control is a message that a turn takes before all others: what was read of the list, and of what narrows or routes by it,
-// is in force before anything is sent.
+// control is a message that a turn handles before all others, so that changes of the list, drains and routes are in effect before
+// the turn sends anything.
 type control interface {
 	message
 	isControl()
 }
 
-// handleClientGone is the message that a client has gone.
+// clientGone is the message that the client of a query has disconnected.
 type clientGone struct{ q *Query }
 
-// watchFailed is the message that a watch failed or has ended.
+// watchFailed is the message that a watch of the list failed or has ended.
 type watchFailed struct{}
 
 func (l ReplicaList) handle(e *Exchange) {
@@ -34,8 +35,8 @@
 func (watchFailed) isControl() {}
 
 func (q *Query) handle(e *Exchange)       { e.handleQuery(q) }
-func (l clientGone) handle(e *Exchange)   { e.handleClientGone(l.q) }
+func (c clientGone) handle(e *Exchange)   { e.handleClientGone(c.q) }
 func (r releaseQuery) handle(e *Exchange) { e.handleRelease(r.q) }
-func (t rejectQuery) handle(e *Exchange)  { e.handleRejection(t.q, t.r) }
+func (r rejectQuery) handle(e *Exchange)  { e.handleRejection(r.q, r.r) }
 func (r Result) handle(e *Exchange)       { e.handleResult(r) }
-func (p HealthCheck) handle(e *Exchange)  { e.handleHealthCheck(p) }
+func (h HealthCheck) handle(e *Exchange)  { e.handleHealthCheck(h) }
