--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,9 @@
-// Package admission is what operators may set before the decisions: rates by route and tenant, room by route, and a
-// budget of retries by client. It is pure; time comes with each call and must not go back. Nothing waits here: a query
-// is taken or refused at once, with the reason and a time to come back that spreads the returners.
+// Package admission enforces the limits that operators set for routes, before package policy sees a query: a rate by
+// route and tenant, a number of open queries by route, and a retry budget by client. It reads no clock; the caller passes
+// the time with each call, and it must not go back. Queries are not queued here: each is admitted or refused at once, a
+// refusal with its reason and a jittered retry delay.
 //
-// It never refuses what was taken, and it knows nothing of replicas.
+// An admitted query is never refused later, and replicas play no role here.
 package admission
 
 import (
@@ -13,46 +14,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Rule is what holds for one route; 0 is no bound.
+// Rule holds the limits of one route; 0 means no limit.
 type Rule struct {
-	Queries   int     // open at once
-	Borrow    bool    // idle room of other routes may be used, but for half of each one's own
-	Rate      float64 // queries a second, by tenant
-	Burst     int     // at least 1 where there is a rate
-	RetryRate float64 // marked retries a second, by client key
+	Queries   int     // number of queries that may be open at once
+	Borrow    bool    // may use idle capacity of other routes, up to half of each one's Queries
+	Rate      float64 // queries per second, by tenant
+	Burst     int     // number of queries admitted at once; at least 1 if there is a rate
+	RetryRate float64 // retries per second, by client key; only queries marked as retries count
 }
 
-// Reason of a refusal.
+// Reason says whether a query is admitted, or why it is refused.
 type Reason uint8
 
-// Reasons of admission: Taken admits the query, each other one rejects it.
+// The reasons of a Decision: Admitted admits the query, all others refuse it.
 const (
 	Admitted     Reason = iota
-	RateLimited         // its rate
-	NoCapacity          // its room
-	RetryLimited        // its client's budget of retries
+	RateLimited         // over the rate of its route and tenant
+	NoCapacity          // its route has no capacity for another open query
+	RetryLimited        // over the retry budget of its client
 )
 
-// Reasons names them in logs.
+// Reasons are the names of the reasons in logs.
 var Reasons = [...]string{"taken", "rate", "room", "retries"}
 
-// Decision is what is said of one query.
+// Decision is the result for one query.
 type Decision struct {
 	Reason Reason
-	After  time.Duration // refused: when to come back
+	After  time.Duration // if refused: the delay after which to retry
 }
 
 const (
-	maxClients         = 4096                   // retryBudget keys remembered; beyond, the ones idle longest are forgotten
-	retryBurst         = 3                      // retries of one client that may come at once: an app's three tries
-	capacityRetryAfter = 250 * time.Millisecond // the middle of the times named where room lacks: some queries' length
-	jitterShare        = 0.5                    // of a named time, either way, by chance
+	maxClients         = 4096                   // client keys held; the least recently used are evicted
+	retryBurst         = 3                      // retries of one client at once: applications commonly try three times
+	capacityRetryAfter = 250 * time.Millisecond // mean retry delay without capacity: a few query durations
+	jitterShare        = 0.5                    // retry delays vary at random by this share up and down
 )
 
-// Gate is the state of all routes.
+// Gate holds the admission state of all routes.
 type Gate struct {
 	rules   []Rule
-	buckets [][]*rate.Limiter // by route and tenant
+	buckets [][]*rate.Limiter // by route and tenant + 1
 	open    []int             // by route
 	clients *simplelru.LRU[client, *rate.Limiter]
 	rng     *rand.Rand
@@ -63,11 +64,11 @@
 	key   string
 }
 
-// New returns a gate for these routes and so many tenants.
+// New returns a gate with one rule per route, for the given number of tenants.
 func New(rules []Rule, tenants int, seed uint64) *Gate {
 	clients, err := simplelru.NewLRU[client, *rate.Limiter](maxClients, nil)
 	if err != nil {
-		panic("admission: " + err.Error()) // of a size that is not over 0
+		panic("admission: " + err.Error()) // only for a size that is not positive
 	}
 	g := &Gate{rules: rules, open: make([]int, len(rules)), clients: clients, rng: rand.New(rand.NewPCG(seed, 1))}
 	for _, r := range rules {
@@ -82,8 +83,8 @@
 	return g
 }
 
-// Admit decides on a query of a route and a tenant (-1 for none); key names its client for the budget of retries. One
-// that is taken counts as open until Done.
+// Admit decides on a query of a route and a tenant (-1 for none). key identifies its client for the retry budget. An
+// admitted query counts as open until Release.
 func (g *Gate) Admit(now time.Time, route, tenant int, key string, retry bool) Decision {
 	r := &g.rules[route]
 	if !g.hasCapacity(route) {
@@ -100,14 +101,14 @@
 	return Decision{}
 }
 
-// Release gives back the room of one query that was taken.
+// Release must be called when an admitted query of the route has ended.
 func (g *Gate) Release(route int) { g.open[route]-- }
 
-// Open is how many queries of a route are open.
+// Open returns the number of open queries of a route.
 func (g *Gate) Open(route int) int { return g.open[route] }
 
-// hasCapacity tells whether one more may open: within the route's own room, or in what others leave idle. Half of each
-// lender's room stays its own, so that a lender that comes back finds some at once.
+// hasCapacity reports whether another query of the route may open: within its own limit, or with idle capacity of other
+// routes. Half of each lender's capacity is not lent, so that a lender whose traffic returns has some at once.
 func (g *Gate) hasCapacity(route int) bool {
 	r := &g.rules[route]
 	if r.Queries == 0 || g.open[route] < r.Queries {
@@ -125,7 +126,8 @@
 	return g.open[route]-r.Queries < idle
 }
 
-// retryBudget finds a client's budget of retries. The number of those remembered is bounded; the one idle longest goes first.
+// retryBudget returns the retry budget of a client. The number of budgets held is limited; the least recently used one is
+// evicted first.
 func (g *Gate) retryBudget(c client, perSecond float64) *rate.Limiter {
 	b, ok := g.clients.Get(c)
 	if !ok {
@@ -135,7 +137,7 @@
 	return b
 }
 
-// jitter spreads the returners around a time.
+// jitter varies a retry delay at random, so that refused clients do not all retry at the same time.
 func (g *Gate) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - jitterShare + 2*jitterShare*g.rng.Float64()))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 func TestRateByTenant(t *testing.T) {
 	g := New([]Rule{{Rate: 10, Burst: 5}}, 2, 1)
 	taken := [2]int{}
-	for i := range 1000 { // tenant 0 floods for a second, tenant 1 asks five times
+	for i := range 1000 { // tenant 0 sends 1000 queries in a second, tenant 1 five
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		if g.Admit(now, 0, 0, "", false).Reason == Admitted {
 			taken[0]++
@@ -25,7 +25,7 @@
 	}
 }
 
-// After a standstill a bucket holds its burst and no more.
+// After an idle period of any length a bucket admits its burst and no more.
 func TestIdlePeriodRefillsBurstOnly(t *testing.T) {
 	g := New([]Rule{{Rate: 10, Burst: 5}}, 0, 1)
 	g.Admit(start, 0, -1, "", false)
@@ -47,10 +47,10 @@
 	for admit(0) {
 		n++
 	}
-	if n != 5 { // its own two, and half of the six that lie idle
+	if n != 5 { // its own two, and half of the idle six
 		t.Errorf("%d with borrowed room", n)
 	}
-	for i := range 6 { // the lender's own room is whole all the same
+	for i := range 6 { // the lender may still use all of its own capacity
 		if !admit(1) {
 			t.Errorf("the lender's query %d is refused", i)
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-// However many clients come, the memory is bounded.
+// The number of clients held is limited, however many there are.
 func TestClientsAreBounded(t *testing.T) {
 	g := New([]Rule{{RetryRate: 1}}, 0, 1)
 	for i := range 3 * maxClients {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Those who are refused at once do not all come back at once.
+// Queries refused at the same time get different retry delays, so that they are not all retried at the same time.
 func TestRetryAfterIsSpread(t *testing.T) {
 	g := New([]Rule{{Rate: 1, Burst: 1}}, 0, 1)
 	g.Admit(start, 0, -1, "", false)
--- a/policy/answers.go
+++ b/policy/answers.go
@@ -1,32 +1,32 @@
 package policy
 
-// Answers.
+// Answers: when and how a query or its first step ends.
 
 import "slices"
 
-// settle answers a query that has enough, and gives up one that can no longer have it.
+// settle answers a query that has enough parts, and gives up one that can no longer get them.
 func (p *Policy) settle(q *query) {
 	c := &p.cfg.Classes[q.class]
-	need, hope := c.Need, q.receivedWeight
+	need, possible := c.Need, q.receivedWeight
 	if q.step == 2 {
 		need = 1
 	}
 	for _, pt := range q.parts {
 		if !pt.received && !pt.exhausted {
-			hope += pt.weight
+			possible += pt.weight
 		}
 	}
 	switch {
 	case q.receivedWeight >= need-weightTolerance && (q.step == 1 || q.receivedCount == len(q.parts)):
 		p.answer(q)
-	case hope < need-weightTolerance && p.partialValue(q) > 0:
+	case possible < need-weightTolerance && p.partialValue(q) > 0:
 		p.answer(q)
-	case hope < min(need, p.floor(q))-weightTolerance:
+	case possible < min(need, p.floor(q))-weightTolerance:
 		p.giveUp(q, PartsLost)
 	}
 }
 
-// partialValue is what an answer from the parts that are in would earn, as a share of a whole one's.
+// partialValue returns the value of an answer from the received parts, as a share of that of a complete one.
 func (p *Policy) partialValue(q *query) float64 {
 	c := &p.cfg.Classes[q.class]
 	if !p.floorMet(q) || q.receivedCount == 0 {
@@ -35,12 +35,14 @@
 	return c.PartialValue * min(1, q.receivedWeight/c.Need)
 }
 
-// floor is the least share for any answer: the class's, or more where the route says so, never over the need.
+// floor returns the minimum share of weight for any answer: that of the class, or a higher one of the route,
+// which is capped at the class's Need.
 func (p *Policy) floor(q *query) float64 {
 	c := &p.cfg.Classes[q.class]
 	return max(c.Floor, min(q.limits.Floor, c.Need))
 }
 
+// floorMet reports whether the received parts suffice for any answer.
 func (p *Policy) floorMet(q *query) bool {
 	floor := p.floor(q)
 	if q.step == 2 && floor >= p.cfg.Classes[q.class].Need {
@@ -49,47 +51,48 @@
 	return q.receivedWeight >= floor-weightTolerance
 }
 
-// giveUp ends a query at once: by what is in, else by a refusal where that is allowed, else by a failure.
-func (p *Policy) giveUp(q *query, why Reason) {
+// giveUp ends a query at once: with an answer from the received parts if the floor is met, else with a
+// refusal if that is allowed, else with a failure.
+func (p *Policy) giveUp(q *query, reason Reason) {
 	if p.floorMet(q) && q.receivedCount > 0 {
 		p.answer(q)
 		return
 	}
-	a := Action{Verb: Refuse, Query: q.id, Reason: why}
+	a := Action{Verb: Refuse, Query: q.id, Reason: reason}
 	ran := func(pt *part) bool { return pt.firstMayHaveRun() != nil }
 	if p.cfg.Classes[q.class].Effect != Safe && (q.step == 2 || slices.ContainsFunc(q.parts, ran)) {
-		a.Verb = Fail // rule 2; what the first step ran is forgotten by now, and its parts with it
+		a.Verb = Fail // rule 2; in step 2 the parts that ran in step 1 are no longer held
 	}
 	if a.Verb == Refuse && p.cfg.RetryAfter {
 		a.After = min(p.cfg.MaxRetryAfter, p.models[q.class].mean)
-		if most := q.limits.MaxRetryAfter; most > 0 {
-			a.After = min(a.After, most)
+		if limit := q.limits.MaxRetryAfter; limit > 0 {
+			a.After = min(a.After, limit)
 		}
 	}
 	p.finish(q, a)
 }
 
-// answer ends a query, or its first step, from the parts that are in (rule 5).
+// answer ends a query, or its first step, with an answer from the received parts (rule 5).
 func (p *Policy) answer(q *query) {
 	c := &p.cfg.Classes[q.class]
 	if !p.floorMet(q) {
 		return
 	}
-	whole := q.receivedWeight >= c.Need-weightTolerance
+	complete := q.receivedWeight >= c.Need-weightTolerance
 	if q.step == 2 {
-		whole = q.firstComplete && q.receivedCount == len(q.parts)
+		complete = q.firstComplete && q.receivedCount == len(q.parts)
 	}
 	if q.step == 1 && c.FollowUp > 0 {
-		p.emit(Action{Verb: Answer, Query: q.id, Complete: whole})
+		p.emit(Action{Verb: Answer, Query: q.id, Complete: complete})
 		p.releaseParts(q)
-		q.step, q.stepStart, q.firstComplete = 2, p.now, whole
+		q.step, q.stepStart, q.firstComplete = 2, p.now, complete
 		q.parts, q.requested, q.receivedWeight, q.receivedCount = nil, 0, 0, 0
 		return
 	}
-	p.finish(q, Action{Verb: Answer, Query: q.id, Complete: whole})
+	p.finish(q, Action{Verb: Answer, Query: q.id, Complete: complete})
 }
 
-// finish is the one place from which a query's final answer goes (rule 1).
+// finish sends the final answer of a query, once only. It is the only place that does (rule 1).
 func (p *Policy) finish(q *query, a Action) {
 	if q.ended {
 		return
@@ -98,7 +101,7 @@
 	p.closeQuery(q)
 }
 
-// closeQuery forgets a query; what is still out of it is cancelled.
+// closeQuery removes a query and cancels its attempts that are in flight.
 func (p *Policy) closeQuery(q *query) {
 	q.ended = true
 	p.releaseParts(q)
@@ -106,7 +109,7 @@
 	delete(p.queriesByGroup, q.group)
 }
 
-// releaseParts ends the parts of a step.
+// releaseParts closes the parts of the current step and cancels their attempts.
 func (p *Policy) releaseParts(q *query) {
 	for _, pt := range q.parts {
 		p.cancelAttempts(pt, pt.inFlight)
@@ -117,7 +120,7 @@
 	}
 }
 
-// cancelAttempts cancels the first n attempts that are out of a part.
+// cancelAttempts cancels the first n attempts of a part that are in flight.
 func (p *Policy) cancelAttempts(pt *part, n int) {
 	for _, a := range pt.attempts {
 		if a.ended || n == 0 {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,147 +1,148 @@
-// Package policy decides, for one co-ordinator, where the parts of a query go, when they go again, and
-// when the query is answered, refused or failed.
+// Package policy makes the decisions of one co-ordinator: to which replica each part of a query is sent, when
+// a part is sent again, and when the query is answered, refused or failed.
 //
-// It is a pure state machine: Handle takes the clock and what happened and returns what to do. This file
-// is its interface and state.go the records that the decisions read. Every decision is in the files that
-// deploy/balancer.toml lists under policy, one for each stage; policy.go begins them.
+// It is a pure state machine: Handle takes the current time and a batch of events and returns the actions to
+// perform. This file declares its interface and state.go the records that the decisions read. The decisions
+// are in the files that deploy/balancer.toml lists under policy, one file per stage, starting with policy.go.
 package policy
 
-// Effect says what a repeated part does.
+// Effect says whether a part may run more than once.
 type Effect uint8
 
-// Effects of repeating a part.
+// The effects of running a part again.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // a repeat is dropped within the class's window
+	Keyed                // replicas drop a repeat within the class's Window
 	Unsafe               // must never run twice
 )
 
-// Class describes one class of query. All times are in seconds.
+// Class describes one class of queries. All times are in seconds.
 type Class struct {
-	Promise      float64 // an answer within this time earns the full worth
-	GiveUp       float64 // how long a client waits in all
-	LateValue    float64 // serverShare of the worth that a late answer earns
-	Points       float64 // worth of a whole answer
+	Promise      float64 // target latency: an answer within it earns the full value
+	GiveUp       float64 // total time that a client waits
+	LateValue    float64 // share of the value that an answer after Promise earns
+	Points       float64 // value of a complete answer
 	Effect       Effect
-	Window       float64 // Keyed: how long repeats are dropped
-	Need         float64 // serverShare of weight that makes a whole answer
-	Floor        float64 // least share of weight for any answer
-	FollowUp     int     // parts of the second step; 0 for none
-	PartialValue float64 // worth of an answer under Need, times share / need
+	Window       float64 // Keyed: how long replicas drop repeats
+	Need         float64 // share of the parts' weight that makes an answer complete
+	Floor        float64 // minimum share of weight for any answer
+	FollowUp     int     // number of parts of the second step, 0 if there is none
+	PartialValue float64 // value of an answer below Need, to be multiplied by its share over Need
 }
 
 // Tenant describes one customer.
 type Tenant struct {
-	Quota float64 // queries a second inside its share, over all co-ordinators
-	Share float64
+	Quota float64 // queries per second that count as within its share, over all co-ordinators
+	Share float64 // of all queries
 }
 
-// Limits narrow, for the queries of one route, what rules and settings allow; they never widen it. A field
-// that is 0 narrows nothing. All times are in seconds.
+// Limits restrict the queries of one route further than rules and settings do; they never allow more than
+// these. A field that is 0 restricts nothing. All times are in seconds.
 type Limits struct {
-	Timeout, StepTimeout float64 // indexFrom arrival to the answer; for each step
+	Timeout, StepTimeout float64 // from arrival to the answer; for each step
 	AttemptTimeout       float64 // for one attempt
 	MaxAttempts          int     // for each part
-	NoCopies             bool    // number second copy of a part that is out
-	CopyAfter            float64 // age of a part before its second copy
-	BudgetShare          float64 // of the budget of further attempts
-	Floor                float64 // least share of weight for any answer
+	NoCopies             bool    // no second copy of a part that is in flight
+	CopyAfter            float64 // minimum age of a part's first attempt before its second copy
+	BudgetShare          float64 // share of the budget of extra attempts (retries and second copies)
+	Floor                float64 // minimum share of weight for any answer
 	Yield                bool    // refused first when the instance is nearly full
-	PromiseDivisor       float64 // turned away by queues as if its promise were so many times shorter
-	MaxRetryAfter        float64 // the longest time to come back that a refusal names
+	PromiseDivisor       float64 // admission divides the promise by this when it checks for queueing
+	MaxRetryAfter        float64 // longest retry delay that a refusal names
 }
 
-// Config is what an instance is told when it starts. All times are in seconds.
+// Config holds the settings of an instance, fixed at its start. All times are in seconds.
 type Config struct {
 	Seed         uint64
-	Resolution   float64 // least spacing of batches
+	Resolution   float64 // minimum time between two batches of events
 	Classes      []Class
 	Tenants      []Tenant
-	Coordinators int // co-ordinators of this tier
-	Ordinal      int
-	Zone         int // rebuildIndex of the instance's own zone, -1 if unknown
+	Coordinators int // number of co-ordinators of this tier
+	Ordinal      int // number of this instance among them, from 0
+	Zone         int // index of this instance's own zone, -1 if unknown
 
-	MaxAttempts   int // for each part, 0 for no limit
-	MaxOpen       int // queries and parts held at once, 0 for no limit
-	Cancel        bool
+	MaxAttempts   int  // for each part, 0 for no limit
+	MaxOpen       int  // queries and parts held at once, 0 for no limit
+	Cancel        bool // attempts may be cancelled
 	Probes        bool
-	SecondCopies  bool
-	RetryAfter    bool
-	MaxRetryAfter float64
+	SecondCopies  bool    // a part may have two attempts in flight at once
+	RetryAfter    bool    // refusals may name a retry delay
+	MaxRetryAfter float64 // the longest that they may name
 
+	// Shard s is held by the replicas of Reach consecutive cells, starting with cell s modulo Cells.
 	Cells, Reach, Shards int
-	MaxPartsPerCall      int     // parts that one call may carry
-	CallOverhead         float64 // workHints of a call beside its parts
-
-	AnswerSlack      float64
-	DrainGrace       float64
-	ColdCapacity     float64 // serverShare of its capacity that a replica starts with
-	WarmUp           float64
-	OverloadMultiple float64
-	OverloadWindow   float64
-
-	ExtraFree, ExtraPerRequest float64 // the budget of further attempts
-	ExtraWindow                float64 // its window; 0 where no budget is stated
-
-	MustSubscribe     bool // the list comes only when it is asked for
-	MaxSubscribeDelay float64
-	ValueByWork       bool    // a query's worth grows with the work of its parts
-	OverShareValue    float64 // serverShare of its worth that a query over its tenant's share keeps
-	ReportNames       []string
+	MaxPartsPerCall      int     // number of parts that one call may carry
+	CallOverhead         float64 // work of a call in addition to that of its parts
+
+	AnswerSlack      float64 // tolerance of rule 1 for answers after a query's end
+	DrainGrace       float64 // tolerance of rule 3 for parts sent to a replica after it began to drain
+	ColdCapacity     float64 // share of its capacity that a replica has right after its start
+	WarmUp           float64 // time from a replica's start to its full capacity
+	OverloadMultiple float64 // multiple of its capacity at which a cold replica fails; 0: no rule 4
+	OverloadWindow   float64 // time window in which that load is counted
+
+	ExtraFree, ExtraPerRequest float64 // budget of extra attempts: a fixed number, and more per request
+	ExtraWindow                float64 // time window of that budget; 0 if no budget is configured
+
+	MustSubscribe     bool     // the replica list is delivered only after a Watch action
+	MaxSubscribeDelay float64  // longest time to a new subscription after one failed
+	ValueByWork       bool     // a query's value grows with the work of its parts
+	OverShareValue    float64  // share of the value left to a query over its tenant's share
+	ReportNames       []string // names of the values in Event.Report
 }
 
-// Readiness of a listed replica.
+// Readiness is the state of a listed replica.
 type Readiness uint8
 
-// Readinesses of a listed replica.
+// The states of a listed replica.
 const (
 	Up Readiness = iota
 	Draining
 	Removed
 )
 
-// Entry is one line of the replica list.
+// Entry describes one replica of the replica list.
 type Entry struct {
 	Replica  uint64
-	SharedID uint64 // a number of the replica that all co-ordinators read alike
+	SharedID uint64 // number of the replica that is the same at all co-ordinators
 	Zone     int
 	Cell     int
 	State    Readiness
 	Size     float64
-	Started  float64 // clock time of its last start, 0 for long ago
+	Started  float64 // time of its last start, 0 if that was long ago
 }
 
-// Outcome of one attempt or probe.
+// Outcome is the result of one attempt or probe.
 type Outcome uint8
 
-// Outcomes of an attempt or probe.
+// The outcomes of an attempt or probe.
 const (
-	OK Outcome = iota
-	Failed
-	Rejected // proves that it never ran
+	OK       Outcome = iota
+	Failed           // the replica answered with a failure
+	Rejected         // refused by the replica; proves that it never ran
 	TimedOut
-	Unreachable // proves that it never ran
-	ConnectionBroken
-	Cancelled
-	NotSent // proves that it never ran
+	Unreachable      // no connection; proves that it never ran
+	ConnectionBroken // the connection was lost while the attempt was in flight
+	Cancelled        // ended by a Cancel action
+	NotSent          // given up before it was sent; proves that it never ran
 )
 
-// Kind of an Event.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// Kinds of events; the comment of each names the fields of Event that it uses.
+// The kinds of events. Each comment names the fields of Event that are set.
 const (
 	ListChanged  Kind = iota // List, Full, Stale
-	ListFailed               // a call for the list failed
-	QueryArrived             // Query, Group, Class, Tenant, Route, Limits, Due, Work, Count, Retry
+	ListFailed               // a request for the replica list failed
+	QueryArrived             // Query, Group, Class, Tenant, Route, Limits, Deadline, Work, Count, Retry
 	PartArrived              // Part, Group, Shard, Weight, Work, Class
-	AttemptEnded             // Part, Attempt, Replica, Outcome, Took, Report
-	ProbeEnded               // Replica, Outcome, Took, Report
+	AttemptEnded             // Part, Attempt, Replica, Outcome, Latency, Report
+	ProbeEnded               // Replica, Outcome, Latency, Report
 	ClientLeft               // Query
 	TimerFired               // Handle
 )
 
-// Event is one thing that happened; Kind says which fields hold.
+// Event is something that happened. Kind determines which fields are set.
 type Event struct {
 	Kind     Kind
 	Query    uint64
@@ -151,53 +152,53 @@
 	Handle   uint64
 	Class    int
 	Tenant   int // -1 if there is none
-	Route    int // number of the query's route, from 1; 0: it has none
+	Route    int // number of the query's route, from 1; 0 if it has none
 	Shard    int
 	Count    int
 	Attempt  int
 	Outcome  Outcome
-	Full     bool // ListChanged: the list replaces the one held
-	Stale    bool // ListChanged: read from disk
+	Full     bool // ListChanged: List replaces the whole previous list
+	Stale    bool // ListChanged: List was read from disk
 	Retry    bool
 	Deadline float64
-	Work     float64 // hint, 0 if absent
+	Work     float64 // hint of the work to do, 0 if absent
 	Weight   float64
 	Latency  float64
 	List     []Entry
 	Report   []float64
-	Limits   *Limits // of its route, nil for none; held, and never written to
+	Limits   *Limits // of the query's route, nil for none; kept by reference and never modified
 }
 
-// Verb of an Action.
+// Verb is the kind of an Action.
 type Verb uint8
 
-// Verbs of actions; the comment of each names the fields of Action that it uses.
+// The verbs of actions. Each comment names the fields of Action that are set.
 const (
 	Send   Verb = iota // Part, Replica, AttemptTimeout
 	Cancel             // Part, Attempt
-	Answer             // Query, Full, Reason
+	Answer             // Query, Complete, Reason
 	Refuse             // Query, After, Reason
 	Fail               // Query, Reason
 	Probe              // Replica
 	Timer              // After, Handle
-	Watch              // subscribe to the list
+	Watch              // subscribe to the replica list
 	Log                // Text
 )
 
-// Reason says why the decisions end a query without what it asked for.
+// Reason says why a query was ended without a complete answer.
 type Reason uint8
 
-// Reasons for a refusal, a failure, or an answer that is cut short.
+// The reasons for a refusal, a failure or an incomplete answer.
 const (
 	NoReason      Reason = iota
-	HoldersBusy          // times its arrival: too few of its shards have a holder with room
-	RecentLatency        // times its arrival: the latest parts took too long for it to be in time
-	OwnBacklog           // times its arrival: more parts are out than come back in time
-	NearlyFull           // times its arrival: this instance has little room left, and others go first
-	PartsLost            // the parts that can still come are too few
-	OutOfTime            // its client's time, or that of its step, is over
-	PromiseMissed        // late, and worth no more waiting
-	BreaksReplica        // replicas that began it went down
+	HoldersBusy          // on arrival: too few of its shards have a holder with free capacity
+	RecentLatency        // on arrival: recent parts took too long for it to meet its promise
+	OwnBacklog           // on arrival: more parts are in flight than are answered in time
+	NearlyFull           // on arrival: this instance is nearly full, and other queries have priority
+	PartsLost            // too few parts can still be answered
+	OutOfTime            // the time of its client or its step is over
+	PromiseMissed        // past its promise, and further waiting gains no value
+	BreaksReplica        // replicas went down while they ran its parts
 )
 
 var reasonNames = [...]string{
@@ -205,13 +206,13 @@
 	"parts lost", "out of time", "promise missed", "breaks replicas",
 }
 
-// NotAdmitted tells whether the query was refused at its arrival.
+// NotAdmitted reports whether the query was refused on arrival.
 func (r Reason) NotAdmitted() bool { return r >= HoldersBusy && r <= NearlyFull }
 
-// String names the reason for the log.
+// String returns the name of the reason, as it is logged.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Action is one thing to do; Verb says which fields hold.
+// Action is something to do. Verb determines which fields are set.
 type Action struct {
 	Verb           Verb
 	Reason         Reason
@@ -221,7 +222,7 @@
 	Replica        uint64
 	Handle         uint64
 	Attempt        int
-	AttemptTimeout float64 // 0: as long as the client waits
+	AttemptTimeout float64 // 0 for as long as the client waits
 	After          float64
-	Text           string
+	Text           string // of a Log action
 }
--- a/policy/count.go
+++ b/policy/count.go
@@ -1,25 +1,26 @@
 package policy
 
-// Part count (DESIGN; FAST CLOUD sec. IV and V).
+// Part count: how many of a query's parts to send at first (DESIGN; FAST CLOUD sec. IV and V).
 
 import "math"
 
-// model is what a class's recent part latencies say.
+// model holds the estimates made from the recent part latencies of one class. Latencies are modelled as a
+// constant Δ plus an exponentially distributed time with mean 1/μ.
 type model struct {
 	delta, spread float64 // Δ and 1/μ
 	mean          float64
-	fast, median  float64 // quantiles: about the work alone, and the median
-	lateLatency   float64 // the latency from which a part is late
+	fast, median  float64 // fast: quantile that is about the time of the work without queueing
+	lateLatency   float64 // quantile from which a part counts as late
 	latencies     samples
-	workHints     ewma // hints of parts
+	workHints     ewma // work hints of parts
 }
 
-// serverShare is L: the instance's share of the servers that hold the class's shards, at least m.
+// serverShare returns L: the instance's share of the replicas that are up, at least m.
 func (p *Policy) serverShare(m int) float64 {
 	return max(float64(m), float64(p.upCount)/float64(p.cfg.Coordinators))
 }
 
-// threshold is Q_s: the backlog, in queries, at which s and s+1 parts have the same modelled delay.
+// threshold returns Q_s: the backlog, in queries, at which s and s+1 parts have the same modelled delay.
 func (md *model) threshold(m, s int, l float64) float64 {
 	capacity := func(s int) float64 { return l / (float64(s)*md.delta + float64(m)*md.spread) }
 	queue := func(s int, c float64) float64 { return float64(s+1) / (2 * float64(s) * c) } // times λ/(C−λ)
@@ -34,25 +35,25 @@
 	if disc < 0 {
 		return math.Inf(1)
 	}
-	// The smaller root in a form that holds for qa near zero.
+	// The smaller root, in a form that is stable for qa near zero.
 	root := 2 * qc / (-qb + math.Sqrt(disc))
-	if md.delta <= 0 || !(root > 0 && root < c2) { // without Δ one more part never costs capacity
+	if md.delta <= 0 || !(root > 0 && root < c2) { // without Δ an additional part costs no capacity
 		return math.Inf(1)
 	}
 	return root * root * b1 / (c1 - root)
 }
 
-// neededParts is m: how many of k parts of equal weight make a whole answer.
+// neededParts returns m: how many of k parts of equal weight make a complete answer.
 func neededParts(c *Class, k int) int {
 	return min(k, max(1, int(math.Ceil(c.Need*float64(k)-weightTolerance))))
 }
 
-// backlog is that of own parts beyond L, in queries of m parts.
+// backlog returns the instance's own parts in flight beyond L, in queries of m parts.
 func (p *Policy) backlog(m int) float64 {
 	return max(0, float64(p.inFlight)-p.serverShare(m)) / float64(m)
 }
 
-// partCount is s: k on an empty backlog, m on a long one.
+// partCount returns s, the number of parts to send: k with no backlog, down to m with a long one.
 func (p *Policy) partCount(class, m, k int) int {
 	l, backlog := p.serverShare(m), p.backlog(m)
 	if backlog == 0 {
@@ -65,7 +66,7 @@
 	return s
 }
 
-// refreshModels refreshes the estimates.
+// refreshModels updates the estimates from the recent samples.
 func (p *Policy) refreshModels() {
 	for i := range p.models {
 		md := &p.models[i]
@@ -73,7 +74,8 @@
 		if len(x) < minSamples {
 			continue
 		}
-		md.fast, md.median, md.lateLatency = quantile(x, fastQuantile), quantile(x, 0.5), quantile(x, lateQuantile)
+		md.fast, md.median, md.lateLatency = quantile(x, fastQuantile),
+			quantile(x, 0.5), quantile(x, lateQuantile)
 		x = x[:len(x)-int(trimmedShare*float64(len(x)))]
 		md.mean, md.spread = moments(x)
 		md.delta = max(0, md.mean-md.spread)
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,43 +1,47 @@
 package policy
 
-// Health. One record of bad outcomes for each replica and class, whatever the symptom: faults, silence, or
-// slowness. It only narrows the choice; a shard whose holders are all suspect still uses them.
+// Health: one record of bad outcomes for each replica and class, whether the symptom is errors, silence or
+// slowness. It only affects the choice between holders: a shard whose holders are all suspect still uses
+// them.
 
 import "fmt"
 import "slices"
 
-func (p *Policy) updateHealth(a *attempt, o Outcome, took float64) {
+// updateHealth updates the health of an attempt's replica from the attempt's outcome.
+func (p *Policy) updateHealth(a *attempt, outcome Outcome, latency float64) {
 	r, class := a.replica, a.part.query.class
-	switch o {
+	switch outcome {
 	case OK:
 		r.lastAnswerAt, r.unavailable = p.now, false
 		if a.sentAt < p.stallEndedAt {
-			return // how long it took was not seen
+			return // the stall of this instance hid its latency
 		}
-		if took < p.penaltyAge(a) {
+		if latency < p.penaltyAge(a) {
 			p.recordGood(r, class)
 		} else if !a.overdue {
 			p.recordBad(a, false)
 		}
 	case Cancelled, NotSent:
 		if r.suspect && r.lastAnswerAt < a.sentAt {
-			r.nextTrialAt = p.now + trialInterval*p.minPromise // a trial by which a silent one is silent still
+			// It was a trial that was not answered: the replica is still silent.
+			r.nextTrialAt = p.now + trialInterval*p.minPromise
 		}
 	default:
-		if o != TimedOut {
+		if outcome != TimedOut {
 			r.lastAnswerAt = p.now
 		}
-		if q := a.part.query; o == ConnectionBroken && !slices.Contains(q.brokenReplicas, r) {
+		if q := a.part.query; outcome == ConnectionBroken && !slices.Contains(q.brokenReplicas, r) {
 			q.brokenReplicas = append(q.brokenReplicas, r)
 		}
-		r.nextTrialAt, r.unavailable = p.now+trialInterval*p.minPromise, o != TimedOut && o != Failed
-		r.records[class].failing = o == Failed
-		p.recordBad(a, o == Unreachable || o == ConnectionBroken)
+		r.nextTrialAt, r.unavailable = p.now+trialInterval*p.minPromise,
+			outcome != TimedOut && outcome != Failed
+		r.records[class].failing = outcome == Failed
+		p.recordBad(a, outcome == Unreachable || outcome == ConnectionBroken)
 	}
 }
 
-// recordGood and bad keep the share of bad outcomes. The longer nothing was heard, the more the newest says: with
-// little traffic one bad outcome is all the evidence there will be for a while.
+// recordGood and recordBad update the share of bad outcomes. The weight of an outcome grows with the time
+// since the previous one: with little traffic one bad outcome is all the evidence there will be for a while.
 func (p *Policy) recordGood(r *replica, class int) {
 	rec := &r.records[class]
 	rec.lastGoodAt, rec.failing = p.now, false
@@ -49,32 +53,39 @@
 	}
 }
 
-func (p *Policy) recordBad(a *attempt, enough bool) {
+func (p *Policy) recordBad(a *attempt, conclusive bool) {
 	r, rec := a.replica, &a.replica.records[a.part.query.class]
 	rec.add(1, p.now, p.minPromise)
-	if !rec.suspect && (enough || rec.badShare > faultThreshold) {
+	if !rec.suspect && (conclusive || rec.badShare > faultThreshold) {
 		rec.suspect, rec.suspectSince, rec.badShare = true, p.now, 1
 		r.suspect, r.nextTrialAt = true, p.now+trialInterval*p.minPromise
-		p.emit(Action{Verb: Log, Text: fmt.Sprintf("replica %d suspect for class %d", r.id, a.part.query.class)})
+		p.emit(Action{Verb: Log, Text: fmt.Sprintf("replica %d suspect for class %d",
+			r.id, a.part.query.class)})
 	}
 }
 
-// penaltyAge is the age from which an attempt speaks against its replica: late, or lost where that says little:
-// while latencies show queues, or where it would leave out the last sound one of two holders. Guards against
-// slow fleets in which the holders of a shard are left out in turn, each for the load of the other.
+// penaltyAge returns the age from which an attempt counts as a bad outcome of its replica. That is the age of
+// a late part, or of a lost one where lateness says little about the replica: while latencies show queueing,
+// or if it would exclude the last healthy one of two holders. Otherwise, in a slow fleet, the holders of a
+// shard would be excluded in turn, each because of the load moved to it from the other.
 func (p *Policy) penaltyAge(a *attempt) float64 {
-	age, class, holders := p.lateAge(a.part.query.class)*a.part.workRatio, a.part.query.class, p.holders(a.part.shard)
-	other := func(r *replica) bool { return r != a.replica && !p.excluded(r, class) && !p.coldLimited(r) }
+	age, class, holders := p.lateAge(a.part.query.class)*a.part.workRatio,
+		a.part.query.class, p.holders(a.part.shard)
+	otherHealthy := func(r *replica) bool {
+		return r != a.replica && !p.excluded(r, class) && !p.coldLimited(r)
+	}
 	if p.recentLatency.value > queueingThreshold ||
-		len(holders) <= fewHolders && !p.excluded(a.replica, class) && !slices.ContainsFunc(holders, other) {
+		len(holders) <= fewHolders && !p.excluded(a.replica, class) &&
+			!slices.ContainsFunc(holders, otherHealthy) {
 		age *= lostFactor
 	}
 	return age
 }
 
-// excluded tells whether a replica is left out for a class: it took nothing just now, the class's record is
-// bad, or another's is and nothing good was heard of this one since. Guards against replicas that fail or
-// swallow one class: good answers of others do not clear it, nor do those suffer.
+// excluded reports whether a replica is avoided for a class: it did not accept its last attempt, its record
+// for the class is bad, or that of another class is and this class had no good outcome since. Records are
+// kept per class because a replica may fail or never answer one class only: good answers of other classes
+// must not clear that, and the other classes must not be excluded for it.
 func (p *Policy) excluded(r *replica, class int) bool {
 	if r.unavailable && p.now < r.nextTrialAt {
 		return true
@@ -88,13 +99,15 @@
 	})
 }
 
+// resetHealth forgets all outcomes of a replica, as after its restart.
 func (p *Policy) resetHealth(r *replica) {
 	r.suspect, r.unavailable = false, false
 	clear(r.records)
 }
 
-// trialDue tells whether a suspect may have this part as a trial: one at a time, and a part that may go
-// elsewhere too. Trials are a share of the parts sent, or with little traffic they would be all of them.
+// trialDue reports whether a suspect replica may get this part as a trial. It gets one at a time, and only
+// parts that may also be sent elsewhere. Trials are limited to a share of the parts sent; with little traffic
+// they would otherwise be all of them.
 func (p *Policy) trialDue(r *replica, pt *part) bool {
 	return p.trialCredit >= 1 && r.nextTrialAt <= p.now && len(r.inFlight) == 0 &&
 		len(pt.attempts) == 0 && p.cfg.Classes[pt.query.class].Effect == Safe && p.cfg.SecondCopies
--- a/policy/list.go
+++ b/policy/list.go
@@ -1,9 +1,11 @@
 package policy
 
-// The list.
+// Changes of the replica list.
 
 import "slices"
 
+// listChanged applies a new list or changes of it. A replica that has just started gets credit from before
+// its start (see coldLimited).
 func (p *Policy) listChanged(ev *Event) {
 	for _, r := range p.list {
 		if r.state != Removed {
@@ -16,7 +18,7 @@
 	for _, e := range ev.List {
 		r := p.replicas[e.Replica]
 		if r != nil && r.state == Up && (e.State == Removed || e.State == Up && e.Started > r.started) {
-			p.lastCrashAt = p.now // without a drain
+			p.lastCrashAt = p.now // it went down without a drain
 		}
 		if r == nil {
 			r = &replica{id: e.Replica, slowness: 1, records: make([]healthRecord, len(p.models))}
@@ -29,14 +31,16 @@
 			if e.Started > r.started {
 				p.resetHealth(r)
 				r.slowness = 1
-				span, n := coldHistory*p.cfg.OverloadWindow, float64(p.answers.count(p.now-coldHistory*p.cfg.OverloadWindow))
-				back := p.cfg.OverloadWindow + span*float64(p.upCount)*n/((n+minSamples)*(n+minSamples))
-				r.started, r.credit, r.creditAt = e.Started, p.phaseOffset(e.SharedID), e.Started-back
+				span, n := coldHistory*p.cfg.OverloadWindow,
+					float64(p.answers.count(p.now-coldHistory*p.cfg.OverloadWindow))
+				backdate := p.cfg.OverloadWindow + span*float64(p.upCount)*n/((n+minSamples)*(n+minSamples))
+				r.started, r.credit, r.creditAt = e.Started, p.phaseOffset(e.SharedID), e.Started-backdate
 			}
 		}
 		r.state = e.State
 	}
-	// Guards against growth where replicas are replaced all day. One that comes back soon keeps its records.
+	// Forgets removed replicas, so that memory stays bounded where replicas are replaced all day. One that is
+	// listed again soon keeps its records.
 	p.list = slices.DeleteFunc(p.list, func(r *replica) bool {
 		gone := r.state == Removed && len(r.inFlight) == 0 && p.now-r.lastListedAt > historySpan*p.minPromise
 		if gone {
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -1,18 +1,19 @@
 package policy
 
-// Sending.
+// Sending: the rules on attempts, and the budget of extra attempts.
 
 import "math"
 
-// trySend sends one attempt for a part where some holder may take it now; otherwise the part waits for a look.
+// trySend sends an attempt of a part if some holder may take it now; otherwise the part waits for the next
+// check of its query. A hedge is a second copy; it is sent to healthy holders only.
 func (p *Policy) trySend(pt *part, hedge bool) bool {
 	r, rank := p.pickReplica(pt)
 	if r == nil || hedge && rank > 0 {
 		return false
 	}
 	if n := len(pt.attempts); pt.inFlight == 0 && n > 0 && rank > 0 {
-		// Guards against quick failures at all holders, which use up a part's attempts within milliseconds:
-		// with no sound holder left to try, wait ever longer.
+		// Quick failures at all holders would use up a part's attempts within milliseconds. Exponential
+		// backoff applies if no healthy untried holder is left.
 		wait := backoffShare * p.cfg.Classes[pt.query.class].Promise * math.Exp2(float64(n-1))
 		if pt.retryAt = pt.attempts[n-1].sentAt + wait; pt.retryAt > p.now {
 			return false
@@ -21,22 +22,22 @@
 	return p.send(pt, r, hedge)
 }
 
-// send is the one place from which attempts go; every rule on sending is kept here.
+// send sends an attempt. It is the only place that does, and it enforces all rules on sending.
 func (p *Policy) send(pt *part, r *replica, hedge bool) bool {
-	again := len(pt.attempts) > 0
+	retry := len(pt.attempts) > 0
 	switch {
 	case pt.closed || pt.received || pt.query.deadline-p.now <= p.tick, // rule 1: nothing after the end
 		len(pt.attempts) >= p.maxAttempts(pt.query),
-		again && !p.mayRepeat(pt), // rule 2
+		retry && !p.mayRepeat(pt), // rule 2
 		pt.inFlight > 0 && (!p.cfg.SecondCopies || pt.inFlight > 1),
 		pt.inFlight > 0 && (pt.query.limits.NoCopies || p.age(pt.lastAttempt()) < pt.query.limits.CopyAfter),
 		r.state != Up,                            // rule 3
 		p.coldLimited(r),                         // rule 4
-		again && !p.spendBudget(pt.query, hedge): // rule 6, last since it books the attempt
+		retry && !p.spendBudget(pt.query, hedge): // rule 6; last, as it charges the budget
 		return false
 	}
-	r.credit-- // while it is cold
-	if !again && p.trialCredit < maxTrialCredit {
+	r.credit-- // only used while the replica is cold
+	if !retry && p.trialCredit < maxTrialCredit {
 		p.trialCredit += trialShare
 	}
 	if p.excluded(r, pt.query.class) && p.trialDue(r, pt) {
@@ -59,19 +60,20 @@
 	return true
 }
 
-// attemptTimeout is how long an attempt may take, 0 for as long as the client waits. Guards against queues of parts
-// that nobody needs in time any more: while latencies show queues a safe part ends with its query's promise,
-// and replicas that do not begin what is overdue turn to what is not.
+// attemptTimeout returns how long an attempt may take, 0 for as long as the client waits. While latencies
+// show queueing, the attempt of a safe part times out with its query's promise. Replicas do not start what
+// has timed out; otherwise their queues would fill with parts that are too late to be of use.
 func (p *Policy) attemptTimeout(q *query) float64 {
-	c, most := &p.cfg.Classes[q.class], q.limits.AttemptTimeout
-	left := q.arrivedAt + c.Promise - p.now
-	if c.Effect == Safe && left > p.tick && p.recentLatency.value > queueingThreshold && (most == 0 || left < most) {
-		return left
+	c, limit := &p.cfg.Classes[q.class], q.limits.AttemptTimeout
+	remaining := q.arrivedAt + c.Promise - p.now
+	if c.Effect == Safe && remaining > p.tick && p.recentLatency.value > queueingThreshold &&
+		(limit == 0 || remaining < limit) {
+		return remaining
 	}
-	return most
+	return limit
 }
 
-// maxAttempts is how many attempts a part may have: the settings' number, or fewer where the route says so.
+// maxAttempts returns how many attempts a part may have: the limit of the settings, or of the route if lower.
 func (p *Policy) maxAttempts(q *query) int {
 	if q.limits.MaxAttempts > 0 {
 		return min(p.cfg.MaxAttempts, q.limits.MaxAttempts)
@@ -79,14 +81,16 @@
 	return p.cfg.MaxAttempts
 }
 
-// mayRepeat is rule 2: what may have run goes again if it is safe, or keyed and well within the window.
+// mayRepeat enforces rule 2: a part that may have run is sent again only if it is safe, or if it is keyed and
+// well within the window in which replicas drop repeats.
 func (p *Policy) mayRepeat(pt *part) bool {
 	c, first := &p.cfg.Classes[pt.query.class], pt.firstMayHaveRun()
 	inWindow := first != nil && p.now < first.sentAt+c.Window-deadlineMargin*p.tick
 	return c.Effect == Safe || first == nil || c.Effect == Keyed && inWindow
 }
 
-// spendBudget books an attempt beyond a part's first in the one ledger of these (rule 6).
+// spendBudget charges an attempt beyond a part's first to the budget of extra attempts (rule 6). It returns
+// false if the budget does not allow it.
 func (p *Policy) spendBudget(q *query, hedge bool) bool {
 	if !p.hasBudget(q, hedge) {
 		return false
@@ -98,7 +102,8 @@
 	return true
 }
 
-// hasBudget tells whether the ledger has one more. Where no budget is stated, second copies alone are bounded.
+// hasBudget reports whether the budget allows one more extra attempt. If no budget is configured, only second
+// copies and routes with a budget share are limited.
 func (p *Policy) hasBudget(q *query, hedge bool) bool {
 	free, share, span := p.cfg.ExtraFree, p.cfg.ExtraPerRequest, p.cfg.ExtraWindow
 	if span <= 0 {
@@ -107,16 +112,18 @@
 		}
 		free, share, span = defaultExtraFree, defaultExtraPerRequest, defaultExtraWindow*p.minPromise
 	}
-	// Requests on the window's edge are left out and attempts on it counted: either reading is kept.
-	taken := p.requests.count(p.now - span + p.cfg.Resolution)
+	// Requests at the window's edge are left out and attempts at it are counted, so that the budget holds
+	// whether or not the window includes its edge.
+	requests := p.requests.count(p.now - span + p.cfg.Resolution)
 	used := p.extraAttempts.count(p.now - span - p.cfg.Resolution)
-	limit := free + share*float64(taken)
+	limit := free + share*float64(requests)
 	if hedge {
 		limit *= copyBudgetShare
 	}
 	if float64(used+1) > limit {
 		return false
 	}
-	mine, own := p.extraByRoute[q.route].count(p.now-span-p.cfg.Resolution), q.limits.BudgetShare
-	return own <= 0 || float64(mine+1) <= own*limit
+	usedByRoute, routeShare := p.extraByRoute[q.route].count(p.now-span-p.cfg.Resolution),
+		q.limits.BudgetShare
+	return routeShare <= 0 || float64(usedByRoute+1) <= routeShare*limit
 }
--- a/policy/time.go
+++ b/policy/time.go
@@ -1,10 +1,10 @@
 package policy
 
-// Time.
+// Time: the periodic check of open queries, late parts and timeouts.
 
 import "slices"
 
-// checkOpenQueries goes over what is open once a tick.
+// checkOpenQueries checks all open queries. It runs once per tick.
 func (p *Policy) checkOpenQueries() {
 	if p.now >= p.refreshAt {
 		p.refreshAt = p.now + refreshPeriod
@@ -18,26 +18,29 @@
 	p.openQueries = slices.DeleteFunc(p.openQueries, func(q *query) bool { return q.ended })
 }
 
-// lateAge is the age from which a part of the class counts as late. It grows at once with the latest answers:
-// guards against a fleet that slows down as a whole, where copies of every part make it worse.
+// lateAge returns the age from which a part of the class counts as late. It grows immediately with recent
+// latencies: if the whole fleet slows down, sending a second copy of every part would make that worse.
 func (p *Policy) lateAge(class int) float64 {
 	md := &p.models[class]
 	return max(1, p.slowdown.value) * max(minLateShare*p.cfg.Classes[class].Promise,
 		max(minLateMedians*md.median, min(maxLateMedians*md.median, md.lateLatency)))
 }
 
-// age is for how long an attempt has been out, as far as we were there to see its end.
+// age returns how long an attempt has been in flight, not counting the time before the end of this instance's
+// last stall, when its answer could not be seen.
 func (p *Policy) age(a *attempt) float64 { return p.now - max(a.sentAt, p.stallEndedAt) }
 
-// timeoutReason is why a query ends by its time alone, NoReason while it need not.
+// timeoutReason returns why a query must end because of its time alone, NoReason if it need not yet.
 func (p *Policy) timeoutReason(q *query) Reason {
 	c := &p.cfg.Classes[q.class]
-	if q.deadline-p.now <= deadlineMargin*p.tick || q.limits.StepTimeout > 0 && p.now-q.stepStart+p.tick >= q.limits.StepTimeout {
+	if q.deadline-p.now <= deadlineMargin*p.tick ||
+		q.limits.StepTimeout > 0 && p.now-q.stepStart+p.tick >= q.limits.StepTimeout {
 		return OutOfTime
 	}
 	if age := p.now - q.arrivedAt; age+p.tick >= c.Promise {
-		// After the promise a short answer may be worth more than waiting for the whole, and what earns
-		// nothing late, or any late one while the instance is full, only keeps others waiting.
+		// Once the promise has passed, a partial answer may be worth more than a complete late one. A
+		// query that earns nothing late, or any late query while the instance is nearly full, only delays
+		// other queries.
 		if p.partialValue(q) > c.LateValue || age >= c.Promise && (c.LateValue == 0 || p.nearlyFull()) {
 			return PromiseMissed
 		}
@@ -45,9 +48,10 @@
 	return NoReason
 }
 
+// checkQuery ends a query whose time is over, and otherwise deals with its late, lost and waiting parts.
 func (p *Policy) checkQuery(q *query) {
-	if why := p.timeoutReason(q); why != NoReason {
-		p.giveUp(q, why)
+	if reason := p.timeoutReason(q); reason != NoReason {
+		p.giveUp(q, reason)
 		return
 	}
 	base := p.lateAge(q.class)
@@ -79,17 +83,18 @@
 			}
 			continue
 		}
-		a, age := pt.lastAttempt(), p.age(pt.lastAttempt())
+		latest, age := pt.lastAttempt(), p.age(pt.lastAttempt())
 		if pt.inFlight > 1 {
 			if age >= lostFactor*late && len(pt.attempts) < p.maxAttempts(q) {
-				p.cancelAttempts(pt, 1) // both copies seem lost: make room for one more
+				p.cancelAttempts(pt, 1) // both copies seem lost: cancel one so that another may be sent
 			}
 			continue
 		}
-		if p.excluded(a.replica, q.class) && len(p.holders(pt.shard)) > fewHolders { // a trial: no need to wait long
+		if p.excluded(latest.replica, q.class) && len(p.holders(pt.shard)) > fewHolders {
+			// It is a trial: a copy is sent sooner.
 			late = min(late, minLateMedians*p.models[q.class].median*pt.workRatio)
 		}
-		// Guards against answers that never come from a replica that goes on answering others.
+		// A replica may lose the answer of one part and still answer others.
 		lost := age >= lostFactor*late
 		if !lost && age < late {
 			continue
@@ -104,9 +109,9 @@
 	}
 }
 
-// reassign takes a part back where a second attempt may not run beside the first; it goes again once its end is
-// told. Guards against silent replicas, which keep it for as long as the client waits. What may not be
-// repeated stays, and so does a part that no sound holder would take.
+// reassign cancels the attempt of a part where second copies are not allowed; the part is sent again once the
+// end of that attempt is reported. Otherwise a silent replica would hold the part for as long as the client
+// waits. A part that may not be repeated stays, and so does one that no healthy holder can take.
 func (p *Policy) reassign(pt *part) {
 	r, rank := p.pickReplica(pt)
 	if p.cfg.Cancel && p.mayRepeat(pt) && len(pt.attempts) < p.maxAttempts(pt.query) &&
@@ -115,22 +120,22 @@
 	}
 }
 
-// coverWithoutCopy answers lateness without a second copy where it can: parts that are out in good time may
-// suffice, or a part that was held back goes first. It tells whether that is so.
-func (p *Policy) coverWithoutCopy(q *query, late float64) bool {
-	good, left := q.receivedCount, len(q.parts)-q.requested
+// coverWithoutCopy reports whether a late part of the query needs no second copy: the parts answered or in
+// flight on time may suffice, else a part that was not requested so far is sent instead.
+func (p *Policy) coverWithoutCopy(q *query, lateAge float64) bool {
+	onTime, unsent := q.receivedCount, len(q.parts)-q.requested
 	for _, pt := range q.parts {
 		if !pt.received && pt.inFlight > 0 {
-			if a := pt.lastAttempt(); !p.excluded(a.replica, q.class) && p.age(a) < late*pt.workRatio {
-				good++
+			if a := pt.lastAttempt(); !p.excluded(a.replica, q.class) && p.age(a) < lateAge*pt.workRatio {
+				onTime++
 			}
 		}
 	}
-	if good >= q.need {
+	if onTime >= q.need {
 		return true
 	}
-	if left > 0 {
+	if unsent > 0 {
 		p.requestParts(q, q.requested+1)
 	}
-	return left > 0
+	return unsent > 0
 }
