--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -3,7 +3,7 @@
 // the time with each call, and it must not go back. Queries are not queued here: each is admitted or refused at once, a
 // refusal with its reason and a jittered retry delay.
 //
-// An admitted query is never refused later, and replicas play no role here.
+// The package never refuses a query that it has admitted, and replicas play no role in it.
 package admission
 
 import (
@@ -46,14 +46,14 @@
 const (
 	maxClients         = 4096                   // client keys held; the least recently used are evicted
 	retryBurst         = 3                      // retries of one client at once: applications commonly try three times
-	capacityRetryAfter = 250 * time.Millisecond // mean retry delay without capacity: a few query durations
+	capacityRetryAfter = 250 * time.Millisecond // mean retry delay without capacity: about as long as some queries take
 	jitterShare        = 0.5                    // retry delays vary at random by this share up and down
 )
 
 // Gate holds the admission state of all routes.
 type Gate struct {
 	rules   []Rule
-	buckets [][]*rate.Limiter // by route and tenant + 1
+	buckets [][]*rate.Limiter // by route and tenant; index 0 is for no tenant
 	open    []int             // by route
 	clients *simplelru.LRU[client, *rate.Limiter]
 	rng     *rand.Rand
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,18 +10,18 @@
 
 func TestRateByTenant(t *testing.T) {
 	g := New([]Rule{{Rate: 10, Burst: 5}}, 2, 1)
-	taken := [2]int{}
+	admitted := [2]int{}
 	for i := range 1000 { // tenant 0 sends 1000 queries in a second, tenant 1 five
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		if g.Admit(now, 0, 0, "", false).Reason == Admitted {
-			taken[0]++
+			admitted[0]++
 		}
 		if i%200 == 0 && g.Admit(now, 0, 1, "", false).Reason == Admitted {
-			taken[1]++
+			admitted[1]++
 		}
 	}
-	if taken[0] < 14 || taken[0] > 15 || taken[1] != 5 {
-		t.Errorf("taken %v", taken)
+	if admitted[0] < 14 || admitted[0] > 15 || admitted[1] != 5 {
+		t.Errorf("admitted by tenant: %v, want 14 or 15 and 5", admitted)
 	}
 }
 
@@ -29,14 +29,14 @@
 func TestIdlePeriodRefillsBurstOnly(t *testing.T) {
 	g := New([]Rule{{Rate: 10, Burst: 5}}, 0, 1)
 	g.Admit(start, 0, -1, "", false)
-	taken := 0
+	admitted := 0
 	for range 100 {
 		if g.Admit(start.Add(30*time.Second), 0, -1, "", false).Reason == Admitted {
-			taken++
+			admitted++
 		}
 	}
-	if taken != 5 {
-		t.Errorf("%d at once after 30 s", taken)
+	if admitted != 5 {
+		t.Errorf("%d queries admitted at once after 30 s, want the burst of 5", admitted)
 	}
 }
 
@@ -48,23 +48,23 @@
 		n++
 	}
 	if n != 5 { // its own two, and half of the idle six
-		t.Errorf("%d with borrowed room", n)
+		t.Errorf("%d queries admitted with borrowed capacity, want 5", n)
 	}
 	for i := range 6 { // the lender may still use all of its own capacity
 		if !admit(1) {
-			t.Errorf("the lender's query %d is refused", i)
+			t.Errorf("query %d of the lender was refused", i)
 		}
 	}
 	if admit(1) || admit(0) {
-		t.Error("taken over the room")
+		t.Error("a query was admitted beyond the capacity")
 	}
 	g.Release(1)
 	if !admit(1) || g.Open(1) != 6 {
-		t.Error("room that was given back is not there")
+		t.Error("released capacity is not available")
 	}
 	for range 1000 {
 		if !admit(2) {
-			t.Fatal("a route without room is bounded")
+			t.Fatal("a route without a limit refused a query")
 		}
 	}
 }
@@ -80,11 +80,11 @@
 			}
 		}
 		if g.Admit(now, 0, -1, "a", false).Reason != Admitted {
-			t.Error("a query that is no retry is counted as one")
+			t.Error("a query not marked as a retry was charged to the retry budget")
 		}
 	}
 	if got["a"] != 3 || got["b"] != 3 {
-		t.Errorf("%v", got)
+		t.Errorf("retries admitted by client: %v, want 3 each", got)
 	}
 }
 
@@ -95,7 +95,7 @@
 		g.Admit(start.Add(time.Duration(i)*time.Millisecond), 0, -1, fmt.Sprint(i), true)
 	}
 	if n := g.clients.Len(); n > maxClients {
-		t.Errorf("%d clients remembered", n)
+		t.Errorf("%d clients held, more than maxClients", n)
 	}
 }
 
@@ -107,12 +107,12 @@
 	for range 200 {
 		d := g.Admit(start, 0, -1, "", false)
 		if d.Reason != RateLimited || d.After < 400*time.Millisecond || d.After > 1600*time.Millisecond {
-			t.Fatalf("%+v", d)
+			t.Fatalf("decision %+v, want RateLimited with a delay from 0.4 to 1.6 s", d)
 		}
 		seen[d.After/(100*time.Millisecond)]++
 	}
 	if len(seen) < 8 {
-		t.Errorf("%v", seen)
+		t.Errorf("retry delays by 100 ms: %v, want at least 8 different", seen)
 	}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -4,6 +4,16 @@
 // It is a pure state machine: Handle takes the current time and a batch of events and returns the actions to
 // perform. This file declares its interface and state.go the records that the decisions read. The decisions
 // are in the files that deploy/balancer.toml lists under policy, one file per stage, starting with policy.go.
+//
+// The decisions keep six rules, which comments cite by number:
+//
+//  1. A query gets exactly one final answer, before its deadline, and no part of it is sent afterwards.
+//  2. A part that may have run is not sent again, and its query is not refused, unless its class's Effect
+//     allows it.
+//  3. No part is sent to a replica that is draining or removed.
+//  4. A cold replica gets no more than this instance's share of the load that it can take.
+//  5. No answer is given below the floor, and none is marked complete that is not.
+//  6. Extra attempts stay within their budget, and the attempts of each part within its limits.
 package policy
 
 // Effect says whether a part may run more than once.
@@ -61,10 +71,10 @@
 	Ordinal      int // number of this instance among them, from 0
 	Zone         int // index of this instance's own zone, -1 if unknown
 
-	MaxAttempts   int  // for each part, 0 for no limit
-	MaxOpen       int  // queries and parts held at once, 0 for no limit
-	Cancel        bool // attempts may be cancelled
-	Probes        bool
+	MaxAttempts   int     // for each part, 0 for no limit
+	MaxOpen       int     // queries and parts held at once, 0 for no limit
+	Cancel        bool    // attempts may be cancelled
+	Probes        bool    // health-check probes may be sent
 	SecondCopies  bool    // a part may have two attempts in flight at once
 	RetryAfter    bool    // refusals may name a retry delay
 	MaxRetryAfter float64 // the longest that they may name
@@ -74,12 +84,12 @@
 	MaxPartsPerCall      int     // number of parts that one call may carry
 	CallOverhead         float64 // work of a call in addition to that of its parts
 
-	AnswerSlack      float64 // tolerance of rule 1 for answers after a query's end
-	DrainGrace       float64 // tolerance of rule 3 for parts sent to a replica after it began to drain
+	AnswerSlack      float64 // tolerance of rule 1: time after a query's deadline
+	DrainGrace       float64 // tolerance of rule 3: time after a replica began to drain
 	ColdCapacity     float64 // share of its capacity that a replica has right after its start
 	WarmUp           float64 // time from a replica's start to its full capacity
-	OverloadMultiple float64 // multiple of its capacity at which a cold replica fails; 0: no rule 4
-	OverloadWindow   float64 // time window in which that load is counted
+	OverloadMultiple float64 // load at which a cold replica fails, over its capacity; 0: no limit
+	OverloadWindow   float64 // time for which it withstands that load
 
 	ExtraFree, ExtraPerRequest float64 // budget of extra attempts: a fixed number, and more per request
 	ExtraWindow                float64 // time window of that budget; 0 if no budget is configured
--- a/policy/count.go
+++ b/policy/count.go
@@ -1,6 +1,6 @@
 package policy
 
-// Part count: how many of a query's parts to send at first (DESIGN; FAST CLOUD sec. IV and V).
+// Part count: how many of a query's parts to send at first (DESIGN; FAST CLOUD, sections IV and V).
 
 import "math"
 
--- a/policy/guards.go
+++ b/policy/guards.go
@@ -1,6 +1,6 @@
 package policy
 
-// Protection of cold replicas, and admission of queries.
+// Guards: the protection of cold replicas, and the admission of queries.
 
 import "math"
 import "slices"
@@ -42,10 +42,11 @@
 // coldLimited reports whether a replica is cold and has been sent all that it may take by now. Credit accrues
 // from the replica's start, not from the time at which this instance learned of it, and it is backdated (see
 // listChanged): the credit of one overload window may be used at once, and so may the credit that would
-// accrue on average until a part of this instance goes there, less if few answers were seen. Without that
-// most of the allowance went unused. Each instance's credit starts at a different phase offset; otherwise all
-// instances would send their first part at the same time. At most one part is saved up, or two if a window
-// earns less than one: with so little traffic, an instance's parts arrive rarely and then two at a time.
+// accrue, on average, before this instance has a part to send there, less if few answers were seen. Without
+// this most of the allowance went unused. Each instance's credit starts at a different phase offset;
+// otherwise all instances would send their first part at the same time. The credit is capped at one part, or
+// at two if an overload window earns less than one part: with so little traffic, an instance's parts arrive
+// rarely, and then two at a time.
 func (p *Policy) coldLimited(r *replica) bool {
 	rate, cold := p.coldRate(r)
 	maxCredit := 1.0
@@ -57,10 +58,10 @@
 }
 
 // admissionRefusal returns why a query is refused on arrival, NoReason if it is admitted. By Little's law,
-// the parts in flight over the rate of answers is the time that a new part will take. If that leaves too
-// little of the promise the query is refused, earlier if its tenant is over its share. This is checked for
-// all replicas together and for the holders of each shard. It avoids queues that make every answer late, and
-// work on queries that cannot become complete.
+// the parts in flight divided by the rate of answers is the time that a new part will take. If that leaves
+// too little of the promise the query is refused, earlier if its tenant is over its share. This is checked
+// for all replicas together and for the holders of each shard. It avoids queues that make every answer late,
+// and work on queries that cannot become complete.
 func (p *Policy) admissionRefusal(q *query) Reason {
 	c := &p.cfg.Classes[q.class]
 	available := min(c.Promise, q.deadline-p.now) // a client may leave before the promise
@@ -92,7 +93,7 @@
 	// With many co-ordinators that have little traffic each, the parts that every one of them may always have
 	// in flight add up to more than the fleet can hold, and the fleet would spend its capacity on parts of
 	// queries that are given up. Recent latency shows the queues even if this instance has nothing in flight.
-	// It decays, and probes measure anew.
+	// It decays with time, and queries admitted as probes measure it again.
 	maxLatency := maxWait * overShare
 	if p.upCount < p.cfg.Coordinators {
 		// Less than one replica per co-ordinator: queues grow for all before any one of them sees it.
--- a/policy/health.go
+++ b/policy/health.go
@@ -84,8 +84,8 @@
 
 // excluded reports whether a replica is avoided for a class: it did not accept its last attempt, its record
 // for the class is bad, or that of another class is and this class had no good outcome since. Records are
-// kept per class because a replica may fail or never answer one class only: good answers of other classes
-// must not clear that, and the other classes must not be excluded for it.
+// kept per class because a replica may fail, or never answer, the parts of one class only: its good answers
+// for other classes do not clear the record of that class, and it stays in use for them.
 func (p *Policy) excluded(r *replica, class int) bool {
 	if r.unavailable && p.now < r.nextTrialAt {
 		return true
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// attemptEnded books the end of an attempt, and continues with its part and query accordingly.
+// attemptEnded records the outcome of an attempt, and answers its query or sends the part again as needed.
 func (p *Policy) attemptEnded(ev *Event) {
 	pt := p.parts[ev.Part]
 	if pt == nil || ev.Attempt < 0 || ev.Attempt >= len(pt.attempts) || pt.attempts[ev.Attempt].ended {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -22,11 +22,11 @@
 
 	// Time.
 	defaultPromise = 3600.0 // s: the shortest promise if settings name no class; longer than any real one
-	tickShare      = 0.01   // of the shortest promise: period of the check, so queries end within 1 % of it
+	tickShare      = 0.01   // of the shortest promise: period of checkOpenQueries, which rounds ends to 1 %
 	// deadlineMargin is how many ticks before their end queries are settled and the windows of keyed parts
 	// count as closed, because a turn may be delayed.
 	deadlineMargin = 2.0
-	stallTicks     = 4.0 // ticks without a turn from which this instance was stalled
+	stallTicks     = 4.0 // ticks without a turn: this instance was stalled
 
 	// Extra attempts.
 	backoffShare   = 0.1  // of the promise: first backoff of a part without a healthy holder, then doubled
@@ -46,7 +46,7 @@
 	defaultExtraWindow     = 4.0  // promises: window of that share
 
 	// Health.
-	queueingThreshold = 0.2  // of the promise: recent latency that shows queueing, as many parts are late
+	queueingThreshold = 0.2  // of the promise: recent latency from which queues have formed; many are late
 	faultWeight       = 0.25 // of the newest outcome: two faults in a row exceed the threshold
 	faultThreshold    = 0.3  // share of faults above which a replica is suspect
 	slownessWeight    = 0.25 // of the newest answer; high, because there are few answers under little traffic
@@ -54,11 +54,13 @@
 	minSlowness       = 0.1  // of the mean: a lower slowness has no further effect
 	// latencySampleWeight is the weight of the newest answer in averages over all replicas.
 	latencySampleWeight = 0.05
-	fewHolders          = 2    // holders of a shard: excluding one of so few doubles the load of the other
-	trialInterval       = 0.5  // promises between trials of a suspect replica
-	trialShare          = 0.1  // of the parts sent: may be trials
-	maxTrialCredit      = 2.0  // trials that may be saved up
-	crashWindow         = 24.0 // promises after a crash with scouts: queries that crash come seconds apart
+	fewHolders          = 2   // holders of a shard: excluding one of so few doubles the load of the other
+	trialInterval       = 0.5 // promises between trials of a suspect replica
+	trialShare          = 0.1 // of the parts sent: limit for trials
+	maxTrialCredit      = 2.0 // trials that may be saved up
+	// crashWindow is for how many promises after a replica went down all queries send a scout first: queries
+	// that crash replicas arrive seconds apart.
+	crashWindow = 24.0
 
 	// Cold replicas.
 
@@ -70,7 +72,7 @@
 
 	// Admission.
 	tenantWindow     = 3.0 // promises: window of a tenant's rate
-	tenantDeviations = 0.7 // roots of a tenant's fair count that it may exceed as random variation
+	tenantDeviations = 0.7 // square roots of a tenant's fair count: excess that is random variation
 	maxWaitShare     = 0.5 // of the promise: mean latency at which a query's last part is still in time
 	slowLatencyShare = 0.5 // of maxWaitShare: recent latency, in promises, that is taken to show queueing
 	// nearlyFullShare is the share of MaxOpen above which late queries end early, and queries of tenants over
@@ -78,11 +80,15 @@
 	nearlyFullShare = 0.9
 	// minInFlightShares times L parts may always be in flight: after a start or with little traffic the rate
 	// of answers is not known.
-	minInFlightShares  = 2.0
-	minReplicaInFlight = 8.0 // parts always allowed in flight at a replica, by all co-ordinators if alike
+	minInFlightShares = 2.0
+	// minReplicaInFlight is how many parts may always be in flight at one replica, from all co-ordinators
+	// together if these have equal traffic.
+	minReplicaInFlight = 8.0
 	rateWindow         = 2.0 // promises: window of one replica's rate of answers
-	maxProbeShare      = 0.1 // of the capacity of our share of the replicas: limit for probes (admitProbe)
-	probeWeight        = 0.5 // of all parts of a probe together in the recent latency
+	// maxProbeShare is the share of the capacity of this instance's share of the replicas that probes may use
+	// (see admitProbe).
+	maxProbeShare = 0.1
+	probeWeight   = 0.5 // of all parts of a probe together in the recent latency
 
 	// Answers.
 	weightTolerance = 1e-6 // of a whole: rounding error of a sum of weights
--- a/policy/state.go
+++ b/policy/state.go
@@ -83,7 +83,7 @@
 	cell      int
 	state     Readiness
 	started   float64
-	openCalls int
+	openCalls int        // calls to it with parts in flight
 	lastCall  *call      // the latest call to it
 	inFlight  []*attempt // its attempts in flight
 
