--- a/policy/health.go
+++ b/policy/health.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// resetHealth forgets all outcomes of a replica, as after its restart.
-func (p *Policy) resetHealth(r *replica) {
+// clear forgets all outcomes of a replica, as after its restart.
+func (p *Policy) clear(r *replica) {
 	r.suspect, r.unavailable = false, false
 	clear(r.records)
 }
--- a/policy/list.go
+++ b/policy/list.go
@@ -29,7 +29,7 @@
 		if e.State != Removed {
 			r.cell = e.Cell
 			if e.Started > r.started {
-				p.resetHealth(r)
+				p.clear(r)
 				r.slowness = 1
 				span, n := coldHistory*p.cfg.OverloadWindow,
 					float64(p.answers.count(p.now-coldHistory*p.cfg.OverloadWindow))
