--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -35,7 +35,7 @@
 // Guards against the collapse of a fleet of many co-ordinators with little traffic each: with nothing of its own out,
 // one still knows from its latest parts that the queues are long, refuses the queries that would wait in vain, and
 // goes and sees again after a while without news.
-func TestLongQueuesRefuseWithNothingOut(t *testing.T) {
+func TestAdmissionRefusesForRecentLatencyWithNothingInFlight(t *testing.T) {
 	crowd := map[string]func(r *rig){
 		"slow answers": func(r *rig) {
 			for range 4 {
@@ -122,7 +122,7 @@
 
 // Guards against an admission that stays shut: one that refuses for what its latest parts took is open again once the parts
 // that it lets in come back swiftly, however few these are.
-func TestRefusalsForOldLatenciesEndOnceAnswersAreSwift(t *testing.T) {
+func TestAdmissionReopensOnceAnswersAreFast(t *testing.T) {
 	const swift, slow, every = 0.08, 0.9, 0.2 // s, of a promise of 1 s
 	r := newRig(t, settings(Safe))
 	r.shutByLatency(swift, slow)
@@ -139,7 +139,7 @@
 
 // Guards against seconds in which nothing is served though the queues have gone: one that refuses for latencies and has
 // nothing out goes and sees within the promise, and by two promises refuses no more.
-func TestOneWithNothingOutGoesAndSees(t *testing.T) {
+func TestIdleInstanceAdmitsAProbeQueryWithinThePromise(t *testing.T) {
 	const swift, slow, every = 0.08, 0.9, 0.1 // s, of a promise of 1 s
 	r := newRig(t, settings(Safe))
 	r.shutByLatency(swift, slow)
@@ -153,7 +153,7 @@
 }
 
 // Guards against many co-ordinators with few replicas that fill these by going to see: all together use no more than their share.
-func TestManyThatGoAndSeeUseAShareOfTheReplicas(t *testing.T) {
+func TestProbeQueriesUseAtMostTheirShareOfTheReplicas(t *testing.T) {
 	const swift, slow, span = 0.08, 0.9, 4.0
 	cfg := settings(Safe)
 	cfg.Coordinators = 100 // of four replicas
--- a/policy/answers_test.go
+++ b/policy/answers_test.go
@@ -55,7 +55,7 @@
 }
 
 // Weights travel with six decimals. Their slips add up over many parts; what is asked is the whole all the same.
-func TestRoundedWeightsMakeAWhole(t *testing.T) {
+func TestRoundedWeightsMakeAWholeAnswer(t *testing.T) {
 	for _, n := range []int{3, 7, 12, 59, 140, 200} {
 		cfg := settings(Safe)
 		cfg.Shards = n
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSecondStepWholeOnlyWithAll(t *testing.T) {
+func TestSecondStepIsWholeOnlyWithAllParts(t *testing.T) {
 	for _, firstWhole := range []bool{true, false} {
 		cfg := settings(Safe)
 		cfg.Classes[0].FollowUp, cfg.Classes[0].Floor, cfg.Classes[0].Need = 2, 0.5, 1
@@ -132,7 +132,7 @@
 }
 
 // A spare part of the first step that is answered during the second is no part of the second.
-func TestAnswerOfAnEndedStepCountsNoMore(t *testing.T) {
+func TestAnswerOfAnEndedStepIsNotCounted(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes[0].FollowUp, cfg.Classes[0].Need, cfg.Classes[0].Floor = 2, 0.5, 0.5
 	r := newRig(t, cfg)
@@ -156,7 +156,7 @@
 }
 
 // Found by random events: an unsafe query between its two steps has no parts, yet its first step ran.
-func TestUnsafeBetweenStepsIsNotRefused(t *testing.T) {
+func TestUnsafeQueryBetweenStepsFailsInsteadOfRefusal(t *testing.T) {
 	cfg := settings(Unsafe)
 	cfg.Classes[0].FollowUp = 1
 	r := newRig(t, cfg)
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestAnswerUnderFloorIsNotGiven(t *testing.T) {
+func TestAnswerBelowFloorIsNotEmitted(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes[0].Need, cfg.Classes[0].Floor = 1, 0.75
 	r := newRig(t, cfg)
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestFinalIsSaidOnce(t *testing.T) {
+func TestFinalActionIsEmittedOnce(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	q, _, _ := r.ask(1, 3)
 	held := r.p.queries[q]
--- a/policy/cold_sum_test.go
+++ b/policy/cold_sum_test.go
@@ -142,7 +142,7 @@
 // have been told of the start: told at different times, a part of them begun anew with no history, under even and thin
 // traffic, under a burst on top of credits that were saved up, and with half of the traffic at a fifth of them. A window over
 // the bound is one in which those that had not been told yet sent a third or more.
-func TestManyStayWithinTheBoundOfAColdReplica(t *testing.T) {
+func TestManyCoordinatorsStayWithinTheColdBound(t *testing.T) {
 	instances, seeds := []int{20, 30}, uint64(12)
 	if testing.Short() {
 		instances, seeds = []int{30}, 3
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestColdReplicaGetsATrickle(t *testing.T) {
+func TestColdReplicaGetsLimitedTraffic(t *testing.T) {
 	start := 100 + 400*0.02 - 0.01
 	fresh := Entry{Replica: 1, Size: 1, Started: start}
 	for name, list := range map[string]Event{
@@ -26,7 +26,7 @@
 
 // Many co-ordinators are told of a new start at the same moment, and each has parts for it: what all of them
 // send together stays under the rule's limit in every window. One that had each send its first part at once fails.
-func TestManyCoordinatorsDoNotTipAColdReplica(t *testing.T) {
+func TestManyCoordinatorsDoNotOverloadAColdReplica(t *testing.T) {
 	const peers = 40
 	most := 0
 	for round := range 5 {
@@ -75,7 +75,7 @@
 // What all peers together may send a cold replica in the rule's window stays under the limit by 1.5 roots of its mean,
 // however many they are, and their shares come evenly spread: between any two moments they have as much credit
 // together as one would that had it all, give or take one part.
-func TestColdShareLeavesRoomForChance(t *testing.T) {
+func TestColdShareLeavesMarginForRandomVariation(t *testing.T) {
 	for _, peers := range []int{2, 30, 90} {
 		var due []float64 // when each peer's first part may go
 		for ordinal := range peers {
@@ -104,7 +104,7 @@
 // Credit counts from a replica's start, however late the news of it, with a window's worth at once, and as much more as is
 // held on the mean until an own part comes there, less where few were seen. One part of it is all that is kept, two where a
 // window earns less than one.
-func TestColdCreditCountsFromTheStart(t *testing.T) {
+func TestColdCreditAccruesFromTheReplicaStart(t *testing.T) {
 	for _, c := range []struct {
 		peers            int
 		late, most, back float64 // s; back: by the answers seen
@@ -129,7 +129,7 @@
 
 // Guards against cold replicas that are hardly used: with many co-ordinators those who hold credit wait long for a part of
 // their own. At its start so many hold some that, at the rate of own parts, they use what the rule's mean allows.
-func TestColdCreditIsUsedByMany(t *testing.T) {
+func TestColdCreditIsUsedWithManyCoordinators(t *testing.T) {
 	const peers, seen, span, up = 300, 100, 5.0, 100
 	holders, allowed := 0, 0.0
 	for ordinal := range peers {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	trace := func() (s string) {
 		w := newWorld(5, nil)
 		w.alter = func(a Action) Action { s += fmt.Sprintln(w.now, a); return a }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAllHoldersSuspectAreStillUsed(t *testing.T) {
+func TestSuspectHoldersAreUsedWhenAllAreSuspect(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	for _, x := range r.p.list {
 		x.suspect, x.records[0].suspect = true, true
@@ -51,7 +51,7 @@
 }
 
 // All holders refuse connections: tries are spaced, and new queries refused at once but for trials.
-func TestNoReachableHolder(t *testing.T) {
+func TestUnreachableHoldersSpaceAttemptsAndRefuseQueries(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	sends, refused := 0, 0
 	for range 100 {
@@ -73,7 +73,7 @@
 
 // This instance stood still for two promises: what came back meanwhile says nothing of the replicas, what
 // is still out is not late yet, and new queries are not refused for the answers that were not seen.
-func TestOwnStandstill(t *testing.T) {
+func TestOwnStallIsNotTakenForLatency(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	for range 200 {
 		_, _, acts := r.ask(1, 3)
@@ -113,7 +113,7 @@
 // Kinds of symptom at the later sizes.
 
 // A replica that fails one class and serves the other is left out for the one and used for the other.
-func TestOneClassFailsAndTheOtherIsServed(t *testing.T) {
+func TestReplicaIsLeftOutOnlyForTheClassThatFails(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
 	r := newRig(t, cfg)
@@ -142,7 +142,7 @@
 
 // The longer nothing was heard, the more one outcome says: a single failure after a long silence is enough,
 // amid many answers it is not.
-func TestOneFailureCountsByTheTimeSinceTheLast(t *testing.T) {
+func TestFailureWeighsMoreAfterALongSilence(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
 		r := newRig(t, settings(Safe))
 		for range 20 {
@@ -160,7 +160,7 @@
 }
 
 // With many suspects and little traffic, trials by the clock alone would be most of what is sent.
-func TestTrialsAreAShareOfTheParts(t *testing.T) {
+func TestTrialsAreLimitedToAShareOfTheParts(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Cells, cfg.Shards = 40, 40
 	r := newRig(t, cfg)
@@ -197,7 +197,7 @@
 // Guards against thin traffic, in which nearly all choices are ties: with nothing out, a holder whose answers take twice
 // as long gets few parts of a shard with more than two holders, and its share again once that was long ago. With two
 // holders ties stay even, and fewest parts out goes before any pace.
-func TestTiesGoToTheSwifterAmongMoreThanTwoHolders(t *testing.T) {
+func TestTiesPreferTheFasterOfMoreThanTwoHolders(t *testing.T) {
 	for _, c := range []struct {
 		holders int
 		wait    float64
@@ -249,7 +249,7 @@
 
 // With two holders, a late part alone does not leave out the last sound one; a lost one does, and so does a late
 // one while the other holder is sound.
-func TestLastSoundOfTwoHoldersIsNotLeftOutForLateness(t *testing.T) {
+func TestLatenessDoesNotExcludeTheLastHealthyOfTwoHolders(t *testing.T) {
 	for _, otherSound := range []bool{true, false} {
 		r := newRig(t, settings(Safe))
 		r.do(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 1}, {Replica: 2}}})
@@ -272,7 +272,7 @@
 }
 
 // A trial of a suspect is copied sooner than an ordinary part, but not where the copy can go to one holder alone.
-func TestTrialIsCopiedSoonerAmongMoreThanTwoHolders(t *testing.T) {
+func TestTrialIsCopiedSoonerWithMoreThanTwoHolders(t *testing.T) {
 	for _, holders := range []uint64{2, 4} {
 		r := newRig(t, settings(Safe))
 		var list []Entry
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -29,7 +29,7 @@
 	return q, parts, r.do(events...)
 }
 
-func TestRouteBoundsTheTime(t *testing.T) {
+func TestRouteLimitsQueryTime(t *testing.T) {
 	for name, lim := range map[string]Limits{"whole": {Timeout: 0.3}, "step": {StepTimeout: 0.3}} {
 		r := routed(t, Safe, lim, nil)
 		began := r.now
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestRouteBoundsAttemptsAndTheirTime(t *testing.T) {
+func TestRouteLimitsAttemptsAndAttemptTime(t *testing.T) {
 	r := routed(t, Safe, Limits{MaxAttempts: 2, AttemptTimeout: 0.2}, nil)
 	_, parts, acts := r.askRouted(1, 4)
 	if s := of(Send, acts); len(s) != 1 || s[0].AttemptTimeout != 0.2 {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRouteBoundsCopies(t *testing.T) {
+func TestRouteLimitsSecondCopies(t *testing.T) {
 	for name, c := range map[string]struct {
 		lim  Limits
 		want int
@@ -87,7 +87,7 @@
 }
 
 // Queues turn those away first that are to yield: what the others may still wait for is too long for them.
-func TestQueuesTurnAwaySoonerWhoYields(t *testing.T) {
+func TestYieldingRouteIsRefusedSooner(t *testing.T) {
 	for by, want := range map[float64]Verb{0: Send, 1: Send, 4: Refuse} {
 		r := routed(t, Safe, Limits{PromiseDivisor: by}, nil)
 		for range 4 { // the latest parts took a tenth of the promise
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestRouteRaisesTheFloorButNotOverTheNeed(t *testing.T) {
+func TestRouteRaisesTheFloorUpToTheNeed(t *testing.T) {
 	change := func(c *Config) { c.Classes[0].Need, c.Classes[0].Floor = 0.75, 0.25 }
 	for floor, want := range map[float64]Verb{0: Answer, 0.5: Answer, 0.7: Refuse, 1: Refuse} {
 		r := routed(t, Safe, Limits{Floor: floor}, change)
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestRouteTakesItsShareOfTheBudgetOnly(t *testing.T) {
+func TestRouteUsesOnlyItsShareOfTheBudget(t *testing.T) {
 	r := routed(t, Safe, Limits{BudgetShare: 0.25}, func(c *Config) { c.ExtraFree, c.ExtraWindow = 8, 10 })
 	again := 0
 	for range 8 {
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestRouteBoundsTheTimeToComeBack(t *testing.T) {
+func TestRouteLimitsTheRetryTimeOfARefusal(t *testing.T) {
 	r := routed(t, Safe, Limits{MaxRetryAfter: 0.05}, nil)
 	r.do(Event{Kind: ListChanged, Full: true})
 	_, _, acts := r.askRouted(1, 4)
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNothingToDraining(t *testing.T) {
+func TestNothingIsSentToDrainingOrRemovedReplicas(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	_, parts, acts := r.ask(1, 3)
 	first := of(Send, acts)[0].Replica
@@ -26,7 +26,7 @@
 }
 
 // A replica left out of a whole list is gone.
-func TestNothingToOneMissingFromSnapshot(t *testing.T) {
+func TestNothingIsSentToAReplicaMissingFromAFullList(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	r.do(Event{Kind: ListChanged, Full: true, List: []Entry{{Replica: 2, Size: 1}}})
 	for range 8 {
@@ -41,7 +41,7 @@
 
 // Decisions on a part look at its holders alone: ten times as many replicas, as many times the co-ordinators,
 // and the actions are the same.
-func TestActionsDoNotChangeWithTheFleet(t *testing.T) {
+func TestActionsDoNotDependOnTheFleetSize(t *testing.T) {
 	trace := func(times int) (s string) {
 		cfg := settings(Safe)
 		cfg.Cells, cfg.Coordinators, cfg.Classes[0].Need, cfg.Classes[0].Floor = 2*times, 8*times, 0.75, 0.75
@@ -77,7 +77,7 @@
 }
 
 // Entries that come twice, or late with an older start, neither end the time of the cold guard nor double a holder.
-func TestListEntriesRepeatedOrOld(t *testing.T) {
+func TestRepeatedOrOldListEntriesAreHarmless(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	fresh, old := Entry{Replica: 1, Started: r.now - 0.1}, Entry{Replica: 1, Started: r.now - 50}
 	r.do(Event{Kind: ListChanged, List: []Entry{fresh, fresh, old, {Replica: 2}, {Replica: 2}, {Replica: 9, State: Removed}}})
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -184,7 +184,7 @@
 	return limit, (math.Sqrt(coldDeviations*coldDeviations+4*limit) - coldDeviations) / 2
 }
 
-func TestManySendLittleToAStartingReplica(t *testing.T) {
+func TestManyCoordinatorsRespectTheColdLimit(t *testing.T) {
 	const seeds = 6
 	for _, n := range among {
 		for _, again := range []float64{0, 1, 3} { // s after its start seven in ten start anew, who know of nothing sent
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestManyTrySuspectsAndCopyWithinTheTraffic(t *testing.T) {
+func TestManyCoordinatorsLimitTrialsAndCopies(t *testing.T) {
 	faults := 1 // received a row that show, from no outcome before
 	for math.Pow(1-faultWeight, float64(faults)) >= 1-faultThreshold {
 		faults++
@@ -295,7 +295,7 @@
 	}
 }
 
-func TestManyAskForTheListAtTheirPace(t *testing.T) {
+func TestManyCoordinatorsSpaceTheirListCalls(t *testing.T) {
 	for _, n := range among {
 		for _, again := range []bool{false, true} {
 			c := newCrowd(n, 1, crowdReplicas, 2)
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -7,7 +7,7 @@
 
 // With m=1, Δ=1, 1/μ=1 and L=6: C1 = 6/2 = 3 and C2 = 6/3 = 2; the second part saves 1 - 1/2 = 0.5.
 // b1 = 2/(2·3) = 1/3, b2 = 3/(4·2) = 3/8, so λ² (0.5+1/24) - λ(2.5+9/8-2/3) + 3 = 0.
-func TestThresholdByHand(t *testing.T) {
+func TestThresholdMatchesHandCalculation(t *testing.T) {
 	md := model{delta: 1, spread: 1}
 	a, b, c := 0.5+1.0/24, 2.5+9.0/8-2.0/3, 3.0
 	root := (b - math.Sqrt(b*b-4*a*c)) / (2 * a)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestThresholdFallsWithS(t *testing.T) {
+func TestThresholdDecreasesWithPartCount(t *testing.T) {
 	md := model{delta: 0.1, spread: 0.05}
 	last := math.Inf(1)
 	for s := 5; s < 10; s++ {
@@ -46,7 +46,7 @@
 	return newRig(&testing.T{}, cfg).p
 }
 
-func TestStartValues(t *testing.T) {
+func TestInitialEstimates(t *testing.T) {
 	md := modelPolicy(1).models[0] // minPromise 1 s
 	if md.mean != 0.2 || md.spread != 0.1 || md.delta != 0.1 {
 		t.Fatalf("mean %v, 1/μ %v, Δ %v; want a fifth of the promise, half of that, the difference", md.mean, md.spread, md.delta)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestAllPartsClassHasNoChoice(t *testing.T) {
+func TestPartCountIsFixedWhenAllPartsAreNeeded(t *testing.T) {
 	p := modelPolicy(1)
 	for _, n := range []int{0, 10, 1000} {
 		p.inFlight = n
@@ -84,7 +84,7 @@
 }
 
 // L is the servers over the co-ordinators, but never under m.
-func TestShare(t *testing.T) {
+func TestShareIsServersPerCoordinator(t *testing.T) {
 	p := modelPolicy(1)
 	if l := p.serverShare(1); l != 4 {
 		t.Fatalf("four servers, one co-ordinator: L = %v", l)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestLearnCutsTheWorstThousandth(t *testing.T) {
+func TestEstimatesDropTheSlowestThousandth(t *testing.T) {
 	p := modelPolicy(1)
 	p.now = 200
 	for i := range 2000 {
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestLearnKeepsEstimatesWithoutSamples(t *testing.T) {
+func TestEstimatesStayWithoutRecentSamples(t *testing.T) {
 	p := modelPolicy(1)
 	before := p.models[0].mean
 	p.now = 500
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestReplicaRule(t *testing.T) {
+func TestReplicaWithFewestCallsIsChosen(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.MaxPartsPerCall = 8
 	r := newRig(t, cfg)
@@ -186,7 +186,7 @@
 }
 
 // The list has to be asked for at some sites: at once, and again a while after a call failed.
-func TestListIsAskedFor(t *testing.T) {
+func TestListIsRequestedAtStartAndAfterAFailure(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.MustSubscribe = true
 	r := &rig{t: t, p: New(cfg), now: 100}
@@ -206,7 +206,7 @@
 
 // Guards against classes whose least promise is longer than an instance may go without asking: what it was not told counts
 // as told by then.
-func TestListIsAskedForWithinItsSetting(t *testing.T) {
+func TestListRequestIsRepeatedWithinTheConfiguredTime(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes[0].Promise, cfg.Classes[0].GiveUp, cfg.MustSubscribe, cfg.MaxSubscribeDelay = 10, 40, true, 2
 	r := &rig{t: t, p: New(cfg), now: 100}
@@ -221,7 +221,7 @@
 }
 
 // One answer in twenty takes twenty times as long: that is no reason to wait so long for each.
-func TestStallsDoNotHideThemselves(t *testing.T) {
+func TestRareStallsDoNotRaiseTheLatenessThreshold(t *testing.T) {
 	p := modelPolicy(1)
 	p.now = 300
 	for i := range 200 {
--- a/policy/sending_test.go
+++ b/policy/sending_test.go
@@ -42,7 +42,7 @@
 }
 
 // The window starts at the first attempt that may have run, not at one that is proved never to have.
-func TestKeyedWindow(t *testing.T) {
+func TestKeyedPartIsResentOnlyWithinItsWindow(t *testing.T) {
 	r := newRig(t, settings(Keyed))
 	_, parts, acts := r.ask(1, 10)
 	r.now += 0.5
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAttemptsCap(t *testing.T) {
+func TestAttemptsAreCapped(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.MaxAttempts = 3
 	r := newRig(t, cfg)
@@ -134,7 +134,7 @@
 
 // Guards of symptoms.
 
-func TestLostAnswerIsAskedElsewhere(t *testing.T) {
+func TestPartWithoutAnswerIsSentElsewhere(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	_, _, acts := r.ask(1, 3.9)
 	first := of(Send, acts)[0].Replica
@@ -145,7 +145,7 @@
 }
 
 // With less than the needed share out in good time a held-back part goes before any second copy.
-func TestHeldBackPartGoesBeforeARepeat(t *testing.T) {
+func TestHeldBackPartIsSentBeforeARepeat(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes[0].Need, cfg.Classes[0].Floor = 0.5, 0.5
 	r := newRig(t, cfg)
@@ -164,7 +164,7 @@
 }
 
 // The whole fleet answers three times slower from one moment on: that is no reason to copy every part.
-func TestFleetSlowingDownIsNotCopied(t *testing.T) {
+func TestFleetWideSlowdownCausesFewCopies(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	type out struct {
 		Action
@@ -215,7 +215,7 @@
 }
 
 // A part whose hint says six times the usual work is not late for taking six times as long.
-func TestCostlyPartIsGivenItsTime(t *testing.T) {
+func TestCostlyPartIsNotCopiedTooSoon(t *testing.T) {
 	copies := func(work float64) int {
 		r := newRig(t, settings(Safe))
 		part := func(work float64) (Event, Event) {
@@ -243,7 +243,7 @@
 
 // The choke points themselves, each asked for what its callers would not ask.
 
-func TestSendKeepsItsRules(t *testing.T) {
+func TestSendEnforcesItsRules(t *testing.T) {
 	for name, breach := range map[string]func(r *rig, pt *part, x *replica){
 		"gone":     func(r *rig, pt *part, x *replica) { pt.closed = true },
 		"in":       func(r *rig, pt *part, x *replica) { pt.received = true },
@@ -286,7 +286,7 @@
 }
 
 // A lost answer is asked elsewhere also when late parts have used up the copies' share.
-func TestLostIsNotBoundByTheCopies(t *testing.T) {
+func TestLostPartIsNotLimitedByTheCopyShare(t *testing.T) {
 	r := newRig(t, settings(Safe))
 	r.ask(1, 3.9)
 	for range 1000 {
@@ -298,7 +298,7 @@
 }
 
 // With every holder failing at once a part's attempts are spread out, not used up within milliseconds.
-func TestTriesAreSpaced(t *testing.T) {
+func TestAttemptsAreSpacedWhenEveryHolderFails(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.MaxAttempts = 9
 	r := newRig(t, cfg)
@@ -320,7 +320,7 @@
 
 // A query that brings down each replica that begins a part of it is not sent over all the holders; one whose
 // replica went down by chance is, as soon as another part of it has come in.
-func TestQueryThatBreaksReplicasIsNotResent(t *testing.T) {
+func TestQueryThatCrashesReplicasIsNotResent(t *testing.T) {
 	for _, poison := range []bool{true, false} {
 		r := newRig(t, settings(Safe))
 		q, _, acts := r.ask(2, 3.9)
@@ -348,7 +348,7 @@
 }
 
 // What a client asks again sends one part ahead; the rest goes when that is in or late, and none if it broke.
-func TestRetrySendsAScout(t *testing.T) {
+func TestClientRetrySendsOnePartFirst(t *testing.T) {
 	for _, how := range []string{"in", "late", "broken"} {
 		r := newRig(t, settings(Safe))
 		ev := []Event{{Kind: QueryArrived, Query: 500, Group: 500, Tenant: -1, Deadline: r.now + 3, Count: 3, Retry: true}}
@@ -378,7 +378,7 @@
 // Guards against queries that bring down a replica for each part they send: after the list told of a death without a
 // drain a query sends one part ahead, the rest once that has had the time to begin, and it is failed if that broke a
 // replica. Without it one such query takes as many replicas as it has parts. A release, which drains, changes nothing.
-func TestAfterADeathQueriesSendAScout(t *testing.T) {
+func TestQueriesSendOnePartFirstAfterAReplicaCrash(t *testing.T) {
 	died := func(r *rig) []Event {
 		return []Event{{Kind: ListChanged, List: []Entry{{Replica: 1, State: Removed}}}}
 	}
@@ -425,7 +425,7 @@
 // Guards against silent replicas where one attempt at a time is the rule: a safe part that is taken for lost is taken
 // back and goes to another holder once its end is told, never before. One that may not be repeated stays where it is,
 // and nothing moves where nothing can be cancelled or no sound holder is left.
-func TestSilentPartIsMovedWhereCopiesAreForbidden(t *testing.T) {
+func TestSilentPartIsMovedWhereCopiesAreDisabled(t *testing.T) {
 	for name, c := range map[string]struct {
 		set   func(*Config)
 		moves bool
@@ -468,7 +468,7 @@
 // Guards against queues of parts that nobody needs in time any more: while latencies show queues a safe part is sent with
 // what is left of its query's promise as its time. Without queues, for other classes it has
 // as long as its client waits, and a route's own time holds where it is shorter.
-func TestAttemptsEndWithThePromiseWhileQueuesShow(t *testing.T) {
+func TestAttemptTimeEndsWithThePromiseWhileQueuesShow(t *testing.T) {
 	for name, c := range map[string]struct {
 		stress float64
 		set    func(*Config)
