--- a/internal/fleet/fleetsim/pinned/canon.go
+++ b/internal/fleet/fleetsim/pinned/canon.go
@@ -40,7 +40,7 @@
 var fields = map[string]counts{
 	"sessionowner.Owner.options": none, "sessionowner.Owner.now": none, "sessionowner.Owner.out": none, "sessionowner.Owner.limits": none, "sessionowner.Owner.timers": none,
 	"sessionowner.Owner.arrivals": none, "sessionowner.Owner.freeSessions": none, "sessionowner.Owner.freeQueries": none, "sessionowner.Owner.stats": none,
-	"sessionowner.Owner.evidence": none, "sessionowner.Owner.index": rank, "sessionowner.Owner.slotList": name, "sessionowner.Owner.phaseCounts": none,
+	"sessionowner.Owner.invariants": none, "sessionowner.Owner.index": rank, "sessionowner.Owner.slotList": name, "sessionowner.Owner.phaseCounts": none,
 	"sessionowner.query.arrival": rank, "sessionowner.query.heapIndex": sign, "sessionowner.query.session": name, "sessionowner.query.prev": name, "sessionowner.query.next": name,
 	"sessionowner.query.startedAt": none, "sessionowner.queryList.head": name, "sessionowner.queryList.tail": name, "sessionowner.sessionList.head": name, "sessionowner.sessionList.tail": name,
 	"sessionowner.sessionEntry.lastUsed": none, "sessionowner.sessionEntry.prev": name, "sessionowner.sessionEntry.next": name, "sessionowner.sessionEntry.blockedAt": name, "sessionowner.sessionEntry.prevSlot": name,
--- a/internal/fleet/sessionowner/bench_test.go
+++ b/internal/fleet/sessionowner/bench_test.go
@@ -9,8 +9,8 @@
 	"birchcart/internal/fleet/session"
 )
 
-// pinnedMany is an owner with that many idle sessions, and their ids.
-func pinnedMany(t tb, n int) (*rig, []session.ID) {
+// newRigWithIdleSessions is an owner with that many idle sessions, and their ids.
+func newRigWithIdleSessions(t tb, n int) (*rig, []session.ID) {
 	r := newRig(t, Options{MaxSessions: 2*n + 10})
 	ids := make([]session.ID, n)
 	a := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour}
@@ -18,18 +18,18 @@
 	for i := range ids {
 		binary.BigEndian.PutUint32(ids[i][:], uint32(i))
 		a.Token, a.Session, a.Client = uint64(i+1), ids[i], uint64(i)
-		r.k.Step(r.now, []Input{&a})
+		r.owner.Step(r.now, []Input{&a})
 		acts = append(acts, session.Act{Kind: session.Claim, ID: ids[i]})
 		if len(acts) == 1000 || i == n-1 {
-			r.by("a", acts...)
+			r.applyActs("a", acts...)
 			acts = acts[:0]
-			r.k.Step(r.now, []Input{r.applied()})
-			for token := a.Token; token > 0 && r.k.queries[token] != nil; token-- {
-				r.k.Step(r.now, []Input{QueryEnded{Token: token, Responded: true}})
+			r.owner.Step(r.now, []Input{r.applied()})
+			for token := a.Token; token > 0 && r.owner.queries[token] != nil; token-- {
+				r.owner.Step(r.now, []Input{QueryEnded{Token: token, Responded: true}})
 			}
 		}
 	}
-	if s := r.k.Stats(); s.Sessions != n || s.Open+s.Waiting > 0 {
+	if s := r.owner.Stats(); s.Sessions != n || s.Open+s.Waiting > 0 {
 		t.Fatalf("%+v", s)
 	}
 	return r, ids
@@ -37,41 +37,41 @@
 
 // One pinned query at an owner with 100,000 sessions: arrived, run, allowed, ended.
 func BenchmarkQuery(b *testing.B) {
-	r, ids := pinnedMany(b, 100_000)
+	r, ids := newRigWithIdleSessions(b, 100_000)
 	q := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour, Replicas: []string{"r1", "r2"}}
 	in := make([]Input, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		q.Token, q.Session = uint64(i)+1<<32, ids[i*7919%len(ids)]
 		in[0] = &q
-		out := r.k.Step(r.now, in)
-		if len(out) != 1 || !r.k.MayAnswer(r.now, q.Token) {
+		out := r.owner.Step(r.now, in)
+		if len(out) != 1 || !r.owner.MayAnswer(r.now, q.Token) {
 			b.Fatal(out)
 		}
 		in[0] = QueryEnded{Token: q.Token, Outcome: Done}
-		r.k.Step(r.now, in)
+		r.owner.Step(r.now, in)
 	}
 }
 
 // A Step upon events of the agreed state, while 1,000 of 100,000 sessions are claimed.
 func BenchmarkApplied(b *testing.B) {
-	r, _ := pinnedMany(b, 100_000)
+	r, _ := newRigWithIdleSessions(b, 100_000)
 	for i := range 1000 {
-		q := r.q(uint64(i)+1<<32, Idempotent)
+		q := r.newQuery(uint64(i)+1<<32, Idempotent)
 		q.Session, q.Deadline = id(i), r.now+time.Hour
-		r.k.Step(r.now, []Input{&q})
+		r.owner.Step(r.now, []Input{&q})
 	}
 	for b.Loop() {
-		r.k.Step(r.now, []Input{r.applied()})
+		r.owner.Step(r.now, []Input{r.applied()})
 	}
 }
 
 // A query costs two allocations at most, and an idle session under 400 bytes.
-func TestCost(t *testing.T) {
+func TestAllocationsAndMemoryPerSession(t *testing.T) {
 	if testing.Short() {
 		t.Skip("100,000 sessions")
 	}
-	r, ids := pinnedMany(t, 100_000)
+	r, ids := newRigWithIdleSessions(t, 100_000)
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -85,13 +85,13 @@
 	allocations := testing.AllocsPerRun(1000, func() {
 		q.Token, q.Session = q.Token+1, ids[q.Token%1000]
 		in[0] = &q
-		r.k.Step(r.now, in[:])
-		r.k.MayAnswer(r.now, q.Token)
+		r.owner.Step(r.now, in[:])
+		r.owner.MayAnswer(r.now, q.Token)
 		e = QueryEnded{Token: q.Token, Outcome: Done}
 		in[0] = &e
-		r.k.Step(r.now, in[:])
+		r.owner.Step(r.now, in[:])
 	})
-	r.k = nil
+	r.owner = nil
 	each := int(with-heap()) / len(ids)
 	t.Logf("%v allocations a query, %d bytes a session", allocations, each)
 	if allocations > 2 || each >= 400 {
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -9,16 +9,16 @@
 )
 
 // evidence is kept at the places where something goes out, from the plain facts and not from what was decided upon.
-type evidence struct{ wrong error }
+type invariantChecks struct{ violation error }
 
-func (e *evidence) fail(format string, a ...any) {
-	if e.wrong == nil {
-		e.wrong = fmt.Errorf(format, a...)
+func (e *invariantChecks) fail(format string, a ...any) {
+	if e.violation == nil {
+		e.violation = fmt.Errorf(format, a...)
 	}
 }
 
 // began looks at a query that begins.
-func (e *evidence) began(k *Owner, q *query) {
+func (e *invariantChecks) checkStart(k *Owner, q *query) {
 	s := q.session
 	if k.now >= k.leaseUntil {
 		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), k.now, k.leaseUntil)
@@ -54,7 +54,7 @@
 }
 
 // answered looks at a served answer that is allowed.
-func (e *evidence) answered(k *Owner, now time.Duration, q *query) {
+func (e *invariantChecks) checkAnswer(k *Owner, now time.Duration, q *query) {
 	if q.responded {
 		e.fail("S4: query %d has its response and is answered", q.token)
 	}
@@ -67,14 +67,14 @@
 }
 
 // responded looks at a Reject, Cancel or Fail of a query that was known.
-func (e *evidence) responded(q *query) {
+func (e *invariantChecks) checkResponse(q *query) {
 	if q.responded || q.answerAllowed {
 		e.fail("S4: query %d gets a second response", q.token)
 	}
 }
 
-// retryAllowed looks at one that ran and whose client is asked to retry.
-func (e *evidence) retryAllowed(k *Owner, q *query, after time.Duration, end Outcome) {
+// checkRetry looks at one that ran and whose client is asked to retry.
+func (e *invariantChecks) checkRetry(k *Owner, q *query, after time.Duration, end Outcome) {
 	switch {
 	case end == NotRun || q.effect == Idempotent:
 	case q.effect == NonIdempotent:
@@ -84,8 +84,8 @@
 	}
 }
 
-// handedOver looks at a session that is to be handed.
-func (e *evidence) handedOver(s *sessionEntry) {
+// checkHandOver looks at a session that is to be handed.
+func (e *invariantChecks) checkHandOver(s *sessionEntry) {
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if !q.detached {
 			e.fail("S3: session %v is handed while query %d is open", session.ID(s.id), q.token)
@@ -98,8 +98,8 @@
 // one that is not safe alone, none while it is not pinned, and nothing is open when it is handed; S4 each query gets one response, one that waits
 // within its share, none begins behind its time; S5 only what is harmless is asked to retry. And what is bounded is within its bound.
 func (o *Owner) Check() error {
-	if o.evidence.wrong != nil {
-		return o.evidence.wrong
+	if o.invariants.violation != nil {
+		return o.invariants.violation
 	}
 	if len(o.timers) > 0 && o.timers[0].timerAt < o.now {
 		return fmt.Errorf("S4: query %d was due at %v, now %v", o.timers[0].token, o.timers[0].timerAt, o.now)
--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -9,9 +9,9 @@
 
 // What a session remembers of its queries that must not run twice, here and across a move.
 
-// windowSlack is the part of a keyed query's window, one of so many, that is left out for clocks: 1 % for each of the two
+// windowSlackDivisor is the part of a keyed query's window, one of so many, that is left out for clocks: 1 % for each of the two
 // that it may be measured by. Twice the part: nothing is gained; half: a clock that is 1 % slow lets a repeat act again.
-const windowSlack = 50
+const windowSlackDivisor = 50
 
 // alreadyRan says that a query of that id, which may run until due, must not begin: it ran here or at an owner before, or may have, and one of both is
 // unsafe, or both are keyed and the repeat could act again.
@@ -38,7 +38,7 @@
 		e.How = completed.Served
 	}
 	if q.effect == Keyed {
-		e = e.Keys(q.startedAt + q.window - q.window/windowSlack)
+		e = e.Keys(q.startedAt + q.window - q.window/windowSlackDivisor)
 	}
 	q.session.completed = q.session.completed.Note(e)
 }
--- a/internal/fleet/sessionowner/completions_test.go
+++ b/internal/fleet/sessionowner/completions_test.go
@@ -11,29 +11,29 @@
 )
 
 // named is a query of session 1 that its client calls by a name.
-func (r *rig) named(token uint64, e Effect, name string) Arrived {
-	q := r.q(token, e)
+func (r *rig) newQueryWithID(token uint64, e Effect, name string) Arrived {
+	q := r.newQuery(token, e)
 	q.ID = completed.IDOf(name)
 	return q
 }
 
 // moved hands session 1 from one owner to another, which adopts it; what the source's clock shows is not what the target's does.
-func moved(from, to *rig) {
+func moveSession(from, to *rig) {
 	from.t.Helper()
 	from.offer(1, to.name)
 	from.step(from.applied())
-	from.agree()
+	from.applyProposed()
 	to.step(to.applied())
-	to.agree()
-	to.want(to.k.Phase(id(1)) == Active, "not adopted")
+	to.applyProposed()
+	to.want(to.owner.Phase(id(1)) == Active, "not adopted")
 }
 
 // A client that repeats at the new owner what ran at the old one, or may have, is told so at once, and nothing of it runs; what surely never ran begins.
 // The same holds after a second move, and at one owner.
-func TestRepeatedAfterAMove(t *testing.T) {
+func TestRepeatedQueryFailsAfterHandOver(t *testing.T) {
 	for _, moves := range []int{0, 1, 2} {
-		a := claimed(t)
-		b := a.rig("b", Options{}, 3, 1)
+		a := newClaimedRig(t)
+		b := a.newRigFor("b", Options{}, 3, 1)
 		a.now += 30 * sec
 		a.step(QueryEnded{Token: 1, Responded: true})
 		for i, c := range []struct {
@@ -41,159 +41,159 @@
 			name   string
 			end    Outcome
 		}{{NonIdempotent, "served", Done}, {NonIdempotent, "broken", MayHaveRun}, {NonIdempotent, "never", NotRun}, {Keyed, "keyed", MayHaveRun}} {
-			q := a.named(uint64(i+2), c.effect, c.name)
+			q := a.newQueryWithID(uint64(i+2), c.effect, c.name)
 			a.step(q)
 			a.step(QueryEnded{Token: q.Token, Outcome: c.end, Responded: true})
 		}
 		at, other := a, b
 		for range moves {
-			moved(at, other)
+			moveSession(at, other)
 			at, other = other, at
 		}
-		at.step(at.named(10, NonIdempotent, "served"), at.named(11, NonIdempotent, "broken"))
-		at.want(at.failed(10, Duplicate) && at.failed(11, Duplicate) && len(at.out) == 2 && at.k.Stats().Duplicates == 2, "what ran, or may have")
-		at.step(at.named(12, NonIdempotent, "never"))
+		at.step(at.newQueryWithID(10, NonIdempotent, "served"), at.newQueryWithID(11, NonIdempotent, "broken"))
+		at.want(at.failed(10, Duplicate) && at.failed(11, Duplicate) && len(at.out) == 2 && at.owner.Stats().Duplicates == 2, "what ran, or may have")
+		at.step(at.newQueryWithID(12, NonIdempotent, "never"))
 		at.want(at.ran(12), "what never ran")
-		at.step(at.named(13, NonIdempotent, "never"))
+		at.step(at.newQueryWithID(13, NonIdempotent, "never"))
 		at.step(QueryEnded{Token: 12, Outcome: MayHaveRun, Responded: true})
 		at.want(at.failed(13, Duplicate), "one that waited for its first")
-		at.step(at.named(14, Keyed, "keyed"))
+		at.step(at.newQueryWithID(14, Keyed, "keyed"))
 		at.want(at.ran(14), "a keyed one in its window")
-		at.step(QueryEnded{Token: 14, Outcome: Done, Responded: true}, at.named(15, NonIdempotent, ""), at.named(16, Idempotent, "served"))
+		at.step(QueryEnded{Token: 14, Outcome: Done, Responded: true}, at.newQueryWithID(15, NonIdempotent, ""), at.newQueryWithID(16, Idempotent, "served"))
 		at.want(at.ran(15), "one without an id")
 		at.step(QueryEnded{Token: 15, Outcome: Done, Responded: true})
 		at.want(at.ran(16), "a safe one")
 		at.step(QueryEnded{Token: 16, Outcome: Done, Responded: true})
-		at.pass(6 * sec) // the window is of the first, and 10 s long
-		at.step(at.named(17, Keyed, "keyed"))
+		at.advance(6 * sec) // the window is of the first, and 10 s long
+		at.step(at.newQueryWithID(17, Keyed, "keyed"))
 		at.want(at.failed(17, Duplicate), "a keyed one beyond its window")
-		at.step(at.named(18, Keyed, "two"))
-		at.step(QueryEnded{Token: 18, Outcome: MayHaveRun, Responded: true}, at.named(19, NonIdempotent, "two"))
+		at.step(at.newQueryWithID(18, Keyed, "two"))
+		at.step(QueryEnded{Token: 18, Outcome: MayHaveRun, Responded: true}, at.newQueryWithID(19, NonIdempotent, "two"))
 		at.want(at.failed(19, Duplicate), "an unsafe one called as a keyed one")
 	}
 }
 
 // The new owner's copy is behind by a stall when it sees what it is handed: a window is not taken for longer than it is.
-func TestWindowAtAnOwnerThatIsBehind(t *testing.T) {
+func TestWindowNotExtendedAtLaggingOwner(t *testing.T) {
 	for _, behind := range []time.Duration{0, 7 * sec} {
-		a := claimed(t)
-		b := a.rig("b", Options{}, 3, 1)
-		a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, Keyed, "k"))
+		a := newClaimedRig(t)
+		b := a.newRigFor("b", Options{}, 3, 1)
+		a.step(QueryEnded{Token: 1, Responded: true}, a.newQueryWithID(2, Keyed, "k"))
 		a.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true})
 		a.offer(1, "b")
 		a.step(a.applied())
-		a.agree()
+		a.applyProposed()
 		handed := b.applied()
 		b.now += behind
 		b.step(handed)
-		b.agree()
-		b.step(b.named(3, Keyed, "k"))
+		b.applyProposed()
+		b.step(b.newQueryWithID(3, Keyed, "k"))
 		b.want(b.ran(3) == (behind == 0) && b.failed(3, Duplicate) == (behind > 0), "the window's end")
 	}
 }
 
 // What a hand carries in a form that is not known here, or torn, is declined in words, and goes back to where it is known.
-func TestHandThatCanNotBeRead(t *testing.T) {
-	a := claimed(t)
-	b := a.rig("b", Options{}, 3, 1)
-	a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, NonIdempotent, "u"))
+func TestUnreadableHandOverStateIsDeclined(t *testing.T) {
+	a := newClaimedRig(t)
+	b := a.newRigFor("b", Options{}, 3, 1)
+	a.step(QueryEnded{Token: 1, Responded: true}, a.newQueryWithID(2, NonIdempotent, "u"))
 	a.step(QueryEnded{Token: 2, Outcome: Done, Responded: true})
 	a.offer(1, "b")
 	a.step(a.applied())
 	a.acts[0].State[0]++
-	a.agree()
-	b.step(b.applied(), b.named(3, NonIdempotent, "u"))
-	_, said := word(b, func(l Log) bool {
+	a.applyProposed()
+	b.step(b.applied(), b.newQueryWithID(3, NonIdempotent, "u"))
+	_, said := findOutput(b, func(l Log) bool {
 		return strings.Contains(l.Text, "declined: unknown version of a record of queries: 2, known is 1")
 	})
 	b.want(said && len(b.acts) == 1 && b.acts[0].Kind == session.Decline && !b.ran(3), "takes what it can't read")
-	b.agree()
-	r, _ := b.b.Get(id(1))
-	b.want(r.Owner == "a" && b.refused(3, NotOwner), "goes back")
+	b.applyProposed()
+	r, _ := b.book.Get(id(1))
+	b.want(r.Owner == "a" && b.rejected(3, NotOwner), "goes back")
 }
 
 // A hand keeps to the bytes that are allowed: the newest are carried.
-func TestHandOfFewBytes(t *testing.T) {
-	a := claimed(t)
-	b := a.rig("b", Options{}, 3, 1)
+func TestHandOverStateLimitKeepsNewest(t *testing.T) {
+	a := newClaimedRig(t)
+	b := a.newRigFor("b", Options{}, 3, 1)
 	few := limits
 	few.Revision, few.StateMost = 2, 24
 	a.apply(session.KindLimits, session.LimitsBody{Limits: few})
 	a.step(a.applied(), QueryEnded{Token: 1, Responded: true})
 	for n, name := range []string{"one", "two", "three"} {
-		a.step(a.named(uint64(n+2), NonIdempotent, name))
+		a.step(a.newQueryWithID(uint64(n+2), NonIdempotent, name))
 		a.step(QueryEnded{Token: uint64(n + 2), Outcome: Done, Responded: true})
 	}
-	moved(a, b)
-	b.step(b.named(9, NonIdempotent, "three"), b.named(10, NonIdempotent, "two"), b.named(11, NonIdempotent, "one"))
+	moveSession(a, b)
+	b.step(b.newQueryWithID(9, NonIdempotent, "three"), b.newQueryWithID(10, NonIdempotent, "two"), b.newQueryWithID(11, NonIdempotent, "one"))
 	b.want(b.failed(9, Duplicate) && b.failed(10, Duplicate) && b.ran(11), "the newest")
 }
 
 // One that is repeated is told at once, whatever waits before it and while its session moves.
-func TestRepeatedIsToldAtOnce(t *testing.T) {
-	r := claimed(t)
-	r.step(QueryEnded{Token: 1, Responded: true}, r.named(2, NonIdempotent, "u"))
-	r.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true}, r.q(3, NonIdempotent), r.named(4, NonIdempotent, "u"))
+func TestDuplicateFailsAtOnce(t *testing.T) {
+	r := newClaimedRig(t)
+	r.step(QueryEnded{Token: 1, Responded: true}, r.newQueryWithID(2, NonIdempotent, "u"))
+	r.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true}, r.newQuery(3, NonIdempotent), r.newQueryWithID(4, NonIdempotent, "u"))
 	r.want(r.ran(3) && r.failed(4, Duplicate), "behind an open one")
 	r.offer(1, "b")
-	r.step(r.applied(), r.named(5, NonIdempotent, "u"))
-	r.want(r.k.Phase(id(1)) == Quiescing && r.failed(5, Duplicate), "while it quiesces")
-	r.step(QueryEnded{Token: 3, Outcome: Done, Responded: true}, r.named(6, NonIdempotent, "u"))
-	r.want(r.k.Phase(id(1)) == Frozen && r.failed(6, Duplicate), "while it is frozen")
+	r.step(r.applied(), r.newQueryWithID(5, NonIdempotent, "u"))
+	r.want(r.owner.Phase(id(1)) == Quiescing && r.failed(5, Duplicate), "while it quiesces")
+	r.step(QueryEnded{Token: 3, Outcome: Done, Responded: true}, r.newQueryWithID(6, NonIdempotent, "u"))
+	r.want(r.owner.Phase(id(1)) == Frozen && r.failed(6, Duplicate), "while it is frozen")
 }
 
 // What an ownership of before had out is no part of the record: its place is not in this one's order.
-func TestEndOfAnOwnershipBefore(t *testing.T) {
-	r := claimed(t)
-	r.step(QueryEnded{Token: 1, Responded: true}, r.named(2, NonIdempotent, "u"), Lease{r.now + 5*sec, true})
+func TestEndFromEarlierOwnershipIsNotRecorded(t *testing.T) {
+	r := newClaimedRig(t)
+	r.step(QueryEnded{Token: 1, Responded: true}, r.newQueryWithID(2, NonIdempotent, "u"), Lease{r.now + 5*sec, true})
 	r.now += 8 * sec
 	r.apply(session.KindRelease, session.ReleaseBody{Name: "a", Silent: 8 * sec})
-	q := r.q(3, NonIdempotent)
+	q := r.newQuery(3, NonIdempotent)
 	q.Replicas = nil // its slots went with the release
 	r.step(r.applied(), Lease{r.now + 1000*sec, true}, q)
-	r.agree()
+	r.applyProposed()
 	r.step(QueryEnded{Token: 2, Outcome: MayHaveRun})
-	r.want(r.ran(3) && len(r.k.sessions[id(1)].completed) == 0, "remembers what another life of the session had out")
+	r.want(r.ran(3) && len(r.owner.sessions[id(1)].completed) == 0, "remembers what another life of the session had out")
 }
 
 // An adoption that was applied at once, and is seen after it was proposed again, bounds the time by its first proposal.
-func TestAdoptionSeenLate(t *testing.T) {
-	a := claimed(t)
-	b := a.rig("b", Options{}, 3, 1)
-	a.step(QueryEnded{Token: 1, Responded: true}, a.named(2, Keyed, "k"))
+func TestLateAdoptionUsesFirstProposalTime(t *testing.T) {
+	a := newClaimedRig(t)
+	b := a.newRigFor("b", Options{}, 3, 1)
+	a.step(QueryEnded{Token: 1, Responded: true}, a.newQueryWithID(2, Keyed, "k"))
 	a.step(QueryEnded{Token: 2, Outcome: MayHaveRun, Responded: true})
 	a.offer(1, "b")
 	a.step(a.applied())
-	a.agree()
+	a.applyProposed()
 	b.step(b.applied())
-	b.by("b", b.acts...)
+	b.applyActs("b", b.acts...)
 	seen := b.applied()
 	b.now += 7 * sec
 	b.step() // and again
-	b.step(seen, b.named(3, Keyed, "k"))
-	b.want(len(b.acts) == 2 && b.k.Phase(id(1)) == Active && b.failed(3, Duplicate), "the window's end")
+	b.step(seen, b.newQueryWithID(3, Keyed, "k"))
+	b.want(len(b.acts) == 2 && b.owner.Phase(id(1)) == Active && b.failed(3, Duplicate), "the window's end")
 }
 
 // What is unsafe and open is told, the longest first, as long as it is open; safe, keyed and waiting ones are not.
-func TestUnsafeAndOpen(t *testing.T) {
+func TestUnsafeListsOpenNonIdempotentQueries(t *testing.T) {
 	r := newRig(t, Options{})
 	for n := 1; n <= 5; n++ {
-		q := r.q(uint64(n), []Effect{NonIdempotent, NonIdempotent, NonIdempotent, Keyed, Idempotent}[n-1])
+		q := r.newQuery(uint64(n), []Effect{NonIdempotent, NonIdempotent, NonIdempotent, Keyed, Idempotent}[n-1])
 		q.Session, q.Deadline, q.Replicas = id(n), r.now+time.Duration(n)*sec, nil
 		r.step(q)
 	}
-	second := r.q(6, NonIdempotent)
+	second := r.newQuery(6, NonIdempotent)
 	second.Session, second.Replicas = id(1), nil
 	r.step(second)
-	r.agree()
+	r.applyProposed()
 	r.now += ms
 	r.step()
 	want := []UnsafeQuery{{id(3), 3*sec - ms}, {id(2), 2*sec - ms}, {id(1), sec - ms}}
-	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, want) || !slices.Equal(r.k.Unsafe(nil, 2), want[:2]) {
+	if got := r.owner.Unsafe(nil, 9); !slices.Equal(got, want) || !slices.Equal(r.owner.Unsafe(nil, 2), want[:2]) {
 		t.Fatalf("%v, want %v", got, want)
 	}
 	r.step(QueryEnded{Token: 2, Outcome: Done, Responded: true}, QueryEnded{Token: 1, Outcome: MayHaveRun, Responded: true, BusyUntil: r.now + 9*sec})
-	if got := r.k.Unsafe(nil, 9); !slices.Equal(got, []UnsafeQuery{{id(1), 9 * sec}, {id(3), 3*sec - ms}}) {
+	if got := r.owner.Unsafe(nil, 9); !slices.Equal(got, []UnsafeQuery{{id(1), 9 * sec}, {id(3), 3*sec - ms}}) {
 		t.Fatalf("after two ends: %v", got)
 	}
 }
--- a/internal/fleet/sessionowner/owner.go
+++ b/internal/fleet/sessionowner/owner.go
@@ -32,7 +32,7 @@
 	sessions      map[session.ID]*sessionEntry
 	queries       map[uint64]*query
 	runningUnsafe []*query // that run
-	clients       map[uint64]account
+	clients       map[uint64]clientUsage
 	timers        timerHeap
 	phaseCounts   [Gone + 1]int // sessions in each
 	idle          sessionList   // pinned, nothing open or waiting, by their last use
@@ -51,11 +51,11 @@
 	freeSessions []*sessionEntry
 	freeQueries  []*query
 	stats        Stats
-	evidence     evidence
+	invariants   invariantChecks
 }
 
 // account is what a client has here.
-type account struct{ sessions, waits int32 }
+type clientUsage struct{ sessions, waits int32 }
 
 // pendingProposal is a number of an agreed thing for which something is proposed, and when that is due again.
 type pendingProposal struct {
@@ -75,7 +75,7 @@
 func New(name string, o Options) *Owner {
 	return &Owner{
 		name: name, options: o.withDefaults(), sessions: map[session.ID]*sessionEntry{}, queries: map[uint64]*query{},
-		clients: map[uint64]account{}, slots: map[string]*slot{}, hasSlots: true,
+		clients: map[uint64]clientUsage{}, slots: map[string]*slot{}, hasSlots: true,
 	}
 }
 
@@ -248,7 +248,7 @@
 	}
 	q.answerAllowed = true
 	o.stats.Allowed++
-	o.evidence.answered(o, now, q)
+	o.invariants.checkAnswer(o, now, q)
 	return true
 }
 
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -116,7 +116,7 @@
 	if s.countedForClient {
 		o.countClient(s.client, -1, 0)
 	}
-	if len(o.freeSessions) < maxFree {
+	if len(o.freeSessions) < maxFreeEntries {
 		o.freeSessions = append(o.freeSessions, s)
 	}
 }
--- a/internal/fleet/sessionowner/proposals.go
+++ b/internal/fleet/sessionowner/proposals.go
@@ -12,7 +12,7 @@
 			o.emitAct(session.Act{Kind: session.Claim, ID: s.id, Epoch: s.epoch, Lane: s.lane})
 		}
 	case Frozen:
-		o.evidence.handedOver(s)
+		o.invariants.checkHandOver(s)
 		o.emitAct(session.Act{Kind: session.Hand, ID: s.id, Epoch: s.epoch, Fence: s.fence, Seq: s.seq, State: o.handOverState(s), Lane: s.lane})
 	case Adopting:
 		r, _ := o.state.Get(s.id)
--- a/internal/fleet/sessionowner/queries.go
+++ b/internal/fleet/sessionowner/queries.go
@@ -76,7 +76,7 @@
 	mine := o.clients[q.client]
 	if int(s.waitingCount) > o.options.MaxWaiting || o.waiting+int(mine.waits) >= o.options.MaxQueries {
 		o.dequeue(q, false)
-		o.recordResponse(q)
+		o.checkResponse(q)
 		o.reject(q.token, Overloaded, RetryAfterOverload, "")
 		o.dropQuery(q)
 		o.releaseUnused(s)
@@ -131,12 +131,12 @@
 	return q
 }
 
-// maxFree queries and sessions are kept for their next use.
-const maxFree = 4096
+// maxFreeEntries queries and sessions are kept for their next use.
+const maxFreeEntries = 4096
 
 func (o *Owner) dropQuery(q *query) {
 	delete(o.queries, q.token)
-	if len(o.freeQueries) < maxFree {
+	if len(o.freeQueries) < maxFreeEntries {
 		*q = query{}
 		o.freeQueries = append(o.freeQueries, q)
 	}
@@ -156,7 +156,7 @@
 			continue
 		}
 		if q.effect != Idempotent && s.alreadyRan(q.id, q.effect, q.deadline) {
-			o.recordResponse(q)
+			o.checkResponse(q)
 			o.failDuplicate(q.token)
 			o.dequeue(q, q.heapIndex >= 0)
 			o.dropQuery(q)
@@ -184,7 +184,7 @@
 			q.unsafeIndex = len(o.runningUnsafe)
 			o.runningUnsafe = append(o.runningUnsafe, q)
 		}
-		o.evidence.began(o, q)
+		o.invariants.checkStart(o, q)
 		o.out = append(o.out, Run{q.token, q.seq})
 	}
 }
@@ -225,7 +225,7 @@
 	c := o.clients[client]
 	c.sessions += sessions
 	c.waits += waits
-	if c == (account{}) {
+	if c == (clientUsage{}) {
 		delete(o.clients, client)
 		return
 	}
--- a/internal/fleet/sessionowner/responses.go
+++ b/internal/fleet/sessionowner/responses.go
@@ -12,7 +12,7 @@
 
 // rejectWaiting rejects one that waits: it has not run.
 func (o *Owner) rejectWaiting(q *query, reason Reason, after time.Duration, owner string) {
-	o.recordResponse(q)
+	o.checkResponse(q)
 	o.reject(q.token, reason, after, owner)
 	o.dequeue(q, q.heapIndex >= 0) // one that has only come is not counted yet
 	o.dropQuery(q)
@@ -52,7 +52,7 @@
 	if q.responded || q.answerAllowed {
 		return
 	}
-	o.recordResponse(q)
+	o.checkResponse(q)
 	q.responded = true
 	if !o.mayRetry(q, RetryAfterWait) {
 		o.stats.Failed++
@@ -60,7 +60,7 @@
 		return
 	}
 	after := jitter(RetryAfterWait, q.token)
-	o.evidence.retryAllowed(o, q, after, MayHaveRun)
+	o.invariants.checkRetry(o, q, after, MayHaveRun)
 	o.stats.Cancelled++
 	o.out = append(o.out, Cancel{q.token, reason, after, owner})
 }
@@ -78,7 +78,7 @@
 
 // responseAtEnd is for one that ended without a response.
 func (o *Owner) responseAtEnd(q *query, end Outcome) Output {
-	o.recordResponse(q)
+	o.checkResponse(q)
 	q.responded = true
 	reason := NoAnswer
 	if end == Done {
@@ -92,9 +92,9 @@
 	}
 	o.stats.Rejected++
 	after := jitter(RetryAfterWait, q.token)
-	o.evidence.retryAllowed(o, q, after, end)
+	o.invariants.checkRetry(o, q, after, end)
 	return Reject{q.token, reason, after, o.ownerOf(q.session)}
 }
 
 // responded notes that a query gets its one response.
-func (o *Owner) recordResponse(q *query) { o.evidence.responded(q) }
+func (o *Owner) checkResponse(q *query) { o.invariants.checkResponse(q) }
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -16,67 +16,67 @@
 )
 
 // asked is a query as its client and the replicas see it.
-type asked struct {
+type modelQuery struct {
 	Arrived
-	at, began, until time.Duration
-	n                int // its session
-	epoch, seq       uint64
-	runs, ended, out bool
-	outcome          Outcome
-	words            int
+	arrivedAt, startedAt, busyUntil time.Duration
+	sessionNumber                   int // its session
+	epoch, seq                      uint64
+	started, ended, atReplica       bool
+	outcome                         Outcome
+	responses                       int
 }
 
-func (q *asked) open(now time.Duration) bool {
-	return q.runs && q.out && (q.Effect != Idempotent || now < q.Deadline)
+func (q *modelQuery) open(now time.Duration) bool {
+	return q.started && q.atReplica && (q.Effect != Idempotent || now < q.Deadline)
 }
 
 // play is an owner under random events, beside a model that knows nothing of it: what clients got, what runs, what is truly
 // agreed. The owner's copy of that is as old as its last Applied.
-type play struct {
+type simulation struct {
 	*rig
-	draw    func(n int) int
-	copy    *session.Book
-	lease   time.Duration // sure until then
-	all     []*asked
-	news    []Input
-	left    []*asked      // by their clients, in the events
-	words   []session.Act // ever proposed, the newest 64
-	seqs    map[string]uint64
-	history []byte
+	draw       func(n int) int
+	localCopy  *session.Book
+	leaseUntil time.Duration // sure until then
+	queries    []*modelQuery
+	inputs     []Input
+	abandoned  []*modelQuery // by their clients, in the events
+	pastActs   []session.Act // ever proposed, the newest 64
+	lastSeq    map[string]uint64
+	history    []byte
 }
 
-const sessions = 3
+const sessionCount = 3
 
-func newPlay(t tb, draw func(n int) int) *play {
-	w := &world{t: t, b: session.New(), now: sec}
+func newSimulation(t tb, draw func(n int) int) *simulation {
+	w := &sharedState{t: t, book: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
 	w.plan(session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r1", N: 4}, {To: "a", Replica: "r2", N: 2}, {To: "b", Replica: "r1", N: 4}}})
-	p := &play{rig: &rig{world: w, name: "a", k: New("a", Options{Replicas: []string{"r1"}, MaxWaiting: 6})}, draw: draw, seqs: map[string]uint64{}}
-	p.renew()
-	p.turn()
+	p := &simulation{rig: &rig{sharedState: w, name: "a", owner: New("a", Options{Replicas: []string{"r1"}, MaxWaiting: 6})}, draw: draw, lastSeq: map[string]uint64{}}
+	p.renewLease()
+	p.stepAndCheck()
 	return p
 }
 
-func (p *play) fail(format string, a ...any) {
+func (p *simulation) fail(format string, a ...any) {
 	p.t.Helper()
 	p.t.Fatalf("at %v: %s", p.now, fmt.Sprintf(format, a...))
 }
 
-func (p *play) show() {
-	p.copy = p.b.Clone()
-	p.news = append(p.news, Applied{State: p.copy, Index: p.index, AgreedTime: p.now})
+func (p *simulation) deliverState() {
+	p.localCopy = p.book.Clone()
+	p.inputs = append(p.inputs, Applied{State: p.localCopy, Index: p.index, AgreedTime: p.now})
 }
 
-func (p *play) renew() {
-	p.show()
-	p.lease = p.now + 2*sec
-	p.news = append(p.news, Lease{p.lease, true})
+func (p *simulation) renewLease() {
+	p.deliverState()
+	p.leaseUntil = p.now + 2*sec
+	p.inputs = append(p.inputs, Lease{p.leaseUntil, true})
 }
 
 // any draws one of those that fit, or nil.
-func (p *play) any(fit func(*asked) bool) *asked {
-	var some []*asked
-	for _, q := range p.all {
+func (p *simulation) pickQuery(fit func(*modelQuery) bool) *modelQuery {
+	var some []*modelQuery
+	for _, q := range p.queries {
 		if fit(q) {
 			some = append(some, q)
 		}
@@ -87,19 +87,19 @@
 	return some[p.draw(len(some))]
 }
 
-func (p *play) arrive() {
-	n := p.draw(sessions)
+func (p *simulation) arrive() {
+	n := p.draw(sessionCount)
 	effect := []Effect{Idempotent, Idempotent, Idempotent, Keyed, NonIdempotent}[p.draw(5)]
 	need := [][]string{nil, {"r1"}, {"r1"}, {"r1", "r2"}, {"r2", "r2"}}[p.draw(5)]
-	q := &asked{n: n, at: p.now, Arrived: Arrived{Token: uint64(len(p.all) + 1), Session: id(n), Client: uint64(p.draw(2)), Effect: effect,
+	q := &modelQuery{sessionNumber: n, arrivedAt: p.now, Arrived: Arrived{Token: uint64(len(p.queries) + 1), Session: id(n), Client: uint64(p.draw(2)), Effect: effect,
 		Deadline: p.now + time.Duration(p.draw(6)+1)*sec/2, Window: time.Duration(p.draw(4)) * sec, Replicas: need}}
 	q.ID = []completed.ID{{}, completed.IDOf("a"), completed.IDOf("b"), completed.IDOf("c")}[p.draw(4)]
-	p.all = append(p.all, q)
-	p.news = append(p.news, &q.Arrived)
+	p.queries = append(p.queries, q)
+	p.inputs = append(p.inputs, &q.Arrived)
 }
 
 // end ends one that runs, some after its answer was allowed.
-func (p *play) end(q *asked) {
+func (p *simulation) endQuery(q *modelQuery) {
 	if q == nil {
 		return
 	}
@@ -107,93 +107,93 @@
 	if q.outcome == Done && p.draw(4) > 0 {
 		p.answer(q)
 	}
-	q.ended, q.out = true, false
+	q.ended, q.atReplica = true, false
 	e := QueryEnded{Token: q.Token, Outcome: q.outcome}
 	if p.draw(4) == 0 {
-		q.out, q.until = true, p.now+sec/4
-		e.BusyUntil = q.until
+		q.atReplica, q.busyUntil = true, p.now+sec/4
+		e.BusyUntil = q.busyUntil
 	}
-	p.news = append(p.news, e)
+	p.inputs = append(p.inputs, e)
 }
 
 // answer is S1 for what is given, by the state as it truly is.
-func (p *play) answer(q *asked) {
-	if q.words > 0 || !p.k.MayAnswer(p.now, q.Token) {
+func (p *simulation) answer(q *modelQuery) {
+	if q.responses > 0 || !p.owner.MayAnswer(p.now, q.Token) {
 		return
 	}
-	p.truly(q.n, q.epoch, "answers")
-	if q.words++; p.now >= q.Deadline {
+	p.checkOwnership(q.sessionNumber, q.epoch, "answers")
+	if q.responses++; p.now >= q.Deadline {
 		p.fail("%d is answered late", q.Token)
 	}
 }
 
-func (p *play) truly(n int, epoch uint64, what string) {
-	rec, ok := p.b.Get(id(n))
-	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || p.now >= p.lease {
-		p.fail("S1: %s for %d in epoch %d, the lease until %v, agreed is %+v", what, n, epoch, p.lease, rec)
+func (p *simulation) checkOwnership(n int, epoch uint64, what string) {
+	rec, ok := p.book.Get(id(n))
+	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || p.now >= p.leaseUntil {
+		p.fail("S1: %s for %d in epoch %d, the lease until %v, agreed is %+v", what, n, epoch, p.leaseUntil, rec)
 	}
 }
 
 // others is a move of the rest of the fleet.
-func (p *play) others() {
-	n := p.draw(sessions)
-	rec, owned := p.b.Get(id(n))
+func (p *simulation) changeAgreedState() {
+	n := p.draw(sessionCount)
+	rec, owned := p.book.Get(id(n))
 	switch k := p.draw(9); {
 	case k == 0 && !owned:
-		p.by("b", session.Act{Kind: session.Claim, ID: id(n), Epoch: rec.Epoch})
+		p.applyActs("b", session.Act{Kind: session.Claim, ID: id(n), Epoch: rec.Epoch})
 	case k < 4 && rec.Phase == session.Pinned:
 		to := map[string]string{"a": "b", "b": "a"}[rec.Owner]
 		p.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
 	case k < 6 && rec.Phase == session.Offered && rec.Owner == "b":
-		p.by("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
+		p.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
 	case k == 4 && rec.Phase == session.Offered:
 		p.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
 	case k < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
-		p.by("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
+		p.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
 	case k == 7:
-		p.by("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
+		p.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
 	case k == 8:
 		to := []string{"a", "b"}[p.draw(2)]
 		p.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
-		for _, t := range p.b.Pool().Asked("b") {
-			p.by("b", session.Act{Kind: session.Freed, Fence: t.Fence})
+		for _, t := range p.book.Pool().Asked("b") {
+			p.applyActs("b", session.Act{Kind: session.Freed, Fence: t.Fence})
 		}
 	}
 }
 
 // move is one random event.
-func (p *play) move() {
+func (p *simulation) randomEvent() {
 	switch k := p.draw(20); {
 	case k < 6:
 		p.arrive()
 	case k < 10:
-		p.end(p.any(func(q *asked) bool { return q.runs && !q.ended }))
+		p.endQuery(p.pickQuery(func(q *modelQuery) bool { return q.started && !q.ended }))
 	case k == 10:
-		if q := p.any(func(q *asked) bool { return !q.ended && q.words == 0 }); q != nil {
-			p.left = append(p.left, q)
-			p.news = append(p.news, ClientGone{q.Token})
+		if q := p.pickQuery(func(q *modelQuery) bool { return !q.ended && q.responses == 0 }); q != nil {
+			p.abandoned = append(p.abandoned, q)
+			p.inputs = append(p.inputs, ClientGone{q.Token})
 		}
 	case k < 13:
-		p.others()
+		p.changeAgreedState()
 	case k < 15 && len(p.acts) > 0: // what was proposed, some of it, in some order, some again
 		i := p.draw(len(p.acts))
-		p.by("a", p.acts[i])
+		p.applyActs("a", p.acts[i])
 		if p.draw(3) > 0 {
 			p.acts = slices.Delete(p.acts, i, i+1)
 		}
-	case k == 15 && len(p.words) > 0:
-		p.by("a", p.words[p.draw(len(p.words))])
+	case k == 15 && len(p.pastActs) > 0:
+		p.applyActs("a", p.pastActs[p.draw(len(p.pastActs))])
 	case k < 18:
-		p.renew()
+		p.renewLease()
 	case k == 18:
-		p.show()
-	case p.now >= p.lease: // the lease has ended, and what was out with it
-		for _, q := range p.all {
-			if q.runs && q.out {
-				q.out, q.until = false, 0
+		p.deliverState()
+	case p.now >= p.leaseUntil: // the lease has ended, and what was out with it
+		for _, q := range p.queries {
+			if q.started && q.atReplica {
+				q.atReplica, q.busyUntil = false, 0
 				if !q.ended {
 					q.ended, q.outcome = true, MayHaveRun
-					p.news = append(p.news, QueryEnded{Token: q.Token, Outcome: MayHaveRun})
+					p.inputs = append(p.inputs, QueryEnded{Token: q.Token, Outcome: MayHaveRun})
 				}
 			}
 		}
@@ -202,29 +202,29 @@
 }
 
 // turn gives the events to the owner and looks at what comes out.
-func (p *play) turn() {
+func (p *simulation) stepAndCheck() {
 	p.t.Helper()
-	for _, q := range p.all {
-		q.out = q.out && (!q.ended || q.until > p.now)
+	for _, q := range p.queries {
+		q.atReplica = q.atReplica && (!q.ended || q.busyUntil > p.now)
 	}
-	p.step(p.news...)
-	p.news = nil
+	p.step(p.inputs...)
+	p.inputs = nil
 	for _, o := range p.out {
 		p.history = fmt.Appendf(p.history, "%v %T %+v\n", p.now, o, o)
-		p.outcome(o)
+		p.checkOutput(o)
 	}
-	for _, q := range p.left {
-		q.words = max(q.words, 1)
+	for _, q := range p.abandoned {
+		q.responses = max(q.responses, 1)
 	}
-	p.left = nil
-	for _, q := range p.all {
-		if q.words > 1 || q.words == 0 && (p.now >= q.Deadline || !q.runs && p.now >= q.at+(q.Deadline-q.at)/MaxWaitDivisor) {
-			p.fail("S4: %d words for %+v", q.words, *q)
+	p.abandoned = nil
+	for _, q := range p.queries {
+		if q.responses > 1 || q.responses == 0 && (p.now >= q.Deadline || !q.started && p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor) {
+			p.fail("S4: %d words for %+v", q.responses, *q)
 		}
 	}
 	for _, replica := range []string{"r1", "r2"} {
-		may := p.b.Pool().Held("a", replica)
-		for _, t := range p.b.Pool().Asked("a") {
+		may := p.book.Pool().Held("a", replica)
+		for _, t := range p.book.Pool().Asked("a") {
 			if t.Replica == replica {
 				may += t.N
 			}
@@ -235,10 +235,10 @@
 	}
 }
 
-func (p *play) inUse(replica string) (n int) {
-	for _, q := range p.all {
+func (p *simulation) inUse(replica string) (n int) {
+	for _, q := range p.queries {
 		for _, need := range q.Replicas {
-			if q.runs && q.out && need == replica {
+			if q.started && q.atReplica && need == replica {
 				n++
 			}
 		}
@@ -246,43 +246,43 @@
 	return n
 }
 
-func (p *play) outcome(o Output) {
+func (p *simulation) checkOutput(o Output) {
 	p.t.Helper()
-	var q *asked
+	var q *modelQuery
 	back := func(token uint64, after time.Duration) {
-		q = p.all[token-1]
-		q.words++
-		if q.runs && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && p.now+after >= q.began+q.Window) {
+		q = p.queries[token-1]
+		q.responses++
+		if q.started && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && p.now+after >= q.startedAt+q.Window) {
 			p.fail("S5: %+v may have run and comes again after %v", *q, after)
 		}
 	}
 	switch o := o.(type) {
 	case Run:
-		p.run(p.all[o.Token-1], o.Seq)
+		p.checkRun(p.queries[o.Token-1], o.Seq)
 	case Reject:
 		back(o.Token, o.RetryAfter)
 	case Cancel:
 		back(o.Token, o.RetryAfter)
-		if !q.runs {
+		if !q.started {
 			p.fail("%+v is recalled", *q)
 		}
 	case Fail:
-		q = p.all[o.Token-1]
+		q = p.queries[o.Token-1]
 		if o.Reason == Duplicate {
-			if q.words++; q.runs || !slices.ContainsFunc(p.all, func(b *asked) bool { return b.before(q) }) {
+			if q.responses++; q.started || !slices.ContainsFunc(p.queries, func(b *modelQuery) bool { return b.barsRepeat(q) }) {
 				p.fail("S5: %+v failed as one that is repeated", *q)
 			}
 			return
 		}
-		if q.words++; !q.runs || q.Effect == Idempotent || q.outcome == NotRun && o.Reason == NoAnswer {
+		if q.responses++; !q.started || q.Effect == Idempotent || q.outcome == NotRun && o.Reason == NoAnswer {
 			p.fail("S5: %+v failed", *q)
 		}
 	case Propose:
-		if len(p.words) == 64 {
-			p.words = p.words[1:]
+		if len(p.pastActs) == 64 {
+			p.pastActs = p.pastActs[1:]
 		}
-		p.words = append(p.words, o.Act)
-		for _, q := range p.all {
+		p.pastActs = append(p.pastActs, o.Act)
+		for _, q := range p.queries {
 			if o.Kind == session.Hand && q.Session == o.ID && q.open(p.now) {
 				p.fail("S3: handed while %+v is open", *q)
 			}
@@ -291,80 +291,80 @@
 }
 
 // before says that one that ran, or may have, is called the same, and that a repeat of it could act again.
-func (b *asked) before(q *asked) bool {
-	return b != q && b.n == q.n && b.ID == q.ID && q.ID != completed.ID{} && b.Effect != Idempotent && q.Effect != Idempotent && b.runs && b.ended && b.outcome != NotRun
+func (b *modelQuery) barsRepeat(q *modelQuery) bool {
+	return b != q && b.sessionNumber == q.sessionNumber && b.ID == q.ID && q.ID != completed.ID{} && b.Effect != Idempotent && q.Effect != Idempotent && b.started && b.ended && b.outcome != NotRun
 }
 
 // run is S1 and S3 for one that begins.
-func (p *play) run(q *asked, seq uint64) {
+func (p *simulation) checkRun(q *modelQuery, seq uint64) {
 	p.t.Helper()
-	rec, _ := p.copy.Get(q.Session)
-	q.runs, q.out, q.began, q.epoch, q.seq = true, true, p.now, rec.Epoch, seq
-	p.truly(q.n, rec.Epoch, "begins")
+	rec, _ := p.localCopy.Get(q.Session)
+	q.started, q.atReplica, q.startedAt, q.epoch, q.seq = true, true, p.now, rec.Epoch, seq
+	p.checkOwnership(q.sessionNumber, rec.Epoch, "begins")
 	beside := 0
-	for _, o := range p.all {
+	for _, o := range p.queries {
 		switch {
-		case o.before(q) && o.epoch == q.epoch && (o.Effect == NonIdempotent || q.Effect == NonIdempotent || q.Deadline > o.began+o.Window):
+		case o.barsRepeat(q) && o.epoch == q.epoch && (o.Effect == NonIdempotent || q.Effect == NonIdempotent || q.Deadline > o.startedAt+o.Window):
 			p.fail("S3: %+v begins, %+v ran before it", *q, *o)
-		case o.n != q.n || o == q:
+		case o.sessionNumber != q.sessionNumber || o == q:
 		case o.open(p.now) && (o.Effect != Idempotent || q.Effect != Idempotent):
 			p.fail("S3: %+v begins beside %+v", *q, *o)
 		case o.open(p.now):
 			beside++
-		case !o.runs && o.words == 0 && o.Token < q.Token && !slices.Contains(p.left, o):
+		case !o.started && o.responses == 0 && o.Token < q.Token && !slices.Contains(p.abandoned, o):
 			p.fail("S3: %+v begins before %+v", *q, *o)
 		}
 	}
-	epoch := fmt.Sprint(q.n, rec.Epoch)
-	last, known := p.seqs[epoch]
+	epoch := fmt.Sprint(q.sessionNumber, rec.Epoch)
+	last, known := p.lastSeq[epoch]
 	if !known {
 		last = rec.Seq
 	}
-	if p.seqs[epoch] = seq; seq != last+1 || beside >= limits.Slots || q.words > 0 || p.now >= q.at+(q.Deadline-q.at)/MaxWaitDivisor {
+	if p.lastSeq[epoch] = seq; seq != last+1 || beside >= limits.Slots || q.responses > 0 || p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor {
 		p.fail("S3: %+v begins, %d was the last, beside %d", *q, last, beside)
 	}
 }
 
 // settle heals all, and nothing is left. By the sixty-fifth second a sweep has found what is agreed to be here and known to nobody.
-func (p *play) settle() {
+func (p *simulation) drain() {
 	for i := range 100 {
-		for _, q := range p.all {
-			if q.runs && !q.ended {
-				p.end(q)
+		for _, q := range p.queries {
+			if q.started && !q.ended {
+				p.endQuery(q)
 			}
 		}
-		if i == 65 && p.k.Stats().Sessions+p.b.Owned("a") != p.b.Owned("a")*2 {
-			p.fail("%+v, %d are agreed to be here", p.k.Stats(), p.b.Owned("a"))
+		if i == 65 && p.owner.Stats().Sessions+p.book.Owned("a") != p.book.Owned("a")*2 {
+			p.fail("%+v, %d are agreed to be here", p.owner.Stats(), p.book.Owned("a"))
 		}
-		p.by("a", append(p.acts, session.Act{Kind: session.Freed})...)
+		p.applyActs("a", append(p.acts, session.Act{Kind: session.Freed})...)
 		p.acts = nil
-		p.renew()
-		p.turn()
+		p.renewLease()
+		p.stepAndCheck()
 		p.now += sec
 	}
-	if s := p.k.Stats(); s.Sessions+s.Waiting+s.Open+p.b.Owned("a")+len(p.k.clients)+len(p.k.timers) > 0 {
-		p.fail("%+v, %d are agreed to be here", s, p.b.Owned("a"))
+	if s := p.owner.Stats(); s.Sessions+s.Waiting+s.Open+p.book.Owned("a")+len(p.owner.clients)+len(p.owner.timers) > 0 {
+		p.fail("%+v, %d are agreed to be here", s, p.book.Owned("a"))
 	}
 }
 
-func (p *play) through(steps int) {
+func (p *simulation) runSteps(steps int) {
 	for range steps {
 		p.now += []time.Duration{0, ms, 20 * ms, 60 * ms, 150 * ms, 400 * ms, 0, 3 * sec}[p.draw(8)*p.draw(8)/7]
 		for range p.draw(4) {
-			p.move()
+			p.randomEvent()
 		}
-		p.turn()
+		p.stepAndCheck()
 	}
-	p.settle()
+	p.drain()
 }
 
-func TestModel(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		newPlay(t, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }).through(rapid.IntRange(10, 150).Draw(t, "steps"))
+		newSimulation(t, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }).runSteps(rapid.IntRange(10, 150).Draw(t, "steps"))
 	})
 }
 
-func TestSeeds(t *testing.T) {
+func TestSeededSimulationIsDeterministic(t *testing.T) {
 	seeds := 300
 	if testing.Short() {
 		seeds = 15
@@ -375,13 +375,13 @@
 		for i, procs := range []int{1, 4} {
 			before := runtime.GOMAXPROCS(procs)
 			r := rand.New(rand.NewPCG(seed, 1))
-			p := newPlay(t, r.IntN)
-			p.through(300)
+			p := newSimulation(t, r.IntN)
+			p.runSteps(300)
 			runtime.GOMAXPROCS(before)
 			h := fnv.New64()
 			h.Write(p.history)
 			twice[i] = h.Sum64()
-			s := p.k.Stats()
+			s := p.owner.Stats()
 			sum.Ran, sum.Cancelled, sum.Failed, sum.Withheld = sum.Ran+s.Ran, sum.Cancelled+s.Cancelled, sum.Failed+s.Failed, sum.Withheld+s.Withheld
 			sum.Handed, sum.Adopted, sum.RolledBack, sum.Resumed = sum.Handed+s.Handed, sum.Adopted+s.Adopted, sum.RolledBack+s.RolledBack, sum.Resumed+s.Resumed
 		}
