--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -7,24 +7,25 @@
 	"github.com/paulmach/orb"
 )
 
-// Index finds the squares that touch a box, through a grid of even cells.
+// Index finds the squares that intersect a box. It divides the bound of all squares into a grid of cells of equal
+// size and lists the squares of each cell.
 type Index struct {
 	squares       []Square
 	bound         orb.Bound
 	columns, rows int
-	cells         [][]int32 // places in squares, by row, then column
+	cells         [][]int32 // indexes into squares, row by row
 }
 
-// Square is a named square and the shards with its records.
+// Square is a named rectangle of the map and the shards that hold its records.
 type Square struct {
 	Name   string
 	Bound  orb.Bound // CRS84: longitude, latitude
 	Shards []int
 }
 
-const squaresPerCell = 2 // squares a cell, about: fewer make the grid large, more make each look long
+const squaresPerCell = 2 // approximate squares per grid cell: fewer enlarge the grid, more lengthen each lookup
 
-// NewIndex returns an index of the squares. Squares without area are found as points.
+// NewIndex returns an index of the squares. A square without area is indexed as a point or a line.
 func NewIndex(squares []Square) *Index {
 	x := &Index{squares: slices.Clone(squares)}
 	if len(squares) == 0 {
@@ -43,47 +44,50 @@
 	return x
 }
 
-func (x *Index) forEachCell(b orb.Bound, do func(cell int)) {
+// forEachCell calls visit with each grid cell that the box b intersects, clamped to the bound of the index.
+func (x *Index) forEachCell(b orb.Bound, visit func(cell int)) {
 	x0, x1 := x.cellIndex(b.Min[0], 0, x.columns), x.cellIndex(b.Max[0], 0, x.columns)
 	y0, y1 := x.cellIndex(b.Min[1], 1, x.rows), x.cellIndex(b.Max[1], 1, x.rows)
 	for row := y0; row <= y1; row++ {
 		for col := x0; col <= x1; col++ {
-			do(row*x.columns + col)
+			visit(row*x.columns + col)
 		}
 	}
 }
 
-func (x *Index) cellIndex(at float64, axis, n int) int {
+// cellIndex returns the column (axis 0) or row (axis 1) of a coordinate in a grid with the given number of cells on
+// that axis. Coordinates outside the bound map to the first or last cell.
+func (x *Index) cellIndex(coordinate float64, axis, cells int) int {
 	width := x.bound.Max[axis] - x.bound.Min[axis]
 	if width <= 0 {
 		return 0
 	}
-	return min(n-1, max(0, int((at-x.bound.Min[axis])/width*float64(n))))
+	return min(cells-1, max(0, int((coordinate-x.bound.Min[axis])/width*float64(cells))))
 }
 
-// Squares lists all, in the order given.
+// Squares returns all squares in the order in which they were passed to NewIndex.
 func (x *Index) Squares() []Square { return x.squares }
 
-// Bound is that of all squares together.
+// Bound returns the smallest box that contains all squares.
 func (x *Index) Bound() orb.Bound { return x.bound }
 
-// Intersecting lists the squares that share a point with the box, in the order given.
+// Intersecting returns the squares that share at least one point with the box b, in the order of Squares.
 func (x *Index) Intersecting(b orb.Bound) []Square {
 	if len(x.squares) == 0 || !x.bound.Intersects(b) {
 		return nil
 	}
-	var at []int32
+	var found []int32
 	x.forEachCell(b, func(cell int) {
 		for _, i := range x.cells[cell] {
 			if x.squares[i].Bound.Intersects(b) {
-				at = append(at, i)
+				found = append(found, i)
 			}
 		}
 	})
-	slices.Sort(at)
-	at = slices.Compact(at)
-	out := make([]Square, len(at))
-	for i, j := range at {
+	slices.Sort(found)
+	found = slices.Compact(found)
+	out := make([]Square, len(found))
+	for i, j := range found {
 		out[i] = x.squares[j]
 	}
 	return out
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,8 +1,9 @@
-// Package placement tells where the shards of a deployment lie: who holds each, over which data centres, and what is
-// lost when something goes. The ring is as the wire states it: shard s is held by the replicas of cells
-// (s + j) mod cells, for j from 0 to reach - 1.
+// Package placement computes which replicas hold the shards of a deployment, over which data centres the holders of a
+// shard are spread, and which shards lose holders when replicas, cells or data centres fail. The ring is defined by the
+// wire protocol: shard s is held by the replicas of cells (s + j) mod cells, for j from 0 to reach - 1.
 //
-// It is pure and has no state beside the ring; it does not choose among holders, which is the decisions'.
+// The package is pure and keeps no state other than the ring. It does not choose among the holders of a shard; package
+// policy does.
 package placement
 
 import (
@@ -13,7 +14,7 @@
 	"strings"
 )
 
-// Replica is one line of the list.
+// Replica is one replica of the list that New takes.
 type Replica struct {
 	Name       string
 	DataCentre string
@@ -21,20 +22,21 @@
 	Up         bool
 }
 
-// Shape is the shape of the ring.
+// Shape holds the parameters of a ring: the number of cells, the number of consecutive cells that hold a shard, and
+// the number of shards.
 type Shape struct{ Cells, Reach, Shards int }
 
-// Ring is a shape with the replicas in it.
+// Ring is a shape together with the replicas in its cells.
 type Ring struct {
 	shape    Shape
 	replicas []Replica
-	cells    [][]int // places in replicas, by cell
+	cells    [][]int // indexes into replicas, by cell
 }
 
-// New returns the ring of a list. A cell out of range, or a name that stands twice, is an error.
+// New returns the ring with the listed replicas. An invalid shape, a cell out of range or a duplicate name is an error.
 func New(shape Shape, replicas []Replica) (*Ring, error) {
 	if shape.Cells < 1 || shape.Reach < 1 || shape.Shards < 0 {
-		return nil, fmt.Errorf("a ring of %d cells, reach %d and %d shards", shape.Cells, shape.Reach, shape.Shards)
+		return nil, fmt.Errorf("invalid ring shape: %d cells, reach %d, %d shards", shape.Cells, shape.Reach, shape.Shards)
 	}
 	r := &Ring{shape: shape, replicas: slices.Clone(replicas), cells: make([][]int, shape.Cells)}
 	seen := map[string]bool{}
@@ -51,13 +53,13 @@
 	return r, nil
 }
 
-// Shards is the number of shards.
+// Shards returns the number of shards.
 func (r *Ring) Shards() int { return r.shape.Shards }
 
-// Replicas lists all, in the list's order; it is not to be changed.
+// Replicas returns all replicas in the order of the list. The caller must not modify the result.
 func (r *Ring) Replicas() []Replica { return r.replicas }
 
-// Find tells the replica of a name.
+// Find returns the replica with the given name and whether there is one.
 func (r *Ring) Find(name string) (Replica, bool) {
 	i := slices.IndexFunc(r.replicas, func(x Replica) bool { return x.Name == name })
 	if i < 0 {
@@ -66,7 +68,7 @@
 	return r.replicas[i], true
 }
 
-// cellsOf tells which cells hold a shard.
+// cellsOf returns the cells whose replicas hold a shard.
 func (r *Ring) cellsOf(shard int) []int {
 	cells := make([]int, 0, r.shape.Reach)
 	for j := range min(r.shape.Reach, r.shape.Cells) {
@@ -75,7 +77,7 @@
 	return cells
 }
 
-// AllHolders lists the replicas that hold a shard, up or not, by the cells' order.
+// AllHolders returns the replicas that hold a shard, whether up or not, in the order of cells (shard + j) mod cells.
 func (r *Ring) AllHolders(shard int) []Replica {
 	var out []Replica
 	for _, c := range r.cellsOf(shard) {
@@ -86,30 +88,30 @@
 	return out
 }
 
-// Holders lists those of All that are up.
+// Holders returns the replicas of AllHolders that are up.
 func (r *Ring) Holders(shard int) []Replica {
 	return slices.DeleteFunc(r.AllHolders(shard), func(x Replica) bool { return !x.Up })
 }
 
-// DataCentres names those in which a shard has holders that are up, in rising order.
+// DataCentres returns the names of the data centres in which a shard has holders that are up, in ascending order.
 func (r *Ring) DataCentres(shard int) []string { return dataCentres(r.Holders(shard)) }
 
-// AllDataCentres names those of the whole list.
+// AllDataCentres returns the names of the data centres of all replicas, in ascending order.
 func (r *Ring) AllDataCentres() []string { return dataCentres(r.replicas) }
 
-func dataCentres(of []Replica) []string {
+func dataCentres(replicas []Replica) []string {
 	var out []string
-	for _, x := range of {
+	for _, x := range replicas {
 		out = append(out, x.DataCentre)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// Unit is what can be lost at once.
+// Unit is a unit of failure: what fails as a whole.
 type Unit uint8
 
-// Units of failure, from one replica up to a data centre.
+// The units of failure, from the smallest to the largest.
 const (
 	ReplicaUnit Unit = iota
 	CellUnit
@@ -120,14 +122,14 @@
 
 func (u Unit) String() string { return unitNames[u] }
 
-// Loss is what is left when units are lost. Shards are rising.
+// Loss describes the holders that remain when some units fail. Its lists of shards are in ascending order.
 type Loss struct {
 	Unit            Unit
-	LostUnits       []string // what was lost
-	Holders         []int    // replicas left that are up, by shard
-	MinHolders      int      // the least of these
-	WeakestShards   []int    // the shards that have so few
-	UncoveredShards []int    // shards with none
+	LostUnits       []string // names of the units that fail
+	Holders         []int    // number of remaining holders that are up, by shard
+	MinHolders      int      // minimum of Holders
+	WeakestShards   []int    // shards with MinHolders holders
+	UncoveredShards []int    // shards without a holder
 }
 
 func (l *Loss) String() string {
@@ -138,22 +140,24 @@
 	return text
 }
 
-// Losses goes over all losses of count units of a kind, 1 or 2, worst first: more shards gone, then fewer holders left.
-// The cost is the number of losses times that of the holders touched, not of the ring: 1,000 replicas have 500,000 pairs.
+// Losses returns all losses of count units of one kind, where count is 1 or 2, worst first: a loss is worse if it leaves
+// more shards without a holder, then if its minimum of remaining holders is lower, then if more shards are at that
+// minimum. Each loss updates only the shards that the lost replicas hold and does not recount the holders of the whole
+// ring, because 1,000 replicas already have about 500,000 pairs.
 func (r *Ring) Losses(unit Unit, count int) []Loss {
 	groups := r.failureGroups(unit)
-	base := make([]int, r.shape.Shards)
-	for s := range base {
-		base[s] = len(r.Holders(s))
+	holders := make([]int, r.shape.Shards)
+	for s := range holders {
+		holders[s] = len(r.Holders(s))
 	}
 	var out []Loss
 	for i := range groups {
 		if count < 2 {
-			out = append(out, r.lossOf(unit, base, groups[i]))
+			out = append(out, r.lossOf(unit, holders, groups[i]))
 			continue
 		}
 		for j := i + 1; j < len(groups); j++ {
-			out = append(out, r.lossOf(unit, base, groups[i], groups[j]))
+			out = append(out, r.lossOf(unit, holders, groups[i], groups[j]))
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Loss) int {
@@ -162,14 +166,16 @@
 	return out
 }
 
+// failureGroup is one unit of failure with the replicas that fail together in it.
 type failureGroup struct {
 	name    string
-	members []int // places of replicas
+	members []int // indexes into Ring.replicas
 }
 
+// failureGroups groups the replicas that are up by unit, ordered by the length of the name, then by the name.
 func (r *Ring) failureGroups(unit Unit) []failureGroup {
 	var out []failureGroup
-	at := map[string]int{}
+	indexByName := map[string]int{}
 	for i, x := range r.replicas {
 		if !x.Up {
 			continue
@@ -181,13 +187,13 @@
 		case DataCentreUnit:
 			name = x.DataCentre
 		}
-		k, ok := at[name]
+		index, ok := indexByName[name]
 		if !ok {
-			k = len(out)
-			at[name] = k
+			index = len(out)
+			indexByName[name] = index
 			out = append(out, failureGroup{name: name})
 		}
-		out[k].members = append(out[k].members, i)
+		out[index].members = append(out[index].members, i)
 	}
 	slices.SortFunc(out, func(a, b failureGroup) int {
 		return cmp.Or(cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
@@ -195,9 +201,10 @@
 	return out
 }
 
-// lose counts down from base. A replica in cell c holds the shards s with (c - s) mod cells < reach.
-func (r *Ring) lossOf(unit Unit, base []int, lost ...failureGroup) Loss {
-	l := Loss{Unit: unit, Holders: slices.Clone(base), MinHolders: math.MaxInt}
+// lossOf returns the loss of the given groups, starting from the number of holders of each shard before the loss.
+// A replica in cell c holds the shards s with (c - s) mod cells < reach.
+func (r *Ring) lossOf(unit Unit, holders []int, lost ...failureGroup) Loss {
+	l := Loss{Unit: unit, Holders: slices.Clone(holders), MinHolders: math.MaxInt}
 	for _, g := range lost {
 		l.LostUnits = append(l.LostUnits, g.name)
 		for _, i := range g.members {
@@ -226,38 +233,38 @@
 	return l
 }
 
-// CanComplete tells whether a query over these shards, with equal weights, can still be whole where need is the share of
-// weight that makes it so.
-func (l *Loss) CanComplete(shards []int, need float64) bool {
-	in := 0
+// CanComplete reports whether a query over the given shards can still be complete after the loss. The shards have equal
+// weights, and completeShare is the share of the weight that a complete answer needs.
+func (l *Loss) CanComplete(shards []int, completeShare float64) bool {
+	covered := 0
 	for _, s := range shards {
 		if l.Holders[s] > 0 {
-			in++
+			covered++
 		}
 	}
-	return float64(in) >= need*float64(len(shards))-1e-9
+	return float64(covered) >= completeShare*float64(len(shards))-1e-9
 }
 
-// CompletableShare tells, for queries over parts different shards with equal weights, the share of all sets of consecutive shards
-// that can still be whole: 1 if no such query suffers, 0 if none can be whole.
-func (l *Loss) CompletableShare(parts int, need float64) float64 {
+// CompletableShare returns the share, from 0 to 1, of the queries over parts consecutive shards that can still be
+// complete after the loss. Shards wrap around at the end of the ring; weights and completeShare are as in CanComplete.
+func (l *Loss) CompletableShare(parts int, completeShare float64) float64 {
 	n := len(l.Holders)
 	if n == 0 || parts < 1 {
 		return 0
 	}
-	good, set := 0, make([]int, min(parts, n))
-	for from := range n {
-		for i := range set {
-			set[i] = (from + i) % n
+	completable, shards := 0, make([]int, min(parts, n))
+	for first := range n {
+		for i := range shards {
+			shards[i] = (first + i) % n
 		}
-		if l.CanComplete(set, need) {
-			good++
+		if l.CanComplete(shards, completeShare) {
+			completable++
 		}
 	}
-	return float64(good) / float64(n)
+	return float64(completable) / float64(n)
 }
 
-// FormatRanges writes rising numbers as 0-3, 7.
+// FormatRanges formats ascending numbers as a list of ranges, such as "0-3, 7", and an empty list as "none".
 func FormatRanges(list []int) string {
 	var parts []string
 	for i := 0; i < len(list); {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// newTestRing returns a ring whose replicas are all up, assigned to the cells in turn, with the cells assigned to three
+// data centres in turn.
 func newTestRing(cells, reach, shards, replicas int) *Ring {
 	var list []Replica
 	for i := range replicas {
@@ -22,8 +24,8 @@
 	return r
 }
 
-// Four cells over three data centres: the ring's seam puts cells 3 and 0 in the same one, so shards 3 and 2 lose a
-// data centre though every other shard has as many as it has holders.
+// With four cells over three data centres, the adjacent cells 3 and 0 are in the same data centre. The shards that these
+// two cells hold, 3 and 7, have both holders in one data centre; all other shards have their holders in two.
 func TestDataCentreSpreadAtRingSeam(t *testing.T) {
 	r := newTestRing(4, 2, 8, 4)
 	var short []int
@@ -44,22 +46,22 @@
 		t.Fatal(worst.String())
 	}
 	if worst.CanComplete([]int{2, 3}, 1) || !worst.CanComplete([]int{2, 3}, 0.5) || !worst.CanComplete([]int{0, 1, 2}, 1) {
-		t.Error("whole queries are told wrongly")
+		t.Error("CanComplete is wrong for queries over shards that lost all holders")
 	}
 	if got := worst.CompletableShare(2, 1); got != 0.5 {
-		t.Errorf("%v of the pairs of shards can be whole", got)
+		t.Errorf("a share of %v of the queries over two shards can be complete, want 0.5", got)
 	}
 }
 
 func TestNewRejectsInvalidLists(t *testing.T) {
 	for _, list := range [][]Replica{{{Name: "a", Cell: 4}}, {{Name: "a", Cell: -1}}, {{Name: "a"}, {Name: "a", Cell: 1}}} {
 		if _, err := New(Shape{4, 2, 8}, list); err == nil {
-			t.Errorf("%v was taken", list)
+			t.Errorf("New accepted the invalid list %v", list)
 		}
 	}
 }
 
-// Whatever the ring, a loss leaves what counting the holders that are left by name comes to.
+// For any ring, the holders that a loss leaves must equal a direct count of the holders whose unit is not among the lost.
 func TestLossesMatchDirectCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := rapid.IntRange(1, 9).Draw(t, "cells")
@@ -75,11 +77,11 @@
 					return slices.Contains(l.LostUnits, name)
 				})
 				if len(left) != n {
-					t.Fatalf("shard %d: %d holders left by the loss, %d by name", s, n, len(left))
+					t.Fatalf("shard %d: the direct count leaves %d holders, the loss %d", s, n, len(left))
 				}
 			}
 			if l.MinHolders != slices.Min(l.Holders) {
-				t.Fatalf("least %d of %v", l.MinHolders, l.Holders)
+				t.Fatalf("MinHolders is %d for holders %v", l.MinHolders, l.Holders)
 			}
 		}
 	})
--- a/internal/replica/blocked_test.go
+++ b/internal/replica/blocked_test.go
@@ -18,34 +18,36 @@
 	"birchcart/policy"
 )
 
-// socketBufferSize is what the test asks for each direction of a socket; the kernel takes a few times that.
+// socketBufferSize is the buffer size that the tests request for each direction of a socket; the kernel allocates a small
+// multiple of it.
 const socketBufferSize = 4 << 10
 
-// bigText is more than the sockets of a connection hold with small buffers.
+// bigText is larger than the socket buffers of a connection with socketBufferSize.
 var bigText = []byte(strings.Repeat("q", 4<<20))
 
+// longTimeoutLimits returns limits under which no write times out and bigText fits into a frame.
 func longTimeoutLimits() config.Limits {
 	l := testLimits()
 	l.WriteTime, l.FrameBytes = testTimeout, 8<<20
 	return l
 }
 
-// settled is for how long a full socket must take no more: within it the kernel, which asks a closed window first after
-// 200 ms, has passed on what little still fitted there.
+// socketSettleTime is how long a socket must accept no bytes to count as full. The kernel probes a closed window for the first
+// time after 200 ms, so within this time it has transferred what still fits into the peer's buffer.
 const socketSettleTime = 500 * time.Millisecond
 
-// useSmallBuffers has connections hold little that the replica has not read. It must be called before one comes up.
+// useSmallBuffers limits how much unread data new connections can hold. It must be called before the first one is opened.
 func (s *fixture) useSmallBuffers() {
 	s.Helper()
 	raw, err := s.ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		s.Fatal(err)
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { // connections inherit it, and it stays as it is
-		failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBufferSize)
-	}); err != nil || failed != nil {
-		s.Fatal(err, failed)
+	var sockErr error
+	if err := raw.Control(func(fd uintptr) { // accepted connections inherit the size, which disables automatic tuning
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBufferSize)
+	}); err != nil || sockErr != nil {
+		s.Fatal(err, sockErr)
 	}
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
@@ -57,7 +59,8 @@
 	}
 }
 
-// fillSockets has connections come up with full sockets: the replica reads *filled bytes before the first frame.
+// fillSockets makes the pool open connections with full socket buffers: the replica has to read *filled bytes before the first
+// frame.
 func (s *fixture) fillSockets(filled *int64) {
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
@@ -83,72 +86,73 @@
 	}
 }
 
-// link is the one connection of the replica.
-func (s *fixture) withConn(look func(l *replicaConn) bool) bool {
+// withConn calls check with the replica's first connection while it holds the pool's lock. It returns false if there is none.
+func (s *fixture) withConn(check func(rc *replicaConn) bool) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	links := s.pool.targets[1].conns
-	return len(links) > 0 && look(links[0])
+	conns := s.pool.targets[1].conns
+	return len(conns) > 0 && check(conns[0])
 }
 
-// acceptFrames takes a connection on which frames of up to so many bytes come.
-func (s *fixture) acceptFrames(most int) *peer {
+// acceptFrames accepts a connection whose frames may have up to maxBytes bytes.
+func (s *fixture) acceptFrames(maxBytes int) *peer {
 	s.Helper()
 	p := s.accept()
 	p.in = bufio.NewScanner(p.nc)
-	p.in.Buffer(nil, most)
-	p.in.Split(frame.Split(most))
+	p.in.Buffer(nil, maxBytes)
+	p.in.Split(frame.Split(maxBytes))
 	return p
 }
 
+// waitUntilBlocked waits until the peer of the replica's connection accepts no more bytes.
 func (s *fixture) waitUntilBlocked() {
 	s.Helper()
-	s.eventually("the writer is not blocked", func() bool { return s.withConn(func(l *replicaConn) bool { return l.blocked }) })
+	s.eventually("the connection did not block", func() bool { return s.withConn(func(rc *replicaConn) bool { return rc.blocked }) })
 }
 
-// A call that waits behind another, of which a replica that hangs has taken a part, has not begun: it can be taken back,
-// and does not go when the replica reads on.
+// A call that is queued behind one that a hung replica has accepted only in part is unstarted: it can be withdrawn, and must
+// not be sent when the replica reads again.
 func TestCallBehindBlockedCallIsUnstarted(t *testing.T) {
 	s := newFixture(t, longTimeoutLimits())
 	s.useSmallBuffers()
-	open := s.holdDials()
-	big, left, withdrawn := attempt("q.1"), attempt("q.2"), attempt("q.3")
+	release := s.holdDials()
+	big, unsent, withdrawn := attempt("q.1"), attempt("q.2"), attempt("q.3")
 	big.Text = bigText
-	for _, a := range []*exchange.Attempt{big, left, withdrawn} {
+	for _, a := range []*exchange.Attempt{big, unsent, withdrawn} {
 		s.pool.Send(1, []*exchange.Attempt{a})
 	}
-	open()
+	release()
 	p := s.acceptFrames(8 << 20)
 	s.waitUntilBlocked()
-	if !s.pool.CancelUnsent(left) {
-		t.Error("a call that has not begun could not be taken back")
+	if !s.pool.CancelUnsent(unsent) {
+		t.Error("an unstarted call could not be withdrawn")
 	}
 	if found, sent := s.pool.Cancel(withdrawn); !found || sent {
-		t.Errorf("found %v, sent %v of a call that has not begun", found, sent)
+		t.Errorf("Cancel of an unstarted call: found %v, sent %v; want true, false", found, sent)
 	}
 	s.pool.mu.Lock()
-	s.pool.limits.PerReplica = 1 // the next one has to take this connection
+	s.pool.limits.PerReplica = 1 // the next call has to use this connection
 	s.pool.mu.Unlock()
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.4")})
 	for _, id := range []string{"q.1", "q.4"} {
 		if f := p.readFrame(); !strings.HasPrefix(f, "A"+id+" ") {
-			t.Errorf("a frame %q..., not of %s", f[:min(20, len(f))], id)
+			t.Errorf("got frame %q..., want one for %s", f[:min(20, len(f))], id)
 		}
 	}
 }
 
-// sendUntilBlocked sends parts until the full socket takes no byte of one, and returns that.
+// sendUntilBlocked sends parts until the full socket accepts no byte of one, and returns that part's attempt.
 func (s *fixture) sendUntilBlocked() *exchange.Attempt {
 	s.Helper()
 	for i := 0; ; i++ {
 		a := attempt(fmt.Sprint("q.", i))
 		s.pool.Send(1, []*exchange.Attempt{a})
 		blocked := false
-		s.eventually("a part neither went nor waits", func() bool {
-			return s.withConn(func(l *replicaConn) bool {
-				blocked = l.blocked
-				en := s.pool.pending[a]
-				return blocked || en != nil && en.written && en.frameEnd <= l.writtenBytes
+		s.eventually("a part was neither written nor blocked", func() bool {
+			return s.withConn(func(rc *replicaConn) bool {
+				blocked = rc.blocked
+				pa := s.pool.pending[a]
+				return blocked || pa != nil && pa.written && pa.frameEnd <= rc.writtenBytes
 			})
 		})
 		if blocked {
@@ -157,7 +161,7 @@
 	}
 }
 
-// A replica that is told to drain while it takes no bytes gets none of a call that has not begun.
+// A replica that starts to drain while it accepts no bytes must get no byte of an unstarted call.
 func TestDrainWithdrawsUnstartedCallOfHungReplica(t *testing.T) {
 	var filled int64
 	l := longTimeoutLimits()
@@ -167,7 +171,7 @@
 	s.fillSockets(&filled)
 	a := s.sendUntilBlocked()
 	p := s.accept()
-	s.withConn(func(l *replicaConn) bool { filled += l.writtenBytes; return true })
+	s.withConn(func(rc *replicaConn) bool { filled += rc.writtenBytes; return true })
 	s.setState(policy.Draining)
 	if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
@@ -178,7 +182,7 @@
 	p.expectNoFrame()
 }
 
-// What a call tells of the time left counts from when the replica takes its first byte.
+// The remaining time in a call must be that at which the replica accepts the call's first byte.
 func TestRemainingTimeCountsFromFirstByte(t *testing.T) {
 	const left = 10 * time.Minute
 	var filled int64
@@ -190,7 +194,7 @@
 	a := s.sendUntilBlocked()
 	p := s.accept()
 	s.pool.mu.Lock()
-	a.Due = time.Now().Add(left) // other than it was when the call was pulled first
+	a.Due = time.Now().Add(left) // differs from the value when the call was first pulled
 	s.pool.mu.Unlock()
 	if _, err := io.CopyN(io.Discard, p.nc, filled); err != nil {
 		t.Fatal(err)
@@ -199,24 +203,24 @@
 	for !strings.HasPrefix(f, "A"+a.ID+" ") {
 		f = p.readFrame()
 	}
-	var told time.Duration
-	if _, err := fmt.Sscanf(f, "A"+a.ID+" 3 d=%d", &told); err != nil || told*time.Millisecond < left/2 || told*time.Millisecond > left {
+	var remaining time.Duration
+	if _, err := fmt.Sscanf(f, "A"+a.ID+" 3 d=%d", &remaining); err != nil || remaining*time.Millisecond < left/2 || remaining*time.Millisecond > left {
 		t.Errorf("%q, %v", f, err)
 	}
 }
 
-// A connection that takes no bytes is reset: a part whose frame was cut never ran, one whose frame was taken whole by
-// then may have, and what had not begun goes on another connection.
+// When a blocked connection is reset, a part whose frame was cut off has never run, a part whose frame was written completely may
+// have run, and an unstarted call must move to another connection.
 func TestResetRequeuesUnstartedCall(t *testing.T) {
 	s := newFixture(t, longTimeoutLimits())
 	s.useSmallBuffers()
-	open := s.holdDials()
+	release := s.holdDials()
 	whole, cut, behind := attempt("q.1"), attempt("q.2"), attempt("q.3")
 	cut.Text = bigText
 	for _, a := range []*exchange.Attempt{whole, cut, behind} {
 		s.pool.Send(1, []*exchange.Attempt{a})
 	}
-	open()
+	release()
 	p := s.accept()
 	p.readFrame()
 	s.waitUntilBlocked()
@@ -235,7 +239,7 @@
 	}
 }
 
-// New parts do not queue up behind a call that a replica does not take.
+// New parts must not queue up behind a call that a replica does not accept.
 func TestBlockedConnectionGetsNoNewPart(t *testing.T) {
 	s := newFixture(t, longTimeoutLimits())
 	s.useSmallBuffers()
@@ -250,8 +254,8 @@
 	}
 }
 
-// A replica drains, moves or restarts between the pull of a call and the kernel's word that it takes no byte of it: the
-// call is taken back then, and does not wait for the replica that was.
+// If a replica drains, moves or restarts after a call was pulled and before the kernel reports that it accepts no byte of it, the
+// call must be withdrawn and not wait for the old address or process.
 func TestPutBackCallIsNotSentToChangedReplica(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
@@ -263,18 +267,18 @@
 			s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
-			l := s.pool.targets[1].conns[0] // its own goroutine is held: the test plays it
-			if out, _, _ := l.Pull(nil); len(out) == 0 {
-				t.Fatal("nothing was pulled")
+			rc := s.pool.targets[1].conns[0] // its goroutine is held in dialing; the test acts in its place
+			if out, _, _ := rc.Pull(nil); len(out) == 0 {
+				t.Fatal("Pull returned no bytes")
 			}
 			target := exchange.Target{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: policy.Up}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
-			if !l.putBack() {
-				t.Fatal("nothing was put back")
+			if !rc.putBack() {
+				t.Fatal("putBack found no call")
 			}
-			if out, _, _ := l.Pull(nil); len(out) != 0 {
-				t.Errorf("pulled again: %q", out)
+			if out, _, _ := rc.Pull(nil); len(out) != 0 {
+				t.Errorf("the withdrawn call was pulled again: %q", out)
 			}
 			select {
 			case r := <-s.sink.results:
@@ -282,22 +286,22 @@
 					t.Errorf("%+v", r)
 				}
 			default:
-				t.Error("its end was not told")
+				t.Error("the attempt's result was not reported")
 			}
 		})
 	}
 }
 
-// Of a frame in whose middle a replica hangs the rest does not go out once nobody waits for its parts: the attempt would
-// begin with its last byte, for a client that has left.
+// If a replica hangs in the middle of a frame, the rest of the frame must not be sent once no client waits for its parts: the
+// last byte would start an attempt for a client that has left.
 func TestPartialFrameIsAbortedWhenQueryEnds(t *testing.T) {
 	for name, end := range map[string]func(*Pool, *exchange.Attempt) (sent bool){
-		"withdrawn":                 func(p *Pool, a *exchange.Attempt) bool { _, sent := p.Cancel(a); return sent },
-		"query over, no cancelling": func(p *Pool, a *exchange.Attempt) bool { return !p.CancelUnsent(a) },
+		"attempt cancelled":          func(p *Pool, a *exchange.Attempt) bool { _, sent := p.Cancel(a); return sent },
+		"query ended, no cancelling": func(p *Pool, a *exchange.Attempt) bool { return !p.CancelUnsent(a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := longTimeoutLimits()
-			l.WriteTime = 10 * testTimeout // it is not the time for writing that ends it
+			l.WriteTime = 10 * testTimeout // so that the write timeout does not end the connection
 			s := newFixture(t, l)
 			s.useSmallBuffers()
 			big := attempt("q.1")
@@ -306,12 +310,12 @@
 			p := s.accept()
 			s.waitUntilBlocked()
 			if !end(s.pool, big) {
-				t.Error("a frame that may be whole by now was taken for one that never ran")
+				t.Error("a frame that may be complete counted as never sent")
 			}
-			s.eventually("the connection goes on", func() bool { return s.connCount() == 0 })
+			s.eventually("the connection is still open", func() bool { return s.connCount() == 0 })
 			n, err := io.Copy(io.Discard, p.nc)
 			if n >= int64(len(bigText)) {
-				t.Errorf("%d bytes went out: all of the frame", n)
+				t.Errorf("%d bytes were sent, which is the whole frame", n)
 			}
 			if err != nil && !errors.Is(err, syscall.ECONNRESET) {
 				t.Error(err)
@@ -320,9 +324,10 @@
 	}
 }
 
-// The rest of a frame goes out where somebody waits still: for another part of it, or for one that went before.
+// The rest of a partly written frame must be sent if a client still waits for another part of that frame or for a part that was
+// written earlier on the connection.
 func TestPartialFrameContinuesForOtherParts(t *testing.T) {
-	t.Run("of the same frame", func(t *testing.T) {
+	t.Run("part of the same frame", func(t *testing.T) {
 		l := longTimeoutLimits()
 		l.Streams = 2
 		s := newFixture(t, l)
@@ -334,10 +339,10 @@
 		s.waitUntilBlocked()
 		s.pool.Cancel(big)
 		if f := p.readFrame(); !strings.Contains(f, "r.1 ") {
-			t.Errorf("a frame without the part that is waited for: %q...", f[:min(40, len(f))])
+			t.Errorf("the frame lacks the part that is still awaited: %q...", f[:min(40, len(f))])
 		}
 	})
-	t.Run("of one before", func(t *testing.T) {
+	t.Run("part of an earlier frame", func(t *testing.T) {
 		l := longTimeoutLimits()
 		l.PerReplica, l.Streams = 1, 2
 		s := newFixture(t, l)
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -10,9 +10,9 @@
 	"birchcart/policy"
 )
 
-// Pull builds what is to be written: calls one by one, then parts that are given up and probes. It is asked by the
-// connection's goroutine just before it writes, so what was taken back by then never goes; nor does a call wait in
-// the buffer behind another of which a peer that is busy takes no more.
+// Pull builds the next bytes to write: one call at a time, and when no call is queued, cancellations of parts and health
+// checks. The connection's goroutine calls it just before it writes, so parts withdrawn until then are never sent. Building
+// one call at a time also keeps a call from waiting in the write buffer behind another that a busy peer accepts only in part.
 func (c *replicaConn) Pull(buf []byte) ([]byte, time.Time, error) {
 	p := c.pool
 	p.mu.Lock()
@@ -30,10 +30,10 @@
 	if len(buf) == start {
 		buf = c.appendControlFrames(buf)
 	} else if len(c.queue) > 0 || len(c.cancels) > 0 || len(c.healthChecks) > 0 && !c.healthChecks[len(c.healthChecks)-1].written {
-		c.wake() // for the rest
+		c.wake() // to pull the rest
 	}
 	c.queuedBytes += int64(len(buf) - start)
-	if !c.frameStartedAt.IsZero() && !c.isIdle() { // what trickles counts from its first byte
+	if !c.frameStartedAt.IsZero() && !c.isIdle() { // the limit counts from the first byte of a frame, however slowly the rest arrives
 		until := c.frameStartedAt.Add(p.limits.FrameTime)
 		if !now.Before(until) {
 			return buf, until, errFrameStalled
@@ -48,13 +48,13 @@
 		until = c.suspectSince.Add(p.limits.Silence)
 	}
 	if c.retired || c.silent || !now.Before(until) {
-		c.finished = true // chosen no more; a part that came first is seen above
+		c.finished = true // chooseConn no longer picks it; a part queued before this makes isIdle false above
 		return buf, until, errIdle
 	}
 	return buf, until, nil
 }
 
-// appendNextCall appends the first call in the queue of which a part is still to be sent.
+// appendNextCall appends the first queued call that still has a part to send. If the replica is not up, it drops the queue.
 func (c *replicaConn) appendNextCall(buf []byte, now time.Time) []byte {
 	c.unstarted, c.unstartedBytes = nil, 0
 	if c.target.State != policy.Up {
@@ -70,21 +70,22 @@
 	return buf
 }
 
-// appendControlFrames appends what is not a call: the ids of parts that are given up, and probes.
+// appendControlFrames appends the frames that are not calls: cancellations of parts and health checks.
 func (c *replicaConn) appendControlFrames(buf []byte) []byte {
 	for _, id := range c.cancels {
 		buf = frame.AppendGiveUp(buf, id)
 	}
 	c.cancels = c.cancels[:0]
-	for _, pr := range c.healthChecks {
-		if !pr.written {
-			pr.written = true
+	for _, hc := range c.healthChecks {
+		if !hc.written {
+			hc.written = true
 			buf = frame.AppendProbe(buf, c.pool.healthCheckFrame())
 		}
 	}
 	return buf
 }
 
+// healthCheckFrame returns the type of the frame that asks for a health check or, if so configured, for the load.
 func (p *Pool) healthCheckFrame() byte {
 	if p.reportsByHealthCheck {
 		return frame.Load
@@ -92,17 +93,17 @@
 	return frame.Probe
 }
 
-// appendCall appends one call without what was taken back meanwhile, and without what is not due after now: after a stop
-// between the turn and the write a part whose time is over would go out with a millisecond, and run for nobody. Its
-// timer takes it back as one that was never written.
+// appendCall appends one call without the parts that have been withdrawn and those whose deadline has passed. If the
+// process was suspended between the decision to send and the write, an expired part would otherwise be sent with the
+// minimum wait of 1 ms and run although no client waits for it. The part's timer withdraws it as never written.
 func (c *replicaConn) appendCall(buf []byte, start int, call []*pendingAttempt, now time.Time) []byte {
 	parts := make([]frame.Part, 0, len(call))
 	live := call[:0]
-	for _, en := range call {
-		if c.pool.pending[en.attempt] != en {
+	for _, pa := range call {
+		if c.pool.pending[pa.attempt] != pa {
 			continue
 		}
-		a := en.attempt
+		a := pa.attempt
 		if !a.Due.After(now) {
 			continue
 		}
@@ -110,53 +111,56 @@
 			ID: a.ID, Shard: a.Shard, Wait: max(1, a.Due.Sub(now).Milliseconds()), From: a.Previous, Whole: a.Complete,
 			Text: a.Text,
 		})
-		live = append(live, en)
+		live = append(live, pa)
 	}
 	if len(parts) == 0 {
 		return buf
 	}
 	buf = frame.AppendCall(buf, parts)
-	for _, en := range live {
-		en.frameEnd = c.queuedBytes + int64(len(buf)-start)
+	for _, pa := range live {
+		pa.frameEnd = c.queuedBytes + int64(len(buf)-start)
 	}
 	c.unstarted, c.unstartedBytes, c.builtAt = live, int64(len(buf)-start), now
 	return buf
 }
 
-// maxFrameAge is for how long a frame may wait between being built and being written. It tells the replica the time that was
-// left when it was built, which may be 0.15 s too long at the most; the machine may hold the process up for as long once more
-// after this was looked at. Half as long has busy machines build frames twice; it is some hundred times what a quiet one takes.
+// maxFrameAge is the maximum time between building a frame and writing it. The frame states the time that remained when it
+// was built, which must be at most 0.15 s too long when the replica gets it, and the process may be suspended for another
+// such time after the check. Half the value makes busy machines build frames twice; an idle machine needs about a hundredth
+// of it.
 const maxFrameAge = 10 * time.Millisecond
 
-// begin says whether the call that was pulled last may be handed to the kernel, and notes its parts as written if so. The goroutine
-// may have been held up since it built the frame: a part that was taken back meanwhile must not go, nor a time that is over.
+// beginWrite reports whether the call that was pulled last may be passed to the kernel, and if so marks its parts as written.
+// The goroutine may have been suspended since it built the frame: a part that has been withdrawn or has expired since then
+// must not be sent, nor an outdated remaining time.
 func (c *replicaConn) beginWrite() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := time.Now()
 	if len(c.unstarted) > 0 && now.Sub(c.builtAt) > maxFrameAge && !c.rebuilt {
-		c.rebuilt = true // once: a machine that takes as long again would never come to write it
+		c.rebuilt = true // only once, or a machine that is always this slow would never write the call
 		return false
 	}
 	c.rebuilt = false
-	for _, en := range c.unstarted {
-		if c.pool.pending[en.attempt] != en || !en.attempt.Due.After(now) {
+	for _, pa := range c.unstarted {
+		if c.pool.pending[pa.attempt] != pa || !pa.attempt.Due.After(now) {
 			return false
 		}
 	}
 	if len(c.unstarted) > 0 && !c.hasWrittenPartsLocked() {
-		c.lastReadAt = now // until now it had nothing to say
+		c.lastReadAt = now // silence counts from here: nothing was awaited from the replica before
 	}
-	for _, en := range c.unstarted {
-		en.written, en.writtenAt = true, now
-		c.pool.log.Debug("a part is written", logrus.Fields{"part": en.attempt.ID, "replica": c.target.Name, "address": c.address})
+	for _, pa := range c.unstarted {
+		pa.written, pa.writtenAt = true, now
+		c.pool.log.Debug("part written", logrus.Fields{"part": pa.attempt.ID, "replica": c.target.Name, "address": c.address})
 	}
 	return true
 }
 
+// hasWrittenPartsLocked reports whether parts have been written and have not ended. The pool's lock is held.
 func (c *replicaConn) hasWrittenPartsLocked() bool {
-	for _, en := range c.parts {
-		if en.written {
+	for _, pa := range c.parts {
+		if pa.written {
 			return true
 		}
 	}
--- a/internal/replica/collect_test.go
+++ b/internal/replica/collect_test.go
@@ -11,16 +11,16 @@
 	"birchcart/policy"
 )
 
-// What a replica says wrongly ends its connection. The part that it was for has failed and may have run; where it
-// can be told, the others were only given up with the connection. That a replica could not use a frame of ours is
-// another matter: its machine closes.
+// A malformed frame from a replica must end its connection. The part that it answers has failed and may have run; if that part
+// can be identified, the others on the connection count as cancelled, otherwise all have failed. An F frame says that the
+// replica rejected a frame of this side; the replica closes the connection then, so the connection counts as broken.
 func TestMalformedFrameClosesConnection(t *testing.T) {
-	const failed, revoked, broken = policy.Failed, policy.Cancelled, policy.ConnectionBroken
+	const failed, cancelled, broken = policy.Failed, policy.Cancelled, policy.ConnectionBroken
 	for bad, want := range map[string][2]policy.Outcome{
 		"": {failed, failed}, "Z": {failed, failed}, "E": {failed, failed}, "C": {failed, failed},
 		"E" + strings.Repeat("x", 1000): {failed, failed}, "Eq.9 hit 1 -\nx": {failed, failed},
-		"Eq.1 hit\n": {failed, revoked}, "Eq.1 maybe 1 -\nx": {failed, revoked}, "Eq.1 hit x -\nx": {failed, revoked},
-		"Eq.1 hit 1 -\nv\x00\x00\x00\x10Eq.2 hit 1 -\nv": {failed, revoked}, "Eq.1 hit 1 -\n\xff": {failed, revoked},
+		"Eq.1 hit\n": {failed, cancelled}, "Eq.1 maybe 1 -\nx": {failed, cancelled}, "Eq.1 hit x -\nx": {failed, cancelled},
+		"Eq.1 hit 1 -\nv\x00\x00\x00\x10Eq.2 hit 1 -\nv": {failed, cancelled}, "Eq.1 hit 1 -\n\xff": {failed, cancelled},
 		"F no": {broken, broken},
 	} {
 		s := newFixture(t, testLimits())
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against frames that begin and do not go on, or only in trickles: they would hold all parts of their
-// connection until the end of each.
+// Guards against frames that stall or arrive byte by byte: they would delay all parts of their connection until the deadlines
+// of the parts.
 func TestStalledFrameClosesConnection(t *testing.T) {
 	l := testLimits()
 	l.FrameTime = 60 * time.Millisecond
@@ -67,15 +67,15 @@
 	if r := s.sink.nextResult(t); r.Outcome != policy.Failed || time.Since(began) > time.Second {
 		t.Fatalf("%+v after %v", r, time.Since(began))
 	}
-	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+	s.eventually("the connection is still open", func() bool { return s.connCount() == 0 })
 }
 
-// A good answer counts whatever comes behind it, and the connection on which that came gets no further part: it was
-// looked at before the answer was told. A second copy leaves the connection as it is.
+// A valid answer counts whatever bytes follow it. If other bytes follow, the connection must get no further part, because they
+// are processed before the answer is reported. A second copy of the answer must leave the connection in use.
 func TestBytesAfterValidAnswer(t *testing.T) {
 	frame := func(text string) string { return string([]byte{0, 0, 0, byte(len(text))}) + text }
 	good := frame("Eq.1 hit 1 -\nv")
-	for behind, kept := range map[string]bool{
+	for trailing, reused := range map[string]bool{
 		good: true, "\x00\x00": false, "\x00\x00\x00\x05noise"[:7]: false, "no": false, "noise": false,
 		frame("Znoise"): false, frame("Eq.7 hit 1 -\nv"): false,
 	} {
@@ -83,14 +83,14 @@
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 		p := s.accept()
 		p.readFrame()
-		io.WriteString(p.nc, good+behind)
+		io.WriteString(p.nc, good+trailing)
 		if r := s.sink.nextResult(t); r.Outcome != policy.OK || string(r.Value) != "v" {
-			t.Errorf("%q: %+v", behind, r)
+			t.Errorf("%q: %+v", trailing, r)
 		}
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
-		if kept {
+		if reused {
 			p.readFrame()
-			p.sendFrame("Eq.1 hit 1 -\nv") // even once more, and late
+			p.sendFrame("Eq.1 hit 1 -\nv") // a late third copy
 			p.sendFrame("Eq.2 hit 1 -\nv")
 		} else {
 			next := s.accept()
@@ -99,13 +99,13 @@
 			p.expectClosed()
 		}
 		if r := s.sink.nextResult(t); r.Attempt.ID != "q.2" || r.Outcome != policy.OK {
-			t.Errorf("%q: %+v", behind, r)
+			t.Errorf("%q: %+v", trailing, r)
 		}
 		s.sink.expectNoResult(t)
 	}
 }
 
-// A load report that can't be read is no report, and its answer is as good without.
+// An invalid load report must be ignored; its answer counts without the report.
 func TestMalformedReportIsIgnored(t *testing.T) {
 	s := newFixture(t, testLimits())
 	var p *peer
--- a/internal/replica/dial.go
+++ b/internal/replica/dial.go
@@ -16,60 +16,59 @@
 	"birchcart/policy"
 )
 
-// replicaConn is one connection to a replica, from its dialling to its end. Its fields are guarded by the pool's
-// lock.
+// replicaConn is one connection to a replica, from dialing to its end. The pool's lock guards its fields.
 type replicaConn struct {
 	pool       *Pool
 	target     *target
 	address    string
-	conn       *duplexconn.Conn   // nil until it is up
-	cancelDial context.CancelFunc // ends its dialling
+	conn       *duplexconn.Conn   // nil while dialing
+	cancelDial context.CancelFunc // cancels dialing
 
 	queue         [][]*pendingAttempt        // calls not yet written
-	parts         map[string]*pendingAttempt // by id: not ended, written or not
-	lateParts     map[string]time.Time       // given up or answered, and perhaps answered still, until then
-	lateOrder     []string                   // their ids, the oldest first
-	cancels       []string
-	healthChecks  []*healthCheck
-	queuedBytes   int64 // bytes handed to the writer
-	writtenBytes  int64 // of these, gone out
-	blocked       bool  // the peer takes nothing for now
-	partlyWritten bool  // and has taken a part of what was pulled last
+	parts         map[string]*pendingAttempt // by id: attempts that have not ended, written or not
+	lateParts     map[string]time.Time       // by id: cancelled or answered parts, and until when a late or second answer to them is accepted
+	lateOrder     []string                   // keys of lateParts, oldest first
+	cancels       []string                   // ids of cancelled parts for which the replica has not been told yet
+	healthChecks  []*healthCheck             // not yet answered, oldest first
+	queuedBytes   int64                      // bytes passed to the writer
+	writtenBytes  int64                      // bytes written to the socket
+	blocked       bool                       // the peer accepts no bytes at the moment
+	partlyWritten bool                       // blocked after it had accepted some of the bytes pulled last
 
-	unstarted      []*pendingAttempt // the call that was pulled last, none if that was no call; it goes back where no byte of it can go out
-	unstartedBytes int64
-	builtAt        time.Time // when it was pulled
-	rebuilt        bool      // it is built anew since the one before was too old
-	holdCount      int       // in a row, for the list
-	heldUntil      time.Time // no call is pulled before
+	unstarted      []*pendingAttempt // the call pulled last, nil if it was not a call; put back if none of it can be written
+	unstartedBytes int64             // size of its frame
+	builtAt        time.Time         // when its frame was built
+	rebuilt        bool              // its frame was rebuilt because the previous one was older than maxFrameAge
+	holdCount      int               // how often in a row it was held for a pending list
+	heldUntil      time.Time         // no call is pulled before this time
 
-	lastReadAt       time.Time         // last read, or when parts went out after a pause
-	idleSince        time.Time         // when the last part ended
-	frameStartedAt   time.Time         // when an unfinished frame began to arrive, zero if none has
-	answeredAttempts []*pendingAttempt // answered by frames that have been read and not yet reported
-	lastOfReplica    bool              // it ended, and no other connection to the replica is open
-	suspectSince     time.Time         // a part was given up then with nothing read since it went out; zero once something is
-	silent           bool              // a part was given up after a silence, and nothing was read since
-	retired          bool              // gets no new part and is closed once idle
-	finished         bool
+	lastReadAt       time.Time         // time of the last read, or of the first write of a part when none was out
+	idleSince        time.Time         // when the last part ended, or when the connection came up
+	frameStartedAt   time.Time         // when the first byte of an incomplete frame arrived, zero if there is none
+	answeredAttempts []*pendingAttempt // answers that have been read and not yet reported
+	lastOfReplica    bool              // the connection has ended and no other to the replica is open
+	suspectSince     time.Time         // when a part was cancelled with nothing read since it was written; zeroed by the next read
+	silent           bool              // a part was cancelled while isSilent, and nothing has been read since
+	retired          bool              // gets no new parts and is closed once idle
+	finished         bool              // no longer used; it has ended or is about to end
 }
 
-// open starts a connection.
+// openConn adds a connection to a replica and starts its goroutine. The pool's lock is held.
 func (p *Pool) openConn(t *target) *replicaConn {
 	now := time.Now()
-	ctx, hangUp := context.WithCancel(context.Background())
-	l := &replicaConn{
-		pool: p, target: t, address: t.Address, cancelDial: hangUp, parts: map[string]*pendingAttempt{}, lateParts: map[string]time.Time{},
+	ctx, cancel := context.WithCancel(context.Background())
+	rc := &replicaConn{
+		pool: p, target: t, address: t.Address, cancelDial: cancel, parts: map[string]*pendingAttempt{}, lateParts: map[string]time.Time{},
 		lastReadAt: now, idleSince: now,
 	}
-	t.conns = append(t.conns, l)
+	t.conns = append(t.conns, rc)
 	p.openConns++
-	go l.run(ctx)
-	return l
+	go rc.run(ctx)
+	return rc
 }
 
-// retire has a connection get no new part, and closes it once it is idle. One that is still dialled is given up: nothing
-// waits for it then, and a handshake would cost the replica work.
+// retire stops new parts from being assigned to the connection, which is closed once it is idle. Dialing is cancelled: nothing
+// waits for the connection any more, and a handshake would cost the replica work.
 func (c *replicaConn) retire() {
 	c.retired = true
 	if c.conn == nil {
@@ -78,32 +77,34 @@
 	c.wake()
 }
 
-// hasCapacity says whether a call may go on this connection.
+// hasCapacity reports whether the connection may carry a call in addition to its parts.
 func (c *replicaConn) hasCapacity(call []*exchange.Attempt, now time.Time) bool {
 	if c.retired || c.finished || len(c.parts)+len(call) > max(c.pool.limits.Streams, len(call)) ||
 		c.isIdle() && now.Sub(c.idleSince) >= c.pool.limits.ReplicaIdle {
 		return false
 	}
-	for _, a := range call { // two of one id could not be told apart
-		if _, ghost := c.lateParts[a.ID]; ghost || c.parts[a.ID] != nil {
+	for _, a := range call { // answers to two parts with one id could not be told apart
+		if _, late := c.lateParts[a.ID]; late || c.parts[a.ID] != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// isIdle tells that nothing is out or waiting.
+// isIdle reports whether the connection has no parts and no health checks, queued or written.
 func (c *replicaConn) isIdle() bool { return len(c.parts) == 0 && len(c.healthChecks) == 0 }
 
-// isSilent guards against machines that vanish: an open connection to one says nothing for ever. A new
-// connection shows what is the matter within the time for connecting.
+// isSilent reports whether parts are outstanding and nothing has been read for the silence limit. It guards against machines
+// that disappear: an open connection to such a machine never delivers anything, while a new connection shows within the
+// connect timeout whether the replica can be reached.
 func (c *replicaConn) isSilent(now time.Time) bool {
 	return c.silent || c.conn != nil && len(c.parts) > 0 && now.Sub(c.lastReadAt) >= c.pool.limits.Silence
 }
 
-// suspect is 1 where a part was given up and nothing has been read since it went out. Guards against connections that
-// have fallen silent: they look idle as soon as their parts are given up, and would take one part after the other.
-// Most are in order, the part was just one too many; so they are only used last, and left if nothing clears them.
+// suspectRank is 1 if a part was cancelled and nothing has been read since it was written, else 0. It guards against silent
+// connections, which look idle as soon as their parts are cancelled and would get one part after another. Most suspect
+// connections are sound and only that part was slow, so they are used last, and closed if nothing is read within the silence
+// limit.
 func (c *replicaConn) suspectRank() int {
 	if c.suspectSince.IsZero() {
 		return 0
@@ -111,32 +112,32 @@
 	return 1
 }
 
-// expect notes that an answer to a part that has ended may come: one that was given up is answered perhaps, and a
-// good answer may come twice. What is older than Remember is forgotten.
+// expectLateAnswer records that an answer to an ended part may still arrive: a cancelled part may be answered, and an answer
+// may arrive twice. Entries older than the Remember limit are dropped.
 func (c *replicaConn) expectLateAnswer(id string, now time.Time) {
-	if _, twice := c.lateParts[id]; !twice {
+	if _, known := c.lateParts[id]; !known {
 		c.lateOrder = append(c.lateOrder, id)
 	}
 	c.lateParts[id] = now.Add(c.pool.limits.Remember)
-	gone := 0
-	for _, old := range c.lateOrder {
-		if !now.After(c.lateParts[old]) {
+	expired := 0
+	for _, lateID := range c.lateOrder {
+		if !now.After(c.lateParts[lateID]) {
 			break
 		}
-		delete(c.lateParts, old)
-		gone++
+		delete(c.lateParts, lateID)
+		expired++
 	}
-	c.lateOrder = append(c.lateOrder[:0], c.lateOrder[gone:]...)
+	c.lateOrder = append(c.lateOrder[:0], c.lateOrder[expired:]...)
 }
 
-// wake makes the goroutine look at what is queued; while it dials, it will look by itself.
+// wake makes the connection's goroutine check the queue. While it dials this is not needed: it checks afterwards anyway.
 func (c *replicaConn) wake() {
 	if c.conn != nil {
 		c.conn.Wake()
 	}
 }
 
-// run is the goroutine of the connection.
+// run is the connection's goroutine: it dials, then writes and reads until the connection ends.
 func (c *replicaConn) run(ctx context.Context) {
 	nc, err := c.pool.dial(ctx, c.address)
 	c.cancelDial()
@@ -156,10 +157,10 @@
 		}
 		nc.Close()
 		c.pool.mu.Lock()
-		c.retired = true // before what was read last is told: whoever hears of it may send the next part at once
+		c.retired = true // before the last answers are reported, because their receiver may send the next part at once
 		c.pool.mu.Unlock()
 		c.reportAnswers()
-		if c.lastOfReplica = true; c.hasWrittenParts() { // else nobody asks
+		if c.lastOfReplica = true; c.hasWrittenParts() { // without written parts no outcome depends on it
 			time.Sleep(c.pool.limits.SiblingTime)
 			c.lastOfReplica = !c.hasOpenSibling()
 		}
@@ -168,29 +169,29 @@
 }
 
 var (
-	errIdle             = errors.New("closed as idle")
-	errUnsolicitedFrame = errors.New("a frame began that nothing had asked for")
-	errFrameStalled     = errors.New("a frame began and did not go on")
+	errIdle             = errors.New("idle connection closed")
+	errUnsolicitedFrame = errors.New("a frame began to arrive that answers no part or health check")
+	errFrameStalled     = errors.New("a frame was not complete in time")
 )
 
-// malformedFrame is an answer that can't be used. Its part, where its id can be read, has failed and may have run. The
-// connection is ours to close then, so of the others on it only that is known: they were given up.
+// malformedFrame is the error for a frame from the replica that cannot be used. The part it names, if its id is readable,
+// has failed and may have run. Because this side closes the connection then, the other parts on it count as cancelled.
 type malformedFrame struct {
-	id     string // of the part, "" if it can't be told
+	id     string // id of the part, "" if it is unknown
 	reason string
 }
 
-func (s *malformedFrame) Error() string { return s.reason }
+func (e *malformedFrame) Error() string { return e.reason }
 
-// hasWrittenParts says whether parts are out, with the lock taken.
+// hasWrittenParts is hasWrittenPartsLocked for callers that do not hold the pool's lock.
 func (c *replicaConn) hasWrittenParts() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.hasWrittenPartsLocked()
 }
 
-// siblings says whether another connection to the replica is open still. A process that ends takes all of them with
-// it, so then only this one was cut and the machine is none that went down.
+// hasOpenSibling reports whether another connection to the replica is still open. All connections end with the replica's
+// process, so if one is open, only this connection was cut and the replica has not gone down.
 func (c *replicaConn) hasOpenSibling() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -199,24 +200,24 @@
 	})
 }
 
-// outcome is what the end of a connection means for a part whose frame went out whole.
-func (c *replicaConn) outcome(en *pendingAttempt, err error) policy.Outcome {
-	var s *malformedFrame
+// outcome returns the outcome of a part whose frame was written completely when its connection ended with err.
+func (c *replicaConn) outcome(pa *pendingAttempt, err error) policy.Outcome {
+	var malformed *malformedFrame
 	switch {
 	case errors.Is(err, errFrameStalled) || errors.Is(err, frame.ErrLength):
-		return policy.Failed // which one it was for can't be told
-	case !errors.As(err, &s) && c.lastOfReplica:
+		return policy.Failed // the part that the frame answers is unknown
+	case !errors.As(err, &malformed) && c.lastOfReplica:
 		return policy.ConnectionBroken
-	case s == nil:
+	case malformed == nil:
 		return policy.Failed
-	case s.id == en.attempt.ID || c.parts[s.id] == nil:
+	case malformed.id == pa.attempt.ID || c.parts[malformed.id] == nil:
 		return policy.Failed
 	}
 	return policy.Cancelled
 }
 
-// end takes the connection out of the pool and tells what becomes of its parts: what was not wholly written
-// never ran, the rest may have. Calls that had not begun go on to another connection.
+// teardown removes the connection from the pool and reports the outcomes of its parts: a part whose frame was not written
+// completely never ran, the others may have. Calls of which nothing was written move to another connection.
 func (c *replicaConn) teardown(err error) {
 	p := c.pool
 	p.mu.Lock()
@@ -234,13 +235,13 @@
 	}
 	c.requeueCalls(err)
 	var out []exchange.Result
-	for _, en := range c.parts {
+	for _, pa := range c.parts {
 		o := policy.Unreachable
-		if en.written && en.frameEnd <= c.writtenBytes {
-			o = c.outcome(en, err)
+		if pa.written && pa.frameEnd <= c.writtenBytes {
+			o = c.outcome(pa, err)
 		}
-		delete(p.pending, en.attempt)
-		out = append(out, exchange.Result{Attempt: en.attempt, Outcome: o, At: now})
+		delete(p.pending, pa.attempt)
+		out = append(out, exchange.Result{Attempt: pa.attempt, Outcome: o, At: now})
 	}
 	probes := c.healthChecks
 	clear(c.parts)
@@ -248,24 +249,24 @@
 	name := c.target.Name
 	p.mu.Unlock()
 	p.reportResults(out)
-	for _, pr := range probes {
+	for _, hc := range probes {
 		o := policy.Unreachable
-		if pr.written {
+		if hc.written {
 			o = policy.ConnectionBroken
 		}
-		p.healthCheckEnded(pr, o, nil)
+		p.healthCheckEnded(hc, o, nil)
 	}
 	fields := logrus.Fields{"replica": name, "address": c.address, "parts": len(out), "error": err}
 	if err != nil && !errors.Is(err, errIdle) || len(out) > 0 {
-		p.log.Warn("a connection to a replica ended", fields)
+		p.log.Warn("connection to a replica ended", fields)
 	} else {
-		p.log.Debug("a connection to a replica was closed", fields)
+		p.log.Debug("connection to a replica closed", fields)
 	}
 }
 
-// requeueCalls has the calls that wait on a connection that has ended wait on another. That it ended, idle perhaps, says
-// nothing of whether the replica can be reached; one that never came up, or took no bytes for so long, says that. A call
-// moves once: a replica that closes all its connections would have it for ever.
+// requeueCalls moves the calls that are queued on an ended connection to another one. The end of a connection, which may have
+// been idle, does not show that the replica is unreachable; a failed dial or a write timeout does, and then nothing moves.
+// A call moves only once, or it would never end if a replica closes all its connections.
 func (c *replicaConn) requeueCalls(err error) {
 	p := c.pool
 	if c.conn == nil || errors.Is(err, os.ErrDeadlineExceeded) || c.target.State != policy.Up || c.target.Address != c.address {
@@ -273,19 +274,19 @@
 	}
 	for _, call := range c.queue {
 		var attempts []*exchange.Attempt
-		for _, en := range call {
-			if p.pending[en.attempt] == en && !en.requeued {
-				attempts = append(attempts, en.attempt)
+		for _, pa := range call {
+			if p.pending[pa.attempt] == pa && !pa.requeued {
+				attempts = append(attempts, pa.attempt)
 			}
 		}
 		if len(attempts) == 0 {
 			continue
 		}
-		to := p.chooseConn(c.target, attempts)
-		if to == nil {
+		rc := p.chooseConn(c.target, attempts)
+		if rc == nil {
 			return
 		}
-		p.enqueue(to, attempts)
+		p.enqueue(rc, attempts)
 		for _, a := range attempts {
 			p.pending[a].requeued = true
 			delete(c.parts, a.ID)
@@ -293,24 +294,24 @@
 	}
 }
 
-// unqueue takes back what is not yet written.
-func (c *replicaConn) withdrawUnwritten(o policy.Outcome) (back []exchange.Result) {
-	for _, en := range c.parts {
-		if !en.written {
-			c.pool.dropAttempt(en)
-			back = append(back, exchange.Result{Attempt: en.attempt, Outcome: o, At: time.Now()})
+// withdrawUnwritten removes the parts that have not been written and returns their results with outcome o.
+func (c *replicaConn) withdrawUnwritten(o policy.Outcome) (withdrawn []exchange.Result) {
+	for _, pa := range c.parts {
+		if !pa.written {
+			c.pool.dropAttempt(pa)
+			withdrawn = append(withdrawn, exchange.Result{Attempt: pa.attempt, Outcome: o, At: time.Now()})
 		}
 	}
-	return back
+	return withdrawn
 }
 
-// withdrawHealthChecks takes back the probes that are not yet written.
+// withdrawHealthChecks removes and returns the health checks that have not been written.
 func (c *replicaConn) withdrawHealthChecks() []*healthCheck {
-	first := slices.IndexFunc(c.healthChecks, func(pr *healthCheck) bool { return !pr.written }) // they are written in order
+	first := slices.IndexFunc(c.healthChecks, func(hc *healthCheck) bool { return !hc.written }) // they are written in order
 	if first < 0 {
 		return nil
 	}
-	back := slices.Clone(c.healthChecks[first:])
+	withdrawn := slices.Clone(c.healthChecks[first:])
 	c.healthChecks = c.healthChecks[:first]
-	return back
+	return withdrawn
 }
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -17,29 +17,29 @@
 	"birchcart/policy"
 )
 
-// holdDials has every connection wait, once it is dialled for real, until open is called: to the pool it is coming up.
-// It must be called before the pool dials.
-func (s *fixture) holdDials() (open func()) {
+// holdDials delays every connection after its TCP handshake until release is called; the pool sees it as still dialing. It must
+// be called before the pool dials.
+func (s *fixture) holdDials() (release func()) {
 	gate := make(chan struct{})
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, address string) (*net.TCPConn, error) {
-		nc, err := dial(context.WithoutCancel(ctx), address) // it comes up even if it is given up in that moment
+		nc, err := dial(context.WithoutCancel(ctx), address) // completes even if the pool cancels the dial at the same time
 		<-gate
 		return nc, err
 	}
 	opened := false
-	open = func() {
+	release = func() {
 		if !opened {
 			opened = true
 			close(gate)
 		}
 	}
-	s.Cleanup(open)
-	return open
+	s.Cleanup(release)
+	return release
 }
 
-// A replica that moved, or restarted, under its name: what waits for a connection to the old process is taken back as
-// never run, probes too, and the connection gets nothing when it is up at last.
+// When a replica moves, restarts, drains or is removed, parts and health checks that wait for a connection to the old process must
+// be withdrawn as never run, and the connection must get no frame once it is open.
 func TestQueuedPartIsNotSentToChangedReplica(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
@@ -49,30 +49,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, testLimits())
-			open := s.holdDials()
+			release := s.holdDials()
 			a := attempt("q.1")
 			s.pool.Send(1, []*exchange.Attempt{a})
 			s.pool.CheckHealth(1)
 			target := exchange.Target{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: policy.Up}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
-			open()
-			s.accept().expectClosed() // with no frame before
+			release()
+			s.accept().expectClosed() // without a frame before the close
 			if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
 			if r := s.sink.nextHealthCheck(t); r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+			s.eventually("the connection is still open", func() bool { return s.connCount() == 0 })
 			s.sink.expectNoResult(t)
 		})
 	}
 }
 
-// A part may be queued on a connection in the moment in which its end has come and its goroutine has not looked: nothing
-// of it is written there, and it goes on another connection. That an idle connection was closed says nothing against
-// its replica.
+// A part may be queued on a connection that the replica has closed before the connection's goroutine sees the close. Nothing of it
+// must be written there, and it must move to another connection: the end of an idle connection does not mean that the
+// replica is unreachable.
 func TestPartQueuedOnClosedConnectionMoves(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
@@ -82,10 +82,10 @@
 	s.sink.nextResult(t)
 	a, b := attempt("q.2"), attempt("q.3")
 	s.waitUntilParked()
-	s.withConn(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't take the end in yet
+	s.withConn(func(rc *replicaConn) bool { // the lock is held, so the connection's goroutine cannot process the close yet
 		p.nc.Close()
-		s.eventually("the end does not come", func() bool { return !l.conn.Open() })
-		s.pool.enqueue(l, []*exchange.Attempt{a, b})
+		s.eventually("the close did not arrive", func() bool { return !rc.conn.Open() })
+		s.pool.enqueue(rc, []*exchange.Attempt{a, b})
 		return true
 	})
 	next := s.accept()
@@ -99,11 +99,11 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	s.eventually("the link stays", func() bool { return s.connCount() == 1 })
+	s.eventually("the connection is still open", func() bool { return s.connCount() == 1 })
 	s.sink.expectNoResult(t)
 }
 
-// A replica that closes each connection at once gets a part on two at the most, and has then taken none.
+// If a replica closes each connection at once, a part must be tried on two connections only and then end as unreachable.
 func TestPartIsRequeuedOnce(t *testing.T) {
 	s := newFixture(t, testLimits())
 	dialled := 0
@@ -123,45 +123,45 @@
 	if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.Unreachable {
 		t.Errorf("%+v", r)
 	}
-	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+	s.eventually("the connection is still open", func() bool { return s.connCount() == 0 })
 	if dialled != 2 {
 		t.Errorf("%d connections were dialled", dialled)
 	}
 }
 
-// nextHealthCheck waits for the end of a probe.
+// nextHealthCheck waits for the result of a health check.
 func (s *sink) nextHealthCheck(t *testing.T) exchange.HealthCheck {
 	t.Helper()
 	select {
 	case r := <-s.healthChecks:
 		return r
 	case <-time.After(testTimeout):
-		t.Fatal("no probe ended")
+		t.Fatal("no health check ended")
 	}
 	panic("unreachable")
 }
 
-// What a part tells of the time left is what is left when its connection is up, not when it was queued.
+// The remaining time in a part's frame must be that at which its connection is open, not that at which the part was queued.
 func TestRemainingTimeExcludesDialing(t *testing.T) {
 	const left, waited = time.Hour, 20 * time.Minute
 	s := newFixture(t, testLimits())
-	open := s.holdDials()
+	release := s.holdDials()
 	a := attempt("q.1")
 	a.Due = time.Now().Add(left)
 	s.pool.Send(1, []*exchange.Attempt{a})
 	s.pool.mu.Lock()
-	a.Due = a.Due.Add(-waited) // stands for as long a wait
+	a.Due = a.Due.Add(-waited) // simulates a wait of this length
 	s.pool.mu.Unlock()
-	open()
+	release()
 	f := s.accept().readFrame()
-	var told time.Duration
-	if _, err := fmt.Sscanf(f, "Aq.1 3 d=%d", &told); err != nil || told*time.Millisecond > left-waited || told*time.Millisecond < left-2*waited {
+	var remaining time.Duration
+	if _, err := fmt.Sscanf(f, "Aq.1 3 d=%d", &remaining); err != nil || remaining*time.Millisecond > left-waited || remaining*time.Millisecond < left-2*waited {
 		t.Errorf("%q, %v", f, err)
 	}
 }
 
-// Whoever is told of an answer may give up another part whose answer was read with it: that one's end is on its way then,
-// and comes once; the replica is told nothing.
+// The receiver of an answer may cancel another part whose answer was read at the same time. That answer must still be reported,
+// exactly once, and no cancellation must be sent to the replica.
 func TestCancelAfterAnswerWasRead(t *testing.T) {
 	s := newFixture(t, testLimits())
 	a, b := attempt("q.1"), attempt("q.2")
@@ -182,17 +182,17 @@
 		}
 	}
 	if got := <-withdrawn; got != [2]bool{} {
-		t.Errorf("found and sent: %v", got)
+		t.Errorf("Cancel returned found and sent %v, want both false", got)
 	}
 	s.sink.expectNoResult(t)
 	p.expectNoFrame()
 }
 
-// waitUntilParked waits until the goroutines of all connections wait for their peers: they have looked at what is queued then, and
-// will not before they are woken.
+// waitUntilParked waits until the goroutines of all connections wait for I/O. They have then checked their queues and do not check
+// again until they are woken.
 func (s *fixture) waitUntilParked() {
 	s.Helper()
-	s.eventually("a connection's goroutine does not rest", func() bool {
+	s.eventually("a connection's goroutine did not wait for I/O", func() bool {
 		stacks := make([]byte, 1<<20)
 		found := false
 		for stack := range strings.SplitSeq(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
@@ -208,22 +208,22 @@
 	})
 }
 
-// acknowledged tells that the other machine's kernel has all that was said.
+// acknowledged reports whether the receiving kernel has acknowledged all bytes that were sent.
 func (p *peer) acknowledged() bool {
 	raw, err := p.nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	var left int32
-	var failed syscall.Errno
+	var unacknowledged int32
+	var errno syscall.Errno
 	raw.Control(func(fd uintptr) {
-		_, _, failed = syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&left)))
+		_, _, errno = syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&unacknowledged)))
 	})
-	return failed == 0 && left == 0
+	return errno == 0 && unacknowledged == 0
 }
 
-// A part may be queued on an idle connection in the moment in which half a line has come there. Nothing that is out can be
-// meant, so the part goes on another connection, and not on one that would end under it.
+// A part may be queued on an idle connection on which an incomplete frame has just arrived. The frame answers no outstanding part,
+// so the connection is about to end and the part must move to another one.
 func TestPartQueuedBehindPartialFrameMoves(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
@@ -232,10 +232,10 @@
 	p.sendFrame("Eq.1 hit 1 -\nv")
 	s.sink.nextResult(t)
 	s.waitUntilParked()
-	s.withConn(func(l *replicaConn) bool { // with the lock: the connection's goroutine can't look at it yet
+	s.withConn(func(rc *replicaConn) bool { // the lock is held, so the connection's goroutine cannot process the bytes yet
 		io.WriteString(p.nc, "\x00\x00\x00\x0eEq.9 ")
-		s.eventually("the bytes do not come", p.acknowledged)
-		s.pool.enqueue(l, []*exchange.Attempt{attempt("q.2")})
+		s.eventually("the bytes were not acknowledged", p.acknowledged)
+		s.pool.enqueue(rc, []*exchange.Attempt{attempt("q.2")})
 		return true
 	})
 	next := s.accept()
@@ -249,8 +249,8 @@
 	p.expectClosed()
 }
 
-// A connection that is still dialled when its replica moved, restarted, drains or is gone is given up, and its place is free
-// at once: a handshake later would cost the replica work, and nothing would come of it.
+// If a replica moves, restarts, drains or is removed during dialing, the dial must be cancelled and its connection no longer
+// counted: completing the handshake later would cost the replica work for nothing.
 func TestDialIsCancelledWhenReplicaChanges(t *testing.T) {
 	for name, change := range map[string]func(*exchange.Target){
 		"moved":     func(c *exchange.Target) { c.Address = "127.0.0.1:1" },
@@ -267,14 +267,14 @@
 			a := attempt("q.1")
 			s.pool.Send(2, []*exchange.Attempt{a})
 			if n := s.connCount(); n != 1 {
-				t.Fatalf("%d connections, want the one that is dialled", n)
+				t.Fatalf("%d connections, want one, in dialing", n)
 			}
 			change(&target)
 			s.pool.Update([]exchange.Target{target})
 			if r := s.sink.nextResult(t); r.Attempt != a || r.Outcome != policy.NotSent {
 				t.Errorf("%+v", r)
 			}
-			s.eventually("the dialling goes on", func() bool { return s.connCount() == 0 })
+			s.eventually("the dial was not cancelled", func() bool { return s.connCount() == 0 })
 		})
 	}
 }
--- a/internal/replica/links_test.go
+++ b/internal/replica/links_test.go
@@ -14,7 +14,7 @@
 	"birchcart/policy"
 )
 
-// More parts than a connection may carry open another; at the most, they go on the least loaded.
+// Parts beyond the limit of a connection must open another one; at the limit of connections they use the least loaded.
 func TestPartsPerConnection(t *testing.T) {
 	s := newFixture(t, testLimits())
 	for i := range 5 {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against choosing a connection that is ending: whoever is told of its last good answer may send the next part in
-// the same moment, and that part has to go to another one. It used to be told as unreachable.
+// Guards against choosing a connection that is ending: the receiver of its last valid answer may send the next part at once. That
+// part must use another connection; on the ending one it would be reported as unreachable.
 func TestNextPartAvoidsClosingConnection(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.sink.onResult = func(r exchange.Result) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Guards against taking a connection that was cut for a machine that went down: while another one is open still its
-// parts have failed and may have run. A process that ends takes all of them.
+// Guards against treating a reset connection as a replica that went down. While another connection to the replica is open, the
+// parts of the reset one have failed and may have run. If all connections end, the process has ended and they are broken.
 func TestOneOfSeveralConnectionsIsReset(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		l := testLimits()
@@ -74,7 +74,7 @@
 		s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 		first.readFrame()
 		second := s.accept()
-		s.eventually("the second is not up", func() bool {
+		s.eventually("the second connection did not open", func() bool {
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
 			return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against connections that have fallen silent and look idle, since their parts are given up early: one that has
-// answered goes first, a new one is opened beside, and in the end it is left. An answer clears it.
+// Guards against silent connections that look idle because their parts are cancelled early: connections that have answered must be
+// preferred, a new one must be opened, and the silent one must be closed in the end. An answer makes it regular again.
 func TestUnansweredConnectionIsUsedLast(t *testing.T) {
 	l := testLimits()
 	l.Spread, l.Silence = 2, 200*time.Millisecond
@@ -108,10 +108,10 @@
 	first.readFrame()
 	s.pool.Cancel(a)
 	first.readFrame()
-	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // there is no other yet
+	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // there is no other connection yet
 	first.readFrame()
 	second := s.accept()
-	first.sendFrame("Eq.2 hit 1 -\nv") // in order after all
+	first.sendFrame("Eq.2 hit 1 -\nv") // the connection works after all
 	s.sink.nextResult(t)
 	b := attempt("q.3")
 	s.pool.Send(1, []*exchange.Attempt{b})
@@ -125,7 +125,7 @@
 	}
 	s.pool.Cancel(b)
 	peers[0].readFrame()
-	for i := range 3 { // the one that said nothing has been idle longest, and stays unused
+	for i := range 3 { // the unanswered connection has been idle longest and must stay unused
 		s.pool.Send(1, []*exchange.Attempt{attempt(fmt.Sprint("r.", i))})
 		peers[1].readFrame()
 		peers[1].sendFrame(fmt.Sprint("Er.", i, " hit 1 -\nv"))
@@ -134,7 +134,7 @@
 	peers[0].expectClosed()
 }
 
-// Parts share a connection only while others come up: one spoilt answer takes along all that is out beside it.
+// Parts may share a connection only while others are being dialed, because one malformed answer ends all parts on its connection.
 func TestPartsAreSpreadOverConnections(t *testing.T) {
 	l := testLimits()
 	l.Spread = 2
@@ -142,10 +142,10 @@
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1")})
 	first := s.accept()
 	first.readFrame()
-	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // shares, and opens another
+	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")}) // shares the connection and opens another
 	first.readFrame()
 	second := s.accept()
-	s.eventually("the second is not up", func() bool {
+	s.eventually("the second connection did not open", func() bool {
 		s.pool.mu.Lock()
 		defer s.pool.mu.Unlock()
 		return len(s.pool.targets[1].conns) == 2 && s.pool.targets[1].conns[1].conn != nil
@@ -165,7 +165,7 @@
 	}
 }
 
-// What is remembered of parts that have ended is forgotten in time.
+// The records of ended parts must be dropped after the Remember limit.
 func TestEndedPartsAreForgotten(t *testing.T) {
 	l := testLimits()
 	l.Remember = time.Millisecond
@@ -186,13 +186,13 @@
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if k := s.pool.targets[1].conns[0]; len(k.lateParts) > 2 || len(k.lateOrder) != len(k.lateParts) {
-		t.Errorf("%d and %d are remembered", len(k.lateParts), len(k.lateOrder))
+	if rc := s.pool.targets[1].conns[0]; len(rc.lateParts) > 2 || len(rc.lateOrder) != len(rc.lateParts) {
+		t.Errorf("%d parts and %d ids are recorded", len(rc.lateParts), len(rc.lateOrder))
 	}
 }
 
-// A connection is left well before the replica closes it, and a replica that closes one while it is idle
-// costs no part.
+// The pool must close an idle connection after the ReplicaIdle limit, before the replica would, and a replica that closes an
+// idle connection must cause no part to fail.
 func TestIdleConnections(t *testing.T) {
 	l := testLimits()
 	l.ReplicaIdle = 50 * time.Millisecond
@@ -203,19 +203,19 @@
 	p.sendFrame("Eq.1 hit 1 -\nv")
 	s.sink.nextResult(t)
 	p.expectClosed()
-	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+	s.eventually("the connection is still open", func() bool { return s.connCount() == 0 })
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 	p = s.accept()
 	p.readFrame()
 	p.sendFrame("Eq.2 hit 1 -\nv")
 	s.sink.nextResult(t)
 	p.nc.Close()
-	s.eventually("the closed link stays", func() bool { return s.connCount() == 0 })
+	s.eventually("the connection that the replica closed is still counted", func() bool { return s.connCount() == 0 })
 	s.sink.expectNoResult(t)
 }
 
-// Guards against machines that vanish: where parts are out and nothing was heard, new parts take a new
-// connection, and the silent one goes when its parts have ended.
+// Guards against machines that disappear: if parts are outstanding and nothing has been read for the silence limit, new parts must
+// use a new connection, and the silent one must be closed when its parts have ended.
 func TestSilentConnectionGetsNoNewPart(t *testing.T) {
 	l := testLimits()
 	l.Silence = 20 * time.Millisecond
@@ -235,8 +235,8 @@
 	p.expectClosed()
 }
 
-// At the limit of connections an idle one of another replica makes room; where none is idle, the part is told
-// as never run.
+// At the limit of connections, an idle connection to another replica must be closed for a new one; if none is idle, the part must
+// end as unreachable.
 func TestConnectionLimit(t *testing.T) {
 	l := testLimits()
 	l.ReplicaLinks = 1
--- a/internal/replica/mux_test.go
+++ b/internal/replica/mux_test.go
@@ -7,7 +7,7 @@
 	"birchcart/policy"
 )
 
-// servers stands in for the side of feature servers.
+// fakeFeatureServers is an exchange.Replicas for feature servers that records the state of each target.
 type fakeFeatureServers struct {
 	exchange.Replicas
 	targets map[uint64]policy.Readiness
@@ -21,30 +21,30 @@
 
 func (s *fakeFeatureServers) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
 
-// A replica that comes again as a feature server under its name gets nothing by frames any more, also nothing that waits
-// for a connection, and the other way round.
+// A replica that is listed again under its name as a feature server must get no more frames, not even for calls that wait for
+// a connection. If it changes back, the feature servers' implementation must get it as removed.
 func TestReplicaChangesKind(t *testing.T) {
 	s := newFixture(t, testLimits())
 	features := &fakeFeatureServers{targets: map[uint64]policy.Readiness{}}
 	mux := NewMux(s.pool, features)
-	open := s.holdDials()
+	release := s.holdDials()
 	target := exchange.Target{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: policy.Up}
 	mux.Update([]exchange.Target{target})
-	waits := attempt("q.1")
-	mux.Send(1, []*exchange.Attempt{waits})
+	queued := attempt("q.1")
+	mux.Send(1, []*exchange.Attempt{queued})
 	target.Kind = KindFeatures
 	mux.Update([]exchange.Target{target})
-	if r := s.sink.nextResult(t); r.Attempt != waits || r.Outcome != policy.NotSent {
+	if r := s.sink.nextResult(t); r.Attempt != queued || r.Outcome != policy.NotSent {
 		t.Errorf("%+v", r)
 	}
-	open()
+	release()
 	s.accept().expectNoFrame()
-	if state, had := features.targets[1]; !had || state != policy.Up {
-		t.Errorf("the feature servers' side has state %v, %v", state, had)
+	if state, found := features.targets[1]; !found || state != policy.Up {
+		t.Errorf("the feature servers have state %v, found %v, want up", state, found)
 	}
 	target.Kind = ""
 	mux.Update([]exchange.Target{target})
 	if state := features.targets[1]; state != policy.Removed {
-		t.Errorf("the feature servers' side has state %v", state)
+		t.Errorf("the feature servers have state %v, want removed", state)
 	}
 }
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -1,5 +1,5 @@
-// Package replica is the client side: it dials replicas, sends them calls, and collects what comes back. A
-// connection has one goroutine, which dials, writes and reads.
+// Package replica is the client side of the connections to replicas: it dials replicas, sends them calls and collects their
+// answers. Each connection has one goroutine, which dials, writes and reads.
 package replica
 
 import (
@@ -17,21 +17,21 @@
 	"birchcart/policy"
 )
 
-// Sink takes the outcome of attempts and health checks.
+// Sink receives the results of attempts and health checks.
 type Sink interface {
 	AttemptEnded(exchange.Result)
 	HealthChecked(exchange.HealthCheck)
 }
 
-// Pool holds the connections to all replicas. Its lock is held for bookkeeping only, never across I/O.
+// Pool manages the connections to all replicas. Its lock guards bookkeeping only and is never held during I/O.
 type Pool struct {
 	limits               config.Limits
 	reportNames          []string // names of the values in a load report
-	reportsByHealthCheck bool     // load is reported to health checks only
+	reportsByHealthCheck bool     // replicas report their load only in answer to health checks
 	sink                 Sink
 	log                  *logs.Limited
 	dial                 func(ctx context.Context, address string) (*net.TCPConn, error)
-	listPending          func() bool
+	listPending          func() bool // reports whether a change of the replica list is pending
 
 	mu        sync.Mutex
 	targets   map[uint64]*target
@@ -39,25 +39,25 @@
 	openConns int
 }
 
-// target is one replica.
+// target is a replica and the connections to it.
 type target struct {
 	exchange.Target
 	conns []*replicaConn
 }
 
-// attempt is one attempt that has not ended.
+// pendingAttempt is an attempt that has not ended.
 type pendingAttempt struct {
 	attempt   *exchange.Attempt
 	conn      *replicaConn
-	requeued  bool             // waited on another connection before, which ended
-	written   bool             // handed to the kernel, in part or whole
-	cancelled bool             // its query is over; the rest of its frame need not go out
-	frameEnd  int64            // then: where its frame ends among the bytes of the connection
-	writtenAt time.Time        // and when
-	answer    *exchange.Result // read, and reported once what came with it has been looked at
+	requeued  bool             // was queued before on another connection, which has ended
+	written   bool             // passed to the kernel, completely or in part
+	cancelled bool             // its query has ended; the rest of its frame need not be written
+	frameEnd  int64            // offset of the end of its frame in the bytes of the connection, valid once it is built
+	writtenAt time.Time        // valid if written is set
+	answer    *exchange.Result // answer that has been read and not yet reported
 }
 
-// New returns an empty pool.
+// New returns a pool without replicas, which reports results to sink.
 func New(cfg *config.Config, sink Sink, log *logrus.Entry) *Pool {
 	return &Pool{
 		limits: cfg.Limits, reportNames: cfg.Policy.ReportNames, reportsByHealthCheck: cfg.Report == "on_probe", sink: sink,
@@ -67,10 +67,11 @@
 	}
 }
 
-// HoldForList has no new part begin while a change of the list is pending: it counts as notified already, and may tell that the
-// replica drains. It must be called before the first part is sent.
+// HoldForList makes the pool start no new part while pending reports that a change of the replica list is pending: the change
+// already counts as notified and may say that the replica drains. It must be called before the first part is sent.
 func (p *Pool) HoldForList(pending func() bool) { p.listPending = pending }
 
+// dialer returns a function that opens TCP connections with the given timeout.
 func dialer(within time.Duration) func(ctx context.Context, address string) (*net.TCPConn, error) {
 	d := net.Dialer{Timeout: within}
 	return func(ctx context.Context, address string) (*net.TCPConn, error) {
@@ -82,111 +83,112 @@
 	}
 }
 
-// Update takes changed targets. A replica that drains or is gone gets nothing that is not yet written: the
-// drain counts from the telling, and a part may have waited for its connection meanwhile. Nor does one that moved
-// or restarted get it at its old address or from its old process: the parts never ran, and go where the decisions
-// send them now.
+// Update applies changed targets. A replica that drains or is removed gets nothing that has not been written yet: the drain
+// counts from its notification, and a part may have waited for its connection in the meantime. If a replica moved or
+// restarted, nothing more is sent to the old address or process. The withdrawn parts never ran; the policy decides where
+// they are sent next.
 func (p *Pool) Update(changed []exchange.Target) {
 	p.mu.Lock()
-	var back []exchange.Result
-	var unasked []*healthCheck
-	for _, c := range changed {
-		t := p.targets[c.Replica]
+	var withdrawn []exchange.Result
+	var unsent []*healthCheck
+	for _, update := range changed {
+		t := p.targets[update.Replica]
 		if t == nil {
 			t = &target{}
-			p.targets[c.Replica] = t
+			p.targets[update.Replica] = t
 		}
-		moved := t.Address != "" && (t.Address != c.Address || !t.Started.Equal(c.Started))
-		t.Target = c
-		if c.State == policy.Up && !moved {
+		moved := t.Address != "" && (t.Address != update.Address || !t.Started.Equal(update.Started))
+		t.Target = update
+		if update.State == policy.Up && !moved {
 			continue
 		}
-		for _, l := range t.conns {
-			back = append(back, l.withdrawUnwritten(policy.NotSent)...)
-			unasked = append(unasked, l.withdrawHealthChecks()...)
-			l.retire()
+		for _, rc := range t.conns {
+			withdrawn = append(withdrawn, rc.withdrawUnwritten(policy.NotSent)...)
+			unsent = append(unsent, rc.withdrawHealthChecks()...)
+			rc.retire()
 		}
-		if c.State == policy.Removed && len(t.conns) == 0 {
-			delete(p.targets, c.Replica)
+		if update.State == policy.Removed && len(t.conns) == 0 {
+			delete(p.targets, update.Replica)
 		}
 	}
 	p.mu.Unlock()
-	p.reportResults(back)
-	for _, pr := range unasked {
-		p.healthCheckEnded(pr, policy.NotSent, nil)
+	p.reportResults(withdrawn)
+	for _, hc := range unsent {
+		p.healthCheckEnded(hc, policy.NotSent, nil)
 	}
 }
 
+// reportResults passes results to the sink. The pool's lock must not be held.
 func (p *Pool) reportResults(results []exchange.Result) {
 	for _, r := range results {
 		p.sink.AttemptEnded(r)
 	}
 }
 
-// Send sends attempts as one call.
+// Send queues attempts as one call to a replica. If no connection is available, they end as unreachable.
 func (p *Pool) Send(replica uint64, call []*exchange.Attempt) {
 	p.mu.Lock()
 	t := p.targets[replica]
-	var l *replicaConn
+	var rc *replicaConn
 	if t != nil && t.State == policy.Up {
-		l = p.chooseConn(t, call)
+		rc = p.chooseConn(t, call)
 	}
-	if l == nil { // nowhere to go: that a connection could not be had is what it comes to
+	if rc == nil { // no connection is available, which counts as an unreachable replica
 		p.mu.Unlock()
-		p.log.Warn("no connection for a call", logrus.Fields{"replica": replica})
+		p.log.Warn("no connection available for a call", logrus.Fields{"replica": replica})
 		for _, a := range call {
 			p.sink.AttemptEnded(exchange.Result{Attempt: a, Outcome: policy.Unreachable, At: time.Now()})
 		}
 		return
 	}
-	p.enqueue(l, call)
+	p.enqueue(rc, call)
 	p.mu.Unlock()
 }
 
-// enqueue has a call wait to be written on a connection.
-func (p *Pool) enqueue(l *replicaConn, call []*exchange.Attempt) {
+// enqueue adds a call to the queue of a connection. The pool's lock is held.
+func (p *Pool) enqueue(rc *replicaConn, call []*exchange.Attempt) {
 	entries := make([]*pendingAttempt, len(call))
 	for i, a := range call {
-		entries[i] = &pendingAttempt{attempt: a, conn: l}
+		entries[i] = &pendingAttempt{attempt: a, conn: rc}
 		p.pending[a] = entries[i]
-		l.parts[a.ID] = entries[i]
+		rc.parts[a.ID] = entries[i]
 	}
-	l.queue = append(l.queue, entries)
-	l.wake()
+	rc.queue = append(rc.queue, entries)
+	rc.wake()
 }
 
-// choose finds the connection for a call: an open one that is heard of, else one that is coming up, else a
-// new one, and one that is silent, or takes no bytes for now, only where no more may be opened. Among open ones those go first on which nothing is
-// out, of these the ones that have answered since, then the least loaded, then the one that has been idle longest:
-// what comes late behind an answer shows by then.
+// chooseConn selects the connection for a call: preferably an open one, then one that is being dialed, then a new one. A
+// connection that is silent or blocked is used only if no more may be opened. Among open connections the order is: those
+// without parts, those that are not suspect, those with the fewest parts, and the one that has been idle longest, because
+// by then surplus data behind an earlier answer has shown up. The pool's lock is held.
 func (p *Pool) chooseConn(t *target, call []*exchange.Attempt) *replicaConn {
 	now := time.Now()
 	var best *replicaConn
-	rank := func(l *replicaConn) int {
+	rank := func(rc *replicaConn) int {
 		switch {
-		case l.conn == nil:
+		case rc.conn == nil:
 			return 1
-		case l.blocked || l.isSilent(now):
+		case rc.blocked || rc.isSilent(now):
 			return 2
 		}
 		return 0
 	}
-	coming := false
-	for _, l := range t.conns {
-		coming = coming || l.conn == nil
-		if !l.hasCapacity(call, now) {
+	dialing := false
+	for _, rc := range t.conns {
+		dialing = dialing || rc.conn == nil
+		if !rc.hasCapacity(call, now) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(rank(l), rank(best)), cmp.Compare(min(1, len(l.parts)), min(1, len(best.parts))),
-			cmp.Compare(l.suspectRank(), best.suspectRank()), cmp.Compare(len(l.parts), len(best.parts)),
-			l.idleSince.Compare(best.idleSince)) < 0 {
-			best = l
+		if best == nil || cmp.Or(cmp.Compare(rank(rc), rank(best)), cmp.Compare(min(1, len(rc.parts)), min(1, len(best.parts))),
+			cmp.Compare(rc.suspectRank(), best.suspectRank()), cmp.Compare(len(rc.parts), len(best.parts)),
+			rc.idleSince.Compare(best.idleSince)) < 0 {
+			best = rc
 		}
 	}
 	if best != nil && rank(best) < 2 {
-		// One answer that can't be read takes with it all that is out on its connection, so parts share one only
-		// while others are coming up.
-		if (len(best.parts) > 0 || best.suspectRank() > 0) && !coming && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
+		// One malformed answer ends all parts on its connection, so parts share a connection only while others are
+		// being dialed.
+		if (len(best.parts) > 0 || best.suspectRank() > 0) && !dialing && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
 			p.openConn(t)
 		}
 		return best
@@ -197,18 +199,19 @@
 	return best
 }
 
-// connsPerReplica is how many connections a replica gets so that parts need not share one: its part of all of them.
+// connsPerReplica returns how many connections to a replica are opened so that parts need not share one: at most the spread
+// limit and the replica's share of all connections.
 func (p *Pool) connsPerReplica() int {
 	return min(p.limits.Spread, p.limits.ReplicaLinks/max(1, len(p.targets)))
 }
 
-// evict closes the connection that has stood idle longest, to make room for another.
+// evictIdle retires the connection that has been idle longest so that another can be opened, and reports whether there was one.
 func (p *Pool) evictIdle(now time.Time) bool {
 	var oldest *replicaConn
 	for _, t := range p.targets {
-		for _, l := range t.conns {
-			if l.conn != nil && l.isIdle() && !l.retired && (oldest == nil || l.idleSince.Before(oldest.idleSince)) {
-				oldest = l
+		for _, rc := range t.conns {
+			if rc.conn != nil && rc.isIdle() && !rc.retired && (oldest == nil || rc.idleSince.Before(oldest.idleSince)) {
+				oldest = rc
 			}
 		}
 	}
@@ -219,81 +222,83 @@
 	return true
 }
 
-// Cancel takes back an attempt: one that was sent is given up at the replica, too.
+// Cancel cancels an attempt; if it has been written, the replica is told. found is false if the attempt has ended; sent
+// reports that it may have run.
 func (p *Pool) Cancel(a *exchange.Attempt) (found, sent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	en := p.pending[a]
-	if en == nil {
+	pa := p.pending[a]
+	if pa == nil {
 		return false, false
 	}
-	if !en.written {
-		p.dropAttempt(en)
+	if !pa.written {
+		p.dropAttempt(pa)
 		return true, false
 	}
-	l := en.conn
-	if now := time.Now(); l.isSilent(now) {
-		l.silent = true
-	} else if !l.lastReadAt.After(en.writtenAt) && l.suspectSince.IsZero() {
-		l.suspectSince = now
+	rc := pa.conn
+	if now := time.Now(); rc.isSilent(now) {
+		rc.silent = true
+	} else if !rc.lastReadAt.After(pa.writtenAt) && rc.suspectSince.IsZero() {
+		rc.suspectSince = now
 	}
-	p.dropAttempt(en)
-	l.expectLateAnswer(a.ID, time.Now())
-	l.cancels = append(l.cancels, a.ID)
-	l.abortPartialFrame()
-	l.wake()
+	p.dropAttempt(pa)
+	rc.expectLateAnswer(a.ID, time.Now())
+	rc.cancels = append(rc.cancels, a.ID)
+	rc.abortPartialFrame()
+	rc.wake()
 	return true, true
 }
 
-// CancelUnsent takes back an attempt that is not yet written. One whose frame waits in the middle for the replica to read on is
-// not: it may be whole by now. But then the rest of its frame does not go out, if it can be helped.
+// CancelUnsent withdraws an attempt that has not been written, and reports whether it did. An attempt whose frame is partly
+// written is not withdrawn, because the frame may be complete by now; the rest of its frame is withheld if possible.
 func (p *Pool) CancelUnsent(a *exchange.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	en := p.pending[a]
+	pa := p.pending[a]
 	switch {
-	case en == nil:
+	case pa == nil:
 		return false
-	case en.written:
-		en.cancelled = true
-		en.conn.abortPartialFrame()
+	case pa.written:
+		pa.cancelled = true
+		pa.conn.abortPartialFrame()
 		return false
 	}
-	p.dropAttempt(en)
+	p.dropAttempt(pa)
 	return true
 }
 
-// dropAttempt takes an entry out of all books.
-func (p *Pool) dropAttempt(en *pendingAttempt) {
-	delete(p.pending, en.attempt)
-	delete(en.conn.parts, en.attempt.ID)
-	if len(en.conn.parts) == 0 {
-		en.conn.idleSince = time.Now()
+// dropAttempt removes an attempt from the pool and its connection. The pool's lock is held.
+func (p *Pool) dropAttempt(pa *pendingAttempt) {
+	delete(p.pending, pa.attempt)
+	delete(pa.conn.parts, pa.attempt.ID)
+	if len(pa.conn.parts) == 0 {
+		pa.conn.idleSince = time.Now()
 	}
 }
 
-// CheckHealth asks a replica for a sign of life, or for its load where that is the only way to it.
+// CheckHealth sends a health check to a replica, which asks for the load if the replica reports it only this way.
 func (p *Pool) CheckHealth(replica uint64) {
 	p.mu.Lock()
 	t := p.targets[replica]
-	var l *replicaConn
+	var rc *replicaConn
 	if t != nil && t.State == policy.Up {
-		l = p.chooseConn(t, nil)
+		rc = p.chooseConn(t, nil)
 	}
 	now := time.Now()
-	if l != nil {
-		pr := &healthCheck{replica: replica, requestedAt: now}
-		l.healthChecks = append(l.healthChecks, pr)
-		l.wake()
-		time.AfterFunc(p.limits.ProbeTime, func() { p.healthCheckEnded(pr, policy.TimedOut, nil) })
+	if rc != nil {
+		hc := &healthCheck{replica: replica, requestedAt: now}
+		rc.healthChecks = append(rc.healthChecks, hc)
+		rc.wake()
+		time.AfterFunc(p.limits.ProbeTime, func() { p.healthCheckEnded(hc, policy.TimedOut, nil) })
 	}
 	p.mu.Unlock()
-	if l == nil {
+	if rc == nil {
 		p.sink.HealthChecked(exchange.HealthCheck{Replica: replica, Outcome: policy.Unreachable, At: now})
 	}
 }
 
-// healthCheck is one that is out. Answers come in the order of the questions, so one that is late keeps its place.
+// healthCheck is a health check that has not been answered. Answers arrive in the order of the checks, so a check that has
+// timed out stays in the list until its answer arrives.
 type healthCheck struct {
 	replica     uint64
 	requestedAt time.Time
@@ -301,23 +306,24 @@
 	ended       bool
 }
 
-func (p *Pool) healthCheckEnded(pr *healthCheck, o policy.Outcome, report []float64) {
+// healthCheckEnded reports the result of a health check unless it has ended before.
+func (p *Pool) healthCheckEnded(hc *healthCheck, o policy.Outcome, report []float64) {
 	p.mu.Lock()
-	over := pr.ended
-	pr.ended = true
+	alreadyEnded := hc.ended
+	hc.ended = true
 	p.mu.Unlock()
-	if now := time.Now(); !over {
-		p.sink.HealthChecked(exchange.HealthCheck{Replica: pr.replica, Outcome: o, At: now, Took: now.Sub(pr.requestedAt), Report: report})
+	if now := time.Now(); !alreadyEnded {
+		p.sink.HealthChecked(exchange.HealthCheck{Replica: hc.replica, Outcome: o, At: now, Took: now.Sub(hc.requestedAt), Report: report})
 	}
 }
 
-// Close ends all connections; it is the last thing that a process does with them.
+// Close retires all connections. The pool must not be used afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.targets {
-		for _, l := range t.conns {
-			l.retire()
+		for _, rc := range t.conns {
+			rc.retire()
 		}
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,14 +18,14 @@
 	"birchcart/policy"
 )
 
-// patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
+// testTimeout is how long a busy machine may take for what an idle one does within milliseconds.
 const testTimeout = time.Minute
 
-// sink gathers results.
+// sink is a Sink that queues results for the test.
 type sink struct {
 	results      chan exchange.Result
 	healthChecks chan exchange.HealthCheck
-	onResult     func(exchange.Result) // called before a result is passed on
+	onResult     func(exchange.Result) // if set, called before a result is queued
 }
 
 func (s *sink) AttemptEnded(r exchange.Result) {
@@ -37,33 +37,36 @@
 
 func (s *sink) HealthChecked(p exchange.HealthCheck) { s.healthChecks <- p }
 
+// nextResult waits for the next result of an attempt.
 func (s *sink) nextResult(t *testing.T) exchange.Result {
 	t.Helper()
 	select {
 	case r := <-s.results:
 		return r
 	case <-time.After(testTimeout):
-		t.Fatal("no result came")
+		t.Fatal("no attempt ended")
 	}
 	panic("unreachable")
 }
 
+// expectNoResult checks that no attempt ends within 30 ms.
 func (s *sink) expectNoResult(t *testing.T) {
 	t.Helper()
 	select {
 	case r := <-s.results:
-		t.Fatalf("an unexpected result: %+v", r)
+		t.Fatalf("unexpected result: %+v", r)
 	case <-time.After(30 * time.Millisecond):
 	}
 }
 
-// peer is one connection as a replica sees it.
+// peer is the replica's end of a connection.
 type peer struct {
 	t  *testing.T
 	nc net.Conn
 	in *bufio.Scanner
 }
 
+// readFrame waits for the next frame.
 func (p *peer) readFrame() string {
 	p.t.Helper()
 	p.nc.SetReadDeadline(time.Now().Add(testTimeout))
@@ -73,28 +76,31 @@
 	return p.in.Text()
 }
 
+// expectNoFrame checks that no frame arrives within 30 ms.
 func (p *peer) expectNoFrame() {
 	p.t.Helper()
 	p.nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if p.in.Scan() {
-		p.t.Fatalf("an unexpected frame %q", p.in.Text())
+		p.t.Fatalf("unexpected frame %q", p.in.Text())
 	}
 }
 
+// sendFrame sends a frame with the given content, adding its length.
 func (p *peer) sendFrame(rest string) {
 	n := len(rest)
 	p.nc.Write(append([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, rest...))
 }
 
-// ended tells that the other side has closed.
+// expectClosed checks that the pool closes the connection.
 func (p *peer) expectClosed() {
 	p.t.Helper()
 	p.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := p.nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		p.t.Fatalf("still open: %v", err)
+		p.t.Fatalf("the connection is still open: %v", err)
 	}
 }
 
+// fixture is a pool with one replica, whose end of the connections the test controls.
 type fixture struct {
 	*testing.T
 	pool *Pool
@@ -111,7 +117,7 @@
 	}
 }
 
-// newFixture is a pool with one replica, number 1, for which the test speaks.
+// newFixture returns a pool with one replica, number 1, that is up.
 func newFixture(t *testing.T, l config.Limits) *fixture {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,10 +133,12 @@
 	return s
 }
 
+// setState updates the state of the replica.
 func (s *fixture) setState(state policy.Readiness) {
 	s.pool.Update([]exchange.Target{{Replica: 1, Name: "r", Address: s.ln.Addr().String(), State: state}})
 }
 
+// accept waits for the next connection to the replica.
 func (s *fixture) accept() *peer {
 	s.Helper()
 	s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -144,12 +152,14 @@
 	return p
 }
 
+// connCount returns the number of the pool's connections.
 func (s *fixture) connCount() int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.pool.openConns
 }
 
+// eventually waits until ok returns true and fails the test with the message what on a timeout.
 func (s *fixture) eventually(what string, ok func() bool) {
 	s.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
@@ -159,11 +169,12 @@
 	}
 }
 
+// attempt returns an attempt that is due in a minute.
 func attempt(id string) *exchange.Attempt {
 	return &exchange.Attempt{ID: id, Shard: 3, Text: []byte("q"), Due: time.Now().Add(time.Minute)}
 }
 
-// The parts of a call go in one frame, answers come in any order, and the connection is used again.
+// The parts of a call are sent in one frame, their answers may arrive in any order, and the connection is reused.
 func TestCallAndAnswers(t *testing.T) {
 	s := newFixture(t, testLimits())
 	a, b := attempt("q.1"), attempt("q.2")
@@ -193,7 +204,7 @@
 	}
 }
 
-// What a connection that ends proves: a part whose frame went out may have run.
+// When a connection ends, a part whose frame was written may have run.
 func TestBrokenConnectionOutcome(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.1"), attempt("q.2")})
@@ -207,6 +218,7 @@
 	}
 }
 
+// A part whose connection is refused has never run.
 func TestRefusedConnectionOutcome(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.ln.Close()
@@ -214,16 +226,16 @@
 	if r := s.sink.nextResult(t); r.Outcome != policy.Unreachable {
 		t.Fatalf("%+v", r)
 	}
-	s.eventually("the link stays", func() bool { return s.connCount() == 0 })
+	s.eventually("the connection is still counted", func() bool { return s.connCount() == 0 })
 }
 
-// A frame that is cut by the end of the connection was never whole at the replica: the bytes written decide.
+// A frame that the end of the connection cuts off never arrived completely, so its part never ran; the bytes written decide.
 func TestPartiallyWrittenFrameOutcome(t *testing.T) {
 	l := testLimits()
 	l.WriteTime = 50 * time.Millisecond
 	s := newFixture(t, l)
 	small, big := attempt("q.1"), attempt("q.2")
-	big.Text = make([]byte, 64<<20) // more than the machine takes for a peer that does not read
+	big.Text = make([]byte, 64<<20) // more than the socket buffers hold for a peer that does not read
 	s.pool.Send(1, []*exchange.Attempt{small})
 	s.accept().readFrame()
 	s.pool.Send(1, []*exchange.Attempt{big})
@@ -237,8 +249,8 @@
 	}
 }
 
-// full holds a listener's accept queue so that further dials hang, which is how a machine that says nothing
-// looks from here.
+// hangingAddress returns the address of a listener whose accept queue is full, so that dials to it hang as with a machine that
+// does not respond.
 func hangingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -251,7 +263,7 @@
 		t.Fatal(err)
 	}
 	shrinkAcceptQueue(t, raw)
-	for range 16 { // fill the queue; nobody accepts
+	for range 16 { // fill the queue; nothing accepts
 		nc, err := net.DialTimeout("tcp", ln.Addr().String(), 50*time.Millisecond)
 		if err != nil {
 			return ln.Addr().String()
@@ -262,7 +274,7 @@
 	return ""
 }
 
-// A part that waits for its connection is not sent once it is given up, nor once its replica drains.
+// A part that waits for its connection must not be sent after it is cancelled or its replica starts to drain.
 func TestWithdrawnPartIsNotSent(t *testing.T) {
 	l := testLimits()
 	l.ConnectTime = 30 * time.Second
@@ -276,7 +288,7 @@
 		t.Fatalf("found %v, sent %v", found, sent)
 	}
 	if !s.pool.CancelUnsent(b) || s.pool.CancelUnsent(b) {
-		t.Fatal("a waiting part could not be taken back once")
+		t.Fatal("an unsent part was not withdrawn exactly once")
 	}
 	s.pool.Update([]exchange.Target{{Replica: 2, Name: "h", Address: "127.0.0.1:1", State: policy.Draining}})
 	if r := s.sink.nextResult(t); r.Attempt != c || r.Outcome != policy.NotSent {
@@ -285,8 +297,8 @@
 	s.sink.expectNoResult(t)
 }
 
-// A process that was stopped between its turn and the write finds parts whose time is over: they are not written, and can be
-// taken back as such. Beside them what is due later goes.
+// If the process is suspended between the decision to send and the write, some parts may have expired. They must not be written
+// and can be withdrawn as unsent; the other parts of the call must be sent.
 func TestExpiredPartIsNotWritten(t *testing.T) {
 	s := newFixture(t, testLimits())
 	late, good := attempt("q.1"), attempt("q.2")
@@ -303,10 +315,10 @@
 	if r := s.sink.nextResult(t); r.Attempt != good || r.Outcome != policy.OK {
 		t.Fatalf("%+v", r)
 	}
-	p.expectNoFrame() // nothing of the late one, no word that it is given up
+	p.expectNoFrame() // no frame for the expired part, not even a cancellation
 }
 
-// A dial that hangs costs the parts of other replicas nothing, and its own never ran.
+// A dial that hangs must not affect the parts of other replicas; its own parts never ran.
 func TestHangingDialDoesNotAffectOtherReplicas(t *testing.T) {
 	l := testLimits()
 	l.ConnectTime = 300 * time.Millisecond
@@ -326,7 +338,7 @@
 	}
 }
 
-// A part that was sent and is given up is told to the replica; an answer that crosses changes nothing.
+// Cancelling a sent part must send a cancellation to the replica; an answer that crosses it is ignored.
 func TestCancelSentPart(t *testing.T) {
 	s := newFixture(t, testLimits())
 	a := attempt("q.1")
@@ -334,7 +346,7 @@
 	p := s.accept()
 	p.readFrame()
 	if s.pool.CancelUnsent(a) {
-		t.Fatal("a part on the wire was taken back")
+		t.Fatal("a written part was withdrawn")
 	}
 	if found, sent := s.pool.Cancel(a); !found || !sent {
 		t.Fatalf("found %v, sent %v", found, sent)
@@ -344,14 +356,15 @@
 	}
 	p.sendFrame("Eq.1 hit 1 -\nlate")
 	s.sink.expectNoResult(t)
-	// The same id again must not be mistaken for the one that was given up, so it takes another connection.
+	// Another id can use the same connection: the late answer did not end it.
 	s.pool.Send(1, []*exchange.Attempt{attempt("q.2")})
 	p.readFrame()
 	if n := s.connCount(); n != 1 {
-		t.Errorf("%d connections: the crossing answer ended one", n)
+		t.Errorf("%d connections, want 1: the late answer ended one", n)
 	}
 }
 
+// A part with the id of a cancelled one must use another connection, so that a late answer is not taken for its own.
 func TestReusedIDTakesAnotherConnection(t *testing.T) {
 	s := newFixture(t, testLimits())
 	a := attempt("q.1")
@@ -365,11 +378,11 @@
 	if f := second.readFrame(); !strings.HasPrefix(f, "Aq.1 ") {
 		t.Fatalf("%q", f)
 	}
-	p.sendFrame("Eq.1 fault - -\n") // of the first
+	p.sendFrame("Eq.1 fault - -\n") // the late answer to the first
 	s.sink.expectNoResult(t)
 }
 
-// A draining replica gets nothing new, finishes what it has, and its connection then goes.
+// A draining replica must get no new parts, may answer those it has, and its connection must then be closed.
 func TestDrain(t *testing.T) {
 	s := newFixture(t, testLimits())
 	a := attempt("q.1")
@@ -390,6 +403,7 @@
 	p.expectClosed()
 }
 
+// Health checks are answered in order, may ask for the load, and time out.
 func TestHealthChecks(t *testing.T) {
 	s := newFixture(t, testLimits())
 	s.pool.CheckHealth(1)
@@ -422,7 +436,7 @@
 	}
 }
 
-// Many goroutines at once, for the race detector.
+// Sends and cancels from several goroutines at once, for the race detector; each attempt must end exactly once.
 func TestConcurrentCalls(t *testing.T) {
 	s := newFixture(t, testLimits())
 	go func() {
--- a/internal/replica/shrink_test.go
+++ b/internal/replica/shrink_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// shrink gives a listener the shortest accept queue.
+// shrinkAcceptQueue sets the accept queue of a listener to its minimum length.
 func shrinkAcceptQueue(t *testing.T, raw syscall.RawConn) {
 	t.Helper()
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), 0) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil {
 		t.Fatal(err)
 	}
-	if failed != nil {
-		t.Fatal(failed)
+	if listenErr != nil {
+		t.Fatal(listenErr)
 	}
 }
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -13,30 +13,31 @@
 	"birchcart/policy"
 )
 
-// writer is a connection whose peer may take nothing for a while. A call of which no byte has gone out waits in the
-// link's queue then, not in a buffer: it can be taken back, and what it tells of the time left is built anew when
-// the peer takes bytes again.
+// writer writes to a connection whose peer may stop accepting bytes for a while. A call of which no byte has been sent then
+// waits in the queue of the replicaConn instead of a buffer, so that it can be withdrawn and is rebuilt with the current
+// remaining time once the peer accepts bytes again.
 type writer struct {
 	*net.TCPConn
 	rc *replicaConn
 }
 
-// Write writes what was pulled, or, where the peer took nothing of it at first, what is pulled when it does.
+// Write writes the pulled bytes. If the peer accepts none of a call at first, Write puts the call back and pulls again when
+// the peer accepts bytes.
 func (w writer) Write(pulled []byte) (int, error) {
 	raw, err := w.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	wrote, tries := 0, 0
-	var failed error
+	written, tries := 0, 0
+	var writeErr error
 	err = raw.Write(func(fd uintptr) bool {
 		if tries++; tries > 1 {
-			if duplexconn.Waits(w.TCPConn) { // perhaps its end, which is to be seen before anything is written
+			if duplexconn.Waits(w.TCPConn) { // it may be the peer's close, which must be read before anything is written
 				pulled = nil
 			} else {
 				pulled, _, _ = w.rc.Pull(pulled[:0])
 			}
-			w.rc.wake() // to be asked again: what else it said then is lost
+			w.rc.wake() // to call Pull again: the deadline and the error that this call returned are dropped
 		}
 		switch {
 		case len(pulled) == 0:
@@ -46,40 +47,41 @@
 			pulled = nil
 		case !w.rc.beginWrite():
 			w.rc.putBack()
-			w.rc.wake() // what is still to go is built anew
+			w.rc.wake() // to rebuild the frame with the parts that are still to be sent
 			pulled = nil
 		}
 		if len(pulled) == 0 {
 			return true
 		}
-		wrote, failed = writeOnce(fd, pulled)
-		return failed != syscall.EAGAIN || !w.rc.putBackBlocked()
+		written, writeErr = writeOnce(fd, pulled)
+		return writeErr != syscall.EAGAIN || !w.rc.putBackBlocked()
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil && failed != syscall.EAGAIN:
-		return 0, os.NewSyscallError("write", failed)
-	case wrote == len(pulled):
-		return wrote, nil
+	case writeErr != nil && writeErr != syscall.EAGAIN:
+		return 0, os.NewSyscallError("write", writeErr)
+	case written == len(pulled):
+		return written, nil
 	}
 	w.rc.markBlocked()
-	rest, err := w.TCPConn.Write(pulled[wrote:])
-	return wrote + rest, err
+	rest, err := w.TCPConn.Write(pulled[written:])
+	return written + rest, err
 }
 
 const (
-	// holdInterval is from one look for a pending list to the next: the list is taken in within a millisecond where there is a
-	// processor. Half as long looks twice as often for nothing; twice as long adds as much to what waits.
+	// holdInterval is the time between two checks for a pending list. The list is processed within a millisecond if a processor
+	// is free. Half the interval doubles the useless checks; twice the interval adds as much delay to calls that wait.
 	holdInterval = time.Millisecond
-	// maxConsecutiveHolds bounds how often in a row a call is held for the list, 0.2 s at the least. Looks are counted and not time: after
-	// each the reader of the list has had its turn, also where the machine has stopped the process meanwhile. Only a list that
-	// never ends comes to it, which is left after the silence limit of the watch.
+	// maxConsecutiveHolds bounds how often in a row a call is held for the list, which is at least 0.2 s. Checks are counted
+	// instead of time because the reader of the list gets to run between two checks even if the process was suspended in the
+	// meantime. Only a list that never ends reaches the bound; the silence limit of the watch ends such a list.
 	maxConsecutiveHolds = 200
 )
 
-// holdForList says whether the call that was pulled last has to wait, since a change of the list is pending that counts as notified
-// already. A process that gets a processor late finds queries and the list to be read at once, in any order.
+// holdForList reports whether the call that was pulled last has to wait because a change of the list is pending, which already
+// counts as notified. A process that is scheduled late finds queries and the list ready to be read at the same time, and may
+// read them in any order.
 func (c *replicaConn) holdForList() bool {
 	if len(c.unstarted) == 0 {
 		return false
@@ -89,11 +91,11 @@
 		return false
 	}
 	c.holdCount++
-	c.heldUntil = time.Now().Add(holdInterval) // whatever wakes the goroutine before: it would look on without end
+	c.heldUntil = time.Now().Add(holdInterval) // applies to any earlier wake-up, which would otherwise repeat the check in a busy loop
 	return true
 }
 
-// write asks the kernel once to take bytes.
+// writeOnce makes one write system call, repeated only if a signal interrupts it.
 func writeOnce(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Write(int(fd), b)
@@ -103,7 +105,8 @@
 	}
 }
 
-// putBackBlocked puts the call that was pulled last back since the peer takes nothing for now. It tells whether there was one.
+// putBackBlocked puts the call that was pulled last back into the queue because the peer accepts no bytes at the moment. It
+// reports whether there was such a call.
 func (c *replicaConn) putBackBlocked() bool {
 	if !c.putBack() {
 		return false
@@ -114,52 +117,52 @@
 	return true
 }
 
-// putBack returns the call that was pulled last to the head of the queue, as one that is not written. It tells
-// whether there was one. Where the replica drains, moved or restarted since the pull, its parts are taken back.
+// putBack returns the call that was pulled last to the head of the queue as unwritten, and reports whether there was one. If
+// the replica has started to drain, moved, restarted or been removed since the pull, the parts are withdrawn.
 func (c *replicaConn) putBack() bool {
 	c.pool.mu.Lock()
 	if len(c.unstarted) == 0 {
 		c.pool.mu.Unlock()
 		return false
 	}
-	for _, en := range c.unstarted {
-		en.written = false
+	for _, pa := range c.unstarted {
+		pa.written = false
 	}
 	c.queue = slices.Insert(c.queue, 0, c.unstarted)
 	c.queuedBytes -= c.unstartedBytes
 	c.unstarted, c.unstartedBytes = nil, 0
-	var back []exchange.Result
+	var withdrawn []exchange.Result
 	if c.retired {
-		back = c.withdrawUnwritten(policy.NotSent)
+		withdrawn = c.withdrawUnwritten(policy.NotSent)
 	}
 	c.pool.mu.Unlock()
-	c.pool.reportResults(back)
+	c.pool.reportResults(withdrawn)
 	return true
 }
 
-// markBlocked notes that the peer has taken a part of what was pulled, and takes nothing for now.
+// markBlocked records that the peer has accepted some of the pulled bytes and accepts no more at the moment.
 func (c *replicaConn) markBlocked() {
 	c.pool.mu.Lock()
 	c.blocked, c.partlyWritten = true, true
 	c.pool.mu.Unlock()
 }
 
-// abortPartialFrame ends the connection if it is in the middle of a frame of which the replica takes no more for now, and nobody
-// waits for any part of that frame: what went out later would begin an attempt for a client that has left. Where other
-// parts are out on the connection it goes on, since they would be lost with it. The pool's lock is held.
+// abortPartialFrame ends the connection if a call is partly written, the replica accepts no more bytes at the moment, and no
+// client waits for any part on the connection. Sending the rest later would start an attempt for a client that has left. A
+// connection with other written parts stays open, because they would be lost with it. The pool's lock is held.
 func (c *replicaConn) abortPartialFrame() {
 	if !c.partlyWritten || len(c.unstarted) == 0 {
 		return
 	}
-	for _, en := range c.parts {
-		if en.written && !en.cancelled {
+	for _, pa := range c.parts {
+		if pa.written && !pa.cancelled {
 			return
 		}
 	}
 	c.conn.CutWrite()
 }
 
-// Wrote counts what went out.
+// Wrote adds n to the number of bytes written; the peer accepts bytes again.
 func (c *replicaConn) Wrote(n int) {
 	c.pool.mu.Lock()
 	c.writtenBytes += int64(n)
