--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -99,6 +99,7 @@
 // AllDataCentres returns the names of the data centres of all replicas, in ascending order.
 func (r *Ring) AllDataCentres() []string { return dataCentres(r.replicas) }
 
+// dataCentres returns the distinct data centres of replicas in ascending order.
 func dataCentres(replicas []Replica) []string {
 	var out []string
 	for _, x := range replicas {
@@ -118,6 +119,7 @@
 	DataCentreUnit
 )
 
+// unitNames holds the results of Unit.String.
 var unitNames = [...]string{"replica", "cell", "data centre"}
 
 func (u Unit) String() string { return unitNames[u] }
@@ -133,7 +135,8 @@
 }
 
 func (l *Loss) String() string {
-	text := fmt.Sprintf("without %s %s: at least %d holders (shards %s)", l.Unit, strings.Join(l.LostUnits, " and "), l.MinHolders, FormatRanges(l.WeakestShards))
+	text := fmt.Sprintf("without %s %s: at least %d holders (shards %s)",
+		l.Unit, strings.Join(l.LostUnits, " and "), l.MinHolders, FormatRanges(l.WeakestShards))
 	if len(l.UncoveredShards) > 0 {
 		text = fmt.Sprintf("without %s %s: shards %s have no holder", l.Unit, strings.Join(l.LostUnits, " and "), FormatRanges(l.UncoveredShards))
 	}
@@ -161,7 +164,8 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Loss) int {
-		return cmp.Or(cmp.Compare(len(b.UncoveredShards), len(a.UncoveredShards)), cmp.Compare(a.MinHolders, b.MinHolders), cmp.Compare(len(b.WeakestShards), len(a.WeakestShards)))
+		return cmp.Or(cmp.Compare(len(b.UncoveredShards), len(a.UncoveredShards)), cmp.Compare(a.MinHolders, b.MinHolders),
+			cmp.Compare(len(b.WeakestShards), len(a.WeakestShards)))
 	})
 	return out
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -35,10 +35,11 @@
 		}
 	}
 	if got := FormatRanges(short); got != "3, 7" {
-		t.Errorf("shards %s lie in one data centre", got)
+		t.Errorf("shards %s have all holders in one data centre, want 3, 7", got)
 	}
 }
 
+// Losing data centre a, with cells 0 and 3, leaves shards 3 and 7 without holders.
 func TestDataCentreLoss(t *testing.T) {
 	r := newTestRing(4, 2, 8, 4)
 	worst := r.Losses(DataCentreUnit, 1)[0]
@@ -53,6 +54,7 @@
 	}
 }
 
+// New must reject cells out of range and duplicate names.
 func TestNewRejectsInvalidLists(t *testing.T) {
 	for _, list := range [][]Replica{{{Name: "a", Cell: 4}}, {{Name: "a", Cell: -1}}, {{Name: "a"}, {Name: "a", Cell: 1}}} {
 		if _, err := New(Shape{4, 2, 8}, list); err == nil {
--- a/internal/replica/dial.go
+++ b/internal/replica/dial.go
@@ -77,7 +77,8 @@
 	c.wake()
 }
 
-// hasCapacity reports whether the connection may carry a call in addition to its parts.
+// hasCapacity reports whether the connection may carry a call in addition to its parts. A call with more parts than the limit
+// is allowed on a connection without parts.
 func (c *replicaConn) hasCapacity(call []*exchange.Attempt, now time.Time) bool {
 	if c.retired || c.finished || len(c.parts)+len(call) > max(c.pool.limits.Streams, len(call)) ||
 		c.isIdle() && now.Sub(c.idleSince) >= c.pool.limits.ReplicaIdle {
@@ -170,12 +171,13 @@
 
 var (
 	errIdle             = errors.New("idle connection closed")
-	errUnsolicitedFrame = errors.New("a frame began to arrive that answers no part or health check")
+	errUnsolicitedFrame = errors.New("a frame began to arrive while no part was outstanding")
 	errFrameStalled     = errors.New("a frame was not complete in time")
 )
 
-// malformedFrame is the error for a frame from the replica that cannot be used. The part it names, if its id is readable,
-// has failed and may have run. Because this side closes the connection then, the other parts on it count as cancelled.
+// malformedFrame is the error for a frame from the replica that cannot be used. The part that it names has failed and may have
+// run. Because this side then closes the connection, the other parts on it count as cancelled. If the frame names no part on
+// the connection, all of them have failed.
 type malformedFrame struct {
 	id     string // id of the part, "" if it is unknown
 	reason string
@@ -243,13 +245,13 @@
 		delete(p.pending, pa.attempt)
 		out = append(out, exchange.Result{Attempt: pa.attempt, Outcome: o, At: now})
 	}
-	probes := c.healthChecks
+	checks := c.healthChecks
 	clear(c.parts)
 	c.queue, c.healthChecks = nil, nil
 	name := c.target.Name
 	p.mu.Unlock()
 	p.reportResults(out)
-	for _, hc := range probes {
+	for _, hc := range checks {
 		o := policy.Unreachable
 		if hc.written {
 			o = policy.ConnectionBroken
--- a/internal/replica/endings_test.go
+++ b/internal/replica/endings_test.go
@@ -99,7 +99,7 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	s.eventually("the connection is still open", func() bool { return s.connCount() == 1 })
+	s.eventually("the closed connection is still counted", func() bool { return s.connCount() == 1 })
 	s.sink.expectNoResult(t)
 }
 
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -188,7 +188,8 @@
 	if best != nil && rank(best) < 2 {
 		// One malformed answer ends all parts on its connection, so parts share a connection only while others are
 		// being dialed.
-		if (len(best.parts) > 0 || best.suspectRank() > 0) && !dialing && len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
+		if (len(best.parts) > 0 || best.suspectRank() > 0) && !dialing &&
+			len(t.conns) < p.connsPerReplica() && p.openConns < p.limits.ReplicaLinks {
 			p.openConn(t)
 		}
 		return best
@@ -317,7 +318,7 @@
 	}
 }
 
-// Close retires all connections. The pool must not be used afterwards.
+// Close retires all connections: each is closed once it is idle. The pool must not be used afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -118,7 +118,7 @@
 }
 
 // putBack returns the call that was pulled last to the head of the queue as unwritten, and reports whether there was one. If
-// the replica has started to drain, moved, restarted or been removed since the pull, the parts are withdrawn.
+// the replica started to drain, moved, restarted or was removed after the pull, the parts are withdrawn.
 func (c *replicaConn) putBack() bool {
 	c.pool.mu.Lock()
 	if len(c.unstarted) == 0 {
