--- a/cmd/birchctl/main_test.go
+++ b/cmd/birchctl/main_test.go
@@ -263,7 +263,7 @@
 	b := session.New()
 	id := session.IDOf(2, []byte("k")) // coast, by its place
 	for kind, body := range map[string]any{session.KindLimits: session.LimitsBody{Limits: session.Limits{Revision: 1, Lease: time.Second, Grace: time.Second,
-		OfferFor: time.Second, IdleFor: time.Second, SessionsMost: 9, Slots: 1}}} {
+		StepTimeout: time.Second, IdleTimeout: time.Second, MaxSessions: 9, Slots: 1}}} {
 		raw, _ := json.Marshal(body)
 		if err := b.Apply(0, nil, kind, raw); err != nil {
 			t.Fatal(err)
--- a/cmd/birchctl/session.go
+++ b/cmd/birchctl/session.go
@@ -69,7 +69,7 @@
 			return fmt.Errorf("--snapshot: %w", err)
 		}
 		r, _ := b.Get(id)
-		res.Agreed = &agreedSession{Phase: r.Phase.String(), Owner: r.Owner, To: r.To, Epoch: r.Epoch, Seq: r.Seq, Why: r.Why}
+		res.Agreed = &agreedSession{Phase: r.Phase.String(), Owner: r.Owner, To: r.To, Epoch: r.Epoch, Seq: r.Seq, Why: r.Reason}
 	}
 	if done, err := p.value(res); done {
 		return err
--- a/internal/fleet/agreedstate/copy.go
+++ b/internal/fleet/agreedstate/copy.go
@@ -21,7 +21,7 @@
 	group       *raftgroup.Group // nil: without a vote
 	Machine     *statemachine.Machine
 	Maintenance *maintenance.State
-	Sessions    *session.Book
+	Sessions    *session.State
 	Lanes       *laneconfig.State
 }
 
--- a/internal/fleet/fleetsim/pinned/canon.go
+++ b/internal/fleet/fleetsim/pinned/canon.go
@@ -45,8 +45,8 @@
 	"sessionowner.query.startedAt": none, "sessionowner.queryList.head": name, "sessionowner.queryList.tail": name, "sessionowner.sessionList.head": name, "sessionowner.sessionList.tail": name,
 	"sessionowner.sessionEntry.lastUsed": none, "sessionowner.sessionEntry.prev": name, "sessionowner.sessionEntry.next": name, "sessionowner.sessionEntry.blockedAt": name, "sessionowner.sessionEntry.prevSlot": name,
 	"sessionowner.sessionEntry.nextSlot": name, "sessionowner.slot.head": name, "sessionowner.slot.tail": name,
-	"session.Book.limits": none, "session.Book.limitsAt": none, "session.Book.offers": none, "session.Book.next": none, "session.Book.refused": none,
-	"session.Book.refusal": none, "session.ended.why": none, "session.name.known": none, "session.Book.now": ahead,
+	"session.Book.limits": none, "session.Book.limitsAt": none, "session.State.offerCounts": none, "session.State.nextExpiry": none, "session.State.refusals": none,
+	"session.State.refusalCount": none, "session.endedSession.reason": none, "session.coordinator.lastKnownAt": none, "session.Book.now": ahead,
 	"pool.Pool.next": none, "pool.Pool.now": ahead,
 	"history.Checker.rules": none, "history.Checker.now": none, "history.Checker.Figures": none, "history.Checker.places": none,
 	"history.Checker.begins": none, "history.request.place": rank, "history.request.order": rank, "history.session.last": rank,
@@ -91,7 +91,7 @@
 	now   time.Duration
 	old   time.Duration
 	sum   uint64
-	books map[*session.Book]uint64
+	books map[*session.State]uint64
 	ranks map[string][]uint64 // by group, sorted, once gathered
 	gets  bool                // gathers ranks, the sum counts for nothing
 }
@@ -159,7 +159,7 @@
 }
 
 // book is what is agreed, by what it says.
-func (c *canon) book(b *session.Book) {
+func (c *canon) book(b *session.State) {
 	sum, ok := c.books[b]
 	if !ok && !c.gets {
 		e := canon{now: c.now, old: oldMost, books: c.books}
@@ -226,8 +226,8 @@
 			return
 		}
 		c.word(1)
-		if v.Type() == reflect.TypeFor[*session.Book]() {
-			c.book((*session.Book)(v.UnsafePointer()))
+		if v.Type() == reflect.TypeFor[*session.State]() {
+			c.book((*session.State)(v.UnsafePointer()))
 			return
 		}
 		c.value(v.Elem(), whole, "")
--- a/internal/fleet/fleetsim/pinned/copy.go
+++ b/internal/fleet/fleetsim/pinned/copy.go
@@ -15,7 +15,7 @@
 var apart = map[string]bool{"sessionowner.Owner.out": true, "sessionowner.Owner.freeSessions": true, "sessionowner.Owner.freeQueries": true}
 
 // shared are the types that a copy points to as the original does.
-var shared = map[string]bool{"session.Book": true, "reflect.rtype": true}
+var shared = map[string]bool{"session.State": true, "reflect.rtype": true}
 
 type copier struct {
 	seen map[unsafe.Pointer]reflect.Value
--- a/internal/fleet/fleetsim/pinned/council.go
+++ b/internal/fleet/fleetsim/pinned/council.go
@@ -187,7 +187,7 @@
 		ids = append(ids, r.ID)
 		return true
 	}
-	w.top.book.Flights(add)
+	w.top.book.Moves(add)
 	switch cmd.Kind {
 	case session.KindActs:
 		for _, a := range unpack[session.ActsBody](w, cmd).Acts {
@@ -219,7 +219,7 @@
 	}
 	r, ok := w.top.book.Get(id)
 	was := w.stands[n]
-	if r.Phase == session.Offered || r.Phase == session.Handed {
+	if r.Phase == session.Offered || r.Phase == session.HandedOver {
 		for _, name := range []string{r.Owner, r.To, r.Source} {
 			if name != "" {
 				w.concerns[name] = true
@@ -231,7 +231,7 @@
 	case !ok && was.phase == session.Free:
 	case !ok:
 		w.stands[n] = stand{}
-		w.tell(history.Event{Kind: history.Freed, Session: n, Why: r.Why})
+		w.tell(history.Event{Kind: history.Freed, Session: n, Why: r.Reason})
 	case now != was:
 		w.stands[n] = now
 		w.tell(history.Event{Kind: history.Owned, Session: n, By: int32(w.byName[r.Owner].id), Epoch: r.Epoch, Phase: history.Phase(r.Phase)})
--- a/internal/fleet/fleetsim/pinned/digest.go
+++ b/internal/fleet/fleetsim/pinned/digest.go
@@ -9,7 +9,7 @@
 
 // digest of all that the future depends on.
 func (s *small) digest() uint64 {
-	c := canon{now: s.now, old: oldMost, books: map[*session.Book]uint64{}, ranks: map[string][]uint64{}, gets: true}
+	c := canon{now: s.now, old: oldMost, books: map[*session.State]uint64{}, ranks: map[string][]uint64{}, gets: true}
 	s.digestInto(&c)
 	c.sum, c.gets = 0, false
 	index := c.ranks["index"]
--- a/internal/fleet/fleetsim/pinned/figures.go
+++ b/internal/fleet/fleetsim/pinned/figures.go
@@ -77,7 +77,7 @@
 
 // moved sees a change of what is agreed of a session.
 func (w *World) moved(n int32, was, now stand) {
-	if was.phase == session.Handed && now.phase == session.Pinned {
+	if was.phase == session.HandedOver && now.phase == session.Pinned {
 		w.Figures.Moved++
 		w.handed[n] = true
 	}
@@ -89,14 +89,14 @@
 	if w.Figures.Pause == nil {
 		return
 	}
-	for r := range c.reader().Flights {
+	for r := range c.reader().Moves {
 		switch {
 		case r.Owner == c.name && r.Phase == session.Offered:
 			p := c.keeper.Phase(r.ID)
 			if _, known := w.stopped[r.ID]; !known && (p == sessionowner.Quiescing || p == sessionowner.Frozen) {
 				w.stopped[r.ID] = w.Now
 			}
-		case r.Owner == c.name && r.Phase == session.Handed:
+		case r.Owner == c.name && r.Phase == session.HandedOver:
 			c.quiescing[r.ID] = w.Now
 		}
 	}
--- a/internal/fleet/fleetsim/pinned/leader.go
+++ b/internal/fleet/fleetsim/pinned/leader.go
@@ -164,14 +164,14 @@
 	l.handMade, l.shifts = nil, nil
 	if len(body.Shifts) == 0 && (!w.s.Shared || c.mono() >= l.spreadAt) {
 		l.spreadAt = c.mono() + time.Second
-		if body.Shifts = c.spread(l, limits); len(body.Shifts) == session.ActsMost/2 { // there is more to deal
+		if body.Shifts = c.spread(l, limits); len(body.Shifts) == session.MaxActs/2 { // there is more to deal
 			l.spreadAt = c.mono() + spreadEvery
 		}
 	}
 	if plan.Tick && !l.ticking {
 		c.tickAgreed(l)
 	}
-	if len(body.Offers)+len(body.Withdrawals)+len(body.Shifts)+len(body.Backs) > 0 {
+	if len(body.Offers)+len(body.Withdrawals)+len(body.Shifts)+len(body.CancelledTransfers) > 0 {
 		l.planning = true
 		l.propose(c, session.KindPlan, body, func(error) { l.planning = false })
 	}
@@ -197,7 +197,7 @@
 				continue
 			}
 			if n := min(free, share-book.Pool().Held(o.name, r.name)); n > 0 {
-				if len(shifts) == session.ActsMost/2 {
+				if len(shifts) == session.MaxActs/2 {
 					return shifts
 				}
 				shifts = append(shifts, session.Shift{To: o.name, Replica: r.name, N: n})
--- a/internal/fleet/fleetsim/pinned/polls.go
+++ b/internal/fleet/fleetsim/pinned/polls.go
@@ -169,7 +169,7 @@
 		agreed = c.copy.led.Now()
 	}
 	c.step(sessionowner.Applied{State: book, Index: uint64(c.copy.index), AgreedTime: agreed}, c.lease())
-	for r := range book.Flights {
+	for r := range book.Moves {
 		if r.Owner == c.name || r.To == c.name || r.Source == c.name {
 			c.hot()
 			break
--- a/internal/fleet/fleetsim/pinned/schedule.go
+++ b/internal/fleet/fleetsim/pinned/schedule.go
@@ -81,8 +81,8 @@
 		s.Rough = 0.1 * rng.Float64()
 	}
 	s.Limits = session.Limits{Revision: 1, Caps: map[string]int{}, InFlight: 1 + rng.IntN(12), PerMinute: 6 + rng.IntN(300),
-		OfferFor: clockwork.Between(rng, 2*time.Second, 12*time.Second), IdleFor: clockwork.Between(rng, 5*time.Second, time.Minute), Lease: clockwork.Between(rng, 3*time.Second, 8*time.Second),
-		Grace: GraceLeast + clockwork.Between(rng, 0, 2*time.Second), SessionsMost: s.Sessions - rng.IntN(2), StateMost: 256, Slots: 1 + rng.IntN(3)}
+		StepTimeout: clockwork.Between(rng, 2*time.Second, 12*time.Second), IdleTimeout: clockwork.Between(rng, 5*time.Second, time.Minute), Lease: clockwork.Between(rng, 3*time.Second, 8*time.Second),
+		Grace: GraceLeast + clockwork.Between(rng, 0, 2*time.Second), MaxSessions: s.Sessions - rng.IntN(2), MaxStateBytes: 256, Slots: 1 + rng.IntN(3)}
 	for i := range s.Replicas {
 		s.Limits.Caps[replicaName(i)] = s.Coordinators + rng.IntN(3*s.Coordinators)
 	}
@@ -111,12 +111,12 @@
 	s := &Schedule{Seed: seed, Coordinators: coordinators, Voters: min(5, coordinators), Sessions: sessions, Replicas: replicas, Drift: 0.01,
 		Every: every, Service: 50 * time.Millisecond, Tick: 20 * time.Millisecond, Keep: 1000, Away: 5 * time.Second, Abreast: abreast,
 		Within: 2 * time.Minute, Shared: true, Link: clockwork.Quality{Latency: 2 * time.Millisecond}}
-	s.Limits = session.Limits{Revision: 1, Caps: map[string]int{}, InFlight: 400, PerMinute: 60_000, OfferFor: 10 * time.Second,
-		IdleFor: 10 * time.Minute, Lease: 10 * time.Second, Grace: GraceLeast, SessionsMost: sessions + 1000, StateMost: 256, Slots: 3}
+	s.Limits = session.Limits{Revision: 1, Caps: map[string]int{}, InFlight: 400, PerMinute: 60_000, StepTimeout: 10 * time.Second,
+		IdleTimeout: 10 * time.Minute, Lease: 10 * time.Second, Grace: GraceLeast, MaxSessions: sessions + 1000, MaxStateBytes: 256, Slots: 3}
 	for i := range replicas {
 		s.Limits.Caps[replicaName(i)] = 4 * coordinators
 	}
-	s.Begin = time.Duration(coordinators*replicas/(session.ActsMost/2)+1) * 2 * spreadEvery
+	s.Begin = time.Duration(coordinators*replicas/(session.MaxActs/2)+1) * 2 * spreadEvery
 	s.Steps = []clockwork.Step{{At: s.Begin + 2*time.Second + 5*every/2, Kind: stepSwap}}
 	s.End = time.Hour
 	return s
--- a/internal/fleet/fleetsim/pinned/shared.go
+++ b/internal/fleet/fleetsim/pinned/shared.go
@@ -79,8 +79,8 @@
 	now(look)
 }
 
-// Flights are those that this co-ordinator has to do with: a keeper passes over all others.
-func (p past) Flights(yield func(session.Record) bool) {
+// Moves are those that this co-ordinator has to do with: a keeper passes over all others.
+func (p past) Moves(yield func(session.Record) bool) {
 	now := func(look func(session.ID) bool) {
 		for _, id := range p.c.w.near[p.c.name] {
 			if !look(id) {
@@ -98,7 +98,9 @@
 	p.some(now, func(r session.Record) bool { return r.Owner == name }, yield)
 }
 
-func inFlight(r session.Record) bool { return r.Phase == session.Offered || r.Phase == session.Handed }
+func inFlight(r session.Record) bool {
+	return r.Phase == session.Offered || r.Phase == session.HandedOver
+}
 
 // concerned are those that a session has to do with.
 func concerned(r session.Record) (names []string) {
--- a/internal/fleet/fleetsim/pinned/small.go
+++ b/internal/fleet/fleetsim/pinned/small.go
@@ -94,7 +94,7 @@
 type small struct {
 	off       Off
 	now       time.Duration
-	books     []*session.Book
+	books     []*session.State
 	fence     uint64
 	nodes     [smallCos]smallNode
 	queries   []smallQueryState
@@ -110,8 +110,8 @@
 	again     bool // what was checked already is played again
 }
 
-var smallLimits = session.Limits{Revision: 1, Caps: map[string]int{"r": 2}, InFlight: 2, PerMinute: 60, OfferFor: 4 * time.Second,
-	IdleFor: time.Hour, Lease: 2 * time.Second, Grace: 5 * time.Second, SessionsMost: 2, StateMost: 16, Slots: 2}
+var smallLimits = session.Limits{Revision: 1, Caps: map[string]int{"r": 2}, InFlight: 2, PerMinute: 60, StepTimeout: 4 * time.Second,
+	IdleTimeout: time.Hour, Lease: 2 * time.Second, Grace: 5 * time.Second, MaxSessions: 2, MaxStateBytes: 16, Slots: 2}
 
 func smallID(n int) session.ID { return session.IDOf(1, fmt.Appendf(nil, "s%d", n)) }
 
@@ -129,7 +129,7 @@
 	}
 	book := session.New()
 	book.Tick(clockwork.Epoch + s.now)
-	s.books = []*session.Book{book}
+	s.books = []*session.State{book}
 	s.commit(session.KindLimits, session.LimitsBody{Limits: limits})
 	s.tell(history.Event{Kind: history.Capped, N: 2})
 	s.commit(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r", N: 1}, {To: "b", Replica: "r", N: 1}}})
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *small) top() *session.Book { return s.books[len(s.books)-1] }
+func (s *small) top() *session.State { return s.books[len(s.books)-1] }
 
 // commit agrees upon a command.
 func (s *small) commit(kind string, body any) {
@@ -185,7 +185,7 @@
 		case !ok && s.stands[i].phase == session.Free:
 		case !ok:
 			s.stands[i] = stand{}
-			s.tell(history.Event{Kind: history.Freed, Session: int32(i), Why: r.Why})
+			s.tell(history.Event{Kind: history.Freed, Session: int32(i), Why: r.Reason})
 		case now != s.stands[i]:
 			s.stands[i] = now
 			s.tell(history.Event{Kind: history.Owned, Session: int32(i), By: int32(r.Owner[0] - 'a'), Epoch: r.Epoch, Phase: history.Phase(r.Phase)})
--- a/internal/fleet/fleetsim/pinned/world.go
+++ b/internal/fleet/fleetsim/pinned/world.go
@@ -115,7 +115,7 @@
 // agreed is a copy of the agreed state.
 type agreed struct {
 	led   *statemachine.Machine
-	book  *session.Book
+	book  *session.State
 	index int
 }
 
--- a/internal/fleet/migrate/migrate.go
+++ b/internal/fleet/migrate/migrate.go
@@ -18,17 +18,17 @@
 // much: a receiver with little memory left is full at half its sessions; half: it declines the last ones.
 const SessionBytes = 2048
 
-// Book is what the planner reads of the agreed state of sessions; *session.Book is one.
+// Book is what the planner reads of the agreed state of sessions; *session.State is one.
 type Book interface {
 	Get(session.ID) (session.Record, bool)
 	ByOwner(co string, yield func(session.Record) bool)
-	Flights(yield func(session.Record) bool) // offered or handed
-	Owned(co string) int                     // handed ones that it has not adopted too
+	Moves(yield func(session.Record) bool) // offered or handed
+	Owned(co string) int                   // handed ones that it has not adopted too
 	Moving() int
-	Begun() int
+	RecentOffers() int
 	Limits() (session.Limits, int)
 	Now() time.Duration
-	Quiet() time.Duration
+	BlockedUntil() time.Duration
 }
 
 // Slots is what the planner reads of the agreed slots at replicas; *pool.Pool is one.
--- a/internal/fleet/migrate/offer.go
+++ b/internal/fleet/migrate/offer.go
@@ -80,7 +80,7 @@
 			unseen++
 		}
 	}
-	flying, minute := l.InFlight-r.v.Book.Moving()-unseen, l.PerMinute-r.v.Book.Begun()-unseen
+	flying, minute := l.InFlight-r.v.Book.Moving()-unseen, l.PerMinute-r.v.Book.RecentOffers()-unseen
 	r.left, r.full = OffersMost, "so many are offered in a step"
 	if flying < r.left {
 		r.left, r.full = flying, fmt.Sprintf("%d are in flight", l.InFlight)
@@ -178,7 +178,7 @@
 		return true
 	}
 	limits, _ := r.v.Book.Limits()
-	if due := r.unsafe[id]; due > r.now+limits.OfferFor {
+	if due := r.unsafe[id]; due > r.now+limits.StepTimeout {
 		r.keep(s, id, "an unsafe query of it may be open until "+clock(due))
 		return true
 	}
--- a/internal/fleet/migrate/pick.go
+++ b/internal/fleet/migrate/pick.go
@@ -132,7 +132,7 @@
 		pl.Load = pl.owned
 	}
 	for _, f := range p.flights {
-		if to := s.find(f.to); to != nil && f.phase != session.Handed {
+		if to := s.find(f.to); to != nil && f.phase != session.HandedOver {
 			to.inbound++
 			to.Load++
 		}
--- a/internal/fleet/migrate/planner.go
+++ b/internal/fleet/migrate/planner.go
@@ -50,7 +50,7 @@
 
 // Empty says that there is nothing to propose.
 func (p *Plan) Empty() bool {
-	return len(p.Body.Offers)+len(p.Body.Withdrawals)+len(p.Body.Shifts)+len(p.Body.Backs) == 0
+	return len(p.Body.Offers)+len(p.Body.Withdrawals)+len(p.Body.Shifts)+len(p.Body.CancelledTransfers) == 0
 }
 
 // Kept are sessions that should move and were not offered, looked at in this step, by reason.
@@ -137,7 +137,7 @@
 	p.settle(now, &v)
 	p.site.count(p, now, &v)
 	p.callOff(now, &v, &plan)
-	if !v.Paused && now >= v.Book.Quiet() {
+	if !v.Paused && now >= v.Book.BlockedUntil() {
 		p.offer(now, &v, &plan)
 		p.supply(&v)
 		p.site.shift(p, now, &v, &plan)
@@ -151,10 +151,10 @@
 	for i := range p.flights {
 		p.flights[i].live = false
 	}
-	v.Book.Flights(func(r session.Record) bool {
+	v.Book.Moves(func(r session.Record) bool {
 		i, ok := p.index[r.ID]
 		from, to := r.Owner, r.To
-		if r.Phase == session.Handed {
+		if r.Phase == session.HandedOver {
 			from, to = r.Source, r.Owner
 		}
 		if !ok {
--- a/internal/fleet/migrate/slots.go
+++ b/internal/fleet/migrate/slots.go
@@ -224,7 +224,7 @@
 		if v.Paused || to == nil || !to.c.Live || to.c.Leaving || now >= p.shifts[t.Fence]+SlotsWait {
 			if at, ok := p.backs[t.Fence]; !ok || now >= at+ProposeFor {
 				p.backs[t.Fence] = now
-				plan.Body.Backs = append(plan.Body.Backs, t.Fence)
+				plan.Body.CancelledTransfers = append(plan.Body.CancelledTransfers, t.Fence)
 			}
 		}
 	}
--- a/internal/fleet/migrate/swap/hard_test.go
+++ b/internal/fleet/migrate/swap/hard_test.go
@@ -144,9 +144,9 @@
 
 // hands of all that is offered.
 func (p *Site) hands() (acts []session.Act) {
-	p.Book.Flights(func(r session.Record) bool {
+	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
-			acts = append(acts, session.Act{Kind: session.Hand, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence})
+			acts = append(acts, session.Act{Kind: session.HandOver, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence})
 		}
 		return true
 	})
@@ -199,8 +199,8 @@
 	moved := map[session.ID]int{}
 	for p.Book.Owned("c000") > 0 || p.Book.Moving() > 0 {
 		p.Now += Tick
-		p.Book.Flights(func(r session.Record) bool {
-			if r.Phase == session.Handed {
+		p.Book.Moves(func(r session.Record) bool {
+			if r.Phase == session.HandedOver {
 				moved[r.ID]++
 			}
 			return true
@@ -222,8 +222,8 @@
 		if !plan.Empty() {
 			_ = p.apply(session.KindPlan, plan.Body)
 		}
-		if l, _ := p.Book.Limits(); p.Book.Moving() > l.InFlight || p.Book.Begun() > l.PerMinute || p.Result.Steps > 2000 {
-			t.Fatalf("%d in flight, %d begun, %d steps", p.Book.Moving(), p.Book.Begun(), p.Result.Steps)
+		if l, _ := p.Book.Limits(); p.Book.Moving() > l.InFlight || p.Book.RecentOffers() > l.PerMinute || p.Result.Steps > 2000 {
+			t.Fatalf("%d in flight, %d begun, %d steps", p.Book.Moving(), p.Book.RecentOffers(), p.Result.Steps)
 		}
 	}
 	if len(moved) != 2000 || p.Book.Len() != 8000 {
--- a/internal/fleet/migrate/swap/property_test.go
+++ b/internal/fleet/migrate/swap/property_test.go
@@ -34,7 +34,7 @@
 func (j *judge) before(plan migrate.Plan) {
 	t, p := j.t, j.p
 	coming, open := map[string]int{}, map[string]float64{}
-	p.Book.Flights(func(r session.Record) bool {
+	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
 			coming[r.To]++
 		}
@@ -101,7 +101,7 @@
 // after it was applied at once, by a planner that sees all: nothing of it is refused, and the limits hold.
 func (j *judge) after(plan migrate.Plan, fresh bool) {
 	l, _ := j.p.Book.Limits()
-	if why, n := j.p.Book.Refused(); n > 0 && !plan.Empty() && !fresh {
+	if why, n := j.p.Book.Refusals(); n > 0 && !plan.Empty() && !fresh {
 		j.t.Fatalf("%d parts of a plan are refused: %v", n, why)
 	}
 	for range plan.Body.Offers {
@@ -200,11 +200,11 @@
 // meddle lets co-ordinators act, decline, die, leave and stay, and the operators stop the work.
 func (j *judge) meddle(all []migrate.Coordinator) {
 	t, p := j.t, j.p
-	p.Book.Flights(func(r session.Record) bool {
+	p.Book.Moves(func(r session.Record) bool {
 		switch a := (session.Act{ID: r.ID, Epoch: r.Epoch, Fence: r.Fence, Seq: r.Seq, Lane: r.Lane}); rapid.IntRange(0, 5).Draw(t, "act") {
 		case 0, 1:
-			a.Kind = session.Hand
-			if r.Phase == session.Handed {
+			a.Kind = session.HandOver
+			if r.Phase == session.HandedOver {
 				a.Kind = session.Adopt
 			} else if j.unsafe[r.ID] {
 				return true // its owner freezes nothing of which an unsafe query is open
--- a/internal/fleet/migrate/swap/swap.go
+++ b/internal/fleet/migrate/swap/swap.go
@@ -53,7 +53,7 @@
 // Site is what is played: for tests that meddle with it between two ticks.
 type Site struct {
 	Now     time.Duration
-	Book    *session.Book
+	Book    *session.State
 	Planner *migrate.Planner
 	View    migrate.View
 	Last    migrate.Plan
@@ -80,8 +80,8 @@
 	}
 	p.View.Book, p.View.Slots, p.View.Away = p.Book, p.Book.Pool(), s.Away
 	if err := p.apply(session.KindLimits, session.LimitsBody{Limits: session.Limits{
-		Revision: 1, Caps: caps, InFlight: s.InFlight, PerMinute: s.PerMinute, OfferFor: 10 * time.Second, IdleFor: time.Hour,
-		Lease: 10 * time.Second, Grace: 10 * time.Second, SessionsMost: s.Sessions, StateMost: 1024, Slots: 4,
+		Revision: 1, Caps: caps, InFlight: s.InFlight, PerMinute: s.PerMinute, StepTimeout: 10 * time.Second, IdleTimeout: time.Hour,
+		Lease: 10 * time.Second, Grace: 10 * time.Second, MaxSessions: s.Sessions, MaxStateBytes: 1024, Slots: 4,
 	}}); err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 			p.first[id] = c.Zone
 			acts = append(acts, session.Act{Kind: session.Claim, ID: id, Lane: uint8(k % 3)})
 		}
-		for part := range slices.Chunk(acts, session.ActsMost) {
+		for part := range slices.Chunk(acts, session.MaxActs) {
 			if err := p.apply(session.KindActs, session.ActsBody{From: c.Name, Acts: part}); err != nil {
 				return nil, err
 			}
@@ -193,7 +193,7 @@
 		if err := p.apply(session.KindPlan, p.Last.Body); err != nil {
 			return err
 		}
-		if why, n := p.Book.Refused(); n > 0 {
+		if why, n := p.Book.Refusals(); n > 0 {
 			return fmt.Errorf("at %v %d parts of a plan are refused: %v", p.Now, n, why)
 		}
 	case p.Last.Tick:
@@ -249,9 +249,9 @@
 // act lets each co-ordinator hand and adopt what is its to, and let slots go.
 func (p *Site) act() error {
 	acts := map[string][]session.Act{}
-	p.Book.Flights(func(r session.Record) bool {
-		a := session.Act{Kind: session.Hand, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence, Seq: r.Seq, Lane: r.Lane}
-		if r.Phase == session.Handed {
+	p.Book.Moves(func(r session.Record) bool {
+		a := session.Act{Kind: session.HandOver, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence, Seq: r.Seq, Lane: r.Lane}
+		if r.Phase == session.HandedOver {
 			a.Kind = session.Adopt
 			p.Result.Moves++
 		}
--- a/internal/fleet/peerproto/check.go
+++ b/internal/fleet/peerproto/check.go
@@ -130,14 +130,14 @@
 	if a.Sequence == 0 {
 		return errors.New("a message of acts has no number")
 	}
-	if n := len(a.Actions); n == 0 || n > session.ActsMost {
-		return fmt.Errorf("a message of %d acts, 1 to %d are right", n, session.ActsMost)
+	if n := len(a.Actions); n == 0 || n > session.MaxActs {
+		return fmt.Errorf("a message of %d acts, 1 to %d are right", n, session.MaxActs)
 	}
 	for _, x := range a.Actions {
-		if len(x.State) > session.StateMost {
-			return fmt.Errorf("an act carries a state of %d bytes, %d at most", len(x.State), session.StateMost)
+		if len(x.State) > session.MaxStateBytes {
+			return fmt.Errorf("an act carries a state of %d bytes, %d at most", len(x.State), session.MaxStateBytes)
 		}
-		if err := checkLength("the reason of an act", x.Why); err != nil {
+		if err := checkLength("the reason of an act", x.Reason); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -24,7 +24,7 @@
 	Reply{Sequence: 9, From: "b", Leader: "b", FromLeader: true, Index: 7, Packed: []byte("packed")},
 	FileReport{From: "a", Limits: maintenance.LimitsBody{Revision: 1}, Requests: maintenance.RequestsBody{Revision: 2,
 		Requests: []maintenance.Request{{ID: "q", Names: []string{"r1"}, Reason: "disk"}}}},
-	SessionActions{From: "a", Sequence: 3, Actions: []session.Act{{Kind: session.Hand, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
+	SessionActions{From: "a", Sequence: 3, Actions: []session.Act{{Kind: session.HandOver, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
 }
 
 func TestWhatIsEncodedIsReadBack(t *testing.T) {
@@ -77,9 +77,9 @@
 		{"requests, 1024", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: make([]maintenance.Request, MaxRequests+1)}}},
 		{"names, 16384", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Names: make([]string, MaxNames+1)}}}}},
 		{"of 0 acts", SessionActions{From: "a", Sequence: 1}},
-		{"of 10001 acts", SessionActions{From: "a", Sequence: 1, Actions: make([]session.Act, session.ActsMost+1)}},
+		{"of 10001 acts", SessionActions{From: "a", Sequence: 1, Actions: make([]session.Act, session.MaxActs+1)}},
 		{"no number", SessionActions{From: "a", Actions: make([]session.Act, 1)}},
-		{"a state of 1025", SessionActions{From: "a", Sequence: 1, Actions: []session.Act{{State: make([]byte, session.StateMost+1)}}}},
+		{"a state of 1025", SessionActions{From: "a", Sequence: 1, Actions: []session.Act{{State: make([]byte, session.MaxStateBytes+1)}}}},
 		{"a reason has 1025", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Reason: long}}}}},
 	} {
 		if _, err := Encode(c.m); err == nil || !strings.Contains(err.Error(), c.says) {
--- a/internal/fleet/session/cost_test.go
+++ b/internal/fleet/session/cost_test.go
@@ -10,14 +10,14 @@
 )
 
 // many is a book of n sessions of 20 co-ordinators, a tenth of them in flight with a state, and claims for n more.
-func many(t testing.TB, n int) *Book {
+func largeState(t testing.TB, n int) *State {
 	l := limits
-	l.SessionsMost, l.InFlight, l.PerMinute, l.OfferFor, l.StateMost = SessionsMost, FlightMost, PerMinuteMost, time.Hour, StateMost
+	l.MaxSessions, l.InFlight, l.PerMinute, l.StepTimeout, l.MaxStateBytes = MaxSessions, MaxInFlight, MaxOffersPerMinute, time.Hour, MaxStateBytes
 	b, fence := New(), uint64(0)
 	apply := func(kind string, body any) {
 		raw, err := json.Marshal(body)
 		if err == nil {
-			err = b.Apply(1000*sec, func() uint64 { fence++; return fence }, kind, raw)
+			err = b.Apply(1000*second, func() uint64 { fence++; return fence }, kind, raw)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -32,9 +32,9 @@
 		for _, x := range body.Acts[:100] {
 			plan.Offers = append(plan.Offers, Offer{ID: x.ID, Epoch: 1, From: co, To: "co-ordinator-x"})
 			n := fence + uint64(len(plan.Offers))
-			hands.Acts = append(hands.Acts, Act{Kind: Hand, ID: x.ID, Epoch: 1, Fence: n, State: []byte("a state of some bytes")})
+			hands.Acts = append(hands.Acts, Act{Kind: HandOver, ID: x.ID, Epoch: 1, Fence: n, State: []byte("a state of some bytes")})
 		}
-		if b.Moving()+100 <= FlightMost {
+		if b.Moving()+100 <= MaxInFlight {
 			apply(KindPlan, plan)
 			apply(KindActs, hands)
 		}
@@ -50,7 +50,7 @@
 	return body
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -59,17 +59,17 @@
 }
 
 // 100,000 sessions, 10,000 of them handed: memory, snapshot, and a command of 1,000 claims.
-func TestCost(t *testing.T) {
+func TestMemorySnapshotAndApplyCost(t *testing.T) {
 	n := 100_000
-	if race {
+	if raceEnabled {
 		n = 10_000 // what it costs is not looked at
 	}
-	before := heap()
-	b := many(t, n)
+	before := heapBytes()
+	b := largeState(t, n)
 	if b.Len() != n || b.Moving() != n/10 {
 		t.Fatal(b.Len(), b.Moving())
 	}
-	each := int(heap()-before) / n
+	each := int(heapBytes()-before) / n
 	raw, err := b.Save()
 	if err != nil {
 		t.Fatal(err)
@@ -88,13 +88,13 @@
 	for range 20 { // the best, since others have the machine too
 		c := b.Clone()
 		at := time.Now()
-		if err := c.Apply(1000*sec, nil, KindActs, body); err != nil || c.Len() != n+1000 {
+		if err := c.Apply(1000*second, nil, KindActs, body); err != nil || c.Len() != n+1000 {
 			t.Fatal(err, c.Len())
 		}
 		best = min(best, time.Since(at))
 	}
 	t.Logf("%d bytes of heap and %d of a snapshot each; load %v; 1,000 claims (%d bytes) %v", each, len(raw)/n, load, len(body), best)
-	if race {
+	if raceEnabled {
 		return
 	}
 	if each >= 200 || len(raw)/n >= 100 { // under 400 is asked for
@@ -106,15 +106,15 @@
 }
 
 // A snapshot that is torn anywhere, damaged, of another version or with a field that is not known changes nothing.
-func TestLoadTakesAllOrNothing(t *testing.T) {
-	p := start(t, limits)
+func TestLoadIsAtomic(t *testing.T) {
+	p := newHarness(t, limits)
 	for _, id := range []ID{a, b, c} {
 		p.claim("c0", id)
 	}
-	p.must(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: 1, Why: "idle"}))
+	p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: 1, Reason: "idle"}))
 	p.offer(b, "c1")
-	p.hand(b, 4)
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	p.handOver(b, 4)
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
 	good := p.save()
 	spoiled := []string{strings.Replace(good, `"v":1`, `"v":2`, 1), strings.Replace(good, `"v":1`, `"v":1,"x":1`, 1), good + good,
 		strings.Replace(good, `"sum":`, `"sum":1`, 1)}
@@ -131,59 +131,59 @@
 		t.Fatal(err)
 	}
 	p.b = n
-	p.is(b, "c1", 2, Handed)
-	if p.save() != good || p.is(c, "", 1, Free).Why != "idle" {
+	p.expect(b, "c1", 2, HandedOver)
+	if p.save() != good || p.expect(c, "", 1, Free).Reason != "idle" {
 		t.Fatal(p.save())
 	}
 	clone := n.Clone()
 	p.claim("c2", c)
-	p.must(KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 2}))
+	p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 2}))
 	if p.b = clone; p.save() != good {
 		t.Fatal("a clone follows")
 	}
 }
 
 // A snapshot whose checksum is right and whose lists do not fit is refused all the same.
-func TestLoadRefuses(t *testing.T) {
-	raw, _ := fuzzed(t).Save()
-	var o outer
+func TestLoadRefusesInvalidLists(t *testing.T) {
+	raw, _ := stateWithAllPhases(t).Save()
+	var o envelope
 	if err := json.Unmarshal(raw, &o); err != nil {
 		t.Fatal(err)
 	}
-	long := strings.Repeat("x", NameMost+1)
-	for words, spoil := range map[string]func(*saved){
-		"in_flight":                              func(v *saved) { v.Limits.InFlight = -1 },
-		"4097 names":                             func(v *saved) { v.Names = make([]savedName, NamesMost+1) },
-		"10001 fl":                               func(v *saved) { v.Flights = make([]savedFlight, FlightMost+1) },
-		"65537 rea":                              func(v *saved) { v.Whys = make([]string, EndedMost+1) },
-		"63 seconds":                             func(v *saved) { v.Offers = make([]second, 63) },
-		"time of -1n":                            func(v *saved) { v.Quiet = -1 },
-		"time of 219":                            func(v *saved) { v.Quiet = 250*365*24*time.Hour + 1 },
-		"now 16m40s, limits of 16m40.000000001s": func(v *saved) { v.LimitsAt++ },
-		"slots of 16m39.999999999s":              func(v *saved) { v.Pool.Now-- },
-		`co-ordinator "c1" is out of order`:      func(v *saved) { v.Names = append(v.Names, v.Names[1]) },
-		`co-ordinator ""`:                        func(v *saved) { v.Names[0].Name = "" },
-		`co-ordinator "xxxx`:                     func(v *saved) { v.Names[1].Name = long },
-		"0 offers at":                            func(v *saved) { v.Offers[0].N = 0 },
-		"1000001 offers":                         func(v *saved) { v.Offers[0].N = PerMinuteMost + 1 },
-		"2 offers at 16m40.000000001s":           func(v *saved) { v.Offers[0].At++ },
-		"2 offers at -1s":                        func(v *saved) { v.Offers[0].At = -sec },
-		"2 offers at 16m41s":                     func(v *saved) { v.Offers[0].At += sec },
-		"2 offers at 16m40s":                     func(v *saved) { v.Offers = append(v.Offers, v.Offers[0]) },
-		"session 2 is torn":                      func(v *saved) { v.Live = v.Live[:len(v.Live)-1] },
-		"session 1 is torn":                      func(v *saved) { v.Live = append(v.Live[:22:22], v.Live[:22]...) },
-		"session 0 is torn":                      func(v *saved) { v.Live[16] = 2 },
-		"flight of 0300":                         func(v *saved) { v.Flights[0] = v.Flights[1] },
-		"reason 1 is out":                        func(v *saved) { v.Whys = append(v.Whys, v.Whys...) },
-		"reason 0 is out":                        func(v *saved) { v.Whys[0] = long },
-		"end 0 is torn":                          func(v *saved) { v.Ended = v.Ended[:len(v.Ended)-1] },
-		"end 1 is torn, or there twice":          func(v *saved) { v.Ended = append(v.Ended, v.Ended...) },
-		"pool: saved":                            func(v *saved) { v.Pool.Sites[0].Free = -1 },
-		"S7:":                                    func(v *saved) { v.Flights[0].Until = v.Now },
-		"S1: c0 owns 2":                          func(v *saved) { v.Names[0].Heard = v.Now + 1 },
+	long := strings.Repeat("x", MaxNameBytes+1)
+	for words, spoil := range map[string]func(*savedState){
+		"in_flight":                              func(v *savedState) { v.Limits.InFlight = -1 },
+		"4097 names":                             func(v *savedState) { v.Coordinators = make([]savedCoordinator, MaxCoordinators+1) },
+		"10001 fl":                               func(v *savedState) { v.Moves = make([]savedMove, MaxInFlight+1) },
+		"65537 rea":                              func(v *savedState) { v.Reasons = make([]string, MaxEnds+1) },
+		"63 seconds":                             func(v *savedState) { v.Offers = make([]offerCount, 63) },
+		"time of -1n":                            func(v *savedState) { v.BlockedUntil = -1 },
+		"time of 219":                            func(v *savedState) { v.BlockedUntil = 250*365*24*time.Hour + 1 },
+		"now 16m40s, limits of 16m40.000000001s": func(v *savedState) { v.LimitsAt++ },
+		"slots of 16m39.999999999s":              func(v *savedState) { v.Pool.Now-- },
+		`co-ordinator "c1" is out of order`:      func(v *savedState) { v.Coordinators = append(v.Coordinators, v.Coordinators[1]) },
+		`co-ordinator ""`:                        func(v *savedState) { v.Coordinators[0].Name = "" },
+		`co-ordinator "xxxx`:                     func(v *savedState) { v.Coordinators[1].Name = long },
+		"0 offers at":                            func(v *savedState) { v.Offers[0].N = 0 },
+		"1000001 offers":                         func(v *savedState) { v.Offers[0].N = MaxOffersPerMinute + 1 },
+		"2 offers at 16m40.000000001s":           func(v *savedState) { v.Offers[0].At++ },
+		"2 offers at -1s":                        func(v *savedState) { v.Offers[0].At = -second },
+		"2 offers at 16m41s":                     func(v *savedState) { v.Offers[0].At += second },
+		"2 offers at 16m40s":                     func(v *savedState) { v.Offers = append(v.Offers, v.Offers[0]) },
+		"session 2 is torn":                      func(v *savedState) { v.Sessions = v.Sessions[:len(v.Sessions)-1] },
+		"session 1 is torn":                      func(v *savedState) { v.Sessions = append(v.Sessions[:22:22], v.Sessions[:22]...) },
+		"session 0 is torn":                      func(v *savedState) { v.Sessions[16] = 2 },
+		"flight of 0300":                         func(v *savedState) { v.Moves[0] = v.Moves[1] },
+		"reason 1 is out":                        func(v *savedState) { v.Reasons = append(v.Reasons, v.Reasons...) },
+		"reason 0 is out":                        func(v *savedState) { v.Reasons[0] = long },
+		"end 0 is torn":                          func(v *savedState) { v.Ended = v.Ended[:len(v.Ended)-1] },
+		"end 1 is torn, or there twice":          func(v *savedState) { v.Ended = append(v.Ended, v.Ended...) },
+		"pool: saved":                            func(v *savedState) { v.Pool.Sites[0].Free = -1 },
+		"S7:":                                    func(v *savedState) { v.Moves[0].Until = v.Now },
+		"S1: c0 owns 2":                          func(v *savedState) { v.Coordinators[0].LastActAt = v.Now + 1 },
 	} {
-		var v saved
-		if err := json.Unmarshal(o.Book, &v); err != nil {
+		var v savedState
+		if err := json.Unmarshal(o.State, &v); err != nil {
 			t.Fatal(err)
 		}
 		spoil(&v)
@@ -192,7 +192,7 @@
 			t.Fatal(err)
 		}
 		b := New()
-		if err := b.Load(seal(book)); err == nil || !strings.Contains(err.Error(), words) || b.Len() != 0 {
+		if err := b.Load(wrapWithChecksum(book)); err == nil || !strings.Contains(err.Error(), words) || b.Len() != 0 {
 			t.Errorf("%v, want %q", err, words)
 		}
 	}
--- a/internal/fleet/session/fuzz_test.go
+++ b/internal/fleet/session/fuzz_test.go
@@ -7,28 +7,28 @@
 )
 
 // fuzzed is a book with something in each phase.
-func fuzzed(t testing.TB) *Book {
-	p := &play{t: t, b: New(), now: 1000 * sec}
-	p.must(KindLimits, LimitsBody{limits})
+func stateWithAllPhases(t testing.TB) *State {
+	p := &harness{t: t, b: New(), now: 1000 * second}
+	p.mustApply(KindLimits, LimitsBody{limits})
 	for _, id := range []ID{a, b, c} {
 		p.claim("c0", id)
 	}
 	p.claim("c0", ID{4})
-	p.must(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1, Why: "idle"}))
+	p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1, Reason: "idle"}))
 	p.offer(b, "c1")
 	p.offer(c, "c1")
-	p.hand(c, 4)
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	p.handOver(c, 4)
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
 	return p.b
 }
 
 // FuzzApply: whatever a body says, what is refused changes nothing, and what is taken breaks nothing and can be saved.
 func FuzzApply(f *testing.F) {
-	start := fuzzed(f)
+	start := stateWithAllPhases(f)
 	for kind, body := range []any{
 		LimitsBody{limits},
 		acts("c1", Act{Kind: Adopt, ID: c, Epoch: 2}, Act{Kind: Decline, ID: b, Epoch: 1, Fence: 1}),
-		PlanBody{Withdrawals: []Withdrawal{{b, 1, 1}}, Offers: []Offer{{a, 1, "c0", "c2", 0}}, Shifts: []Shift{{"", "c0", "r1", 1, 0}}, Backs: []uint64{3}},
+		PlanBody{Withdrawals: []Withdrawal{{b, 1, 1}}, Offers: []Offer{{a, 1, "c0", "c2", 0}}, Shifts: []Shift{{"", "c0", "r1", 1, 0}}, CancelledTransfers: []uint64{3}},
 		ReleaseBody{"c1", limits.SilentFor(), 0},
 	} {
 		raw, _ := json.Marshal(body)
@@ -39,7 +39,7 @@
 		before, _ := b.Save()
 		fence := uint64(10)
 		kinds := []string{KindLimits, KindActs, KindPlan, KindRelease}
-		err := b.Apply(1000*sec, func() uint64 { fence++; return fence }, kinds[uint(kind)%4], raw)
+		err := b.Apply(1000*second, func() uint64 { fence++; return fence }, kinds[uint(kind)%4], raw)
 		after, serr := b.Save()
 		if serr != nil || err != nil && !bytes.Equal(before, after) {
 			t.Fatalf("%v, %v\n%s\n%s", err, serr, before, after)
@@ -59,20 +59,20 @@
 
 // FuzzLoad: what is loaded, with its binary lists spoiled each on its own, holds all rules, and saves and loads again.
 func FuzzLoad(f *testing.F) {
-	raw, _ := fuzzed(f).Save()
-	var o outer
-	var v saved
-	_, _ = json.Unmarshal(raw, &o), json.Unmarshal(o.Book, &v)
-	f.Add([]byte(o.Book), v.Live, v.Ended)
+	raw, _ := stateWithAllPhases(f).Save()
+	var o envelope
+	var v savedState
+	_, _ = json.Unmarshal(raw, &o), json.Unmarshal(o.State, &v)
+	f.Add([]byte(o.State), v.Sessions, v.Ended)
 	f.Fuzz(func(t *testing.T, book, live, ended []byte) {
-		var v saved
+		var v savedState
 		if json.Unmarshal(book, &v) != nil {
 			return
 		}
-		v.Live, v.Ended = live, ended
+		v.Sessions, v.Ended = live, ended
 		book, _ = json.Marshal(v)
 		b := New()
-		if b.Load(seal(book)) != nil {
+		if b.Load(wrapWithChecksum(book)) != nil {
 			return
 		}
 		if err := b.Check(); err != nil {
@@ -87,7 +87,7 @@
 			t.Fatalf("%v\n%s", err, raw)
 		}
 		for range 3 { // it goes on
-			n.Tick(n.Now() + 10*sec)
+			n.Tick(n.Now() + 10*second)
 		}
 		if err := n.Check(); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/session/norace_test.go
+++ b/internal/fleet/session/norace_test.go
@@ -2,4 +2,4 @@
 
 package session
 
-const race = false
+const raceEnabled = false
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -20,56 +20,56 @@
 	return fmt.Sprintf("shift of %d at %.20q from %.20q to %.20q", s.N, s.Replica, s.From, s.To)
 }
 
-type back uint64
+type cancelledTransfer uint64
 
-func (n back) String() string { return fmt.Sprintf("call off transfer %d", uint64(n)) }
+func (n cancelledTransfer) String() string { return fmt.Sprintf("call off transfer %d", uint64(n)) }
 
 // applyPlan checks each part against the state as it is now, whatever the leader believed.
-func (b *Book) applyPlan(p PlanBody, fence func() uint64) error {
-	if n := len(p.Offers) + len(p.Withdrawals) + len(p.Shifts) + len(p.Backs); n > ActsMost {
-		return fmt.Errorf("session: a plan of %d parts, %d are allowed", n, ActsMost)
+func (b *State) applyPlan(p PlanBody, fence func() uint64) error {
+	if n := len(p.Offers) + len(p.Withdrawals) + len(p.Shifts) + len(p.CancelledTransfers); n > MaxActs {
+		return fmt.Errorf("session: a plan of %d parts, %d are allowed", n, MaxActs)
 	}
 	done := 0
 	for _, w := range p.Withdrawals {
-		if b.several(w, b.withdraw(w)) {
+		if b.countResult(w, b.withdraw(w)) {
 			done++
 		}
 	}
-	for _, n := range p.Backs {
-		if b.several(back(n), b.pool.Back(n)) {
+	for _, n := range p.CancelledTransfers {
+		if b.countResult(cancelledTransfer(n), b.pool.Back(n)) {
 			done++
 		}
 	}
 	for _, s := range p.Shifts {
-		if b.several(s, b.shift(s, fence)) {
+		if b.countResult(s, b.shift(s, fence)) {
 			done++
 		}
 	}
 	for _, o := range p.Offers {
-		if b.several(o, b.offer(o, fence)) {
+		if b.countResult(o, b.offer(o, fence)) {
 			done++
 		}
 	}
-	return b.outcome(done)
+	return b.commandResult(done)
 }
 
-func (b *Book) withdraw(w Withdrawal) error {
-	l, ok := b.live[w.ID]
+func (b *State) withdraw(w Withdrawal) error {
+	l, ok := b.sessions[w.ID]
 	switch {
 	case !ok:
 		return errors.New("it is free")
 	case l.epoch != w.Epoch || l.phase != Offered:
 		return fmt.Errorf("it is %s in epoch %d", l.phase, l.epoch)
-	case b.flights[w.ID].Fence != w.Fence:
-		return fmt.Errorf("its offer is number %d", b.flights[w.ID].Fence)
+	case b.moves[w.ID].Fence != w.Fence:
+		return fmt.Errorf("its offer is number %d", b.moves[w.ID].Fence)
 	}
 	b.pin(w.ID, l)
 	return nil
 }
 
-func (b *Book) shift(s Shift, fence func() uint64) error {
-	if b.now < b.quiet {
-		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", b.quiet, b.now)
+func (b *State) shift(s Shift, fence func() uint64) error {
+	if b.now < b.blockedUntil {
+		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", b.blockedUntil, b.now)
 	}
 	if s.From == "" && s.Until == 0 {
 		return b.pool.Take(s.To, s.Replica, s.N)
@@ -86,37 +86,37 @@
 	return err
 }
 
-func (b *Book) offer(o Offer, fence func() uint64) error {
-	l, ok := b.live[o.ID]
+func (b *State) offer(o Offer, fence func() uint64) error {
+	l, ok := b.sessions[o.ID]
 	if !ok {
 		return errors.New("it is free")
 	}
 	if o.Until == 0 {
-		o.Until = b.now + b.limits.OfferFor
+		o.Until = b.now + b.limits.StepTimeout
 	}
-	switch owner := b.names[l.owner].name; {
+	switch owner := b.coordinators[l.owner].name; {
 	case l.epoch != o.Epoch || l.phase != Pinned || owner != o.From:
 		return fmt.Errorf("it is %s of %q in epoch %d", l.phase, owner, l.epoch)
-	case o.To == "" || len(o.To) > NameMost || o.To == o.From:
+	case o.To == "" || len(o.To) > MaxNameBytes || o.To == o.From:
 		return fmt.Errorf("from %q to %.20q", o.From, o.To)
-	case o.Until <= b.now || o.Until > b.now+b.limits.OfferFor:
-		return fmt.Errorf("until %v, it is %v and %v is the most", o.Until, b.now, b.limits.OfferFor)
-	case len(b.flights) >= b.limits.InFlight:
-		return fmt.Errorf("%d are in flight, %d are allowed", len(b.flights), b.limits.InFlight)
-	case b.Begun() >= b.limits.PerMinute:
-		return fmt.Errorf("%d were offered in the last minute, %d are allowed", b.Begun(), b.limits.PerMinute)
+	case o.Until <= b.now || o.Until > b.now+b.limits.StepTimeout:
+		return fmt.Errorf("until %v, it is %v and %v is the most", o.Until, b.now, b.limits.StepTimeout)
+	case len(b.moves) >= b.limits.InFlight:
+		return fmt.Errorf("%d are in flight, %d are allowed", len(b.moves), b.limits.InFlight)
+	case b.RecentOffers() >= b.limits.PerMinute:
+		return fmt.Errorf("%d were offered in the last minute, %d are allowed", b.RecentOffers(), b.limits.PerMinute)
 	}
 	n := fence()
 	b.fence = max(b.fence, n)
-	b.flights[o.ID] = flight{From: o.From, To: o.To, Epoch: l.epoch, Fence: n, Until: o.Until, Revision: b.limits.Revision}
-	b.next = min(b.next, o.Until)
+	b.moves[o.ID] = move{From: o.From, To: o.To, Epoch: l.epoch, Fence: n, Until: o.Until, Revision: b.limits.Revision}
+	b.nextExpiry = min(b.nextExpiry, o.Until)
 	l.phase, l.since = Offered, b.now
-	b.live[o.ID] = l
+	b.sessions[o.ID] = l
 	at := b.now - b.now%time.Second
-	if k := len(b.offers); k == 0 || b.offers[k-1].At != at {
-		b.offers = append(b.offers, second{At: at})
+	if k := len(b.offerCounts); k == 0 || b.offerCounts[k-1].At != at {
+		b.offerCounts = append(b.offerCounts, offerCount{At: at})
 	}
-	b.offers[len(b.offers)-1].N++
+	b.offerCounts[len(b.offerCounts)-1].N++
 	return nil
 }
 
@@ -124,7 +124,7 @@
 // for clocks.
 func (l Limits) SilentFor() time.Duration { return l.Lease + l.Grace + (l.Lease+l.Grace)/100 }
 
-func (b *Book) applyRelease(r ReleaseBody) error {
+func (b *State) applyRelease(r ReleaseBody) error {
 	if r.At == 0 {
 		r.At = b.now
 	}
@@ -135,36 +135,36 @@
 	case r.At < 0 || r.At > b.now || r.Silent < need:
 		return fmt.Errorf("session: release of %s, silent for %v at %v: it is %v, and %v are needed", r.Name, r.Silent, r.At, b.now, need)
 	}
-	if i, ok := b.byName[r.Name]; ok && !b.gone(int(i)) {
-		switch n := b.names[i]; {
-		case n.released > 0 && r.At <= n.released:
-			return fmt.Errorf("session: release of %s, silent at %v: it was released at %v", r.Name, r.At, n.released)
-		case n.heard > 0 && n.heard > r.At-need:
-			return fmt.Errorf("session: release of %s, silent for %v at %v: it acted at %v", r.Name, r.Silent, r.At, n.heard)
+	if i, ok := b.indexByName[r.Name]; ok && !b.expired(int(i)) {
+		switch n := b.coordinators[i]; {
+		case n.releasedAt > 0 && r.At <= n.releasedAt:
+			return fmt.Errorf("session: release of %s, silent at %v: it was released at %v", r.Name, r.At, n.releasedAt)
+		case n.lastActAt > 0 && n.lastActAt > r.At-need:
+			return fmt.Errorf("session: release of %s, silent for %v at %v: it acted at %v", r.Name, r.Silent, r.At, n.lastActAt)
 		}
 	}
-	i, err := b.named(r.Name)
+	i, err := b.coordinatorIndex(r.Name)
 	if err != nil {
 		return fmt.Errorf("session: release of %.20q: %w", r.Name, err)
 	}
-	b.names[i].released, b.names[i].known = b.now, b.now
-	b.letGo(r.Name, "its co-ordinator was silent")
+	b.coordinators[i].releasedAt, b.coordinators[i].lastKnownAt = b.now, b.now
+	b.releaseOwned(r.Name, "its co-ordinator was silent")
 	return nil
 }
 
-// letGo frees what a co-ordinator has that surely acts no more.
-func (b *Book) letGo(co, why string) {
+// releaseOwned frees what a co-ordinator has that surely acts no more.
+func (b *State) releaseOwned(co, why string) {
 	b.pool.Drop(co)
-	for _, id := range sorted(b.flights) {
-		f, l := b.flights[id], b.live[id]
+	for _, id := range sortedIDs(b.moves) {
+		f, l := b.moves[id], b.sessions[id]
 		switch {
 		case l.phase == Offered && f.To == co:
 			b.pin(id, l)
-		case l.phase == Handed && f.Source == co:
+		case l.phase == HandedOver && f.Source == co:
 			f.Source = ""
-			b.flights[id] = f
-		case l.phase == Handed && b.names[l.owner].name == co:
-			b.back(id, l, why)
+			b.moves[id] = f
+		case l.phase == HandedOver && b.coordinators[l.owner].name == co:
+			b.returnToSource(id, l, why)
 		}
 	}
 	var all []ID
@@ -173,17 +173,17 @@
 		return true
 	})
 	for _, id := range all {
-		b.end(id, b.live[id], why)
+		b.end(id, b.sessions[id], why)
 	}
 }
 
-func (b *Book) applyLimits(c LimitsBody) error {
+func (b *State) applyLimits(c LimitsBody) error {
 	l := c.Limits
-	if err := l.valid(); err != nil {
+	if err := l.validate(); err != nil {
 		return err
 	}
 	if l.Revision <= b.limits.Revision {
-		if l.Revision == b.limits.Revision && l.same(b.limits) {
+		if l.Revision == b.limits.Revision && l.equal(b.limits) {
 			return nil
 		}
 		return fmt.Errorf("session: limits of revision %d, %d is in force", l.Revision, b.limits.Revision)
@@ -204,23 +204,23 @@
 	return nil
 }
 
-func (l Limits) same(o Limits) bool {
+func (l Limits) equal(o Limits) bool {
 	caps := maps.Equal(l.Caps, o.Caps)
 	l.Caps, o.Caps = nil, nil
 	return caps && fmt.Sprint(l) == fmt.Sprint(o)
 }
 
 // valid says what makes limits unfit.
-func (l Limits) valid() error {
+func (l Limits) validate() error {
 	for _, one := range []struct {
 		name        string
 		n, from, to int
 	}{
 		{"revision", l.Revision, 1, 1 << 53},
-		{"in_flight", l.InFlight, 0, FlightMost},
-		{"per_minute", l.PerMinute, 0, PerMinuteMost},
-		{"sessions_most", l.SessionsMost, 0, SessionsMost},
-		{"state_most", l.StateMost, 0, StateMost},
+		{"in_flight", l.InFlight, 0, MaxInFlight},
+		{"per_minute", l.PerMinute, 0, MaxOffersPerMinute},
+		{"sessions_most", l.MaxSessions, 0, MaxSessions},
+		{"state_most", l.MaxStateBytes, 0, MaxStateBytes},
 		{"slots", l.Slots, 1, pool.SlotsMost},
 		{"caps", len(l.Caps), 0, pool.ReplicasMost},
 	} {
@@ -231,9 +231,9 @@
 	for _, one := range []struct {
 		name string
 		d    time.Duration
-	}{{"offer_for", l.OfferFor}, {"idle_for", l.IdleFor}, {"lease", l.Lease}, {"grace", l.Grace}} {
-		if one.d <= 0 || one.d > TimeMost {
-			return fmt.Errorf("session: limits: %s is %v, it has to be over 0, and at most %v", one.name, one.d, TimeMost)
+	}{{"offer_for", l.StepTimeout}, {"idle_for", l.IdleTimeout}, {"lease", l.Lease}, {"grace", l.Grace}} {
+		if one.d <= 0 || one.d > MaxLimitDuration {
+			return fmt.Errorf("session: limits: %s is %v, it has to be over 0, and at most %v", one.name, one.d, MaxLimitDuration)
 		}
 	}
 	return nil
@@ -242,21 +242,21 @@
 // Renew implements statemachine.Renewer. The copy that the raft group is set up from may be behind: a session may have been handed
 // on, ended or claimed since, and slots too. So all are free, with a gap between the epochs, and nothing is claimed,
 // moved or given before until, when the leases of before have ended.
-func (b *Book) Renew(until time.Duration) {
+func (b *State) Renew(until time.Duration) {
 	const why = "the raft group was set up anew"
-	b.quiet = max(b.quiet, until)
-	for _, l := range b.live {
-		b.over = max(b.over, l.epoch)
+	b.blockedUntil = max(b.blockedUntil, until)
+	for _, l := range b.sessions {
+		b.maxForgottenEpoch = max(b.maxForgottenEpoch, l.epoch)
 	}
 	for _, e := range b.ended {
-		b.over = max(b.over, e.epoch)
+		b.maxForgottenEpoch = max(b.maxForgottenEpoch, e.epoch)
 	}
-	b.over += EpochGap
-	for _, id := range sorted(b.live) {
-		b.end(id, b.live[id], why)
+	b.maxForgottenEpoch += EpochGap
+	for _, id := range sortedIDs(b.sessions) {
+		b.end(id, b.sessions[id], why)
 	}
 	for id, e := range b.ended {
-		e.epoch = b.over
+		e.epoch = b.maxForgottenEpoch
 		b.ended[id] = e
 	}
 	b.pool.Clear()
--- a/internal/fleet/session/rules_test.go
+++ b/internal/fleet/session/rules_test.go
@@ -10,29 +10,29 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-func (p *play) hand(id ID, seq uint64) {
+func (p *harness) handOver(id ID, seq uint64) {
 	p.t.Helper()
 	r, _ := p.b.Get(id)
-	p.must(KindActs, acts(r.Owner, Act{Kind: Hand, ID: id, Epoch: r.Epoch, Fence: r.Fence, Seq: seq, State: []byte("s")}))
+	p.mustApply(KindActs, acts(r.Owner, Act{Kind: HandOver, ID: id, Epoch: r.Epoch, Fence: r.Fence, Seq: seq, State: []byte("s")}))
 }
 
-func (p *play) release(co string) {
+func (p *harness) release(co string) {
 	p.t.Helper()
 	p.now += limits.SilentFor()
-	p.must(KindRelease, ReleaseBody{co, limits.SilentFor(), p.now})
+	p.mustApply(KindRelease, ReleaseBody{co, limits.SilentFor(), p.now})
 }
 
 // Acts of a wrong owner, epoch, phase or number are refused, each in words, and change nothing.
-func TestRefusals(t *testing.T) {
-	p := start(t, limits)
+func TestInvalidCommandsAreRefused(t *testing.T) {
+	p := newHarness(t, limits)
 	p.claim("c0", a)
 	p.claim("c0", b)
 	n := p.offer(b, "c1")
-	act := func(from string, x Act) func() { return func() { p.refused(p.want, KindActs, acts(from, x)) } }
-	plan := func(x PlanBody) func() { return func() { p.refused(p.want, KindPlan, x) } }
+	act := func(from string, x Act) func() { return func() { p.mustRefuse(p.wantError, KindActs, acts(from, x)) } }
+	plan := func(x PlanBody) func() { return func() { p.mustRefuse(p.wantError, KindPlan, x) } }
 	offer := func(x Offer) func() { return plan(PlanBody{Offers: []Offer{x}}) }
-	release := func(x ReleaseBody) func() { return func() { p.refused(p.want, KindRelease, x) } }
-	need, long := limits.SilentFor(), strings.Repeat("x", NameMost+1)
+	release := func(x ReleaseBody) func() { return func() { p.mustRefuse(p.wantError, KindRelease, x) } }
+	need, long := limits.SilentFor(), strings.Repeat("x", MaxNameBytes+1)
 	for _, one := range []struct {
 		want string
 		f    func()
@@ -40,41 +40,41 @@
 		{"all 1 refused, first claim 0300", act("c0", Act{Kind: Claim, ID: c, Epoch: 1})},
 		{"last in epoch 0", act("c0", Act{Kind: Claim, ID: c, Epoch: 1})},
 		{`pinned of "c0" in epoch 1`, act("c1", Act{Kind: Claim, ID: a})}, {"it is free", act("c0", Act{Kind: End, ID: c})},
-		{"it is pinned", act("c0", Act{Kind: Hand, ID: a, Epoch: 1})}, {"it is pinned", act("c0", Act{Kind: Adopt, ID: a, Epoch: 1})},
+		{"it is pinned", act("c0", Act{Kind: HandOver, ID: a, Epoch: 1})}, {"it is pinned", act("c0", Act{Kind: Adopt, ID: a, Epoch: 1})},
 		{"it is pinned", act("c0", Act{Kind: Decline, ID: a, Epoch: 1})}, {`pinned of "c0", not of "c1"`, act("c1", Act{Kind: End, ID: a, Epoch: 1})},
 		{"in epoch 1", act("c0", Act{Kind: End, ID: a, Epoch: 2})}, {"in epoch 1", act("c0", Act{Kind: End, ID: a})},
-		{`offered of "c0", not of "c1"`, act("c1", Act{Kind: Hand, ID: b, Epoch: 1, Fence: n})},
-		{"is number 1, not 2", act("c0", Act{Kind: Hand, ID: b, Epoch: 1, Fence: 2})},
-		{"in epoch 1", act("c0", Act{Kind: Hand, ID: b, Epoch: 2, Fence: n})}, {"it is offered", act("c0", Act{Kind: Adopt, ID: b, Epoch: 1})},
+		{`offered of "c0", not of "c1"`, act("c1", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: n})},
+		{"is number 1, not 2", act("c0", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: 2})},
+		{"in epoch 1", act("c0", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: n})}, {"it is offered", act("c0", Act{Kind: Adopt, ID: b, Epoch: 1})},
 		{`offered to "c1", not to "c2"`, act("c2", Act{Kind: Decline, ID: b, Epoch: 1, Fence: n})},
 		{`offered to "c1", not to "c0"`, act("c0", Act{Kind: Decline, ID: b, Epoch: 1, Fence: n})},
 		{"is number 1, not 0", act("c1", Act{Kind: Decline, ID: b, Epoch: 1})}, {"it is pinned", act("c0", Act{Kind: 9, ID: a, Epoch: 1})},
-		{"a state of 65 bytes", act("c0", Act{Kind: Hand, ID: b, Epoch: 1, Fence: n, State: make([]byte, 65)})},
+		{"a state of 65 bytes", act("c0", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: n, State: make([]byte, 65)})},
 		{"freed 5: no such transfer", act("c0", Act{Kind: Freed, Fence: 5})}, {"acts of \"\"", act("", Act{})},
 		{"acts of", act(long, Act{Kind: Claim, ID: c})},
 		{`offered of "c0" in epoch 1`, offer(Offer{b, 1, "c0", "c2", 0})}, {`pinned of "c0"`, offer(Offer{a, 1, "c1", "c2", 0})},
 		{`in epoch 1`, offer(Offer{a, 2, "c0", "c2", 0})}, {`from "c0" to "c0"`, offer(Offer{a, 1, "c0", "c0", 0})},
 		{`to "xxxx`, offer(Offer{a, 1, "c0", long, 0})}, {`to ""`, offer(Offer{a, 1, "c0", "", 0})},
 		{"it is free", offer(Offer{c, 1, "c0", "c2", 0})}, {"10s is the most", offer(Offer{a, 1, "c0", "c2", p.now})},
-		{"10s is the most", offer(Offer{a, 1, "c0", "c2", p.now + 11*sec})},
+		{"10s is the most", offer(Offer{a, 1, "c0", "c2", p.now + 11*second})},
 		{"it is pinned", plan(PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})},
 		{"in epoch 1", plan(PlanBody{Withdrawals: []Withdrawal{{b, 2, n}}})},
 		{"number 1", plan(PlanBody{Withdrawals: []Withdrawal{{b, 1, 2}}})}, {"it is free", plan(PlanBody{Withdrawals: []Withdrawal{{c, 0, 0}}})},
 		{"4 are free", plan(PlanBody{Shifts: []Shift{{"", "c0", "r0", 5, 0}}})},
 		{"holds 0", plan(PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, 0}}})},
-		{"holds 0", plan(PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, p.now + 1}}})}, {"back 4", plan(PlanBody{Backs: []uint64{4}})},
-		{"nothing to do", plan(PlanBody{})}, {"10001 parts", plan(PlanBody{Backs: make([]uint64, ActsMost+1)})},
+		{"holds 0", plan(PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, p.now + 1}}})}, {"back 4", plan(PlanBody{CancelledTransfers: []uint64{4}})},
+		{"nothing to do", plan(PlanBody{})}, {"10001 parts", plan(PlanBody{CancelledTransfers: make([]uint64, MaxActs+1)})},
 		{"15.15s are needed", release(ReleaseBody{"c9", need - 1, p.now})}, {"it acted at", release(ReleaseBody{"c0", need, p.now})},
 		{"it is 16m40s", release(ReleaseBody{"c9", need, p.now + 1})}, {"1 to 128 bytes, not 0", release(ReleaseBody{"", need, p.now})},
 		{"1 to 128 bytes, not 129", release(ReleaseBody{long, need, p.now})}, {"it is 16m40s", release(ReleaseBody{"c9", need, -1})},
 	} {
-		p.want = one.want
+		p.wantError = one.want
 		one.f()
 	}
-	p.hand(b, 5)
-	p.refused(`handed of "c1", not of "c0"`, KindActs, acts("c0", Act{Kind: Adopt, ID: b, Epoch: 2}))
-	p.refused(`handed of "c1", not of "c2"`, KindActs, acts("c2", Act{Kind: Decline, ID: b, Epoch: 2}))
-	p.refused("in epoch 2", KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 1}))
+	p.handOver(b, 5)
+	p.mustRefuse(`handed of "c1", not of "c0"`, KindActs, acts("c0", Act{Kind: Adopt, ID: b, Epoch: 2}))
+	p.mustRefuse(`handed of "c1", not of "c2"`, KindActs, acts("c2", Act{Kind: Decline, ID: b, Epoch: 2}))
+	p.mustRefuse("in epoch 2", KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 1}))
 	if err := New().applyRelease(ReleaseBody{"c9", need, 0}); err == nil {
 		t.Fatal("released without limits")
 	}
@@ -84,72 +84,72 @@
 	if err := p.b.Apply(p.now, nil, KindActs, []byte(`{"from":"c0","more":1}`)); !errors.Is(err, statemachine.ErrUnknown) {
 		t.Fatal(err)
 	}
-	p.must(KindActs, acts("c1", Act{Kind: Adopt, ID: b, Epoch: 9}, Act{Kind: Adopt, ID: b, Epoch: 2})) // each stands alone
-	if words, n := p.b.Refused(); n != 1 || len(words) != 1 || !strings.Contains(words[0], "adopt 0200") {
+	p.mustApply(KindActs, acts("c1", Act{Kind: Adopt, ID: b, Epoch: 9}, Act{Kind: Adopt, ID: b, Epoch: 2})) // each stands alone
+	if words, n := p.b.Refusals(); n != 1 || len(words) != 1 || !strings.Contains(words[0], "adopt 0200") {
 		t.Fatal(words, n)
 	}
 	p.offer(b, "c2")
-	p.refused("3 queries begun, 5 were", KindActs, acts("c1", Act{Kind: Hand, ID: b, Epoch: 2, Fence: p.fence, Seq: 3}))
+	p.mustRefuse("3 queries begun, 5 were", KindActs, acts("c1", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: p.fence, Seq: 3}))
 }
 
 // The hand of an offer that was withdrawn comes late, when the session is offered again in the same epoch.
-func TestLateHandOfFirstMove(t *testing.T) {
-	p := start(t, limits)
+func TestHandOverOfWithdrawnOfferIsRefused(t *testing.T) {
+	p := newHarness(t, limits)
 	p.claim("c0", a)
 	n := p.offer(a, "c1")
-	late := acts("c0", Act{Kind: Hand, ID: a, Epoch: 1, Fence: n, Seq: 10})
+	late := acts("c0", Act{Kind: HandOver, ID: a, Epoch: 1, Fence: n, Seq: 10})
 	no := acts("c1", Act{Kind: Decline, ID: a, Epoch: 1, Fence: n})
-	p.must(KindPlan, PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})
+	p.mustApply(KindPlan, PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})
 	p.offer(a, "c1")
-	p.refused("is number 2, not 1", KindActs, late)
-	p.refused("is number 2, not 1", KindActs, no)
-	p.hand(a, 20)
-	p.refused("in epoch 2", KindActs, late)
-	p.must(KindActs, acts("c1", Act{Kind: Adopt, ID: a, Epoch: 2}))
+	p.mustRefuse("is number 2, not 1", KindActs, late)
+	p.mustRefuse("is number 2, not 1", KindActs, no)
+	p.handOver(a, 20)
+	p.mustRefuse("in epoch 2", KindActs, late)
+	p.mustApply(KindActs, acts("c1", Act{Kind: Adopt, ID: a, Epoch: 2}))
 	p.offer(a, "c0")
-	p.refused("in epoch 2", KindActs, late)
-	p.hand(a, 30)
-	p.is(a, "c0", 3, Handed)
+	p.mustRefuse("in epoch 2", KindActs, late)
+	p.handOver(a, 30)
+	p.expect(a, "c0", 3, HandedOver)
 }
 
 // Declines before and after the hand, and what no one takes over in time.
-func TestDeclinesAndTime(t *testing.T) {
-	p := start(t, limits)
+func TestDeclinedAndExpiredMoves(t *testing.T) {
+	p := newHarness(t, limits)
 	p.claim("c0", a)
-	p.must(KindActs, acts("c1", Act{Kind: Decline, ID: a, Epoch: 1, Fence: p.offer(a, "c1")}))
-	p.is(a, "c0", 1, Pinned)
+	p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: a, Epoch: 1, Fence: p.offer(a, "c1")}))
+	p.expect(a, "c0", 1, Pinned)
 	p.offer(a, "c1")
-	p.hand(a, 4)
-	p.must(KindActs, acts("c1", Act{Kind: Decline, ID: a, Epoch: 2}))
-	if r := p.is(a, "c0", 3, Handed); r.Source != "" || r.Seq != 4 || string(r.State) != "s" {
+	p.handOver(a, 4)
+	p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: a, Epoch: 2}))
+	if r := p.expect(a, "c0", 3, HandedOver); r.Source != "" || r.Seq != 4 || string(r.State) != "s" {
 		t.Fatalf("%+v", r)
 	}
-	p.must(KindActs, acts("c0", Act{Kind: Decline, ID: a, Epoch: 3}))
-	if r := p.is(a, "", 3, Free); r.Why != "no co-ordinator had room for it" {
+	p.mustApply(KindActs, acts("c0", Act{Kind: Decline, ID: a, Epoch: 3}))
+	if r := p.expect(a, "", 3, Free); r.Reason != "no co-ordinator had room for it" {
 		t.Fatalf("%+v", r)
 	}
-	p.now += time.Minute + sec
+	p.now += time.Minute + second
 	p.claim("c0", a)
 	p.offer(a, "c1")
-	p.now += 10*sec - 1
+	p.now += 10*second - 1
 	p.b.Tick(p.now)
-	p.is(a, "c0", 4, Offered)
+	p.expect(a, "c0", 4, Offered)
 	p.now++
-	p.must(KindTick, TickBody{})
-	p.is(a, "c0", 4, Pinned)
+	p.mustApply(KindTick, TickBody{})
+	p.expect(a, "c0", 4, Pinned)
 	p.offer(a, "c1")
-	p.now += 9 * sec
-	p.hand(a, 6)
+	p.now += 9 * second
+	p.handOver(a, 6)
 	for _, is := range []struct {
 		owner string
 		epoch uint64
 		phase Phase
-	}{{"c1", 5, Handed}, {"c0", 6, Handed}, {"", 6, Free}} {
-		p.is(a, is.owner, is.epoch, is.phase)
-		p.now += 10 * sec
-		p.must(KindTick, TickBody{})
+	}{{"c1", 5, HandedOver}, {"c0", 6, HandedOver}, {"", 6, Free}} {
+		p.expect(a, is.owner, is.epoch, is.phase)
+		p.now += 10 * second
+		p.mustApply(KindTick, TickBody{})
 	}
-	if r, _ := p.b.Get(a); r.Why != "no co-ordinator took it over in time" || r.Seq != 6 {
+	if r, _ := p.b.Get(a); r.Reason != "no co-ordinator took it over in time" || r.Seq != 6 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -157,28 +157,28 @@
 // What a release does to each phase, on both sides of a move; and what of it comes again.
 func TestRelease(t *testing.T) {
 	l := limits
-	l.InFlight, l.PerMinute, l.OfferFor = 9, 99, time.Hour
-	build := func() *play {
-		p := start(t, l)
+	l.InFlight, l.PerMinute, l.StepTimeout = 9, 99, time.Hour
+	build := func() *harness {
+		p := newHarness(t, l)
 		for i := range byte(5) {
 			p.claim("c0", ID{i})
 		}
-		p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"", "c1", "r0", 1, 0}}})
+		p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"", "c1", "r0", 1, 0}}})
 		for i := byte(1); i < 5; i++ { // 0 pinned, 1 offered, 2 handed, 3 handed back, 4 adopted
 			p.offer(ID{i}, "c1")
 		}
 		for i := byte(2); i < 5; i++ {
-			p.hand(ID{i}, uint64(i))
+			p.handOver(ID{i}, uint64(i))
 		}
-		p.must(KindActs, acts("c1", Act{Kind: Decline, ID: ID{3}, Epoch: 2}, Act{Kind: Adopt, ID: ID{4}, Epoch: 2}))
-		p.must(KindPlan, PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, 0}}})
+		p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: ID{3}, Epoch: 2}, Act{Kind: Adopt, ID: ID{4}, Epoch: 2}))
+		p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, 0}}})
 		return p
 	}
 	p := build()
 	p.release("c0")
-	for i, is := range []Record{{}, {}, {Owner: "c1", Epoch: 2, Phase: Handed}, {}, {Owner: "c1", Epoch: 2, Phase: Pinned}} {
+	for i, is := range []Record{{}, {}, {Owner: "c1", Epoch: 2, Phase: HandedOver}, {}, {Owner: "c1", Epoch: 2, Phase: Pinned}} {
 		if r, _ := p.b.Get(ID{byte(i)}); r.Owner != is.Owner || r.Phase != is.Phase || is.Epoch > 0 && r.Epoch != is.Epoch || r.Source != "" ||
-			r.Phase == Free && r.Why != "its co-ordinator was silent" {
+			r.Phase == Free && r.Reason != "its co-ordinator was silent" {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -186,20 +186,20 @@
 		t.Fatalf("%+v", p.b.Pool().Save())
 	}
 	again := ReleaseBody{"c0", limits.SilentFor(), p.now}
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 2, 0}}}) // it is back
-	p.now += sec
-	p.refused("it was released at", KindRelease, again)
-	p.must(KindActs, acts("c1", Act{Kind: Decline, ID: ID{2}, Epoch: 2})) // its source is gone
-	if r := p.is(ID{2}, "", 2, Free); r.Seq != 2 {
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 2, 0}}}) // it is back
+	p.now += second
+	p.mustRefuse("it was released at", KindRelease, again)
+	p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: ID{2}, Epoch: 2})) // its source is gone
+	if r := p.expect(ID{2}, "", 2, Free); r.Seq != 2 {
 		t.Fatalf("%+v", r)
 	}
 	p = build()
 	p.release("c1")
-	p.is(ID{0}, "c0", 1, Pinned)
-	p.is(ID{1}, "c0", 1, Pinned)
-	p.is(ID{2}, "c0", 3, Handed)
-	p.is(ID{3}, "c0", 3, Handed)
-	if r := p.is(ID{4}, "", 2, Free); r.Seq != 4 {
+	p.expect(ID{0}, "c0", 1, Pinned)
+	p.expect(ID{1}, "c0", 1, Pinned)
+	p.expect(ID{2}, "c0", 3, HandedOver)
+	p.expect(ID{3}, "c0", 3, HandedOver)
+	if r := p.expect(ID{4}, "", 2, Free); r.Seq != 4 {
 		t.Fatalf("%+v", r)
 	}
 	if p.b.Pool().Held("c0", "r0") != 3 || p.b.Pool().Free("r0") != 1 {
@@ -209,217 +209,217 @@
 
 // Limits at application: sessions, in flight, a minute by the second; revisions; slots by their word.
 func TestLimits(t *testing.T) {
-	p := start(t, limits)
+	p := newHarness(t, limits)
 	var all []Act
 	for i := range byte(6) {
 		all = append(all, Act{Kind: Claim, ID: ID{i}})
 	}
-	p.must(KindActs, acts("c0", all...))
-	if words, n := p.b.Refused(); n != 1 || p.b.Len() != 5 || p.b.Owned("c0") != 5 || !strings.Contains(words[0], "5 sessions, 5 are allowed") {
+	p.mustApply(KindActs, acts("c0", all...))
+	if words, n := p.b.Refusals(); n != 1 || p.b.Len() != 5 || p.b.Owned("c0") != 5 || !strings.Contains(words[0], "5 sessions, 5 are allowed") {
 		t.Fatal(words, n)
 	}
-	p.now = p.now.Truncate(sec) + sec - 1 // the end of a second
+	p.now = p.now.Truncate(second) + second - 1 // the end of a second
 	for i := range byte(4) {
 		p.offer(ID{i}, "c1")
 		if i%2 == 1 {
-			p.refused("2 are in flight, 2 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
-			p.now += 11 * sec
+			p.mustRefuse("2 are in flight, 2 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
+			p.now += 11 * second
 			p.b.Tick(p.now)
 		}
 	}
-	p.now = 1060 * sec
-	p.refused("4 were offered in the last minute, 4 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
-	p.now = 1061 * sec
+	p.now = 1060 * second
+	p.mustRefuse("4 were offered in the last minute, 4 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
+	p.now = 1061 * second
 	p.offer(ID{4}, "c1")
 
 	l := limits
-	p.must(KindLimits, LimitsBody{l}) // again
+	p.mustApply(KindLimits, LimitsBody{l}) // again
 	l.Slots++
-	p.refused("revision 1, 1 is in force", KindLimits, LimitsBody{l})
+	p.mustRefuse("revision 1, 1 is in force", KindLimits, LimitsBody{l})
 	for name, spoil := range map[string]func(*Limits){
-		"in_flight": func(l *Limits) { l.InFlight = -1 }, "per_minute": func(l *Limits) { l.PerMinute = -1 }, "offer_for": func(l *Limits) { l.OfferFor = 0 },
-		"sessions_most": func(l *Limits) { l.SessionsMost = SessionsMost + 1 }, "state_most": func(l *Limits) { l.StateMost = StateMost + 1 },
+		"in_flight": func(l *Limits) { l.InFlight = -1 }, "per_minute": func(l *Limits) { l.PerMinute = -1 }, "offer_for": func(l *Limits) { l.StepTimeout = 0 },
+		"sessions_most": func(l *Limits) { l.MaxSessions = MaxSessions + 1 }, "state_most": func(l *Limits) { l.MaxStateBytes = MaxStateBytes + 1 },
 		"slots": func(l *Limits) { l.Slots = 0 }, "lease": func(l *Limits) { l.Lease = 0 }, "grace": func(l *Limits) { l.Grace = 25 * time.Hour },
-		"idle_for": func(l *Limits) { l.IdleFor = -1 }, "slots at r1": func(l *Limits) { l.Caps = map[string]int{"r0": 1, "r1": -1} },
+		"idle_for": func(l *Limits) { l.IdleTimeout = -1 }, "slots at r1": func(l *Limits) { l.Caps = map[string]int{"r0": 1, "r1": -1} },
 	} {
 		l := limits
 		l.Revision = 2
 		spoil(&l)
-		p.refused(name, KindLimits, LimitsBody{l})
+		p.mustRefuse(name, KindLimits, LimitsBody{l})
 	}
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"c0", "c1", "r0", 2, 0}, {"c0", "c1", "r0", 1, p.now + sec}}})
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"c0", "c1", "r0", 2, 0}, {"c0", "c1", "r0", 1, p.now + second}}})
 	fence, pool := p.fence, p.b.Pool()
 	if pool.Held("c0", "r0") != 0 || pool.Held("c1", "r0") != 0 || len(pool.Asked("c0")) != 2 {
 		t.Fatalf("%+v", pool.Save())
 	}
-	p.refused(`does not wait for "c1"`, KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
-	p.must(KindActs, acts("c0", Act{Kind: Freed, Fence: fence}))
-	p.must(KindPlan, PlanBody{Backs: []uint64{fence - 1}})
+	p.mustRefuse(`does not wait for "c1"`, KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
+	p.mustApply(KindActs, acts("c0", Act{Kind: Freed, Fence: fence}))
+	p.mustApply(KindPlan, PlanBody{CancelledTransfers: []uint64{fence - 1}})
 	if pool.Held("c0", "r0") != 2 || pool.Held("c1", "r0") != 1 {
 		t.Fatalf("%+v", pool.Save())
 	}
 	l.Revision, l.Caps, l.InFlight = 2, map[string]int{"r1": 9}, 0
-	p.must(KindLimits, LimitsBody{l})
-	p.now += sec
-	p.must(KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"c0", "", "r0", 3, 0}}})
-	p.must(KindActs, acts("c0", Act{Kind: Freed, Fence: p.fence}))
+	p.mustApply(KindLimits, LimitsBody{l})
+	p.now += second
+	p.mustApply(KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"c0", "", "r0", 3, 0}}})
+	p.mustApply(KindActs, acts("c0", Act{Kind: Freed, Fence: p.fence}))
 	if r := pool.Replicas(); len(r) != 1 || pool.Cap("r1") != 9 {
 		t.Fatalf("%+v", pool.Save())
 	}
-	p.refused("0 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{0}, 1, "c0", "c1", 0}}})
+	p.mustRefuse("0 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{0}, 1, "c0", "c1", 0}}})
 }
 
 // What is forgotten of ends and of co-ordinators keeps epochs growing.
-func TestForgotten(t *testing.T) {
+func TestEpochsGrowAfterEndsAreForgotten(t *testing.T) {
 	l := limits
-	l.SessionsMost, l.OfferFor = SessionsMost, time.Hour
-	p := start(t, l)
+	l.MaxSessions, l.StepTimeout = MaxSessions, time.Hour
+	p := newHarness(t, l)
 	p.claim("c0", a)
 	p.offer(a, "c1")
-	p.hand(a, 1)
-	p.must(KindActs, acts("c1", Act{Kind: End, ID: a, Epoch: 2, Why: strings.Repeat("ä", WhyMost)}))
-	if r := p.is(a, "", 2, Free); len(r.Why) != WhyMost || p.is(b, "", 0, Free).Why != "" {
+	p.handOver(a, 1)
+	p.mustApply(KindActs, acts("c1", Act{Kind: End, ID: a, Epoch: 2, Reason: strings.Repeat("ä", MaxReasonBytes)}))
+	if r := p.expect(a, "", 2, Free); len(r.Reason) != MaxReasonBytes || p.expect(b, "", 0, Free).Reason != "" {
 		t.Fatalf("%+v", r)
 	}
-	p.now += Remember
-	p.must(KindTick, TickBody{})
-	if r := p.is(a, "", 2, Free); r.Why != "" || p.is(b, "", 2, Free).Why != "" {
+	p.now += EndRetention
+	p.mustApply(KindTick, TickBody{})
+	if r := p.expect(a, "", 2, Free); r.Reason != "" || p.expect(b, "", 2, Free).Reason != "" {
 		t.Fatalf("%+v", r)
 	}
 	p.now++
 	p.claim("c0", a)
-	p.is(a, "c0", 3, Pinned)
+	p.expect(a, "c0", 3, Pinned)
 	var claims, ends []Act
-	for i := range EndedMost + 1 {
+	for i := range MaxEnds + 1 {
 		id := ID{9, byte(i >> 16), byte(i >> 8), byte(i)}
 		claims, ends = append(claims, Act{Kind: Claim, ID: id, Epoch: 2}), append(ends, Act{Kind: End, ID: id, Epoch: 3})
-		if len(claims) == ActsMost || i == EndedMost {
-			p.b.applyOne(t, acts("c0", claims...))
-			p.b.applyOne(t, acts("c0", ends...))
+		if len(claims) == MaxActs || i == MaxEnds {
+			p.b.mustApplyActs(t, acts("c0", claims...))
+			p.b.mustApplyActs(t, acts("c0", ends...))
 			claims, ends = claims[:0], ends[:0]
 		}
 	}
-	if n := len(p.b.ended); n != EndedMost || p.is(ID{9}, "", 3, Free).Since != 0 {
+	if n := len(p.b.ended); n != MaxEnds || p.expect(ID{9}, "", 3, Free).Since != 0 {
 		t.Fatal(n)
 	}
-	two := start(t, limits)
+	two := newHarness(t, limits)
 	for i := range uint64(200) { // the same one again and again takes no room
 		two.claim("c0", c)
-		two.must(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: i + 1}))
+		two.mustApply(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: i + 1}))
 	}
-	if n := len(two.b.ends); n > 2+64+1 {
+	if n := len(two.b.endOrder); n > 2+64+1 {
 		t.Fatal(n)
 	}
-	for i := range NamesMost + 1 {
-		err := p.b.act(fmt.Sprint("n", i), Act{Kind: Claim, ID: ID{8, byte(i >> 8), byte(i)}, Epoch: p.b.over})
-		if (err == nil) != (i < NamesMost-1) { // c0 owns one; c1 is forgotten
+	for i := range MaxCoordinators + 1 {
+		err := p.b.act(fmt.Sprint("n", i), Act{Kind: Claim, ID: ID{8, byte(i >> 8), byte(i)}, Epoch: p.b.maxForgottenEpoch})
+		if (err == nil) != (i < MaxCoordinators-1) { // c0 owns one; c1 is forgotten
 			t.Fatal(i, err)
 		}
 	}
 	p.offer(ID{8}, "another")
 	r, _ := p.b.Get(ID{8})
-	if err := p.b.act(r.Owner, Act{Kind: Hand, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence}); err == nil {
+	if err := p.b.act(r.Owner, Act{Kind: HandOver, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence}); err == nil {
 		t.Fatal("handed to one more than are known")
 	}
 	if err := p.b.Check(); err != nil {
 		t.Fatal(err)
 	}
-	p.refused("4096 co-ordinators are known", KindRelease, ReleaseBody{"another", limits.SilentFor(), p.now})
-	p.refused("10001 acts", KindActs, acts("c0", make([]Act, ActsMost+1)...))
+	p.mustRefuse("4096 co-ordinators are known", KindRelease, ReleaseBody{"another", limits.SilentFor(), p.now})
+	p.mustRefuse("10001 acts", KindActs, acts("c0", make([]Act, MaxActs+1)...))
 }
 
-func (b *Book) applyOne(t *testing.T, body ActsBody) {
+func (b *State) mustApplyActs(t *testing.T, body ActsBody) {
 	if err := b.applyActs(body); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A council that is set up anew frees all; nothing begins before the leases of before have ended.
-func TestRenew(t *testing.T) {
-	p := start(t, limits)
+func TestRenewFreesAllSessions(t *testing.T) {
+	p := newHarness(t, limits)
 	p.claim("c0", a)
 	p.claim("c0", b)
-	p.must(KindActs, acts("c0", Act{Kind: End, ID: b, Epoch: 1}))
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
-	p.b.Renew(p.now + 20*sec)
-	if r := p.is(a, "", 1+EpochGap, Free); r.Why != "the raft group was set up anew" || p.b.Pool().Free("r0") != 4 || p.b.Quiet() != p.now+20*sec {
+	p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: b, Epoch: 1}))
+	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	p.b.Renew(p.now + 20*second)
+	if r := p.expect(a, "", 1+EpochGap, Free); r.Reason != "the raft group was set up anew" || p.b.Pool().Free("r0") != 4 || p.b.BlockedUntil() != p.now+20*second {
 		t.Fatalf("%+v", r)
 	}
-	p.refused("nothing is claimed before 17m0s", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1 + EpochGap}))
-	p.refused("no slots are given before 17m0s", KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 1, 0}}})
-	p.now += 20 * sec
-	p.refused("last in epoch 1048577", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1}))
+	p.mustRefuse("nothing is claimed before 17m0s", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1 + EpochGap}))
+	p.mustRefuse("no slots are given before 17m0s", KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 1, 0}}})
+	p.now += 20 * second
+	p.mustRefuse("last in epoch 1048577", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1}))
 	p.claim("c0", a)
-	p.is(a, "c0", 2+EpochGap, Pinned)
+	p.expect(a, "c0", 2+EpochGap, Pinned)
 	p.claim("c0", b)
-	p.is(b, "c0", 2+EpochGap, Pinned)
+	p.expect(b, "c0", 2+EpochGap, Pinned)
 }
 
-var idb = b
+var idOfB = b
 
 // Check finds each rule broken.
-func TestCheckFinds(t *testing.T) {
-	for words, spoil := range map[string]func(*Book){
-		"S1: " + a.String() + " is pinned in epoch 1 of no one": func(b *Book) {
-			l := b.live[a]
+func TestCheckFindsEachViolation(t *testing.T) {
+	for words, spoil := range map[string]func(*State){
+		"S1: " + a.String() + " is pinned in epoch 1 of no one": func(b *State) {
+			l := b.sessions[a]
 			l.owner = 9
-			b.live[a] = l
+			b.sessions[a] = l
 		},
-		"S1: " + a.String() + " is pinned in epoch 1 and ended": func(b *Book) { b.ended[a] = b.ended[ID{4}] },
-		"S1: " + c.String() + " is pinned, and true": func(b *Book) {
-			l := b.live[c]
+		"S1: " + a.String() + " is pinned in epoch 1 and ended": func(b *State) { b.ended[a] = b.ended[ID{4}] },
+		"S1: " + c.String() + " is pinned, and true": func(b *State) {
+			l := b.sessions[c]
 			l.phase = Pinned
-			b.live[c] = l
+			b.sessions[c] = l
 		},
-		"S1: 3 sessions move":          func(b *Book) { b.flights[ID{7}] = flight{} },
-		"S1: c0 owns 2, 3 are counted": func(b *Book) { b.names[b.byName["c0"]].owned++ },
-		"S1: 1 ends in order, 2 by id": func(b *Book) { b.ended[ID{5}] = b.ended[ID{4}] },
-		"S1: 04000000000000000000000000000000 ended in epoch 0": func(b *Book) {
+		"S1: 3 sessions move":          func(b *State) { b.moves[ID{7}] = move{} },
+		"S1: c0 owns 2, 3 are counted": func(b *State) { b.coordinators[b.indexByName["c0"]].owned++ },
+		"S1: 1 ends in order, 2 by id": func(b *State) { b.ended[ID{5}] = b.ended[ID{4}] },
+		"S1: 04000000000000000000000000000000 ended in epoch 0": func(b *State) {
 			e := b.ended[ID{4}]
 			e.epoch = 0
 			b.ended[ID{4}] = e
 		},
-		"S1: offer 1 is of 02": func(b *Book) {
-			f := b.flights[c]
+		"S1: offer 1 is of 02": func(b *State) {
+			f := b.moves[c]
 			f.Fence = 1
 			f.Hand.Fence = 1
-			b.flights[c] = f
+			b.moves[c] = f
 		},
-		"S1: " + idb.String() + " of c0 in epoch 1 is offered by c0 in 2": func(b *Book) {
-			f := b.flights[idb]
+		"S1: " + idOfB.String() + " of c0 in epoch 1 is offered by c0 in 2": func(b *State) {
+			f := b.moves[idOfB]
 			f.Epoch = 2
-			b.flights[idb] = f
+			b.moves[idOfB] = f
 		},
-		"S7: " + idb.String() + " is offered to c1 until": func(b *Book) {
-			f := b.flights[idb]
+		"S7: " + idOfB.String() + " is offered to c1 until": func(b *State) {
+			f := b.moves[idOfB]
 			f.Until = b.now
-			b.flights[idb] = f
+			b.moves[idOfB] = f
 		},
-		"S1: " + c.String() + " is handed to c1 by no": func(b *Book) {
-			f := b.flights[c]
+		"S1: " + c.String() + " is handed to c1 by no": func(b *State) {
+			f := b.moves[c]
 			f.Hand = nil
-			b.flights[c] = f
+			b.moves[c] = f
 		},
-		"S1: offer 2 of " + c.String() + " by c0 in epoch 1 was handed by c0 in 1, for offer 1": func(b *Book) { b.flights[c].Hand.Fence = 1 },
-		"S7: " + c.String() + " of c1 in epoch 3": func(b *Book) {
-			l := b.live[c]
+		"S1: offer 2 of " + c.String() + " by c0 in epoch 1 was handed by c0 in 1, for offer 1": func(b *State) { b.moves[c].Hand.Fence = 1 },
+		"S7: " + c.String() + " of c1 in epoch 3": func(b *State) {
+			l := b.sessions[c]
 			l.epoch = 3
-			b.live[c] = l
+			b.sessions[c] = l
 		},
-		"S7: 2 are in flight": func(b *Book) { b.limits.InFlight = 1 },
-		"S7: 2 were offered in a minute": func(b *Book) {
+		"S7: 2 are in flight": func(b *State) { b.limits.InFlight = 1 },
+		"S7: 2 were offered in a minute": func(b *State) {
 			b.limitsAt, b.limits.PerMinute = -time.Hour, 1
 		},
 	} {
-		p := start(t, limits)
+		p := newHarness(t, limits)
 		for _, id := range []ID{a, b, c, {4}} {
 			p.claim("c0", id)
 		}
-		p.must(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1}))
+		p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1}))
 		p.offer(b, "c1")
 		p.offer(c, "c1")
-		p.hand(c, 1)
+		p.handOver(c, 1)
 		spoil(p.b)
 		if err := p.b.Check(); err == nil || !strings.HasPrefix(err.Error(), words) {
 			t.Errorf("%v, want %q", err, words)
--- a/internal/fleet/session/types.go
+++ b/internal/fleet/session/types.go
@@ -44,14 +44,14 @@
 
 // Phases of a session.
 const (
-	Free    Phase = iota // no one's: not stored, but for how it ended, for a while
-	Pinned               // the owner acts for it
-	Offered              // the owner acts for it, and hands it to another when nothing of it is open
-	Handed               // its new owner may adopt it; no one acts for it before that is seen in the state
+	Free       Phase = iota // no one's: not stored, but for how it ended, for a while
+	Pinned                  // the owner acts for it
+	Offered                 // the owner acts for it, and hands it to another when nothing of it is open
+	HandedOver              // its new owner may adopt it; no one acts for it before that is seen in the state
 )
 
 func (p Phase) String() string {
-	if p > Handed {
+	if p > HandedOver {
 		return fmt.Sprintf("phase %d", uint8(p))
 	}
 	return [...]string{"free", "pinned", "offered", "handed"}[p]
@@ -72,7 +72,7 @@
 	Fence  uint64        // offered or handed: the number of the offer
 	Until  time.Duration // offered: the end of the offer. Handed: when it goes back, or is free
 	Since  time.Duration // of the phase
-	Why    string        // free: why it ended, for its client
+	Reason string        // free: why it ended, for its client
 }
 
 // ActKind is what a co-ordinator does with a session of its own, or with slots.
@@ -80,12 +80,12 @@
 
 // Kinds of acts.
 const (
-	Claim   ActKind = iota + 1 // a free one; Epoch as Get gives it
-	Hand                       // an offered one, frozen, to its target; Epoch, Fence, Seq, State, Lane
-	Adopt                      // a handed one; Epoch
-	Decline                    // the target's: an offered one (Epoch and Fence of the offer), or a handed one (Epoch)
-	End                        // one of its own; Epoch, Seq, Why
-	Freed                      // slots: the transfer Fence, from it, leaves it no more in use than what it holds
+	Claim    ActKind = iota + 1 // a free one; Epoch as Get gives it
+	HandOver                    // an offered one, frozen, to its target; Epoch, Fence, Seq, State, Lane
+	Adopt                       // a handed one; Epoch
+	Decline                     // the target's: an offered one (Epoch and Fence of the offer), or a handed one (Epoch)
+	End                         // one of its own; Epoch, Seq, Why
+	Freed                       // slots: the transfer Fence, from it, leaves it no more in use than what it holds
 )
 
 func (k ActKind) String() string {
@@ -98,14 +98,14 @@
 // Act of a co-ordinator. It is formed from the state as its copy has it, anew if that changes before the act was seen in
 // it: one of another epoch, or of an offer that is over, is refused.
 type Act struct {
-	Kind  ActKind `json:"kind"`
-	ID    ID      `json:"id,omitzero"`
-	Epoch uint64  `json:"epoch,omitempty"`
-	Fence uint64  `json:"fence,omitempty"`
-	Seq   uint64  `json:"seq,omitempty"`
-	State []byte  `json:"state,omitempty"`
-	Lane  uint8   `json:"lane,omitempty"`
-	Why   string  `json:"why,omitempty"`
+	Kind   ActKind `json:"kind"`
+	ID     ID      `json:"id,omitzero"`
+	Epoch  uint64  `json:"epoch,omitempty"`
+	Fence  uint64  `json:"fence,omitempty"`
+	Seq    uint64  `json:"seq,omitempty"`
+	State  []byte  `json:"state,omitempty"`
+	Lane   uint8   `json:"lane,omitempty"`
+	Reason string  `json:"why,omitempty"`
 }
 
 // ActsBody of kind "acts", from one co-ordinator. Each act stands alone: what is refused changes nothing of the others.
@@ -142,10 +142,10 @@
 
 // PlanBody of kind "plan", from the leader. Each part of it stands alone.
 type PlanBody struct {
-	Offers      []Offer      `json:"offers,omitempty"`
-	Withdrawals []Withdrawal `json:"withdrawals,omitempty"`
-	Shifts      []Shift      `json:"shifts,omitempty"`
-	Backs       []uint64     `json:"backs,omitempty"` // transfers that are called off, if their source has not said Freed
+	Offers             []Offer      `json:"offers,omitempty"`
+	Withdrawals        []Withdrawal `json:"withdrawals,omitempty"`
+	Shifts             []Shift      `json:"shifts,omitempty"`
+	CancelledTransfers []uint64     `json:"backs,omitempty"` // transfers that are called off, if their source has not said Freed
 }
 
 // ReleaseBody of kind "release", from the leader: what a silent co-ordinator owned is free. At is the agreed time at
@@ -159,17 +159,17 @@
 
 // Limits are what the operators allow, from their file.
 type Limits struct {
-	Revision     int            `json:"revision"`
-	Caps         map[string]int `json:"caps,omitempty"` // slots by replica; one that is not named has none
-	InFlight     int            `json:"in_flight"`      // offered or handed at once; 0 begins no move
-	PerMinute    int            `json:"per_minute"`     // offers in any minute; 0 begins no move
-	OfferFor     time.Duration  `json:"offer_for"`      // the longest time of each step of a move: offered, handed, handed back
-	IdleFor      time.Duration  `json:"idle_for"`       // the owner ends a session that had no query for so long
-	Lease        time.Duration  `json:"lease"`          // of a co-ordinator's part in the fleet
-	Grace        time.Duration  `json:"grace"`          // after its lease. Silent for both and 1 % longer, it may be released
-	SessionsMost int            `json:"sessions_most"`  // in all
-	StateMost    int            `json:"state_most"`     // bytes in what a hand carries
-	Slots        int            `json:"slots"`          // of one session at a replica: safe queries beside each other
+	Revision      int            `json:"revision"`
+	Caps          map[string]int `json:"caps,omitempty"` // slots by replica; one that is not named has none
+	InFlight      int            `json:"in_flight"`      // offered or handed at once; 0 begins no move
+	PerMinute     int            `json:"per_minute"`     // offers in any minute; 0 begins no move
+	StepTimeout   time.Duration  `json:"offer_for"`      // the longest time of each step of a move: offered, handed, handed back
+	IdleTimeout   time.Duration  `json:"idle_for"`       // the owner ends a session that had no query for so long
+	Lease         time.Duration  `json:"lease"`          // of a co-ordinator's part in the fleet
+	Grace         time.Duration  `json:"grace"`          // after its lease. Silent for both and 1 % longer, it may be released
+	MaxSessions   int            `json:"sessions_most"`  // in all
+	MaxStateBytes int            `json:"state_most"`     // bytes in what a hand carries
+	Slots         int            `json:"slots"`          // of one session at a replica: safe queries beside each other
 }
 
 // LimitsBody of kind "limits".
--- a/internal/fleet/sessionctl/shares.go
+++ b/internal/fleet/sessionctl/shares.go
@@ -16,7 +16,7 @@
 // ones, and where none are left, from who holds the most, to one that has less than half of its own. Without the latter
 // one that joins after all are given out could run no pinned query.
 func (l *Look) shares(have session.Limits) (out []session.Shift) {
-	if l.Agreed < l.Book.Quiet() {
+	if l.Agreed < l.Book.BlockedUntil() {
 		return nil
 	}
 	all := slices.DeleteFunc(l.coordinators(), func(m maintenance.Machine) bool { return m.Status == maintenance.Gone })
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -31,7 +31,7 @@
 type Look struct {
 	Now    time.Duration // own monotonic
 	Agreed time.Duration // by which a command is proposed
-	Book   *session.Book
+	Book   *session.State
 	Order  *maintenance.State
 	// Want is what the operators' file says, without Caps and with the file's revision; Slots are those at each replica.
 	Want  session.Limits
@@ -230,7 +230,7 @@
 
 // silent are the co-ordinators that have something and have been silent for at least that long.
 func (l *Look) silent(need time.Duration) (out []string) {
-	if l.Agreed < l.Book.Quiet() {
+	if l.Agreed < l.Book.BlockedUntil() {
 		return nil
 	}
 	names := map[string]bool{} // whether it holds slots in its hand
--- a/internal/fleet/sessionctl/steward_test.go
+++ b/internal/fleet/sessionctl/steward_test.go
@@ -28,8 +28,8 @@
 	r := &rig{T: t, s: New(), silent: map[string]time.Duration{}, l: statemachine.New(map[string]statemachine.Part{"takeout": order, "sessions": book})}
 	r.look = Look{
 		Agreed: begin, Book: book, Order: order, Slots: 30, Silent: func(name string) time.Duration { return r.silent[name] },
-		Want: session.Limits{Revision: 3, InFlight: 4, PerMinute: 100, OfferFor: time.Second, IdleFor: time.Minute, Lease: 2 * time.Second,
-			Grace: time.Second, SessionsMost: 100, StateMost: 100, Slots: 2},
+		Want: session.Limits{Revision: 3, InFlight: 4, PerMinute: 100, StepTimeout: time.Second, IdleTimeout: time.Minute, Lease: 2 * time.Second,
+			Grace: time.Second, MaxSessions: 100, MaxStateBytes: 100, Slots: 2},
 	}
 	if len(coordinators) == 0 {
 		coordinators = []string{"c0", "c1", "c2"}
--- a/internal/fleet/sessiongate/gate.go
+++ b/internal/fleet/sessiongate/gate.go
@@ -58,7 +58,7 @@
 	Names     *settings.Names
 	Policy    *policy.Config
 	// Sessions is the own copy of the agreed sessions, read only inside of Look.
-	Sessions *session.Book
+	Sessions *session.State
 	WithLock func(do func())
 	// Propose is given what is to be proposed, as of now.
 	Propose func(acts []session.Act)
--- a/internal/fleet/sessiongate/gate_test.go
+++ b/internal/fleet/sessiongate/gate_test.go
@@ -19,7 +19,7 @@
 type rig struct {
 	testing.TB
 	p        *Gate
-	b        *session.Book
+	b        *session.State
 	acts     []session.Act
 	released []*exchange.Query
 	away     []exchange.Reply
@@ -28,8 +28,8 @@
 func (r *rig) Release(q *exchange.Query)                  { r.released = append(r.released, q) }
 func (r *rig) Reject(_ *exchange.Query, a exchange.Reply) { r.away = append(r.away, a) }
 
-var limits = session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute,
-	Lease: 2 * time.Second, Grace: 3 * time.Second, SessionsMost: 9, StateMost: 9, Slots: 2}
+var limits = session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute,
+	Lease: 2 * time.Second, Grace: 3 * time.Second, MaxSessions: 9, MaxStateBytes: 9, Slots: 2}
 
 func newRig(t testing.TB) *rig {
 	log := logrus.New()
--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -46,7 +46,7 @@
 // handOverState is what a hand takes along. This co-ordinator knows the agreed time by what it last saw agreed, which is behind, so
 // windows end early at the target, never late.
 func (o *Owner) handOverState(s *sessionEntry) []byte {
-	return s.completed.Save(s.seq, o.agreedSince(0)-o.now, o.limits.StateMost)
+	return s.completed.Save(s.seq, o.agreedSince(0)-o.now, o.limits.MaxStateBytes)
 }
 
 // restoreState takes over what a hand took along. Its windows end by agreed time, of which too little may be known here: until the adoption they
--- a/internal/fleet/sessionowner/completions_test.go
+++ b/internal/fleet/sessionowner/completions_test.go
@@ -117,7 +117,7 @@
 	a := newClaimedRig(t)
 	b := a.newRigFor("b", Options{}, 3, 1)
 	few := limits
-	few.Revision, few.StateMost = 2, 24
+	few.Revision, few.MaxStateBytes = 2, 24
 	a.apply(session.KindLimits, session.LimitsBody{Limits: few})
 	a.step(a.applied(), QueryEnded{Token: 1, Responded: true})
 	for n, name := range []string{"one", "two", "three"} {
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -35,7 +35,7 @@
 	case !ok:
 		s.completed = s.completed[:0]
 		o.enterPhase(s, Claiming)
-	case r.Phase == session.Handed:
+	case r.Phase == session.HandedOver:
 		o.startAdopting(s, r)
 	default: // of a process before, or of a claim given up: what it began is not known here
 		o.enterPhase(s, Ending)
@@ -131,7 +131,7 @@
 		switch {
 		case !ok:
 			s.epoch = r.Epoch
-		case mine && r.Phase != session.Handed:
+		case mine && r.Phase != session.HandedOver:
 			o.stats.Claimed++
 			o.startServing(s, r)
 		case mine:
@@ -153,9 +153,9 @@
 		switch {
 		case !mine:
 			o.loseSession(s, r.Owner)
-		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed: // a process before did, and what it began is not known
+		case r.Phase != session.HandedOver && r.Epoch == s.epoch && !s.adoptProposed: // a process before did, and what it began is not known
 			o.startSession(s, r, ok)
-		case r.Phase != session.Handed && r.Epoch == s.epoch:
+		case r.Phase != session.HandedOver && r.Epoch == s.epoch:
 			o.stats.Adopted++
 			s.completed.Shift(s.adoptProposedAt - r.Since)
 			o.startServing(s, r)
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -23,7 +23,7 @@
 // world is one book, its log's index and numbers, and a clock for all.
 type sharedState struct {
 	t            tb
-	book         *session.Book
+	book         *session.State
 	now          time.Duration
 	index, fence uint64
 }
@@ -38,8 +38,8 @@
 }
 
 var limits = session.Limits{
-	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, OfferFor: 10 * sec, IdleFor: 60 * sec,
-	Lease: 6 * sec, Grace: sec, SessionsMost: 100_000, StateMost: 1024, Slots: 3,
+	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, StepTimeout: 10 * sec, IdleTimeout: 60 * sec,
+	Lease: 6 * sec, Grace: sec, MaxSessions: 100_000, MaxStateBytes: 1024, Slots: 3,
 }
 
 // newRig is owner "a" with 3 and 1 slots at r1 and r2, and a lease for long.
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -35,7 +35,7 @@
 type simulation struct {
 	*rig
 	draw       func(n int) int
-	localCopy  *session.Book
+	localCopy  *session.State
 	leaseUntil time.Duration // sure until then
 	queries    []*modelQuery
 	inputs     []Input
@@ -129,7 +129,7 @@
 
 func (p *simulation) checkOwnership(n int, epoch uint64, what string) {
 	rec, ok := p.book.Get(id(n))
-	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || p.now >= p.leaseUntil {
+	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.HandedOver || p.now >= p.leaseUntil {
 		p.fail("S1: %s for %d in epoch %d, the lease until %v, agreed is %+v", what, n, epoch, p.leaseUntil, rec)
 	}
 }
@@ -145,10 +145,10 @@
 		to := map[string]string{"a": "b", "b": "a"}[rec.Owner]
 		p.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
 	case k < 6 && rec.Phase == session.Offered && rec.Owner == "b":
-		p.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
+		p.applyActs("b", session.Act{Kind: session.HandOver, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
 	case k == 4 && rec.Phase == session.Offered:
 		p.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
-	case k < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
+	case k < 7 && rec.Owner == "b" && rec.Phase == session.HandedOver:
 		p.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
 	case k == 7:
 		p.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
@@ -283,7 +283,7 @@
 		}
 		p.pastActs = append(p.pastActs, o.Act)
 		for _, q := range p.queries {
-			if o.Kind == session.Hand && q.Session == o.ID && q.open(p.now) {
+			if o.Kind == session.HandOver && q.Session == o.ID && q.open(p.now) {
 				p.fail("S3: handed while %+v is open", *q)
 			}
 		}
--- a/internal/fleet/sessionowner/types.go
+++ b/internal/fleet/sessionowner/types.go
@@ -61,8 +61,8 @@
 // them it may stay or move on, never back. What comes out of it is kept by copy only.
 type AgreedState interface {
 	Get(id session.ID) (session.Record, bool)
-	// Flights yields the sessions that are offered or handed, ByOwner those of a co-ordinator, each in a fixed order.
-	Flights(yield func(session.Record) bool)
+	// Moves yields the sessions that are offered or handed, ByOwner those of a co-ordinator, each in a fixed order.
+	Moves(yield func(session.Record) bool)
 	ByOwner(co string, yield func(session.Record) bool)
 	Owned(co string) int
 	Pool() *pool.Pool
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -171,7 +171,7 @@
 func (p *Part) Urgency(now time.Duration) view.PollUrgently {
 	limits, _ := p.host.State.Maintenance.Limits()
 	p.controller.Lease(now, limits.Lease) // it may have to lead with the next step
-	return view.PollUrgently{On: p.gate.AwaitsAgreement() || p.host.State.Sessions.MovesOf(p.host.Name)}
+	return view.PollUrgently{On: p.gate.AwaitsAgreement() || p.host.State.Sessions.HasMoves(p.host.Name)}
 }
 
 // Releasing says whether the controller releases a silent co-ordinator's sessions: it gets no lease meanwhile. The state is
--- a/internal/fleet/sessionpart/part_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -40,8 +40,8 @@
 // A process gets its lease once what the one before it of its name had out at replicas is over: for lease and grace after its start,
 // if anything is agreed to be its own when its first lease comes.
 func TestProcessWaitsForWhatTheOneBeforeHadOut(t *testing.T) {
-	limits := session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute,
-		Lease: 2 * time.Second, Grace: 3 * time.Second, SessionsMost: 9, StateMost: 9, Slots: 2}
+	limits := session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute,
+		Lease: 2 * time.Second, Grace: 3 * time.Second, MaxSessions: 9, MaxStateBytes: 9, Slots: 2}
 	const first, until = time.Second, time.Minute
 	for name, c := range map[string]struct {
 		slots string // whose they are
@@ -82,9 +82,9 @@
 
 // A message of acts stays within an entry of the log, whatever hands carry.
 func TestActsFitAnEntry(t *testing.T) {
-	full := session.Act{Kind: session.Hand, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.StateMost), Lane: 255}
-	many := make([]session.Act, session.ActsMost+1)
-	if n := countFitting(many); n != session.ActsMost {
+	full := session.Act{Kind: session.HandOver, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.MaxStateBytes), Lane: 255}
+	many := make([]session.Act, session.MaxActs+1)
+	if n := countFitting(many); n != session.MaxActs {
 		t.Errorf("%d claims", n)
 	}
 	for i := range many {
@@ -113,7 +113,7 @@
 	p := &Part{host: Host{Name: "b", State: state, Controller: drainctl.New(waveplan.Order)}, section: &operator.Sessions{Most: 9},
 		capacity: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
 	id := session.IDOf(1, []byte("k"))
-	limits := session.Limits{Revision: 1, InFlight: 9, PerMinute: 9, OfferFor: time.Second, IdleFor: time.Minute, Lease: time.Second, Grace: time.Second, SessionsMost: 9, Slots: 2}
+	limits := session.Limits{Revision: 1, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute, Lease: time.Second, Grace: time.Second, MaxSessions: 9, Slots: 2}
 	for kind, body := range map[string]any{session.KindLimits: session.LimitsBody{Limits: limits}} {
 		raw, _ := json.Marshal(body)
 		if err := state.Sessions.Apply(0, nil, kind, raw); err != nil {
--- a/internal/fleet/sessionpart/propose.go
+++ b/internal/fleet/sessionpart/propose.go
@@ -24,9 +24,9 @@
 func (p *Part) limits() session.Limits {
 	f, s := p.host.Section(), p.section
 	return session.Limits{
-		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, OfferFor: fleetfile.Milliseconds(s.Offer),
-		IdleFor: time.Duration(s.Idle * float64(time.Second)), Lease: fleetfile.Milliseconds(f.Lease), Grace: fleetfile.Milliseconds(f.Grace),
-		SessionsMost: s.Most, StateMost: session.StateMost, Slots: s.Slots,
+		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, StepTimeout: fleetfile.Milliseconds(s.Offer),
+		IdleTimeout: time.Duration(s.Idle * float64(time.Second)), Lease: fleetfile.Milliseconds(f.Lease), Grace: fleetfile.Milliseconds(f.Grace),
+		MaxSessions: s.Most, MaxStateBytes: session.MaxStateBytes, Slots: s.Slots,
 	}
 }
 
@@ -84,10 +84,10 @@
 	size := 0
 	for i := range acts {
 		a := &acts[i]
-		if size += actSize; a.Fence+a.Seq > 0 || a.Why != "" {
-			size += actSize + len(a.Why) + len(a.State)*4/3
+		if size += actSize; a.Fence+a.Seq > 0 || a.Reason != "" {
+			size += actSize + len(a.Reason) + len(a.State)*4/3
 		}
-		if i == session.ActsMost || size > peerproto.MaxEntrySize && i > 0 {
+		if i == session.MaxActs || size > peerproto.MaxEntrySize && i > 0 {
 			return i
 		}
 	}
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -13,19 +13,19 @@
 
 // savedPart counts how often it is saved.
 type savedPart struct {
-	*session.Book
+	*session.State
 	saves int
 }
 
 func (p *savedPart) Save() ([]byte, error) {
 	p.saves++
-	return p.Book.Save()
+	return p.State.Save()
 }
 
 // What was agreed is saved once for all that need the whole of it, as after a new era all co-ordinators do at once: the state
 // is held meanwhile.
 func TestTheWholeIsSavedOnceForAll(t *testing.T) {
-	p := &savedPart{Book: session.New()}
+	p := &savedPart{State: session.New()}
 	n := &Node{state: &agreedstate.Copy{Machine: statemachine.New(map[string]statemachine.Part{agreedstate.SessionsPart: p})}}
 	for i := range 3 {
 		w := peerproto.Reply{}
