--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -20,10 +20,10 @@
 
 // intime fails if something came too long after a moment. The time for which the machine had this process wait does not
 // count: nobody could have kept that.
-func checkLatency(t *testing.T, came, after time.Time, most time.Duration) {
+func checkLatency(t *testing.T, receivedAt, since time.Time, limit time.Duration) {
 	t.Helper()
-	waited := processStalls().Between(after, came)
-	if took := came.Sub(after); took-waited > most {
-		t.Errorf("heard after %v, %v allowed, for %v of which the machine stood still", took, most, waited)
+	stalled := processStalls().Between(since, receivedAt)
+	if latency := receivedAt.Sub(since); latency-stalled > limit {
+		t.Errorf("heard after %v, %v allowed, for %v of which the machine stood still", latency, limit, stalled)
 	}
 }
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -50,11 +50,11 @@
 				return
 			}
 		}
-		taken, wait := s.admit()
+		accepted, wait := s.admit()
 		time.Sleep(wait)
 		target := strings.Fields(line)[1]
 		switch {
-		case !taken:
+		case !accepted:
 			io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		case target == "/api/targets":
 			io.WriteString(nc, httpResponse(s.list(true)))
@@ -66,7 +66,7 @@
 }
 
 // call takes one call, and tells how long it waits for its turn.
-func (s *sharedServer) admit() (taken bool, wait time.Duration) {
+func (s *sharedServer) admit() (accepted bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -92,11 +92,11 @@
 }
 
 // watch says first what was missed, and then that nothing changes, until it falls silent.
-func (s *sharedServer) watch(nc net.Conn, behind bool) {
+func (s *sharedServer) watch(nc net.Conn, outdated bool) {
 	s.mu.Lock()
 	muted, drained := s.silenced, s.drained
 	s.mu.Unlock()
-	if io.WriteString(nc, watchHead); drained && behind {
+	if io.WriteString(nc, watchHead); drained && outdated {
 		io.WriteString(nc, chunk(s.list(false)+"\n"))
 	}
 	for {
@@ -127,31 +127,31 @@
 		}
 	}()
 	t.Cleanup(func() { s.ln.Close() })
-	var heard []func(string) time.Time
+	var waitFuncs []func(string) time.Time
 	for range clientCount {
-		c, names, _ := startClient(t, s.ln.Addr().String(), true)
+		c, waitForReplica, _ := startClient(t, s.ln.Addr().String(), true)
 		c.Watch()
-		heard = append(heard, names)
+		waitFuncs = append(waitFuncs, waitForReplica)
 	}
-	for _, names := range heard {
-		names("v1")
+	for _, waitForReplica := range waitFuncs {
+		waitForReplica("v1")
 	}
-	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // all watches are open
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // all watches are open
 		if s.mu.Lock(); s.busyUntil.Before(time.Now()) {
 			break
 		}
-		if s.mu.Unlock(); time.Now().After(end) {
+		if s.mu.Unlock(); time.Now().After(deadline) {
 			t.Fatal("the calls at the start were never served")
 		}
 	}
-	silent := time.Now()
+	silentSince := time.Now()
 	s.drained = true
 	close(s.silenced)
 	s.silenced = make(chan struct{})
 	s.mu.Unlock()
-	for i, names := range heard {
-		at := names("v2")
-		if late := at.Sub(silent) - deliveryLimit; late > 0 {
+	for i, waitForReplica := range waitFuncs {
+		receivedAt := waitForReplica("v2")
+		if late := receivedAt.Sub(silentSince) - deliveryLimit; late > 0 {
 			t.Errorf("co-ordinator %d heard %v after it counts as told", i, late)
 		}
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -105,11 +105,11 @@
 func (c *Client) Move(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.active
+	latest := c.active
 	if c.pending != nil {
-		now = c.pending
+		latest = c.pending
 	}
-	if now.address == address {
+	if latest.address == address {
 		return
 	}
 	if c.pending != nil && c.pending.cancel != nil {
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -82,14 +82,14 @@
 		target := strings.Fields(line)[1]
 		s.mu.Lock()
 		s.requests++
-		index, do := s.index, s.answerList
+		index, answer := s.index, s.answerList
 		if target != "/api/targets" {
-			do = s.answerWatch
+			answer = s.answerWatch
 		}
 		s.mu.Unlock()
 		switch {
-		case do != nil:
-			do(nc)
+		case answer != nil:
+			answer(nc)
 			io.Copy(io.Discard, nc) // nothing more, until the other side leaves
 			return
 		case target == "/api/targets":
@@ -102,10 +102,10 @@
 	}
 }
 
-func (s *scriptedAgent) addConns(more int) (open int) {
+func (s *scriptedAgent) addConns(delta int) (open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.openConns += more
+	s.openConns += delta
 	return s.openConns
 }
 
@@ -141,29 +141,29 @@
 func respond(text string) func(net.Conn) { return func(nc net.Conn) { io.WriteString(nc, text) } }
 
 // runs starts a client of the agent; names gives what its lists hold, one name each.
-func startClient(t *testing.T, address string, ask bool) (c *Client, names func(want string) time.Time, failed chan struct{}) {
-	return startClientWith(t, address, ask, scaledLimits, io.Discard)
+func startClient(t *testing.T, address string, onDemand bool) (c *Client, waitForReplica func(want string) time.Time, failed chan struct{}) {
+	return startClientWith(t, address, onDemand, scaledLimits, io.Discard)
 }
 
-func startClientWith(t *testing.T, address string, ask bool, limits config.Limits, out io.Writer) (c *Client, names func(want string) time.Time, failed chan struct{}) {
+func startClientWith(t *testing.T, address string, onDemand bool, limits config.Limits, out io.Writer) (c *Client, waitForReplica func(want string) time.Time, failed chan struct{}) {
 	processStalls()
 	log := logrus.New()
 	log.SetOutput(out)
 	s := &testSink{make(chan exchange.ReplicaList, 1000), make(chan struct{}, 1000)}
-	c = New(&config.Config{Discovery: address, Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, NoIndex, s, logrus.NewEntry(log))
+	c = New(&config.Config{Discovery: address, Policy: policy.Config{MustSubscribe: onDemand}, Limits: limits}, NoIndex, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
 	return c, func(want string) time.Time {
 		t.Helper()
-		for limit := time.After(testTimeout); ; {
+		for timeout := time.After(testTimeout); ; {
 			select {
 			case l := <-s.lists:
 				if len(l.Entries) > 0 && l.Entries[0].Name == want {
 					return time.Now()
 				}
-			case <-limit:
+			case <-timeout:
 				t.Fatalf("%s was never heard of", want)
 			}
 		}
@@ -210,19 +210,19 @@
 
 // In whatever state a watch falls silent, that is noticed by our clock, and what it missed is had before it counts as told.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	for name, bad := range stalledWatches {
+	for name, stall := range stalledWatches {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedAgent(t, listenLoopback(t))
-			fell := make(chan time.Time, 1)
+			silentSince := make(chan time.Time, 1)
 			s.setAnswers(1, nil, func(nc net.Conn) {
-				fell <- time.Now() // or later: what is written first is then part of it
+				silentSince <- time.Now() // or later: what is written first is then part of it
 				s.setAnswers(2, nil, nil)
-				bad(nc)
+				stall(nc)
 			})
-			_, names, _ := startClient(t, s.ln.Addr().String(), false)
-			names("v1")
-			checkLatency(t, names("v2"), <-fell, min(scaledLimits.WatchSilence+scaledLimits.RedialFirst+scaledLimits.RedialMost+slack, deliveryLimit))
+			_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
+			waitForReplica("v1")
+			checkLatency(t, waitForReplica("v2"), <-silentSince, min(scaledLimits.WatchSilence+scaledLimits.RedialFirst+scaledLimits.RedialMost+slack, deliveryLimit))
 		})
 	}
 }
@@ -236,33 +236,33 @@
 		for io.WriteString(nc, watchHead); writeAfter(nc, 0, flood) == nil; {
 		}
 	})
-	_, names, _ := startClient(t, s.ln.Addr().String(), false)
-	began := names("v1")
-	checkLatency(t, names("v2"), began, deliveryLimit)
+	_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
+	began := waitForReplica("v1")
+	checkLatency(t, waitForReplica("v2"), began, deliveryLimit)
 }
 
 // An outage in whatever form ends with what the agent has, an ask's distance after its end, whatever became of the asks
 // meanwhile. Asks stay bounded: one a RedialMost, and none is left open.
 func TestListIsReadAfterOutage(t *testing.T) {
-	for name, bad := range failingLists {
+	for name, fail := range failingLists {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedAgent(t, listenLoopback(t))
-			s.setAnswers(1, bad, bad)
-			_, names, _ := startClient(t, s.ln.Addr().String(), false)
+			s.setAnswers(1, fail, fail)
+			_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
 			began := time.Now()
 			time.Sleep(1090 * time.Millisecond)
 			for time.Since(began) < testTimeout && s.requestCount() < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if n, most := s.requestCount(), int(time.Since(began)/scaledLimits.RedialMost)+6; n > most || n < 3 {
-				t.Errorf("asked %d times, %d allowed", n, most)
+			if n, limit := s.requestCount(), int(time.Since(began)/scaledLimits.RedialMost)+6; n > limit || n < 3 {
+				t.Errorf("asked %d times, %d allowed", n, limit)
 			}
 			s.setAnswers(2, nil, nil)
-			back := time.Now()
-			checkLatency(t, names("v2"), back, scaledLimits.RedialMost+slack)
-			for end := time.Now().Add(testTimeout); s.addConns(0) != 1; time.Sleep(10 * time.Millisecond) {
-				if time.Now().After(end) {
+			recoveredAt := time.Now()
+			checkLatency(t, waitForReplica("v2"), recoveredAt, scaledLimits.RedialMost+slack)
+			for deadline := time.Now().Add(testTimeout); s.addConns(0) != 1; time.Sleep(10 * time.Millisecond) {
+				if time.Now().After(deadline) {
 					t.Fatalf("%d connections are open", s.addConns(0))
 				}
 			}
@@ -294,12 +294,12 @@
 			defer nc.Close()
 		}
 	}
-	_, names, _ := startClient(t, address, false)
+	_, waitForReplica, _ := startClient(t, address, false)
 	time.Sleep(20 * time.Millisecond)
 	if err := syscall.Listen(fd, 100); err != nil { // room again
 		t.Fatal(err)
 	}
-	back := time.Now()
+	recoveredAt := time.Now()
 	go func() {
 		for {
 			c, _, err := syscall.Accept(fd)
@@ -316,22 +316,22 @@
 			}()
 		}
 	}()
-	checkLatency(t, names("v2"), back, scaledLimits.RedialMost+slack)
+	checkLatency(t, waitForReplica("v2"), recoveredAt, scaledLimits.RedialMost+slack)
 }
 
 // A move to an address that is silent, while the old one is silent too, ends with the first that has a list.
 func TestMoveWhileBothAddressesAreSilent(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedAgent(t, listenLoopback(t)), newScriptedAgent(t, listenLoopback(t))
-	c, names, _ := startClient(t, a.ln.Addr().String(), false)
-	names("v1")
+	c, waitForReplica, _ := startClient(t, a.ln.Addr().String(), false)
+	waitForReplica("v1")
 	a.setAnswers(2, noAnswer, noAnswer)
 	b.setAnswers(3, noAnswer, noAnswer)
 	c.Move(b.ln.Addr().String())
 	time.Sleep(560 * time.Millisecond)
 	b.setAnswers(3, nil, nil)
-	back := time.Now()
-	checkLatency(t, names("v3"), back, scaledLimits.RedialMost+slack)
+	recoveredAt := time.Now()
+	checkLatency(t, waitForReplica("v3"), recoveredAt, scaledLimits.RedialMost+slack)
 }
 
 // Where the decisions ask, a watch that falls silent is opened anew without them, and its answer tells what was missed.
@@ -339,18 +339,18 @@
 func TestSharedDiscoverySilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	c, names, failed := startClient(t, s.ln.Addr().String(), true)
-	fell := make(chan time.Time, 1)
+	c, waitForReplica, failed := startClient(t, s.ln.Addr().String(), true)
+	silentSince := make(chan time.Time, 1)
 	s.setAnswers(1, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead)
-		fell <- time.Now()
+		silentSince <- time.Now()
 		s.setAnswers(2, nil, func(nc net.Conn) {
 			s.setAnswers(3, noAnswer, noAnswer)
 			io.WriteString(nc, watchHead+chunk(listJSON(2, false, endpointJSON("v2", "Ready"))+"\n"))
 		})
 	})
 	c.Watch()
-	checkLatency(t, names("v2"), <-fell, scaledLimits.WatchSilence+scaledLimits.CallFirst+slack)
+	checkLatency(t, waitForReplica("v2"), <-silentSince, scaledLimits.WatchSilence+scaledLimits.CallFirst+slack)
 	select {
 	case <-failed:
 	case <-time.After(testTimeout):
@@ -360,31 +360,31 @@
 	for time.Since(began) < 3*scaledLimits.CallTime {
 		time.Sleep(scaledLimits.CallFirst)
 	}
-	if n, most := s.requestCount()-before, int(time.Since(began)/scaledLimits.CallTime)+1; n > most {
-		t.Errorf("asked %d times of an agent that is silent, %d allowed", n, most)
+	if n, limit := s.requestCount()-before, int(time.Since(began)/scaledLimits.CallTime)+1; n > limit {
+		t.Errorf("asked %d times of an agent that is silent, %d allowed", n, limit)
 	}
 	s.setAnswers(3, nil, nil)
-	back := time.Now()
-	checkLatency(t, names("v3"), back, scaledLimits.CallTime+slack)
+	recoveredAt := time.Now()
+	checkLatency(t, waitForReplica("v3"), recoveredAt, scaledLimits.CallTime+slack)
 }
 
 // What came in time and was not read in time, since we stood still, is read; after that nothing is waited for.
 func TestDataThatArrivedDuringProcessStallIsRead(t *testing.T) {
 	ln := listenLoopback(t)
 	defer ln.Close()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	remote, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	here, err := ln.Accept()
+	defer remote.Close()
+	local, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
-	io.WriteString(there, "abc")
+	defer local.Close()
+	io.WriteString(remote, "abc")
 	time.Sleep(20 * time.Millisecond)
-	conn, err := newListConn(here)
+	conn, err := newListConn(local)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -393,7 +393,7 @@
 	if n, err := s.Read(b); n != 3 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
-	if _, err := s.Read(b); err != errSilent {
+	if _, err := s.Read(b); err != errTimeout {
 		t.Errorf("%v", err)
 	}
 }
@@ -402,16 +402,16 @@
 func TestIndentedLists(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	now := make(chan time.Time, 1)
+	sentAt := make(chan time.Time, 1)
 	s.setAnswers(1, respond(httpResponse(multiline(listJSON(1, true, endpointJSON("v1", "Ready"))))+watchHead), nil)
-	_, names, _ := startClient(t, s.ln.Addr().String(), false)
-	names("v1")
+	_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
+	waitForReplica("v1")
 	s.setAnswers(2, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead)
 		time.Sleep(scaledLimits.RedialMost + slack) // it was open for a while
 		s.setAnswers(3, nil, nil)
-		now <- time.Now()
+		sentAt <- time.Now()
 		io.WriteString(nc, chunk(multiline(listJSON(3, false, endpointJSON("v3", "Ready")))+"\n"))
 	})
-	checkLatency(t, names("v3"), <-now, scaledLimits.RedialMost+slack)
+	checkLatency(t, waitForReplica("v3"), <-sentAt, scaledLimits.RedialMost+slack)
 }
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -30,7 +30,7 @@
 
 // Read reads as the connection does. What it takes from the kernel counts as pending at every moment: taking is set before.
 func (c *listConn) Read(p []byte) (n int, err error) {
-	waited := c.raw.Read(func(fd uintptr) bool {
+	pollErr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Store(true)
 		for n, err = syscall.Read(int(fd), p); errors.Is(err, syscall.EINTR); {
 			n, err = syscall.Read(int(fd), p)
@@ -42,9 +42,9 @@
 		return true
 	})
 	switch {
-	case waited != nil:
+	case pollErr != nil:
 		c.reading.Store(false)
-		return 0, waited
+		return 0, pollErr
 	case err != nil:
 		return 0, os.NewSyscallError("read", err)
 	case n == 0 && len(p) > 0:
@@ -59,29 +59,29 @@
 
 // listConns are the connections that are open.
 type listConns struct {
-	mu   sync.Mutex
-	open map[*listConn]struct{}
+	mu    sync.Mutex
+	conns map[*listConn]struct{}
 }
 
 func (s *listConns) add(c *listConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open == nil {
-		s.open = map[*listConn]struct{}{}
+	if s.conns == nil {
+		s.conns = map[*listConn]struct{}{}
 	}
-	s.open[c] = struct{}{}
+	s.conns[c] = struct{}{}
 }
 
 func (s *listConns) remove(c *listConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.conns, c)
 }
 
 func (s *listConns) pending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.conns {
 		if c.pending() {
 			return true
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,9 +18,9 @@
 )
 
 func TestParse(t *testing.T) {
-	l, index, odd, err := Parse([]byte(`{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:8443","zone":"a",
+	l, index, problems, err := Parse([]byte(`{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:8443","zone":"a",
 		"type":"m2","group":3,"status":"Terminating","weight":1.5,"since_ms":1700000000123},{"name":"s-2","status":"Gone"}]}`))
-	if err != nil || index != 43 || l.Full || len(l.Entries) != 2 || odd != nil {
+	if err != nil || index != 43 || l.Full || len(l.Entries) != 2 || problems != nil {
 		t.Fatalf("%+v %d %v", l, index, err)
 	}
 	e := l.Entries[0]
@@ -39,11 +39,11 @@
 
 // One odd entry does not hold back the news of the others.
 func TestParseKeepsValidEntries(t *testing.T) {
-	l, _, odd, err := Parse([]byte(`{"index":1,"endpoints":[{"name":"","address":"a:1","status":"Ready"},
+	l, _, problems, err := Parse([]byte(`{"index":1,"endpoints":[{"name":"","address":"a:1","status":"Ready"},
 		{"name":"b","address":"nowhere","status":"Ready"},{"name":"c","address":"a:1","status":"Odd"},
 		{"name":"d","address":"a:1","status":"Gone"}]}`))
-	if err != nil || len(odd) != 3 || len(l.Entries) != 2 {
-		t.Fatalf("%+v %q %v", l, odd, err)
+	if err != nil || len(problems) != 3 || len(l.Entries) != 2 {
+		t.Fatalf("%+v %q %v", l, problems, err)
 	}
 	if l.Entries[0].State != policy.Draining || l.Entries[1].State != policy.Removed {
 		t.Errorf("%+v", l.Entries)
@@ -132,11 +132,11 @@
 	}
 )
 
-func startAgent(t *testing.T, ask bool) (*manualAgent, *testSink, *Client) {
-	return startAgentWith(t, ask, shortLimits)
+func startAgent(t *testing.T, onDemand bool) (*manualAgent, *testSink, *Client) {
+	return startAgentWith(t, onDemand, shortLimits)
 }
 
-func startAgentWith(t *testing.T, ask bool, limits config.Limits) (*manualAgent, *testSink, *Client) {
+func startAgentWith(t *testing.T, onDemand bool, limits config.Limits) (*manualAgent, *testSink, *Client) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,11 +145,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &testSink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
-	held := int64(5)
-	if ask { // else the watch is opened at once: see TestSharedDiscoveryWatchesKnownListAtOnce
-		held = NoIndex
+	index := int64(5)
+	if onDemand { // else the watch is opened at once: see TestSharedDiscoveryWatchesKnownListAtOnce
+		index = NoIndex
 	}
-	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustSubscribe: ask}, Limits: limits}, held, s, logrus.NewEntry(log))
+	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustSubscribe: onDemand}, Limits: limits}, index, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
@@ -231,22 +231,22 @@
 	a, s, c := startAgentWith(t, true, limits)
 	a.expectNoRequest()
 	c.Watch()
-	began, asked := time.Now(), 0
-	for told := 0; told < 2; {
+	began, requests := time.Now(), 0
+	for failures := 0; failures < 2; {
 		a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
 		if nc, err := a.ln.Accept(); err == nil {
-			asked++
+			requests++
 			nc.Close()
 		}
 		select {
 		case <-s.failed:
-			told++
+			failures++
 		default:
 		}
 	}
 	// Waits are half at the least: 10, 20, 40 ms, and 50 from then on.
-	if most := int(time.Since(began)/(limits.CallMost/2)) + 4; asked > most {
-		t.Errorf("asked %d times, %d allowed", asked, most)
+	if limit := int(time.Since(began)/(limits.CallMost/2)) + 4; requests > limit {
+		t.Errorf("asked %d times, %d allowed", requests, limit)
 	}
 }
 
@@ -300,15 +300,15 @@
 // old address is heard. From then on the old one is left and its word counts no more.
 func TestMove(t *testing.T) {
 	a, s, c := startAgent(t, false)
-	old, r := a.serveList(41, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
+	oldConn, r := a.serveList(41, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
 	s.next(t)
-	a.acceptWatch(old, r, 41)
+	a.acceptWatch(oldConn, r, 41)
 	b := newManualAgent(t)
 	c.Move(b.address())
 	c.Move(b.address()) // told twice: nothing is begun anew
 	nc, r := b.accept()
 	b.expectRequest(r, "/api/targets")
-	io.WriteString(old, chunk(listJSON(42, false, endpointJSON("a", "Gone"))+"\n"))
+	io.WriteString(oldConn, chunk(listJSON(42, false, endpointJSON("a", "Gone"))+"\n"))
 	if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
 		t.Fatalf("%+v", l)
 	}
@@ -316,7 +316,7 @@
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
 		t.Fatalf("%+v", l)
 	}
-	a.expectClosed(old)
+	a.expectClosed(oldConn)
 	b.acceptWatch(nc, r, 3)
 	io.WriteString(nc, chunk(listJSON(4, false, endpointJSON("b", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
@@ -332,18 +332,18 @@
 // coming from the old one.
 func TestLastMoveWins(t *testing.T) {
 	a, s, c := startAgent(t, false)
-	old, r := a.serveList(41, endpointJSON("a", "Ready"))
+	oldConn, r := a.serveList(41, endpointJSON("a", "Ready"))
 	s.next(t)
-	a.acceptWatch(old, r, 41)
-	between, b, dead := newManualAgent(t), newManualAgent(t), newManualAgent(t)
-	dead.ln.Close()
-	c.Move(between.address())
-	nc, r := between.accept()
-	between.expectRequest(r, "/api/targets")
-	c.Move(dead.address())
-	between.expectClosed(nc)
+	a.acceptWatch(oldConn, r, 41)
+	intermediate, b, closed := newManualAgent(t), newManualAgent(t), newManualAgent(t)
+	closed.ln.Close()
+	c.Move(intermediate.address())
+	nc, r := intermediate.accept()
+	intermediate.expectRequest(r, "/api/targets")
+	c.Move(closed.address())
+	intermediate.expectClosed(nc)
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(old, chunk(listJSON(42, false, endpointJSON("a", "Terminating"))+"\n"))
+	io.WriteString(oldConn, chunk(listJSON(42, false, endpointJSON("a", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
 		t.Fatalf("%+v", l)
 	}
@@ -352,7 +352,7 @@
 	if l := s.next(t); !l.Full || len(l.Entries) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	a.expectClosed(old)
+	a.expectClosed(oldConn)
 	c.Move(a.address()) // and back again: its versions are not those of before
 	a.serveList(2, endpointJSON("a", "Ready"))
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
@@ -375,9 +375,9 @@
 func TestMoveOfSharedDiscovery(t *testing.T) {
 	a, s, c := startAgentWith(t, true, longLimits)
 	c.Watch()
-	old, r := a.serveList(41, endpointJSON("a", "Ready"))
+	oldConn, r := a.serveList(41, endpointJSON("a", "Ready"))
 	s.next(t)
-	a.acceptWatch(old, r, 41)
+	a.acceptWatch(oldConn, r, 41)
 	b := newManualAgent(t)
 	c.Move(b.address())
 	nc, _ := b.accept()
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -58,17 +58,17 @@
 
 // The objects of a watch are had in whatever shape and pieces they come, each at its last byte and all from the one watch.
 func TestObjectsInAnyLayout(t *testing.T) {
-	one, two := listJSON(42, false, endpointJSON("a", "Terminating")), listJSON(43, false, endpointJSON("b", "Terminating"))
-	spaced := strings.Replace(one, `"index"`, `"note":"}{\" ][\\","index"`, 1)
+	first, second := listJSON(42, false, endpointJSON("a", "Terminating")), listJSON(43, false, endpointJSON("b", "Terminating"))
+	withNote := strings.Replace(first, `"index"`, `"note":"}{\" ][\\","index"`, 1)
 	for name, text := range map[string]string{
-		"a line each":                chunk(one + "\n" + two + "\n"),
-		"over several lines":         chunk(multiline(one) + "\n" + multiline(two) + "\n"),
-		"over lines, byte by byte":   byteChunks("\n" + multiline(one) + "\n\n" + multiline(two)),
-		"over lines that end in CR":  chunk(strings.ReplaceAll(multiline(one)+"\n"+multiline(two)+"\n", "\n", "\r\n")),
-		"two on a line":              chunk(one + " " + two + "\n"),
-		"two with nothing between":   chunk(one + two),
-		"no end of the line":         chunk(one) + chunk(two),
-		"braces and quotes in texts": chunk(spaced + "\n" + two + "\n"),
+		"a line each":                chunk(first + "\n" + second + "\n"),
+		"over several lines":         chunk(multiline(first) + "\n" + multiline(second) + "\n"),
+		"over lines, byte by byte":   byteChunks("\n" + multiline(first) + "\n\n" + multiline(second)),
+		"over lines that end in CR":  chunk(strings.ReplaceAll(multiline(first)+"\n"+multiline(second)+"\n", "\n", "\r\n")),
+		"two on a line":              chunk(first + " " + second + "\n"),
+		"two with nothing between":   chunk(first + second),
+		"no end of the line":         chunk(first) + chunk(second),
+		"braces and quotes in texts": chunk(withNote + "\n" + second + "\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -86,14 +86,14 @@
 
 // An object that is cut off is not taken, and what it said is had from the next call.
 func TestTruncatedObjectIsNotApplied(t *testing.T) {
-	for name, end := range map[string]func(net.Conn){"end": func(nc net.Conn) { nc.Close() }, "reset": resetConn} {
+	for name, endConn := range map[string]func(net.Conn){"end": func(nc net.Conn) { nc.Close() }, "reset": resetConn} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, s, _ := startAgentWith(t, false, longLimits)
 			nc := openWatch(t, a, s, endpointJSON("a", "Ready"))
 			change := listJSON(42, false, endpointJSON("a", "Terminating"))
 			io.WriteString(nc, chunk(change[:len(change)-1]))
-			end(nc)
+			endConn(nc)
 			nc, target := a.nextRequest()
 			if len(s.lists) > 0 {
 				t.Error("half an object was taken")
@@ -125,9 +125,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, s, client := startAgentWith(t, false, longLimits)
-			cut, _ := a.nextRequest() // the first is cut short: that is no list
-			io.WriteString(cut, "HTTP/1.1 200 OK\r\n\r\n"+body[:len(body)-1])
-			cut.Close()
+			truncated, _ := a.nextRequest() // the first is cut short: that is no list
+			io.WriteString(truncated, "HTTP/1.1 200 OK\r\n\r\n"+body[:len(body)-1])
+			truncated.Close()
 			nc, target := a.nextRequest()
 			if client.HasList() || target != listTarget {
 				t.Fatalf("half a list was taken; asked for %s", target)
@@ -168,28 +168,28 @@
 // What a watch says below the version that is held may be old or of a discovery that began anew: it is not taken, nor is
 // the watch trusted further, and a fresh list tells. That one counts whatever its index, and what follows it too.
 func TestLowerIndexRequestsFullList(t *testing.T) {
-	for name, below := range map[string]string{
+	for name, staleObject := range map[string]string{
 		"a change":     listJSON(43, false, endpointJSON("a", "Ready"), endpointJSON("z", "Ready")),
 		"a whole list": listJSON(43, true, endpointJSON("a", "Ready"), endpointJSON("b", "Ready")),
 	} {
-		for _, fresh := range []int{46, 3} {
-			t.Run(fmt.Sprint(name, " and then ", fresh), func(t *testing.T) {
+		for _, newIndex := range []int{46, 3} {
+			t.Run(fmt.Sprint(name, " and then ", newIndex), func(t *testing.T) {
 				t.Parallel()
 				a, s, _ := startAgentWith(t, false, longLimits)
 				nc := openWatch(t, a, s, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
 				io.WriteString(nc, chunk(listJSON(45, false, endpointJSON("a", "Terminating"))+"\n"))
 				s.next(t)
-				io.WriteString(nc, chunk(below+"\n"))
+				io.WriteString(nc, chunk(staleObject+"\n"))
 				go func() { // as far as pulses go all is well
 					for writeAfter(nc, 20*time.Millisecond, chunk("\n")) == nil {
 					}
 				}()
-				next, r := a.serveList(fresh, endpointJSON("a", "Gone"))
+				newConn, r := a.serveList(newIndex, endpointJSON("a", "Gone"))
 				if l := s.next(t); !l.Full || len(l.Entries) != 1 || l.Entries[0].State != policy.Removed {
 					t.Fatalf("%+v: not the fresh list", l)
 				}
-				a.acceptWatch(next, r, fresh)
-				io.WriteString(next, chunk(listJSON(fresh+1, false, endpointJSON("y", "Ready"))+"\n"))
+				a.acceptWatch(newConn, r, newIndex)
+				io.WriteString(newConn, chunk(listJSON(newIndex+1, false, endpointJSON("y", "Ready"))+"\n"))
 				if l := s.next(t); l.Full || l.Entries[0].Name != "y" {
 					t.Fatalf("%+v", l)
 				}
@@ -244,28 +244,28 @@
 // While every watch ends wordless, the whole list is had well before a change counts as told: where the list is pushed, and
 // where it is asked for and the decisions' word does not come.
 func TestEmptyWatchesAreFollowedByFullList(t *testing.T) {
-	for name, bad := range emptyWatches {
-		for _, ask := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", asked for: ", ask), func(t *testing.T) {
+	for name, fail := range emptyWatches {
+		for _, onDemand := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", asked for: ", onDemand), func(t *testing.T) {
 				t.Parallel()
 				s := newScriptedAgent(t, listenLoopback(t))
-				fell := make(chan time.Time, 1000)
+				endedAt := make(chan time.Time, 1000)
 				s.setAnswers(1, nil, func(nc net.Conn) {
-					fell <- time.Now()
-					s.setAnswers(2, nil, bad) // for good: no watch ever tells of it
-					bad(nc)
+					endedAt <- time.Now()
+					s.setAnswers(2, nil, fail) // for good: no watch ever tells of it
+					fail(nc)
 				})
-				c, names, _ := startClient(t, s.ln.Addr().String(), ask)
+				c, waitForReplica, _ := startClient(t, s.ln.Addr().String(), onDemand)
 				c.Watch()
-				names("v1")
-				most := scaledLimits.RedialMost + slack // an agent's changes count at once
+				waitForReplica("v1")
+				limit := scaledLimits.RedialMost + slack // an agent's changes count at once
 				if name == "unanswered" || name == "a head that trickles" {
-					most += scaledLimits.AgentTime // it has not ended
+					limit += scaledLimits.AgentTime // it has not ended
 				}
-				if ask { // after two calls with no answer, or some that failed and the longest wait
-					most = max(2*scaledLimits.CallTime, scaledLimits.WatchSilence+scaledLimits.CallMost) + slack
+				if onDemand { // after two calls with no answer, or some that failed and the longest wait
+					limit = max(2*scaledLimits.CallTime, scaledLimits.WatchSilence+scaledLimits.CallMost) + slack
 				}
-				checkLatency(t, names("v2"), <-fell, min(most, deliveryLimit))
+				checkLatency(t, waitForReplica("v2"), <-endedAt, min(limit, deliveryLimit))
 			})
 		}
 	}
@@ -276,10 +276,10 @@
 func TestWatchThatEndsLateIsFollowedByFullList(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	last := make(chan time.Time, 1)
+	lastHeartbeat := make(chan time.Time, 1)
 	s.setAnswers(1, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead+chunk("\n"))
-		last <- time.Now()
+		lastHeartbeat <- time.Now()
 		time.Sleep(scaledLimits.WatchSilence * 9 / 10)
 		s.setAnswers(2, nil, func(nc net.Conn) {
 			time.Sleep(scaledLimits.AgentTime * 9 / 10) // a head in time, and then nothing
@@ -287,41 +287,41 @@
 		})
 		nc.Close()
 	})
-	_, names, _ := startClient(t, s.ln.Addr().String(), false)
-	names("v1")
-	checkLatency(t, names("v2"), <-last, min(scaledLimits.WatchSilence+scaledLimits.RedialMost+slack, deliveryLimit))
+	_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
+	waitForReplica("v1")
+	checkLatency(t, waitForReplica("v2"), <-lastHeartbeat, min(scaledLimits.WatchSilence+scaledLimits.RedialMost+slack, deliveryLimit))
 }
 
 // A head that comes late takes of the time that the watch has for its first word.
 func TestLateResponseHeadCountsAsSilence(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	asked := make(chan time.Time, 1)
+	requestedAt := make(chan time.Time, 1)
 	s.setAnswers(1, nil, func(nc net.Conn) {
-		asked <- time.Now()
+		requestedAt <- time.Now()
 		s.setAnswers(2, nil, nil)
 		time.Sleep(scaledLimits.AgentTime * 9 / 10)
 		io.WriteString(nc, watchHead)
 	})
-	_, names, _ := startClient(t, s.ln.Addr().String(), false)
-	names("v1")
-	checkLatency(t, names("v2"), <-asked, scaledLimits.WatchSilence+scaledLimits.RedialFirst+slack)
+	_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
+	waitForReplica("v1")
+	checkLatency(t, waitForReplica("v2"), <-requestedAt, scaledLimits.WatchSilence+scaledLimits.RedialFirst+slack)
 }
 
 // Where the list is asked for and the decisions were told that it can't be had, what there is when discovery is back does
 // not wait for them.
 func TestSharedDiscoveryRecoversWithoutWatchRequest(t *testing.T) {
-	for name, bad := range failingLists {
+	for name, fail := range failingLists {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedAgent(t, listenLoopback(t))
 			s.setAnswers(1, nil, func(nc net.Conn) {
-				s.setAnswers(1, bad, bad)
+				s.setAnswers(1, fail, fail)
 				resetConn(nc)
 			})
-			c, names, failed := startClient(t, s.ln.Addr().String(), true)
+			c, waitForReplica, failed := startClient(t, s.ln.Addr().String(), true)
 			c.Watch()
-			names("v1")
+			waitForReplica("v1")
 			for range 2 { // the end of the watch, and then that it can't be had again
 				select {
 				case <-failed:
@@ -330,8 +330,8 @@
 				}
 			}
 			s.setAnswers(2, nil, nil)
-			back := time.Now()
-			checkLatency(t, names("v2"), back, max(scaledLimits.CallTime, scaledLimits.CallMost)+slack)
+			recoveredAt := time.Now()
+			checkLatency(t, waitForReplica("v2"), recoveredAt, max(scaledLimits.CallTime, scaledLimits.CallMost)+slack)
 		})
 	}
 }
@@ -341,12 +341,12 @@
 func TestSharedDiscoveryShortWatchIsFollowedInTime(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	last := make(chan time.Time, 1)
+	lastHeartbeat := make(chan time.Time, 1)
 	s.setAnswers(1, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead)
 		time.Sleep(scaledLimits.AgentTime * 12 / 10) // long enough to be asked for again without them
 		io.WriteString(nc, chunk("\n"))
-		last <- time.Now()
+		lastHeartbeat <- time.Now()
 		s.setAnswers(2, nil, func(nc net.Conn) {
 			time.Sleep(scaledLimits.AgentTime * 8 / 10)
 			io.WriteString(nc, watchHead)
@@ -355,36 +355,36 @@
 		})
 		nc.Close()
 	})
-	c, names, _ := startClient(t, s.ln.Addr().String(), true)
+	c, waitForReplica, _ := startClient(t, s.ln.Addr().String(), true)
 	c.Watch()
-	names("v1")
-	checkLatency(t, names("v2"), <-last, deliveryLimit-slack)
+	waitForReplica("v1")
+	checkLatency(t, waitForReplica("v2"), <-lastHeartbeat, deliveryLimit-slack)
 }
 
 // A move in the middle of whatever becomes of the old address, and whether or not the decisions are waited for, has the
 // list from the new one at once.
 func TestMoveDuringFailures(t *testing.T) {
-	for name, bad := range emptyWatches {
-		for _, ask := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", asked for: ", ask), func(t *testing.T) {
+	for name, fail := range emptyWatches {
+		for _, onDemand := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", asked for: ", onDemand), func(t *testing.T) {
 				t.Parallel()
 				a, b := newScriptedAgent(t, listenLoopback(t)), newScriptedAgent(t, listenLoopback(t))
-				in := make(chan struct{}, 1000)
+				failed := make(chan struct{}, 1000)
 				a.setAnswers(1, nil, func(nc net.Conn) {
-					a.setAnswers(1, bad, bad)
-					bad(nc)
-					in <- struct{}{}
+					a.setAnswers(1, fail, fail)
+					fail(nc)
+					failed <- struct{}{}
 				})
 				b.setAnswers(3, nil, nil)
-				c, names, _ := startClient(t, a.ln.Addr().String(), ask)
+				c, waitForReplica, _ := startClient(t, a.ln.Addr().String(), onDemand)
 				c.Watch()
-				names("v1")
+				waitForReplica("v1")
 				if !strings.HasPrefix(name, "a head") { // that one goes on until it is left
-					<-in
+					<-failed
 				}
-				moved := time.Now()
+				movedAt := time.Now()
 				c.Move(b.ln.Addr().String())
-				checkLatency(t, names("v3"), moved, scaledLimits.RedialMost+slack)
+				checkLatency(t, waitForReplica("v3"), movedAt, scaledLimits.RedialMost+slack)
 				expectConns(t, a, 0)
 				expectConns(t, b, 1)
 			})
@@ -395,8 +395,8 @@
 // shut holds that an agent has so many connections open, soon.
 func expectConns(t *testing.T, s *scriptedAgent, want int) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); s.addConns(0) != want; time.Sleep(pollInterval) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); s.addConns(0) != want; time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d connections are open, want %d", s.addConns(0), want)
 		}
 	}
@@ -406,36 +406,36 @@
 func TestConcurrentAnswersGiveOneList(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
-	open, most, gate := make(chan struct{}, 1000), atomic.Int32{}, make(chan struct{})
+	received, maxConns, release := make(chan struct{}, 1000), atomic.Int32{}, make(chan struct{})
 	s.setAnswers(1, func(nc net.Conn) {
-		if n := int32(s.addConns(0)); n > most.Load() {
-			most.Store(n)
+		if n := int32(s.addConns(0)); n > maxConns.Load() {
+			maxConns.Store(n)
 		}
-		open <- struct{}{}
-		<-gate
+		received <- struct{}{}
+		<-release
 		io.WriteString(nc, httpResponse(listJSON(2, true, endpointJSON("v2", "Ready"))))
 	}, nil)
-	_, names, _ := startClient(t, s.ln.Addr().String(), false)
+	_, waitForReplica, _ := startClient(t, s.ln.Addr().String(), false)
 	for range maxConcurrentRequests {
-		<-open
+		<-received
 	}
 	s.setAnswers(2, nil, nil)
-	close(gate)
-	names("v2")
+	close(release)
+	waitForReplica("v2")
 	expectConns(t, s, 1)
-	if n := most.Load(); n > maxConcurrentRequests+1 { // one may still be ending
+	if n := maxConns.Load(); n > maxConcurrentRequests+1 { // one may still be ending
 		t.Errorf("%d were open at once, %d allowed", n, maxConcurrentRequests)
 	}
 }
 
 // failures counts what a log tells of failed asks, by what its line holds.
 type matchCounter struct {
-	text  string
-	count atomic.Int32
+	substring string
+	count     atomic.Int32
 }
 
 func (f *matchCounter) Write(line []byte) (int, error) {
-	if strings.Contains(string(line), f.text) {
+	if strings.Contains(string(line), f.substring) {
 		f.count.Add(1)
 	}
 	return len(line), nil
@@ -445,39 +445,39 @@
 // many asks.
 func TestRequestsResumeAfterDescriptorExhaustion(t *testing.T) {
 	s := newScriptedAgent(t, listenLoopback(t))
-	down := make(chan struct{})
+	resetWatch := make(chan struct{})
 	s.setAnswers(1, nil, func(nc net.Conn) {
-		<-down
+		<-resetWatch
 		s.setAnswers(2, nil, respond(watchHead+chunk(listJSON(2, false, endpointJSON("v2", "Ready"))+"\n")))
 		resetConn(nc)
 	})
-	refused := &matchCounter{text: "too many open files"}
+	refused := &matchCounter{substring: "too many open files"}
 	limits := scaledLimits
 	limits.LogEvery = time.Nanosecond // each is told
-	_, names, _ := startClientWith(t, s.ln.Addr().String(), false, limits, refused)
-	names("v1")
+	_, waitForReplica, _ := startClientWith(t, s.ln.Addr().String(), false, limits, refused)
+	waitForReplica("v1")
 	var before syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
 	}
-	back := func() {
+	restore := func() {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 			t.Fatal(err)
 		}
 	}
-	defer back()
-	none := before
-	none.Cur = 3 // the standard streams: any further one is refused, while what is open goes on
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
+	defer restore()
+	exhausted := before
+	exhausted.Cur = 3 // the standard streams: any further one is refused, while what is open goes on
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &exhausted); err != nil {
 		t.Fatal(err)
 	}
-	close(down)
-	for end := time.Now().Add(testTimeout); refused.count.Load() <= 2*maxConcurrentRequests; time.Sleep(pollInterval) {
-		if time.Now().After(end) {
+	close(resetWatch)
+	for deadline := time.Now().Add(testTimeout); refused.count.Load() <= 2*maxConcurrentRequests; time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d asks were refused", refused.count.Load())
 		}
 	}
-	back()
-	free := time.Now()
-	checkLatency(t, names("v2"), free, scaledLimits.AgentTime+scaledLimits.RedialMost+slack)
+	restore()
+	restoredAt := time.Now()
+	checkLatency(t, waitForReplica("v2"), restoredAt, scaledLimits.AgentTime+scaledLimits.RedialMost+slack)
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -4,7 +4,7 @@
 
 // Why a connection to discovery is of no more use.
 var (
-	errSilent          = errors.New("silent over its time")
+	errTimeout         = errors.New("silent over its time")
 	errOnDemandTimeout = errors.New("no answer in time for those who asked")
 	errNoList          = errors.New("an answer with no list")
 	errMultipleLists   = errors.New("an answer with more than one list")
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -55,7 +55,7 @@
 		if c.onDemand && lasted < c.limits.AgentTime && !closed && c.isActive(f) {
 			c.sink.WatchFailed()
 		}
-		if errors.Is(err, errSilent) {
+		if errors.Is(err, errTimeout) {
 			f.handleSilence(s)
 		}
 	}
@@ -70,7 +70,7 @@
 // at once then. One that ends soon is followed by a wait.
 func (f *feed) markUnconfirmed(err error, lasted time.Duration) {
 	c := f.client
-	if c.retry.shared || lasted <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errSilent) || errors.Is(err, errClosedAfterList) {
+	if c.retry.shared || lasted <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errTimeout) || errors.Is(err, errClosedAfterList) {
 		return
 	}
 	c.unconfirmed.Store(true)
@@ -109,7 +109,7 @@
 
 // consume reads the full list, if that was requested, and then its changes, until the connection is of no more use.
 func (f *feed) consume(s *stream) error {
-	c, asked := f.client, s.startedAt
+	c, requestedAt := f.client, s.startedAt
 	if s.fullList {
 		if _, err := f.applyObject(s.objects.object, true, true); err != nil {
 			return err
@@ -118,23 +118,23 @@
 		if s.splitter.Close {
 			return errClosedAfterList
 		}
-		asked = time.Now()
-		s.setDeadline(asked.Add(c.retry.answerTime))
+		requestedAt = time.Now()
+		s.setDeadline(requestedAt.Add(c.retry.answerTime))
 		if err := s.sendGet(watchTarget(f.index), f.address); err != nil {
 			return err
 		}
 	}
 	if c.retry.shared { // how long a call waited its turn says nothing of the watch that it opened
-		asked = time.Now()
+		requestedAt = time.Now()
 	}
 	s.watching = true
-	s.setDeadline(asked.Add(c.limits.WatchSilence))
-	for fresh := true; !s.splitter.Done; {
+	s.setDeadline(requestedAt.Add(c.limits.WatchSilence))
+	for first := true; !s.splitter.Done; {
 		piece, err := s.nextPiece()
 		if err != nil {
 			return err
 		}
-		if fresh, err = f.handlePiece(s, piece, fresh); err != nil {
+		if first, err = f.handlePiece(s, piece, first); err != nil {
 			f.fullListNeeded = true // what that said is missing: the full list has it
 			return err
 		}
@@ -143,26 +143,26 @@
 }
 
 // handlePiece applies what a piece of a watch holds; fresh says that the watch has brought nothing yet.
-func (f *feed) handlePiece(s *stream, piece []byte, fresh bool) (bool, error) {
+func (f *feed) handlePiece(s *stream, piece []byte, first bool) (bool, error) {
 	for len(piece) > 0 {
-		n, what, err := s.objects.scan(piece)
+		n, found, err := s.objects.scan(piece)
 		if err != nil {
-			return fresh, err
+			return first, err
 		}
 		piece = piece[n:]
-		confirms := what == foundHeartbeat
-		if what == foundObject {
-			if confirms, err = f.applyObject(s.objects.object, false, fresh); err != nil {
-				return fresh, err
+		confirms := found == foundHeartbeat
+		if found == foundObject {
+			if confirms, err = f.applyObject(s.objects.object, false, first); err != nil {
+				return first, err
 			}
-			fresh = false
+			first = false
 		}
 		if confirms { // a change that is known already does not confirm the list, as a heartbeat does
 			s.setDeadline(time.Now().Add(f.client.limits.WatchSilence))
 			f.confirm()
 		}
 	}
-	return fresh, nil
+	return first, nil
 }
 
 // applyObject reads one object and passes it on; changed is false for changes that are known already. One that can't be used
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -37,24 +37,24 @@
 // Parse reads one object of discovery's. Guards against one odd entry that would hold back the changes of all the
 // others: an entry that can't be used is passed over, one of an unknown status is taken to want nothing new,
 // and odd names both.
-func Parse(raw []byte) (list exchange.ReplicaList, index int64, odd []string, err error) {
-	var m listMessage
-	if err := json.Unmarshal(raw, &m); err != nil {
+func Parse(raw []byte) (list exchange.ReplicaList, index int64, problems []string, err error) {
+	var message listMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return list, 0, nil, fmt.Errorf("discovery: %w", err)
 	}
-	if m.Index == nil {
+	if message.Index == nil {
 		return list, 0, nil, errors.New("discovery: no index")
 	}
-	list.Full, list.Index = m.Snapshot, *m.Index
-	for i := range m.Endpoints {
-		ep := &m.Endpoints[i]
+	list.Full, list.Index = message.Snapshot, *message.Index
+	for i := range message.Endpoints {
+		ep := &message.Endpoints[i]
 		state, known := readinessByStatus[ep.Status]
 		if !known {
 			state = policy.Draining
-			odd = append(odd, fmt.Sprintf("%s: status %q", ep.Name, ep.Status))
+			problems = append(problems, fmt.Sprintf("%s: status %q", ep.Name, ep.Status))
 		}
 		if _, _, err := net.SplitHostPort(ep.Address); ep.Name == "" || err != nil && state != policy.Removed {
-			odd = append(odd, fmt.Sprintf("%s: address %q", ep.Name, ep.Address))
+			problems = append(problems, fmt.Sprintf("%s: address %q", ep.Name, ep.Address))
 			continue
 		}
 		e := exchange.Endpoint{
@@ -68,5 +68,5 @@
 		}
 		list.Entries = append(list.Entries, e)
 	}
-	return list, *m.Index, odd, nil
+	return list, *message.Index, problems, nil
 }
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -25,16 +25,16 @@
 }
 
 // scan reads a piece up to what it finds first, and tells how far that is.
-func (o *objectScanner) scan(piece []byte) (n int, what scanResult, err error) {
-	from := 0 // of the object's bytes
+func (o *objectScanner) scan(piece []byte) (n int, result scanResult, err error) {
+	start := 0 // of the object's bytes
 	for i, b := range piece {
 		if o.depth == 0 {
 			switch b {
 			case '{':
-				o.object, o.depth, o.lineHasObject, from = o.object[:0], 1, true, i
+				o.object, o.depth, o.lineHasObject, start = o.object[:0], 1, true, i
 			case '\n':
-				pulse := !o.lineHasObject
-				if o.lineHasObject = false; pulse {
+				heartbeat := !o.lineHasObject
+				if o.lineHasObject = false; heartbeat {
 					return i + 1, foundHeartbeat, nil
 				}
 			case ' ', '\t', '\r':
@@ -44,11 +44,11 @@
 			continue
 		}
 		if o.advance(b); o.depth == 0 {
-			return i + 1, foundObject, o.append(piece[from : i+1])
+			return i + 1, foundObject, o.append(piece[start : i+1])
 		}
 	}
 	if o.depth > 0 {
-		err = o.append(piece[from:])
+		err = o.append(piece[start:])
 	}
 	return len(piece), needMore, err
 }
--- a/internal/discovery/pending_test.go
+++ b/internal/discovery/pending_test.go
@@ -24,37 +24,37 @@
 // been read waits for its end and holds up nothing.
 func TestChangeIsPendingUntilApplied(t *testing.T) {
 	a, s, c := startAgentWith(t, false, longLimits)
-	gate := &blockingSink{make(chan exchange.ReplicaList), make(chan struct{})}
+	blocked := &blockingSink{make(chan exchange.ReplicaList), make(chan struct{})}
 	nc := openWatch(t, a, s, endpointJSON("a", "Ready"))
-	until := func(want bool) {
+	waitForPending := func(want bool) {
 		t.Helper()
-		for end := time.Now().Add(testTimeout); c.ListPending() != want; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
+		for deadline := time.Now().Add(testTimeout); c.ListPending() != want; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Fatalf("pending is not %v", want)
 			}
 		}
 	}
-	until(false)
+	waitForPending(false)
 	c.mu.Lock() // the reader has no turn to pass it on
-	c.sink = gate
+	c.sink = blocked
 	change := listJSON(42, false, endpointJSON("a", "Terminating"))
 	io.WriteString(nc, chunk(change))
-	until(true)
+	waitForPending(true)
 	c.mu.Unlock()
-	<-gate.received
+	<-blocked.received
 	if !c.ListPending() {
 		t.Error("a change that the sink has not taken is not pending")
 	}
-	gate.release <- struct{}{}
-	until(false)
+	blocked.release <- struct{}{}
+	waitForPending(false)
 	half := listJSON(43, false, endpointJSON("a", "Gone"))
 	io.WriteString(nc, chunk(half[:20]))
-	until(false)
+	waitForPending(false)
 	io.WriteString(nc, chunk(half[20:]))
-	until(true)
-	<-gate.received
-	gate.release <- struct{}{}
-	until(false)
+	waitForPending(true)
+	<-blocked.received
+	blocked.release <- struct{}{}
+	waitForPending(false)
 }
 
 // The end of an agent's watch that had lasted leaves the list pending until the full list is passed on, which is requested at once, or
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -36,44 +36,44 @@
 	c := f.client
 	began := time.Now()
 	answers := make(chan requestResult, maxConcurrentRequests)
-	open := map[int]context.CancelFunc{}
+	inFlight := map[int]context.CancelFunc{}
 	defer func() {
-		for _, cancel := range open {
+		for _, cancel := range inFlight {
 			cancel()
 		}
 	}()
 	due := f.firstRequestAt(began)
 	c.logRequest(f)
-	for no := 0; ; {
-		var again <-chan time.Time
-		if len(open) < c.retry.maxConcurrent {
-			again = time.After(time.Until(due))
+	for attempts := 0; ; {
+		var retryTimer <-chan time.Time
+		if len(inFlight) < c.retry.maxConcurrent {
+			retryTimer = time.After(time.Until(due))
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-again:
-			no++
-			n, whole, index := no, f.needsFullList(), f.index
-			each, cancel := context.WithCancel(ctx)
-			open[n] = cancel
+		case <-retryTimer:
+			attempts++
+			attempt, fullList, index := attempts, f.needsFullList(), f.index
+			attemptCtx, cancel := context.WithCancel(ctx)
+			inFlight[attempt] = cancel
 			c.feeds.Go(func() {
-				asked := time.Now()
-				s, err := f.attempt(each, whole, index)
-				answers <- requestResult{n, asked, s, err}
+				startedAt := time.Now()
+				s, err := f.attempt(attemptCtx, fullList, index)
+				answers <- requestResult{attempt, startedAt, s, err}
 			})
 			due = time.Now().Add(c.limits.RedialMost)
-		case a := <-answers:
-			cancel := open[a.attempt]
-			if delete(open, a.attempt); a.err == nil {
-				a.stream.cancel = cancel
-				return a.stream, nil
+		case result := <-answers:
+			cancel := inFlight[result.attempt]
+			if delete(inFlight, result.attempt); result.err == nil {
+				result.stream.cancel = cancel
+				return result.stream, nil
 			}
 			cancel()
-			c.logRequestFailure(f, a.err)
+			c.logRequestFailure(f, result.err)
 			f.backoff = c.retry.nextBackoff(f.backoff)
 			f.watchNext = false // what that connection was for has failed
-			due = f.nextRequestAt(a, due)
+			due = f.nextRequestAt(result, due)
 			if c.onDemand && c.isActive(f) && time.Since(began) >= c.limits.WatchSilence {
 				f.resumeAt = due
 				return nil, errOnDemandTimeout
@@ -93,28 +93,28 @@
 }
 
 // nextRequestAt is when the next attempt is due once one has failed; due is when it would have been.
-func (f *feed) nextRequestAt(a requestResult, due time.Time) time.Time {
+func (f *feed) nextRequestAt(result requestResult, due time.Time) time.Time {
 	if f.client.retry.shared { // from its beginning: one that got no answer in its time has waited already
-		return a.startedAt.Add(f.client.retry.jitter(f.backoff))
+		return result.startedAt.Add(f.client.retry.jitter(f.backoff))
 	}
-	if soon := time.Now().Add(f.backoff); soon.Before(due) {
-		return soon
+	if retryAt := time.Now().Add(f.backoff); retryAt.Before(due) {
+		return retryAt
 	}
 	return due
 }
 
 // attempt is one attempt. Its connection is closed when the context ends.
-func (f *feed) attempt(ctx context.Context, whole bool, index int64) (*stream, error) {
-	lim := &f.client.limits
-	d := net.Dialer{Timeout: f.client.retry.firstByteTime}
+func (f *feed) attempt(ctx context.Context, fullList bool, index int64) (*stream, error) {
+	limits := &f.client.limits
+	dialer := net.Dialer{Timeout: f.client.retry.firstByteTime}
 	began := time.Now()
-	nc, err := d.DialContext(ctx, "tcp", f.address)
+	rawConn, err := dialer.DialContext(ctx, "tcp", f.address)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := newListConn(nc)
+	conn, err := newListConn(rawConn)
 	if err != nil {
-		nc.Close()
+		rawConn.Close()
 		return nil, err
 	}
 	f.client.conns.add(conn)
@@ -122,12 +122,12 @@
 		conn.Close()
 		f.client.conns.remove(conn)
 	})
-	s := &stream{conn: conn, fullList: whole, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerDeadline: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: lim.ListBytes}}
-	s.splitter.Limits = h1.Limits{Head: lim.HeadBytes}
+	s := &stream{conn: conn, fullList: fullList, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerDeadline: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: limits.ListBytes}}
+	s.splitter.Limits = h1.Limits{Head: limits.HeadBytes}
 	s.scanner = bufio.NewScanner(s)
-	s.scanner.Buffer(nil, lim.HeadBytes+lim.BodyBytes)
+	s.scanner.Buffer(nil, limits.HeadBytes+limits.BodyBytes)
 	s.scanner.Split(s.splitter.Split)
-	if !whole {
+	if !fullList {
 		return s, s.sendGet(watchTarget(index), f.address)
 	}
 	if err := s.sendGet(listTarget, f.address); err != nil {
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -37,14 +37,14 @@
 }
 
 // nextBackoff is the backoff after one more failure.
-func (p *retryPolicy) nextBackoff(wait time.Duration) time.Duration {
-	return max(p.initialBackoff, min(2*wait, p.maxBackoff))
+func (p *retryPolicy) nextBackoff(backoff time.Duration) time.Duration {
+	return max(p.initialBackoff, min(2*backoff, p.maxBackoff))
 }
 
 // jitter draws the wait before the next attempt: co-ordinators whose watches broke together do not come again together.
-func (p *retryPolicy) jitter(wait time.Duration) time.Duration {
-	if !p.shared || wait <= 0 {
-		return wait
+func (p *retryPolicy) jitter(backoff time.Duration) time.Duration {
+	if !p.shared || backoff <= 0 {
+		return backoff
 	}
-	return wait/2 + rand.N(wait/2+1)
+	return backoff/2 + rand.N(backoff/2+1)
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -30,8 +30,8 @@
 func (s *stream) close() { s.cancel() }
 
 // setDeadline sets the time for what is waited for now.
-func (s *stream) setDeadline(by time.Time) {
-	s.deadline, s.answerDeadline, s.lateBytes = by, time.Time{}, 0
+func (s *stream) setDeadline(deadline time.Time) {
+	s.deadline, s.answerDeadline, s.lateBytes = deadline, time.Time{}, 0
 }
 
 // Read reads until the deadline. What has arrived by then and was not read, since this process had no processor, counts as in
@@ -45,7 +45,7 @@
 		s.lateBytes += n
 	}
 	if timedOut(err) {
-		err = errSilent
+		err = errTimeout
 	}
 	if n > 0 && !s.answerDeadline.IsZero() { // it has begun to answer
 		s.deadline, s.answerDeadline = s.answerDeadline, time.Time{}
