--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,16 +13,16 @@
 	"birchcart/internal/logs"
 )
 
-// Sink receives the endpoint list and its changes.
+// Sink receives the endpoint list and its changes, and is notified of failures where the policy requests the watches.
 type Sink interface {
 	UpdateReplicas(exchange.ReplicaList)
 	WatchFailed()
 }
 
-// Client watches the endpoint list. A feed is one goroutine with one connection. There is one of them, except while the list
-// moves to another address: then the old one goes on until the new one has a full list.
+// Client watches the endpoint list. Each address is read by a feed, which has its own goroutine. There is one feed, except during
+// a move to another address: the old feed continues until the new one has read a full list.
 type Client struct {
-	onDemand       bool // the decisions say when to watch
+	onDemand       bool // the policy requests the watches
 	retry          retryPolicy
 	limits         config.Limits
 	sink           Sink
@@ -30,23 +30,23 @@
 	limitedLog     *logs.Limited
 	watchRequested chan struct{}
 	hasList        atomic.Bool
-	confirmedAt    atomic.Pointer[time.Time] // last confirmation by a watch, or a full list, from the active address
+	confirmedAt    atomic.Pointer[time.Time] // last time at which a watch of the active address confirmed the list
 	feeds          sync.WaitGroup
 	conns          listConns
-	unconfirmed    atomic.Bool // a watch has ended, and what it did not bring may count already
+	unconfirmed    atomic.Bool // an agent's watch has ended, and a change that it did not report may count as delivered
 
 	mu      sync.Mutex
-	ctx     context.Context // of Run, nil before
-	active  *feed           // whose list is in force
-	pending *feed           // at the address that was configured last, until it is active
+	ctx     context.Context // the context of Run, nil before Run
+	active  *feed           // the feed whose list is in use
+	pending *feed           // the feed of a new address until it has read a full list, otherwise nil
 }
 
-// NoIndex is the index where there is no list.
+// NoIndex is the index of a client without a list.
 const NoIndex int64 = -1
 
-// New returns a client that has the list up to index already, or NoIndex. A list from before the start may be old: an agent is
-// asked for the full one. A shared discovery reports what has changed since with the watch, by one call instead of two in the
-// moment in which many may start.
+// New returns a client whose list is known up to index, or is empty if index is NoIndex. A list that was saved before the start
+// may be out of date, so the client requests the full list from an agent. From a shared discovery it requests a watch after
+// index, whose response begins with the changes since then: one call instead of two while many co-ordinators may be starting.
 func New(cfg *config.Config, index int64, sink Sink, log *logrus.Entry) *Client {
 	c := &Client{
 		onDemand: cfg.Policy.MustSubscribe, limits: cfg.Limits, sink: sink, log: log,
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Watch requests a watch, where the deployment has the decisions poll. It does not block.
+// Watch starts the client where the policy requests the watches. It does not block.
 func (c *Client) Watch() {
 	select {
 	case c.watchRequested <- struct{}{}:
@@ -65,14 +65,15 @@
 	}
 }
 
-// ListPending says whether discovery has written something that has not been passed on to the sink, or may have meant to: a watch has
-// ended and the full list has not come, for a moment. It counts as notified already. It does not block and may be called from any goroutine.
+// ListPending reports whether discovery may have sent a change that was not passed on to the sink yet: either a connection has
+// unprocessed data, or an agent's watch has ended within unconfirmedTime and the full list was not read since. Such a change
+// counts as delivered already. ListPending does not block on the network and may be called from any goroutine.
 func (c *Client) ListPending() bool { return c.unconfirmed.Load() || c.conns.pending() }
 
-// HasList says whether discovery has sent a list.
+// HasList reports whether discovery has sent a list.
 func (c *Client) HasList() bool { return c.hasList.Load() }
 
-// ConfirmedAt is when the watch last confirmed that the list holds, zero for never.
+// ConfirmedAt returns when a watch last confirmed that the list is current, or the zero time.
 func (c *Client) ConfirmedAt() time.Time {
 	if at := c.confirmedAt.Load(); at != nil {
 		return *at
@@ -80,6 +81,7 @@
 	return time.Time{}
 }
 
+// confirm records that a feed has confirmed the list, if the feed is active.
 func (c *Client) confirm(f *feed) {
 	if c.isActive(f) {
 		now := time.Now()
@@ -87,7 +89,7 @@
 	}
 }
 
-// Run watches until the context ends.
+// Run keeps the list up to date until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -100,8 +102,8 @@
 	c.feeds.Wait()
 }
 
-// Move changes to another address. The list stays in force, and the old address is read, until the new one has sent a full
-// list; a move that follows before that replaces it. It may be called from any goroutine.
+// Move changes the address of discovery. The list stays in use and the old address is read until the new one has sent a full
+// list. A further call before that replaces the move. Move may be called from any goroutine.
 func (c *Client) Move(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,6 +123,7 @@
 	}
 }
 
+// startFeed runs a feed in a goroutine unless the client is stopped.
 func (c *Client) startFeed(f *feed) {
 	if c.ctx.Err() != nil {
 		return
@@ -130,14 +133,14 @@
 	c.feeds.Go(func() { f.run(ctx) })
 }
 
-// isActive says whether a feed's list is in force.
+// isActive reports whether the list of a feed is in use.
 func (c *Client) isActive(f *feed) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.active == f
 }
 
-// logRequest logs what is requested next, and why.
+// logRequest logs the next request and the reason for it.
 func (c *Client) logRequest(f *feed) {
 	c.log.WithFields(logrus.Fields{
 		"full": f.needsFullList(), "index": f.index, "address": f.address, "backoff": f.backoff,
@@ -145,12 +148,12 @@
 	}).Info("the list is requested")
 }
 
-// logWatchEnd logs why a connection is of no more use.
+// logWatchEnd logs why a connection ended.
 func (c *Client) logWatchEnd(f *feed, err error) {
-	c.limitedLog.Warn("the watch of the list ended", logrus.Fields{"error": err, "index": f.index, "address": f.address})
+	c.limitedLog.Warn("the watch for changes of the list ended", logrus.Fields{"error": err, "index": f.index, "address": f.address})
 }
 
-// logRequestFailure logs why a request has no answer.
+// logRequestFailure logs why an attempt failed.
 func (c *Client) logRequestFailure(f *feed, err error) {
 	c.limitedLog.Warn("a request for the list failed", logrus.Fields{"error": err, "index": f.index, "address": f.address})
 }
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -12,14 +12,15 @@
 	"birchcart/internal/duplexconn"
 )
 
-// listConn is a connection to discovery that tells whether anything of it is still to be taken in: bytes that the kernel holds
-// unread, or that were read and are not yet passed on.
+// listConn is a connection to discovery that reports whether it has unprocessed data: bytes in the kernel's receive buffer, or
+// bytes that were read and are still being processed.
 type listConn struct {
 	net.Conn
 	raw     syscall.RawConn
-	reading atomic.Bool // from before a read that finds something to the next that finds nothing
+	reading atomic.Bool // set before each read; cleared when a read finds no data, so that it stays set while data is processed
 }
 
+// newListConn wraps a connection, which must give access to its file descriptor.
 func newListConn(conn net.Conn) (*listConn, error) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -28,7 +29,7 @@
 	return &listConn{Conn: conn, raw: raw}, nil
 }
 
-// Read reads as the connection does. What it takes from the kernel counts as pending at every moment: taking is set before.
+// Read implements net.Conn. It sets reading before it takes data from the kernel, so that pending never misses the data.
 func (c *listConn) Read(p []byte) (n int, err error) {
 	pollErr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Store(true)
@@ -53,11 +54,11 @@
 	return n, nil
 }
 
-// pending says whether something is to be taken in. The kernel is asked first: what the reader takes from it after that is seen by
-// taking.
+// pending reports whether the connection has unprocessed data. The receive buffer is checked first: if the reader empties it
+// after that check, reading is already set.
 func (c *listConn) pending() bool { return duplexconn.Waits(c.Conn) || c.reading.Load() }
 
-// listConns are the connections that are open.
+// listConns is the set of open connections.
 type listConns struct {
 	mu    sync.Mutex
 	conns map[*listConn]struct{}
@@ -78,6 +79,7 @@
 	delete(s.conns, c)
 }
 
+// pending reports whether any open connection has unprocessed data.
 func (s *listConns) pending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// Why a connection to discovery is of no more use.
+// Reasons for which a connection to discovery is closed.
 var (
-	errTimeout         = errors.New("silent over its time")
-	errOnDemandTimeout = errors.New("no answer in time for those who asked")
-	errNoList          = errors.New("an answer with no list")
-	errMultipleLists   = errors.New("an answer with more than one list")
-	errClosedAfterList = errors.New("closed after the whole list")
-	errStaleIndex      = errors.New("an index below the one that is held")
-	errNotObject       = errors.New("discovery: something else than an object")
+	errTimeout         = errors.New("timeout: discovery sent no complete response, object or heartbeat before the deadline")
+	errOnDemandTimeout = errors.New("requests for the list kept failing for longer than the watch silence limit")
+	errNoList          = errors.New("the response holds no list")
+	errMultipleLists   = errors.New("the response holds more than one list")
+	errClosedAfterList = errors.New("the connection is closed after the full list")
+	errStaleIndex      = errors.New("the index is below the index of the current list")
+	errNotObject       = errors.New("discovery: the body holds data outside a JSON object")
 )
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -8,25 +8,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// feed keeps the endpoint list from one address up to date. Its index means nothing at another address.
+// feed keeps the endpoint list from one discovery address up to date. Its index is valid at that address only.
 type feed struct {
 	client         *Client
 	address        string
 	index          int64
-	fullListNeeded bool          // the full list is needed: at the start, after an object that could not be used, and after a silence
-	confirmedAt    time.Time     // up to when the list is known to hold: the last heartbeat or change, or the start of the request for the full list
-	backoff        time.Duration // before the next connection
+	fullListNeeded bool          // set at the start, after an object that could not be used, and after a timeout
+	confirmedAt    time.Time     // when the list was last known to be current: the last heartbeat or change, or the start of the request for the full list
+	backoff        time.Duration // wait before the next connection
 	cancel         context.CancelFunc
 
-	watchNext            bool      // the full list has just come, on a connection that closed behind it
-	lastErr              error     // why the connection before is of no more use, nil at the start
-	resumeAt             time.Time // when the next attempt of a request that was left is due, zero for none
-	reopenedAfterSilence bool      // a watch of a shared discovery has fallen silent, and nothing was heard since
+	watchNext            bool      // the full list was just read on a connection that closed after it, so a watch follows on a new one
+	lastErr              error     // why the previous connection ended, nil at the start
+	resumeAt             time.Time // when the next attempt of an interrupted request is due, zero for none
+	reopenedAfterSilence bool      // a watch of a shared discovery timed out, and nothing was received since
 }
 
-// run keeps the list up to date until the context ends. Where the decisions poll, their first request begins it, and they are
-// notified of failures. It does not wait for them after that: what is missed counts as notified by a clock that does not either,
-// and the retry policy bounds how often discovery is polled.
+// run keeps the list up to date until the context ends. Where the policy requests the watches, its first request starts the active
+// feed, and it is notified of failures. Later connections do not wait for the policy, because the time at which a missed change
+// counts as delivered does not wait for it either; the retry policy bounds how often discovery is called.
 func (f *feed) run(ctx context.Context) {
 	c := f.client
 	if c.onDemand && c.isActive(f) {
@@ -61,13 +61,13 @@
 	}
 }
 
-// unconfirmedTime is for how long after a watch's end the list counts as pending: a watch of an agent may end instead of bringing a change,
-// which counts already. The agent is on this machine and gives the full list within milliseconds, or is down; half as long is short
-// for a busy machine, and as long again has every end of a watch cost as much time.
+// unconfirmedTime is how long the list counts as pending after the end of an agent's watch, which may have ended instead of
+// reporting a change that counts as delivered already. The agent is on this machine and sends the full list within milliseconds,
+// or is down. Half the time is too short on a busy machine; twice the time would double the delay that each end of a watch costs.
 const unconfirmedTime = 50 * time.Millisecond
 
-// markUnconfirmed has the list count as pending for a moment, where an agent's watch has ended that had lasted: the full list is requested
-// at once then. One that ends soon is followed by a wait.
+// markUnconfirmed makes the list count as pending for unconfirmedTime if an agent's watch ended after more than maxBackoff: the
+// full list is then requested at once. After a shorter watch the next request waits for the backoff, so nothing is marked.
 func (f *feed) markUnconfirmed(err error, lasted time.Duration) {
 	c := f.client
 	if c.retry.shared || lasted <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errTimeout) || errors.Is(err, errClosedAfterList) {
@@ -77,10 +77,10 @@
 	time.AfterFunc(unconfirmedTime, func() { c.unconfirmed.Store(false) })
 }
 
-// handleSilence decides what is requested once discovery has been silent. A new watch of an agent may be silent for longer than
-// there is time left for what was missed, while the full list has all of it at once. Of a shared discovery that would be two
-// calls where one has the same: the answer to a watch begins with what was missed. Only when that brings nothing either is the
-// full list requested.
+// handleSilence decides what to request after a timeout. A new watch of an agent may stay silent until after the changes that were
+// missed count as delivered, while the full list holds them all at once. For a shared discovery, the full list and a watch would
+// be two calls where a watch alone is enough, since its response begins with the missed changes. The full list is requested only
+// if that watch times out too.
 func (f *feed) handleSilence(s *stream) {
 	switch {
 	case !f.client.retry.shared || f.reopenedAfterSilence:
@@ -90,10 +90,10 @@
 	}
 }
 
-// needsFullList says whether to request the full list and not a watch. A new watch may be silent for WatchSilence and be of no
-// use then: with a confirmation that is old by now, the full list would come close to the time at which what was missed counts as
-// notified. So it is with watches that are refused, or end before they have brought anything. Only where the full list has just
-// come, on a connection that closed with it, does a watch follow on a new one.
+// needsFullList reports whether to request the full list and not a watch. A new watch may be silent for WatchSilence and then time
+// out. If the last confirmation is old by then, the full list would be read only shortly before a missed change counts as
+// delivered. The same holds for watches that are rejected, or that end before they report anything. If the full list was just
+// read on a connection that closed after it, a watch on a new connection follows.
 func (f *feed) needsFullList() bool {
 	if f.watchNext {
 		return false
@@ -101,13 +101,13 @@
 	return f.fullListNeeded || time.Since(f.confirmedAt) > f.client.retry.maxConfirmationAge
 }
 
-// confirm notes that the list holds as of now.
+// confirm records that the list is current as of now.
 func (f *feed) confirm() {
 	f.confirmedAt, f.reopenedAfterSilence = time.Now(), false
 	f.client.confirm(f)
 }
 
-// consume reads the full list, if that was requested, and then its changes, until the connection is of no more use.
+// consume applies the full list, if that was requested, and then reads its changes until the connection ends or fails.
 func (f *feed) consume(s *stream) error {
 	c, requestedAt := f.client, s.startedAt
 	if s.fullList {
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	if c.retry.shared { // how long a call waited its turn says nothing of the watch that it opened
+	if c.retry.shared { // the time that the call was queued does not count as silence of the watch
 		requestedAt = time.Now()
 	}
 	s.watching = true
@@ -135,14 +135,15 @@
 			return err
 		}
 		if first, err = f.handlePiece(s, piece, first); err != nil {
-			f.fullListNeeded = true // what that said is missing: the full list has it
+			f.fullListNeeded = true // the change in the invalid object is lost; the full list holds it
 			return err
 		}
 	}
-	return errors.New("the answer ended")
+	return errors.New("the response of the watch ended")
 }
 
-// handlePiece applies what a piece of a watch holds; fresh says that the watch has brought nothing yet.
+// handlePiece applies the objects and heartbeats in a piece of a watch. first means that the watch has sent no object yet; the
+// returned value is first for the next piece.
 func (f *feed) handlePiece(s *stream, piece []byte, first bool) (bool, error) {
 	for len(piece) > 0 {
 		n, found, err := s.objects.scan(piece)
@@ -157,7 +158,7 @@
 			}
 			first = false
 		}
-		if confirms { // a change that is known already does not confirm the list, as a heartbeat does
+		if confirms { // a change that is already known does not confirm the list; a heartbeat does
 			s.setDeadline(time.Now().Add(f.client.limits.WatchSilence))
 			f.confirm()
 		}
@@ -165,35 +166,36 @@
 	return first, nil
 }
 
-// applyObject reads one object and passes it on; changed is false for changes that are known already. One that can't be used
-// leaves the list as it is. The first full list of a new address completes the move: from then on the old address is not read.
+// applyObject decodes one object and passes it on to the sink; changed is false for a change that is already known. An invalid
+// object leaves the list as it is. The first full list from a new address completes the move: from then on the old address is not
+// read.
 //
-// A list that is full and fresh, the first answer to a call, was requested after everything known here had come: it counts
-// whatever its index, since discovery may have restarted. Further on in a watch an index below ours is either old, and then a
-// full list would undo what came since, or that of a restart, and then all that follows would be passed over as old: only a
-// fresh list can tell.
+// A full list that is the first object of a response was requested after everything known here had been received. It is applied
+// whatever its index, since discovery may have restarted. Later in a watch, an index below the current one has two possible
+// causes: the object is old, and then a full list would undo newer changes; or discovery has restarted, and then all later objects
+// would be ignored as old. Only a newly requested list can tell, so the watch is ended with errStaleIndex.
 func (f *feed) applyObject(raw []byte, whole, fresh bool) (changed bool, err error) {
 	c := f.client
 	list, index, odd, err := Parse(raw)
 	if err != nil {
-		c.limitedLog.Warn("an object of the list is passed over", logrus.Fields{"error": err, "bytes": len(raw)})
+		c.limitedLog.Warn("an object from discovery is invalid and was skipped", logrus.Fields{"error": err, "bytes": len(raw)})
 		return false, err
 	}
 	if len(odd) > 0 {
-		c.limitedLog.Warn("odd entries on the list", logrus.Fields{"entries": odd, "index": index})
+		c.limitedLog.Warn("the list has invalid entries", logrus.Fields{"entries": odd, "index": index})
 	}
 	list.Full = list.Full || whole
 	if !(list.Full && fresh) && index < f.index {
 		return false, errStaleIndex
 	}
-	if !list.Full && index == f.index { // known already
+	if !list.Full && index == f.index { // the change is already applied
 		return false, nil
 	}
 	f.index = index
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == f {
-		c.log.WithFields(logrus.Fields{"from": c.active.address, "to": f.address, "index": index}).Info("the list has moved")
+		c.log.WithFields(logrus.Fields{"from": c.active.address, "to": f.address, "index": index}).Info("the list is now read from the new discovery address")
 		if c.active.cancel != nil {
 			c.active.cancel()
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,12 @@
-// Package discovery keeps the list of replicas up to date: it reads the full list, then watches its changes.
+// Package discovery keeps the list of replicas up to date: it reads the full list and then watches its changes.
+//
+// Discovery is deployed in one of two ways:
+//   - An agent on this machine pushes changes into a watch. A change counts as delivered to this co-ordinator as soon as the
+//     agent has it, whether or not a watch is open.
+//   - Where policy.Config.MustSubscribe is set, all co-ordinators share one discovery service and the policy requests the
+//     watches. A change that a broken watch missed counts as delivered after a limited time.
+//
+// The co-ordinator must act on a change from the moment at which it counts as delivered.
 package discovery
 
 import (
@@ -12,13 +20,14 @@
 	"birchcart/policy"
 )
 
-// listMessage is the list, or changes of it, as discovery writes them.
+// listMessage is the JSON form of the full list or of a change of it.
 type listMessage struct {
 	Index     *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
+// endpoint is the JSON form of one replica.
 type endpoint struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"`
@@ -30,13 +39,13 @@
 	Since   int64    `json:"since_ms"`
 }
 
+// readinessByStatus maps the status of an endpoint on the wire to the readiness of a replica.
 var readinessByStatus = map[string]policy.Readiness{
 	"Ready": policy.Up, "Terminating": policy.Draining, "Gone": policy.Removed,
 }
 
-// Parse reads one object of discovery's. Guards against one odd entry that would hold back the changes of all the
-// others: an entry that can't be used is passed over, one of an unknown status is taken to want nothing new,
-// and odd names both.
+// Parse decodes one JSON object from discovery. One invalid entry must not block the changes of the others: an entry without
+// a name or a valid address is skipped, and an entry of unknown status is treated as draining. The returned problems name both.
 func Parse(raw []byte) (list exchange.ReplicaList, index int64, problems []string, err error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -4,29 +4,30 @@
 	"fmt"
 )
 
-// scanResult is what a piece of a watch comes to.
+// scanResult tells what objectScanner.scan has found.
 type scanResult int
 
 const (
-	needMore       scanResult = iota // more is needed
+	needMore       scanResult = iota // the piece ends before an object or a heartbeat is complete
 	foundHeartbeat                   // an empty line
-	foundObject                      // raw holds one
+	foundObject                      // the object field holds a complete object
 )
 
-// objectScanner cuts a body into its JSON objects, which may be laid out over lines, share one and come in pieces. Whether one
-// is sound is for the parser to say. It keeps its place, so that no byte is looked at twice.
+// objectScanner splits a response body into JSON objects. An object may span several lines, share a line with others and
+// arrive in several pieces. The scanner finds only where an object ends; Parse validates it. The scanner keeps its state between
+// pieces, so each byte is scanned once.
 type objectScanner struct {
-	object        []byte // what has come of the object, until the next one begins
-	maxSize       int    // bytes of one
-	depth         int    // of the braces and brackets that are open, 0 between objects
+	object        []byte // bytes of the current object; kept until the next object begins
+	maxSize       int    // limit on the bytes of one object
+	depth         int    // number of open braces and brackets, 0 between objects
 	inString      bool
 	escaped       bool
-	lineHasObject bool // the line holds an object or the end of one: its end is no empty line
+	lineHasObject bool // the line holds an object or part of one, so its newline is not a heartbeat
 }
 
-// scan reads a piece up to what it finds first, and tells how far that is.
+// scan reads a piece up to the first object end or heartbeat, and returns the number of bytes read.
 func (o *objectScanner) scan(piece []byte) (n int, result scanResult, err error) {
-	start := 0 // of the object's bytes
+	start := 0 // where the bytes of the object begin in the piece
 	for i, b := range piece {
 		if o.depth == 0 {
 			switch b {
@@ -53,7 +54,7 @@
 	return len(piece), needMore, err
 }
 
-// advance takes a byte of an object.
+// advance updates the nesting depth and the string state by one byte of an object.
 func (o *objectScanner) advance(b byte) {
 	switch {
 	case o.escaped:
@@ -69,9 +70,10 @@
 	}
 }
 
+// append adds bytes to the current object, up to the size limit.
 func (o *objectScanner) append(bytes []byte) error {
 	if o.object = append(o.object, bytes...); len(o.object) > o.maxSize {
-		return fmt.Errorf("discovery: an object over %d bytes", o.maxSize)
+		return fmt.Errorf("discovery: JSON object exceeds %d bytes", o.maxSize)
 	}
 	return nil
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -12,14 +12,15 @@
 
 const (
 	listTarget            = "/api/targets"
-	maxConcurrentRequests = 5 // connections to the agent that wait for an answer at the same time; of the descriptors reserved for all but the peers
+	maxConcurrentRequests = 5 // limit on connections to the agent with a request in flight; their descriptors are part of the reserve for all connections but those to peers
 )
 
+// watchTarget returns the target of a watch for the changes after an index.
 func watchTarget(after int64) string {
 	return listTarget + "?watch=1&after=" + strconv.FormatInt(after, 10)
 }
 
-// requestResult is the outcome of one attempt.
+// requestResult is the result of one attempt.
 type requestResult struct {
 	attempt   int
 	startedAt time.Time
@@ -27,11 +28,12 @@
 	err       error
 }
 
-// request requests what is needed, the full list or a watch, until it has an answer or the head of one. Each attempt has its own
-// connection and the retry policy's answerTime. Of an agent the next one begins RedialMost later at the latest, beside those
-// that still wait: an agent that is silent while discovery is down may never answer what it was asked then, and what it has
-// counts as notified from the moment of its return. The first answer counts and the others are cancelled. Where the decisions
-// poll, an attempt that fails after WatchSilence of failures ends the request, so that they are notified.
+// request repeats attempts for the full list or a watch, whichever is needed, until one has the complete list or the response head
+// of the watch. Each attempt has its own connection and the retry policy's answerTime. With an agent, the next attempt begins at
+// most RedialMost later, even while earlier ones are in flight: an agent that is silent while discovery is down may never answer
+// the requests of that time, and the changes that it has count as delivered from the moment of its recovery. The first response
+// is used and the other attempts are cancelled. Where the policy requests the watches, an attempt that fails after WatchSilence of
+// failures ends the request, so that the policy is notified.
 func (f *feed) request(ctx context.Context) (*stream, error) {
 	c := f.client
 	began := time.Now()
@@ -72,7 +74,7 @@
 			cancel()
 			c.logRequestFailure(f, result.err)
 			f.backoff = c.retry.nextBackoff(f.backoff)
-			f.watchNext = false // what that connection was for has failed
+			f.watchNext = false // the watch that was to follow the full list has failed
 			due = f.nextRequestAt(result, due)
 			if c.onDemand && c.isActive(f) && time.Since(began) >= c.limits.WatchSilence {
 				f.resumeAt = due
@@ -82,8 +84,9 @@
 	}
 }
 
-// firstRequestAt is when the first attempt of a request is due. One that was left so that the decisions are notified goes on where
-// it was: with a whole backoff on top, what discovery has at its return would come after the time at which it counts as notified.
+// firstRequestAt returns when the first attempt of a request is due. A request that was interrupted to notify the policy resumes
+// at its next attempt: with a full backoff on top, changes that discovery has after an outage would be read after the time at
+// which they count as delivered.
 func (f *feed) firstRequestAt(now time.Time) time.Time {
 	if at := f.resumeAt; !at.IsZero() {
 		f.resumeAt = time.Time{}
@@ -92,9 +95,9 @@
 	return now.Add(f.client.retry.jitter(f.backoff))
 }
 
-// nextRequestAt is when the next attempt is due once one has failed; due is when it would have been.
+// nextRequestAt returns when the next attempt is due after one has failed; due is when it would be without the failure.
 func (f *feed) nextRequestAt(result requestResult, due time.Time) time.Time {
-	if f.client.retry.shared { // from its beginning: one that got no answer in its time has waited already
+	if f.client.retry.shared { // counted from the start of the attempt: one that timed out has waited already
 		return result.startedAt.Add(f.client.retry.jitter(f.backoff))
 	}
 	if retryAt := time.Now().Add(f.backoff); retryAt.Before(due) {
@@ -103,7 +106,8 @@
 	return due
 }
 
-// attempt is one attempt. Its connection is closed when the context ends.
+// attempt connects and sends one request. It returns once the full list is read or the response head of the watch has arrived. The
+// connection is closed when the context ends.
 func (f *feed) attempt(ctx context.Context, fullList bool, index int64) (*stream, error) {
 	limits := &f.client.limits
 	dialer := net.Dialer{Timeout: f.client.retry.firstByteTime}
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -7,24 +7,25 @@
 	"birchcart/internal/config"
 )
 
-// retryPolicy says how often, and how patiently, discovery is polled. Where lists are pushed, the agent on this machine answers
-// at once and at no cost, and stays silent while discovery is down. Where lists are polled, each call is work for a discovery
-// that all co-ordinators share and that serves calls in turn: a call that is cancelled before its answer is work for nothing,
-// and calls that follow a rejection at once keep it busy with rejecting.
+// retryPolicy holds the timeouts and backoffs of requests to discovery. The agent on this machine answers at once and at no cost,
+// and is silent while discovery is down. A shared discovery serves the calls of all co-ordinators one after another: it still
+// does the work of a call that is cancelled before its answer, and calls that follow a rejection at once keep it busy with
+// rejections.
 type retryPolicy struct {
-	maxConcurrent              int           // requests that may wait for an answer at the same time
-	answerTime                 time.Duration // for a connection and the complete answer on it
-	firstByteTime              time.Duration // for the first byte of it
-	initialBackoff, maxBackoff time.Duration // between attempts after a failure, doubled from the first to the second
-	reconnectBackoff           time.Duration // after a connection that had lasted longer than maxBackoff
-	maxConfirmationAge         time.Duration // once the last confirmation is older, the full list is requested instead of a watch
-	shared                     bool          // discovery is shared: backoffs have jitter, and the end of an attempt is waited for
+	maxConcurrent              int           // limit on requests in flight
+	answerTime                 time.Duration // limit on connecting and reading the complete response
+	firstByteTime              time.Duration // limit on connecting and reading the first byte of the response
+	initialBackoff, maxBackoff time.Duration // between attempts after a failure; doubled with each failure
+	reconnectBackoff           time.Duration // after the end of a connection that lasted longer than maxBackoff
+	maxConfirmationAge         time.Duration // if the last confirmation is older, the full list is requested instead of a watch
+	shared                     bool          // all co-ordinators share discovery: backoffs have jitter, and an attempt begins after the end of the one before
 }
 
+// newRetryPolicy returns the policy for a shared discovery if onDemand is set, and the policy for an agent otherwise.
 func newRetryPolicy(onDemand bool, limits *config.Limits) retryPolicy {
 	if !onDemand {
-		// What an agent has counts as notified at once, whether or not a watch is open, and a watch may end instead of bringing it:
-		// no confirmation is young enough for another watch, which may be silent.
+		// A change counts as delivered as soon as the agent has it, whether or not a watch is open, and a watch may end without
+		// reporting it. The next watch may be silent, so after any confirmation age the full list is requested instead.
 		return retryPolicy{
 			maxConcurrent: maxConcurrentRequests, answerTime: limits.AgentTime, firstByteTime: limits.AgentTime / 2,
 			initialBackoff: limits.RedialFirst, maxBackoff: limits.RedialMost, reconnectBackoff: 0, maxConfirmationAge: 0,
@@ -36,12 +37,13 @@
 	}
 }
 
-// nextBackoff is the backoff after one more failure.
+// nextBackoff returns the backoff after one more failure.
 func (p *retryPolicy) nextBackoff(backoff time.Duration) time.Duration {
 	return max(p.initialBackoff, min(2*backoff, p.maxBackoff))
 }
 
-// jitter draws the wait before the next attempt: co-ordinators whose watches broke together do not come again together.
+// jitter randomizes a backoff to between half and all of it for a shared discovery, so that co-ordinators whose watches broke
+// together do not retry together.
 func (p *retryPolicy) jitter(backoff time.Duration) time.Duration {
 	if !p.shared || backoff <= 0 {
 		return backoff
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,53 +12,55 @@
 	"birchcart/internal/h1"
 )
 
-// stream reads responses from one connection.
+// stream sends requests on one connection and reads the responses.
 type stream struct {
 	conn           *listConn
-	fullList       bool      // its first answer is the full list
-	startedAt      time.Time // before it was dialled
+	fullList       bool      // the first response is the full list, otherwise a watch
+	startedAt      time.Time // when dialling began
 	scanner        *bufio.Scanner
 	splitter       h1.ResponseSplitter
 	objects        objectScanner
-	deadline       time.Time // when what is waited for has to be complete, however many bytes of it come: an answer, an object or a heartbeat
-	answerDeadline time.Time // once its first byte has come: when the answer has to be complete; zero once that is in force
-	lateBytes      int       // bytes read after that
+	deadline       time.Time // when the awaited response, object or heartbeat must be complete; received bytes do not extend it
+	answerDeadline time.Time // replaces deadline once the first byte of the response has arrived; zero after that
+	lateBytes      int       // bytes read after the deadline
 	cancel         context.CancelFunc
-	watching       bool // the watch was answered
+	watching       bool // the response head of a watch has arrived
 }
 
+// close closes the connection by cancelling its context.
 func (s *stream) close() { s.cancel() }
 
-// setDeadline sets the time for what is waited for now.
+// setDeadline sets the deadline of the next response, object or heartbeat.
 func (s *stream) setDeadline(deadline time.Time) {
 	s.deadline, s.answerDeadline, s.lateBytes = deadline, time.Time{}, 0
 }
 
-// Read reads until the deadline. What has arrived by then and was not read, since this process had no processor, counts as in
-// time, up to the maximum size of an object: our own standstill is not the agent's silence.
+// Read reads until the deadline. Data that is in the receive buffer after the deadline is still accepted, up to the maximum size
+// of an object: if this process was not scheduled, the agent must not be taken for silent.
 func (s *stream) Read(p []byte) (int, error) {
 	s.conn.SetReadDeadline(s.deadline)
 	n, err := s.conn.Read(p)
 	if timedOut(err) && s.lateBytes < s.objects.maxSize && duplexconn.Waits(s.conn.Conn) {
-		s.conn.SetReadDeadline(time.Time{}) // there is something: it does not wait
+		s.conn.SetReadDeadline(time.Time{}) // data is available, so the read does not block
 		n, err = s.conn.Read(p)
 		s.lateBytes += n
 	}
 	if timedOut(err) {
 		err = errTimeout
 	}
-	if n > 0 && !s.answerDeadline.IsZero() { // it has begun to answer
+	if n > 0 && !s.answerDeadline.IsZero() { // the first byte of the response
 		s.deadline, s.answerDeadline = s.answerDeadline, time.Time{}
 	}
 	return n, err
 }
 
+// timedOut reports whether an error is a timeout of the network.
 func timedOut(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// sendGet requests a target and reads the head of the response.
+// sendGet sends a GET request and reads the head of the response, which must have status 200.
 func (s *stream) sendGet(target, host string) error {
 	s.splitter.Next()
 	s.objects = objectScanner{object: s.objects.object[:0], maxSize: s.objects.maxSize}
@@ -72,19 +74,20 @@
 		}
 	}
 	if s.splitter.Status != 200 {
-		return fmt.Errorf("%s answered %d", target, s.splitter.Status)
+		return fmt.Errorf("GET %s: unexpected status %d", target, s.splitter.Status)
 	}
 	return nil
 }
 
+// scanError returns the reason for which the scanner has stopped.
 func (s *stream) scanError() error {
 	if err := s.scanner.Err(); err != nil {
 		return err
 	}
-	return errors.New("the connection ended")
+	return errors.New("connection closed by discovery")
 }
 
-// nextPiece is a piece of the body, valid until the next call.
+// nextPiece returns the next piece of the body, which is valid until the next call.
 func (s *stream) nextPiece() ([]byte, error) {
 	if !s.scanner.Scan() {
 		return nil, s.scanError()
@@ -92,8 +95,8 @@
 	return s.scanner.Bytes(), nil
 }
 
-// readList reads the response to its end, which has to hold one object. Where the end is that of the connection, or it closes
-// after the answer anyway, the object's end will do: a connection that stays open, or is reset, adds nothing to it.
+// readList reads a response that must hold exactly one object. If the connection closes with the response, the end of the object
+// ends the response: whether the connection is then closed, reset or left open does not matter.
 func (s *stream) readList() error {
 	found := false
 	for !s.splitter.Done && !(found && s.splitter.Close) {
