--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
+	// testTimeout is the limit for events that take milliseconds on an idle machine.
 	testTimeout = time.Minute
 
+	// pollInterval is the interval at which a test checks a condition.
 	pollInterval = 5 * time.Millisecond
 )
 
-// standstills begins to look, once for all tests.
+// processStalls starts the detection of process stalls, once for all tests.
 var processStalls = sync.OnceValue(testproc.WatchStandstills)
 
-// intime fails if something came too long after a moment. The time for which the machine had this process wait does not
-// count: nobody could have kept that.
+// checkLatency fails the test if receivedAt is more than limit after since. Time in which the machine did not schedule this process
+// does not count, since no client could meet a limit then.
 func checkLatency(t *testing.T, receivedAt, since time.Time, limit time.Duration) {
 	t.Helper()
 	stalled := processStalls().Between(since, receivedAt)
 	if latency := receivedAt.Sub(since); latency-stalled > limit {
-		t.Errorf("heard after %v, %v allowed, for %v of which the machine stood still", latency, limit, stalled)
+		t.Errorf("received after %v, want at most %v; the process was stalled for %v of that time", latency, limit, stalled)
 	}
 }
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -18,23 +18,24 @@
 	"birchcart/policy"
 )
 
-// shared is a discovery that all co-ordinators call, and that serves calls in turn: one takes serveTime, and one that would
-// wait for longer than maxQueueTime is refused, which takes rejectTime. A call that is left is served all the same.
+// sharedServer is a discovery service that all co-ordinators share and that serves calls one after another. Each call takes
+// serveTime. A call that would be queued for longer than maxQueueTime is rejected, which takes rejectTime. A call that its client
+// cancels is served all the same.
 type sharedServer struct {
 	ln net.Listener
 
 	mu        sync.Mutex
-	busyUntil time.Time // until then
-	drained   bool      // the next version, in which the replica drains, is there
+	busyUntil time.Time // end of the calls that are accepted so far
+	drained   bool      // the list is at index 2: v1 is replaced by v2
 	rejected  int
-	silenced  chan struct{} // closed when the watches that are open fall silent
+	silenced  chan struct{} // closed to silence the open watches
 }
 
 const (
 	clientCount  = 12
 	serveTime    = 50 * time.Millisecond
 	rejectTime   = 10 * time.Millisecond
-	maxQueueTime = 300 * time.Millisecond // some have to come again
+	maxQueueTime = 300 * time.Millisecond // short enough that some clients have to retry
 )
 
 // serve answers the calls of one connection.
@@ -65,7 +66,7 @@
 	}
 }
 
-// call takes one call, and tells how long it waits for its turn.
+// admit accepts or rejects a call, and returns how long the response to an accepted call takes.
 func (s *sharedServer) admit() (accepted bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,6 +83,7 @@
 	return true, s.busyUntil.Sub(now)
 }
 
+// list returns the current list, as a full list or as a change.
 func (s *sharedServer) list(full bool) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,18 +93,19 @@
 	return listJSON(1, full, endpointJSON("v1", "Ready"))
 }
 
-// watch says first what was missed, and then that nothing changes, until it falls silent.
+// watch answers a watch: it sends a change that the client has missed, and then heartbeats until it is silenced.
+// outdated means that the client has the list at index 1.
 func (s *sharedServer) watch(nc net.Conn, outdated bool) {
 	s.mu.Lock()
-	muted, drained := s.silenced, s.drained
+	silenced, drained := s.silenced, s.drained
 	s.mu.Unlock()
 	if io.WriteString(nc, watchHead); drained && outdated {
 		io.WriteString(nc, chunk(s.list(false)+"\n"))
 	}
 	for {
 		select {
-		case <-muted:
-			io.Copy(io.Discard, nc) // until the other side leaves
+		case <-silenced:
+			io.Copy(io.Discard, nc) // until the client closes the connection
 			return
 		case <-time.After(100 * time.Millisecond):
 			if _, err := io.WriteString(nc, chunk("\n")); err != nil {
@@ -112,9 +115,9 @@
 	}
 }
 
-// All watches of a discovery that many co-ordinators share fall silent at once, and a change comes right after. Each has it
-// before it counts as told, although discovery can't take all calls at once: calls that are left unanswered, and calls
-// that follow a refusal at once, would keep it busy for ever.
+// Guards against retries that overload a shared discovery: all watches fall silent at once, and a change follows. Each client must
+// have the change before it counts as delivered, although discovery cannot serve all calls at once. Calls that are cancelled before
+// their response, and retries right after a rejection, would keep discovery busy forever.
 func TestSharedDiscoveryServesAllClientsAfterSilence(t *testing.T) {
 	s := &sharedServer{ln: listenLoopback(t), silenced: make(chan struct{})}
 	go func() {
@@ -136,12 +139,12 @@
 	for _, waitForReplica := range waitFuncs {
 		waitForReplica("v1")
 	}
-	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // all watches are open
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // until all watches are open
 		if s.mu.Lock(); s.busyUntil.Before(time.Now()) {
 			break
 		}
 		if s.mu.Unlock(); time.Now().After(deadline) {
-			t.Fatal("the calls at the start were never served")
+			t.Fatal("the first calls were not served in time")
 		}
 	}
 	silentSince := time.Now()
@@ -152,15 +155,16 @@
 	for i, waitForReplica := range waitFuncs {
 		receivedAt := waitForReplica("v2")
 		if late := receivedAt.Sub(silentSince) - deliveryLimit; late > 0 {
-			t.Errorf("co-ordinator %d heard %v after it counts as told", i, late)
+			t.Errorf("client %d received the change %v after it counts as delivered", i, late)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Log(fmt.Sprint(s.rejected, " calls were refused"))
+	t.Log(fmt.Sprint(s.rejected, " calls were rejected"))
 }
 
-// Where the list is asked for, one that is held from before the start is watched at once: the answer tells what has changed.
+// With a shared discovery, a client that knows a list from before the start requests a watch at once: the response begins with the
+// changes since that list.
 func TestSharedDiscoveryWatchesKnownListAtOnce(t *testing.T) {
 	a := newManualAgent(t)
 	log := logrus.New()
@@ -175,6 +179,6 @@
 	a.expectRequest(r, "/api/targets?watch=1&after=5")
 	io.WriteString(nc, watchHead+chunk(listJSON(6, false, endpointJSON("a", "Terminating"))+"\n"))
 	if l := s.next(t); l.Full || len(l.Entries) != 1 || l.Entries[0].State != policy.Draining {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v, want a change that drains the replica", l)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,7 +15,9 @@
 
 // Sink receives the endpoint list and its changes, and is notified of failures where the policy requests the watches.
 type Sink interface {
+	// UpdateReplicas applies a full list or a change.
 	UpdateReplicas(exchange.ReplicaList)
+	// WatchFailed reports that a short watch ended or that requests keep failing.
 	WatchFailed()
 }
 
@@ -57,7 +59,8 @@
 	return c
 }
 
-// Watch starts the client where the policy requests the watches. It does not block.
+// Watch requests the list where the policy requests the watches. The first call starts the client; later calls have no effect.
+// It does not block.
 func (c *Client) Watch() {
 	select {
 	case c.watchRequested <- struct{}{}:
@@ -148,7 +151,7 @@
 	}).Info("the list is requested")
 }
 
-// logWatchEnd logs why a connection ended.
+// logWatchEnd logs why a connection ended, or why a request was interrupted.
 func (c *Client) logWatchEnd(f *feed, err error) {
 	c.limitedLog.Warn("the watch for changes of the list ended", logrus.Fields{"error": err, "index": f.index, "address": f.address})
 }
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -19,7 +19,7 @@
 	"birchcart/policy"
 )
 
-// Half of the real limits, with what the rules allow.
+// Limits at half of their real values, and the latencies that tests allow with them.
 var (
 	scaledLimits = config.Limits{
 		HeadBytes: 16 << 10, BodyBytes: 64 << 10, ListBytes: 100 << 10, LogEvery: time.Second,
@@ -27,23 +27,24 @@
 		RedialFirst: 25 * time.Millisecond, RedialMost: 50 * time.Millisecond,
 		CallTime: 1100 * time.Millisecond, CallFirst: 100 * time.Millisecond, CallMost: time.Second,
 	}
-	deliveryLimit = 3 * time.Second        // after a watch fell silent, what it missed counts as told
-	slack         = 250 * time.Millisecond // for a busy machine, as it is
+	deliveryLimit = 3 * time.Second        // after a watch falls silent, a change that it misses counts as delivered
+	slack         = 250 * time.Millisecond // for a busy machine; not halved
 )
 
-// scripted is an agent on loopback whose answers change. Its list has one replica, whose name is the version.
+// scriptedAgent is an agent on loopback whose responses a test can change. Its list holds one replica, whose name is "v" and the index.
 type scriptedAgent struct {
 	t  *testing.T
 	ln net.Listener
 
 	mu          sync.Mutex
-	answerList  func(nc net.Conn) // nil: well
-	answerWatch func(nc net.Conn)
+	answerList  func(nc net.Conn) // nil: a correct list
+	answerWatch func(nc net.Conn) // nil: heartbeats
 	index       int
 	requests    int
-	openConns   int // connections
+	openConns   int // open connections
 }
 
+// newScriptedAgent starts an agent on a listener.
 func newScriptedAgent(t *testing.T, ln net.Listener) *scriptedAgent {
 	s := &scriptedAgent{t: t, ln: ln, index: 1}
 	t.Cleanup(func() { ln.Close() })
@@ -59,13 +60,14 @@
 	return s
 }
 
-// set changes what is answered from now on; what is open goes on.
+// setAnswers changes the responses to later requests; responses that have begun continue.
 func (s *scriptedAgent) setAnswers(index int, list, watch func(net.Conn)) {
 	s.mu.Lock()
 	s.index, s.answerList, s.answerWatch = index, list, watch
 	s.mu.Unlock()
 }
 
+// serve answers the requests of one connection.
 func (s *scriptedAgent) serve(nc net.Conn) {
 	s.addConns(1)
 	defer func() { nc.Close(); s.addConns(-1) }()
@@ -90,7 +92,7 @@
 		switch {
 		case answer != nil:
 			answer(nc)
-			io.Copy(io.Discard, nc) // nothing more, until the other side leaves
+			io.Copy(io.Discard, nc) // send nothing more until the client closes the connection
 			return
 		case target == "/api/targets":
 			io.WriteString(nc, httpResponse(listJSON(index, true, endpointJSON(fmt.Sprint("v", index), "Ready"))))
@@ -102,27 +104,29 @@
 	}
 }
 
-func (s *scriptedAgent) addConns(delta int) (open int) {
+// addConns changes the number of open connections by delta and returns it.
+func (s *scriptedAgent) addConns(delta int) (total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.openConns += delta
 	return s.openConns
 }
 
+// requestCount returns the number of requests so far.
 func (s *scriptedAgent) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// every waits and then writes.
+// writeAfter waits and then writes.
 func writeAfter(nc net.Conn, wait time.Duration, text string) error {
 	time.Sleep(wait)
 	_, err := io.WriteString(nc, text)
 	return err
 }
 
-// trickle writes byte by byte for ever, the last byte again and again.
+// trickle writes a text byte by byte and then repeats its last byte until the connection closes.
 func trickle(text string) func(net.Conn) {
 	return func(nc net.Conn) {
 		for i := 0; writeAfter(nc, 30*time.Millisecond, text[i:i+1]) == nil; i = min(i+1, len(text)-1) {
@@ -130,7 +134,7 @@
 	}
 }
 
-// repeat writes a head, and then the same again and again for ever.
+// repeatForever writes a head and then repeats a text until the connection closes.
 func repeatForever(head, text string) func(net.Conn) {
 	return func(nc net.Conn) {
 		for io.WriteString(nc, head); writeAfter(nc, 30*time.Millisecond, text) == nil; {
@@ -138,13 +142,16 @@
 	}
 }
 
+// respond writes a text and leaves the connection open.
 func respond(text string) func(net.Conn) { return func(nc net.Conn) { io.WriteString(nc, text) } }
 
-// runs starts a client of the agent; names gives what its lists hold, one name each.
+// startClient starts a client of the agent at an address. waitForReplica waits for a list whose first replica has the wanted name,
+// and returns when it was received.
 func startClient(t *testing.T, address string, onDemand bool) (c *Client, waitForReplica func(want string) time.Time, failed chan struct{}) {
 	return startClientWith(t, address, onDemand, scaledLimits, io.Discard)
 }
 
+// startClientWith is startClient with other limits and a writer for the log.
 func startClientWith(t *testing.T, address string, onDemand bool, limits config.Limits, out io.Writer) (c *Client, waitForReplica func(want string) time.Time, failed chan struct{}) {
 	processStalls()
 	log := logrus.New()
@@ -164,12 +171,13 @@
 					return time.Now()
 				}
 			case <-timeout:
-				t.Fatalf("%s was never heard of", want)
+				t.Fatalf("replica %s was not received", want)
 			}
 		}
 	}, s.failed
 }
 
+// listenLoopback listens on a free port of the loopback interface.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -189,14 +197,14 @@
 		"inside the head":                   respond(partialHead),
 		"a head that trickles":              trickle("HTTP/1.1 200 OK\r\nX: y"),
 		"after the head":                    respond(watchHead),
-		"between pulses":                    respond(watchHead + chunk("\n") + chunk("\n")),
+		"between heartbeats":                respond(watchHead + chunk("\n") + chunk("\n")),
 		"inside a line":                     respond(watchHead + chunk("\n") + chunk(`{"index":2,"snap`)),
 		"inside a chunk":                    respond(watchHead + chunk("\n") + "ff\r\n{"),
 		"a line that trickles":              repeatForever(watchHead, chunk("{")),
 		"an object that trickles":           repeatForever(watchHead+chunk("{"), chunk("1")),
 		"an object with no end, over lines": repeatForever(watchHead+chunk("{\n"), chunk("\n")),
 		"blanks and no line":                repeatForever(watchHead, chunk(" ")),
-		"old lines":                         repeatForever(watchHead, staleChange),
+		"stale changes":                     repeatForever(watchHead, staleChange),
 	}
 	failingLists = map[string]func(net.Conn){
 		"before the first byte": noAnswer,
@@ -208,7 +216,8 @@
 	}
 )
 
-// In whatever state a watch falls silent, that is noticed by our clock, and what it missed is had before it counts as told.
+// Guards against a watch that stalls in any state and is not noticed: the client must time out by its own clock and have the missed
+// change before it counts as delivered.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	for name, stall := range stalledWatches {
 		t.Run(name, func(t *testing.T) {
@@ -216,7 +225,7 @@
 			s := newScriptedAgent(t, listenLoopback(t))
 			silentSince := make(chan time.Time, 1)
 			s.setAnswers(1, nil, func(nc net.Conn) {
-				silentSince <- time.Now() // or later: what is written first is then part of it
+				silentSince <- time.Now() // the silence may begin later, after what the stalled watch writes
 				s.setAnswers(2, nil, nil)
 				stall(nc)
 			})
@@ -227,7 +236,7 @@
 	}
 }
 
-// A flood of old lines keeps no watch alive either, though something waits to be read at all times.
+// A continuous stream of stale changes must not keep a watch alive, although unread data is available at all times.
 func TestStaleChangesDoNotKeepWatchAlive(t *testing.T) {
 	s := newScriptedAgent(t, listenLoopback(t))
 	s.setAnswers(1, nil, func(nc net.Conn) {
@@ -241,8 +250,8 @@
 	checkLatency(t, waitForReplica("v2"), began, deliveryLimit)
 }
 
-// An outage in whatever form ends with what the agent has, an ask's distance after its end, whatever became of the asks
-// meanwhile. Asks stay bounded: one a RedialMost, and none is left open.
+// After an outage of any form, the client must have the list within RedialMost, whatever became of the requests during the outage.
+// The requests are bounded to one per RedialMost, and none stays open.
 func TestListIsReadAfterOutage(t *testing.T) {
 	for name, fail := range failingLists {
 		t.Run(name, func(t *testing.T) {
@@ -256,21 +265,21 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if n, limit := s.requestCount(), int(time.Since(began)/scaledLimits.RedialMost)+6; n > limit || n < 3 {
-				t.Errorf("asked %d times, %d allowed", n, limit)
+				t.Errorf("%d requests, want 3 to %d", n, limit)
 			}
 			s.setAnswers(2, nil, nil)
 			recoveredAt := time.Now()
 			checkLatency(t, waitForReplica("v2"), recoveredAt, scaledLimits.RedialMost+slack)
 			for deadline := time.Now().Add(testTimeout); s.addConns(0) != 1; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatalf("%d connections are open", s.addConns(0))
+					t.Fatalf("%d connections are open, want 1", s.addConns(0))
 				}
 			}
 		})
 	}
 }
 
-// A connection that never comes up is one more form of silence.
+// Guards against a connect that hangs, as it does while the listen queue of the agent is full: the client must retry.
 func TestHangingConnectIsRetried(t *testing.T) {
 	t.Parallel()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -289,14 +298,14 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprint("127.0.0.1:", name.(*syscall.SockaddrInet4).Port)
-	for range 3 { // from then on the machine drops what comes
+	for range 3 { // fills the queue: the kernel drops further connections
 		if nc, err := net.DialTimeout("tcp", address, 50*time.Millisecond); err == nil {
 			defer nc.Close()
 		}
 	}
 	_, waitForReplica, _ := startClient(t, address, false)
 	time.Sleep(20 * time.Millisecond)
-	if err := syscall.Listen(fd, 100); err != nil { // room again
+	if err := syscall.Listen(fd, 100); err != nil { // the queue accepts connections again
 		t.Fatal(err)
 	}
 	recoveredAt := time.Now()
@@ -319,7 +328,7 @@
 	checkLatency(t, waitForReplica("v2"), recoveredAt, scaledLimits.RedialMost+slack)
 }
 
-// A move to an address that is silent, while the old one is silent too, ends with the first that has a list.
+// While the old and the new address are both silent, a move must complete as soon as the new address sends a list.
 func TestMoveWhileBothAddressesAreSilent(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedAgent(t, listenLoopback(t)), newScriptedAgent(t, listenLoopback(t))
@@ -334,8 +343,9 @@
 	checkLatency(t, waitForReplica("v3"), recoveredAt, scaledLimits.RedialMost+slack)
 }
 
-// Where the decisions ask, a watch that falls silent is opened anew without them, and its answer tells what was missed.
-// They hear when that does not help. It goes on without them, but no more often than the pace has it.
+// With a shared discovery, a watch that falls silent must be reopened without a request of the policy, and its response holds the
+// missed change. If the new watch is silent too, the policy is notified; the client goes on without it, within the bounds of the
+// retry policy.
 func TestSharedDiscoverySilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
@@ -354,21 +364,22 @@
 	select {
 	case <-failed:
 	case <-time.After(testTimeout):
-		t.Fatal("not told")
+		t.Fatal("WatchFailed was not called")
 	}
 	began, before := time.Now(), s.requestCount()
 	for time.Since(began) < 3*scaledLimits.CallTime {
 		time.Sleep(scaledLimits.CallFirst)
 	}
 	if n, limit := s.requestCount()-before, int(time.Since(began)/scaledLimits.CallTime)+1; n > limit {
-		t.Errorf("asked %d times of an agent that is silent, %d allowed", n, limit)
+		t.Errorf("%d requests to a silent discovery, want at most %d", n, limit)
 	}
 	s.setAnswers(3, nil, nil)
 	recoveredAt := time.Now()
 	checkLatency(t, waitForReplica("v3"), recoveredAt, scaledLimits.CallTime+slack)
 }
 
-// What came in time and was not read in time, since we stood still, is read; after that nothing is waited for.
+// Data that arrived before the deadline, but was not read because the process was stalled, must be read after the deadline. A read
+// without such data must time out.
 func TestDataThatArrivedDuringProcessStallIsRead(t *testing.T) {
 	ln := listenLoopback(t)
 	defer ln.Close()
@@ -391,14 +402,14 @@
 	s := &stream{conn: conn, objects: objectScanner{maxSize: 100}, deadline: time.Now().Add(-time.Second)}
 	b := make([]byte, 10)
 	if n, err := s.Read(b); n != 3 || err != nil {
-		t.Errorf("%d %v", n, err)
+		t.Errorf("read %d bytes, error %v; want 3 bytes and no error", n, err)
 	}
 	if _, err := s.Read(b); err != errTimeout {
-		t.Errorf("%v", err)
+		t.Errorf("read error %v, want a timeout", err)
 	}
 }
 
-// A whole list may come indented, and so may a change.
+// The full list and a change may be indented JSON.
 func TestIndentedLists(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
@@ -408,7 +419,7 @@
 	waitForReplica("v1")
 	s.setAnswers(2, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead)
-		time.Sleep(scaledLimits.RedialMost + slack) // it was open for a while
+		time.Sleep(scaledLimits.RedialMost + slack) // keeps the watch open for a while
 		s.setAnswers(3, nil, nil)
 		sentAt <- time.Now()
 		io.WriteString(nc, chunk(multiline(listJSON(3, false, endpointJSON("v3", "Ready")))+"\n"))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,35 +21,36 @@
 	l, index, problems, err := Parse([]byte(`{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:8443","zone":"a",
 		"type":"m2","group":3,"status":"Terminating","weight":1.5,"since_ms":1700000000123},{"name":"s-2","status":"Gone"}]}`))
 	if err != nil || index != 43 || l.Full || len(l.Entries) != 2 || problems != nil {
-		t.Fatalf("%+v %d %v", l, index, err)
+		t.Fatalf("unexpected result: list %+v, index %d, error %v", l, index, err)
 	}
 	e := l.Entries[0]
 	if e.State != policy.Draining || e.Cell != 3 || e.Size != 1.5 || e.Started.UnixMilli() != 1700000000123 || e.Zone != "a" {
-		t.Errorf("%+v", e)
+		t.Errorf("unexpected entry: %+v", e)
 	}
 	if g := l.Entries[1]; g.State != policy.Removed || !g.Started.IsZero() {
-		t.Errorf("%+v", g)
+		t.Errorf("unexpected removed entry: %+v", g)
 	}
 	for _, bad := range []string{"", "{", "[]", `{"snapshot":true}`, `{"index":"x"}`} {
 		if _, _, _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("Parse(%q) returned no error", bad)
 		}
 	}
 }
 
-// One odd entry does not hold back the news of the others.
+// Guards against one invalid entry that blocks the changes of the other replicas.
 func TestParseKeepsValidEntries(t *testing.T) {
 	l, _, problems, err := Parse([]byte(`{"index":1,"endpoints":[{"name":"","address":"a:1","status":"Ready"},
 		{"name":"b","address":"nowhere","status":"Ready"},{"name":"c","address":"a:1","status":"Odd"},
 		{"name":"d","address":"a:1","status":"Gone"}]}`))
 	if err != nil || len(problems) != 3 || len(l.Entries) != 2 {
-		t.Fatalf("%+v %q %v", l, problems, err)
+		t.Fatalf("unexpected result: list %+v, problems %q, error %v", l, problems, err)
 	}
 	if l.Entries[0].State != policy.Draining || l.Entries[1].State != policy.Removed {
-		t.Errorf("%+v", l.Entries)
+		t.Errorf("unexpected entries: %+v", l.Entries)
 	}
 }
 
+// testSink records the lists and the failures that a client passes on.
 type testSink struct {
 	lists  chan exchange.ReplicaList
 	failed chan struct{}
@@ -58,23 +59,25 @@
 func (s *testSink) UpdateReplicas(l exchange.ReplicaList) { s.lists <- l }
 func (s *testSink) WatchFailed()                          { s.failed <- struct{}{} }
 
+// next waits for the next list.
 func (s *testSink) next(t *testing.T) exchange.ReplicaList {
 	t.Helper()
 	select {
 	case l := <-s.lists:
 		return l
 	case <-time.After(testTimeout):
-		t.Fatal("no list came")
+		t.Fatal("no list was received")
 	}
 	panic("unreachable")
 }
 
-// agent stands in for discovery: the test answers each request by hand.
+// manualAgent is an agent whose responses the test writes one by one.
 type manualAgent struct {
 	*testing.T
 	ln net.Listener
 }
 
+// accept waits for the next connection.
 func (a *manualAgent) accept() (net.Conn, *bufio.Reader) {
 	a.Helper()
 	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -86,6 +89,7 @@
 	return nc, bufio.NewReader(nc)
 }
 
+// expectRequest reads the head of a request, which must be for the target.
 func (a *manualAgent) expectRequest(r *bufio.Reader, target string) {
 	a.Helper()
 	for first := true; ; first = false {
@@ -94,7 +98,7 @@
 			a.Fatal(err)
 		}
 		if first && !strings.HasPrefix(line, "GET "+target+" HTTP/1.1") {
-			a.Fatalf("asked %q, want %s", line, target)
+			a.Fatalf("request line %q, want target %s", line, target)
 		}
 		if line == "\r\n" {
 			return
@@ -102,23 +106,28 @@
 	}
 }
 
+// endpointJSON returns the JSON of one replica.
 func endpointJSON(name, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","group":0,"status":%q}`, name, status)
 }
 
+// listJSON returns the JSON of a full list or of a change.
 func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
 
+// httpResponse returns a complete response with a body.
 func httpResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// chunk returns a text as one chunk of a chunked response.
 func chunk(body string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(body), body) }
 
+// watchHead is the head of the response to a watch.
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Limits for agents that answer by hand: in brisk a silence ends soon, in calm none ever does.
+// Limits for tests with a manualAgent: with shortLimits a silent connection times out soon, with longLimits never during a test.
 var (
 	shortLimits = config.Limits{
 		HeadBytes: 1000, BodyBytes: 1000, ListBytes: 1000, WatchSilence: 500 * time.Millisecond, AgentTime: 200 * time.Millisecond, LogEvery: time.Second,
@@ -132,10 +141,12 @@
 	}
 )
 
+// startAgent starts a manualAgent and a client of it with shortLimits.
 func startAgent(t *testing.T, onDemand bool) (*manualAgent, *testSink, *Client) {
 	return startAgentWith(t, onDemand, shortLimits)
 }
 
+// startAgentWith is startAgent with other limits.
 func startAgentWith(t *testing.T, onDemand bool, limits config.Limits) (*manualAgent, *testSink, *Client) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -146,7 +157,7 @@
 	log.SetOutput(io.Discard)
 	s := &testSink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
 	index := int64(5)
-	if onDemand { // else the watch is opened at once: see TestSharedDiscoveryWatchesKnownListAtOnce
+	if onDemand { // with an index, the client would request a watch first: see TestSharedDiscoveryWatchesKnownListAtOnce
 		index = NoIndex
 	}
 	c := New(&config.Config{Discovery: ln.Addr().String(), Policy: policy.Config{MustSubscribe: onDemand}, Limits: limits}, index, s, logrus.NewEntry(log))
@@ -157,38 +168,38 @@
 	return &manualAgent{t, ln}, s, c
 }
 
-// The whole list, then changes as they come, with empty lines between and lines cut across chunks; when the
-// watch is silent over its pulse the list is had again.
+// The client must read the full list and then each change at once, with empty lines between them and lines split across chunks.
+// After an object with an index below the current one it must request the full list again.
 func TestListThenWatch(t *testing.T) {
 	a, s, c := startAgent(t, false)
 	nc, r := a.accept()
 	a.expectRequest(r, "/api/targets")
 	io.WriteString(nc, httpResponse(listJSON(41, true, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))))
 	if l := s.next(t); !l.Full || len(l.Entries) != 2 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	a.expectRequest(r, "/api/targets?watch=1&after=41")
-	if !c.HasList() { // it is asked on only after the list was taken
-		t.Error("the list does not count")
+	if !c.HasList() { // the client requests the watch after it has applied the list
+		t.Error("HasList is false after the full list")
 	}
 	change := listJSON(43, false, endpointJSON("a", "Gone")) + "\n"
 	io.WriteString(nc, watchHead+chunk("\n")+chunk(change[:20])+chunk(change[20:]+"\n"))
 	if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
-	io.WriteString(nc, chunk(listJSON(42, false, endpointJSON("b", "Gone"))+"\n")) // older than what is held
-	nc, r = a.serveList(43, endpointJSON("b", "Ready"))                            // after the silence
+	io.WriteString(nc, chunk(listJSON(42, false, endpointJSON("b", "Gone"))+"\n")) // below the current index, so it is not applied
+	nc, r = a.serveList(43, endpointJSON("b", "Ready"))                            // the client closes the watch and requests the full list
 	if l := s.next(t); !l.Full {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	a.acceptWatch(nc, r, 43)
 	io.WriteString(nc, chunk(listJSON(44, false, endpointJSON("b", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].Name != "b" || l.Entries[0].State != policy.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 }
 
-// A line that can't be read is passed over; what it said comes with the whole list.
+// An invalid object in a watch must lead to a request for the full list, which holds what the object would have reported.
 func TestInvalidObjectRequestsFullList(t *testing.T) {
 	a, s, _ := startAgent(t, false)
 	nc, r := a.accept()
@@ -201,11 +212,11 @@
 	a.expectRequest(r, "/api/targets")
 	io.WriteString(nc, httpResponse(listJSON(42, true, endpointJSON("a", "Ready"))))
 	if l := s.next(t); !l.Full {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 }
 
-// Failures of every kind lead to a new try.
+// A failed request of any kind must be retried.
 func TestFailedRequestsAreRetried(t *testing.T) {
 	a, s, _ := startAgent(t, false)
 	for _, answer := range []string{
@@ -223,8 +234,8 @@
 	s.next(t)
 }
 
-// Where the decisions ask for the list, nothing is asked before their word. They hear when it can't be had, again and
-// again, while it is asked for no more often than the pace has it.
+// With a shared discovery, the client must send no request before the policy requests a watch. While requests fail, the policy must
+// be notified repeatedly, and the requests must stay within the backoff.
 func TestSharedDiscoveryRequestsAreBounded(t *testing.T) {
 	limits := shortLimits
 	limits.CallFirst, limits.CallMost = 20*time.Millisecond, 100*time.Millisecond
@@ -244,21 +255,22 @@
 		default:
 		}
 	}
-	// Waits are half at the least: 10, 20, 40 ms, and 50 from then on.
+	// With jitter, a backoff is at least half its length: 10, 20 and 40 ms, and 50 ms from then on.
 	if limit := int(time.Since(began)/(limits.CallMost/2)) + 4; requests > limit {
-		t.Errorf("asked %d times, %d allowed", requests, limit)
+		t.Errorf("%d requests, want at most %d", requests, limit)
 	}
 }
 
-// quiet holds that nobody comes.
+// expectNoRequest fails the test if a connection arrives within 50 ms.
 func (a *manualAgent) expectNoRequest() {
 	a.Helper()
 	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := a.ln.Accept(); err == nil {
-		a.Fatal("asked without being told to")
+		a.Fatal("the client connected before the policy requested a watch")
 	}
 }
 
+// newManualAgent starts an agent without a client.
 func newManualAgent(t *testing.T) *manualAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -271,7 +283,7 @@
 
 func (a *manualAgent) address() string { return a.ln.Addr().String() }
 
-// lists takes a connection that asks for the whole list and answers it.
+// serveList accepts a connection and answers its request for the full list.
 func (a *manualAgent) serveList(index int, entries ...string) (net.Conn, *bufio.Reader) {
 	a.Helper()
 	nc, r := a.accept()
@@ -280,24 +292,24 @@
 	return nc, r
 }
 
-// watched answers the watch that follows on the connection.
+// acceptWatch answers the request for a watch after an index with the head of a response.
 func (a *manualAgent) acceptWatch(nc net.Conn, r *bufio.Reader, index int) {
 	a.Helper()
 	a.expectRequest(r, fmt.Sprint("/api/targets?watch=1&after=", index))
 	io.WriteString(nc, watchHead)
 }
 
-// ended tells that the other side has closed.
+// expectClosed fails the test unless the client closes the connection.
 func (a *manualAgent) expectClosed(nc net.Conn) {
 	a.Helper()
 	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		a.Fatalf("still open: %v", err)
+		a.Fatalf("the connection is still open: %v", err)
 	}
 }
 
-// A move takes the whole list from the new address, whose versions count from anywhere, and until it has that the
-// old address is heard. From then on the old one is left and its word counts no more.
+// A move must read the full list from the new address, whose indexes are independent of the old ones. Changes from the old address
+// must be applied until then, and its connection closed afterwards.
 func TestMove(t *testing.T) {
 	a, s, c := startAgent(t, false)
 	oldConn, r := a.serveList(41, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
@@ -305,22 +317,22 @@
 	a.acceptWatch(oldConn, r, 41)
 	b := newManualAgent(t)
 	c.Move(b.address())
-	c.Move(b.address()) // told twice: nothing is begun anew
+	c.Move(b.address()) // the same address again: the move is not restarted
 	nc, r := b.accept()
 	b.expectRequest(r, "/api/targets")
 	io.WriteString(oldConn, chunk(listJSON(42, false, endpointJSON("a", "Gone"))+"\n"))
 	if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	io.WriteString(nc, httpResponse(listJSON(3, true, endpointJSON("b", "Ready"))))
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	a.expectClosed(oldConn)
 	b.acceptWatch(nc, r, 3)
 	io.WriteString(nc, chunk(listJSON(4, false, endpointJSON("b", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Millisecond))
 	if _, err := a.ln.Accept(); err == nil {
@@ -328,39 +340,38 @@
 	}
 }
 
-// Several moves at once end at the last address, and one that can't be had is tried again while the list goes on
-// coming from the old one.
+// Of several moves, the last address must be used. While the new address is unreachable, changes from the old one must be applied.
 func TestLastMoveWins(t *testing.T) {
 	a, s, c := startAgent(t, false)
 	oldConn, r := a.serveList(41, endpointJSON("a", "Ready"))
 	s.next(t)
 	a.acceptWatch(oldConn, r, 41)
-	intermediate, b, closed := newManualAgent(t), newManualAgent(t), newManualAgent(t)
-	closed.ln.Close()
+	intermediate, b, unreachable := newManualAgent(t), newManualAgent(t), newManualAgent(t)
+	unreachable.ln.Close()
 	c.Move(intermediate.address())
 	nc, r := intermediate.accept()
 	intermediate.expectRequest(r, "/api/targets")
-	c.Move(closed.address())
+	c.Move(unreachable.address())
 	intermediate.expectClosed(nc)
 	time.Sleep(20 * time.Millisecond)
 	io.WriteString(oldConn, chunk(listJSON(42, false, endpointJSON("a", "Terminating"))+"\n"))
 	if l := s.next(t); l.Entries[0].State != policy.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	c.Move(b.address())
 	b.serveList(1, endpointJSON("a", "Ready"), endpointJSON("z", "Ready"))
 	if l := s.next(t); !l.Full || len(l.Entries) != 2 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 	a.expectClosed(oldConn)
-	c.Move(a.address()) // and back again: its versions are not those of before
+	c.Move(a.address()) // back to the first address, whose indexes have restarted
 	a.serveList(2, endpointJSON("a", "Ready"))
 	if l := s.next(t); !l.Full || len(l.Entries) != 1 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("unexpected list: %+v", l)
 	}
 }
 
-// An agent that takes the connection and says nothing is left soon, also when the list moves to it.
+// A move to an agent that accepts a connection and sends nothing must be retried on a new connection.
 func TestMoveToASilentAddress(t *testing.T) {
 	_, s, c := startAgent(t, false)
 	b := newManualAgent(t)
@@ -370,8 +381,8 @@
 	s.next(t)
 }
 
-// Where the decisions ask for the list, a move needs no word of theirs, and its failures are not told them while
-// the old address is heard.
+// With a shared discovery, a move must need no request of the policy, and its failures must not be reported to the policy while the
+// old address is read.
 func TestMoveOfSharedDiscovery(t *testing.T) {
 	a, s, c := startAgentWith(t, true, longLimits)
 	c.Watch()
@@ -385,7 +396,7 @@
 	nc, _ = b.serveList(1, endpointJSON("a", "Ready"))
 	s.next(t)
 	if len(s.failed) > 0 {
-		t.Error("a failure of the move was told")
+		t.Error("a failure of the move was reported to the policy")
 	}
 	nc.Close()
 	<-s.failed
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -13,12 +13,12 @@
 	"birchcart/policy"
 )
 
-// wide lays an object out over lines.
+// multiline spreads an object over several lines.
 func multiline(raw string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(raw, "{", "{\n  "), ",", ",\n  ")
 }
 
-// bytewise is a text in chunks of one byte.
+// byteChunks returns a text in chunks of one byte.
 func byteChunks(text string) string {
 	var b strings.Builder
 	for i := range len(text) {
@@ -27,13 +27,13 @@
 	return b.String()
 }
 
-// reset ends a connection with a reset, whatever it holds.
+// resetConn closes a connection with a TCP reset.
 func resetConn(nc net.Conn) {
 	nc.(*net.TCPConn).SetLinger(0)
 	nc.Close()
 }
 
-// watching has the client take a whole list at version 41 and open a watch on the same connection.
+// openWatch makes the client read a full list at index 41 and open a watch on the same connection.
 func openWatch(t *testing.T, a *manualAgent, s *testSink, entries ...string) net.Conn {
 	t.Helper()
 	nc, r := a.serveList(41, entries...)
@@ -42,7 +42,7 @@
 	return nc
 }
 
-// asked is a connection with what it asks for.
+// nextRequest returns the next connection and the target of its request.
 func (a *manualAgent) nextRequest() (net.Conn, string) {
 	a.Helper()
 	nc, r := a.accept()
@@ -56,7 +56,7 @@
 	return nc, strings.Fields(line)[1]
 }
 
-// The objects of a watch are had in whatever shape and pieces they come, each at its last byte and all from the one watch.
+// The objects of a watch must be found in any layout and split, each at its last byte, without a further connection.
 func TestObjectsInAnyLayout(t *testing.T) {
 	first, second := listJSON(42, false, endpointJSON("a", "Terminating")), listJSON(43, false, endpointJSON("b", "Terminating"))
 	withNote := strings.Replace(first, `"index"`, `"note":"}{\" ][\\","index"`, 1)
@@ -77,14 +77,14 @@
 			io.WriteString(nc, text)
 			for _, want := range []string{"a", "b"} {
 				if l := s.next(t); l.Full || len(l.Entries) != 1 || l.Entries[0].Name != want || l.Entries[0].State != policy.Draining {
-					t.Fatalf("%+v, not the change of %s", l, want)
+					t.Fatalf("got %+v, want the change of %s", l, want)
 				}
 			}
 		})
 	}
 }
 
-// An object that is cut off is not taken, and what it said is had from the next call.
+// A truncated object must not be applied; the full list that is requested next holds its change.
 func TestTruncatedObjectIsNotApplied(t *testing.T) {
 	for name, endConn := range map[string]func(net.Conn){"end": func(nc net.Conn) { nc.Close() }, "reset": resetConn} {
 		t.Run(name, func(t *testing.T) {
@@ -96,26 +96,26 @@
 			endConn(nc)
 			nc, target := a.nextRequest()
 			if len(s.lists) > 0 {
-				t.Error("half an object was taken")
+				t.Error("a truncated object was applied")
 			}
-			if target != listTarget { // a watch after 41 might be silent, and what the agent has counts already
-				t.Fatalf("asked for %s", target)
+			if target != listTarget { // a watch after 41 might be silent, and the change counts as delivered already
+				t.Fatalf("request for %s, want the full list", target)
 			}
 			io.WriteString(nc, httpResponse(listJSON(42, true, endpointJSON("a", "Terminating"))))
 			if l := s.next(t); !l.Full || l.Entries[0].State != policy.Draining {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 		})
 	}
 }
 
-// A whole list whose answer names no length ends with its connection, and is whole with the object's end, whatever
-// becomes of the connection. The watch follows on another.
+// A full list in a response without a length, or with Connection: close, is complete at the end of its object, whatever happens to
+// the connection. The watch must follow on a new connection.
 func TestListThatEndsWithConnection(t *testing.T) {
 	body := listJSON(41, true, endpointJSON("a", "Ready"))
 	for name, c := range map[string]struct {
-		head string
-		then func(net.Conn)
+		head   string
+		finish func(net.Conn)
 	}{
 		"closed":         {"HTTP/1.1 200 OK\r\n\r\n", func(nc net.Conn) { nc.Close() }},
 		"closed, HTTP 1": {"HTTP/1.0 200 OK\r\n\r\n", func(nc net.Conn) { nc.Close() }},
@@ -125,31 +125,32 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, s, client := startAgentWith(t, false, longLimits)
-			truncated, _ := a.nextRequest() // the first is cut short: that is no list
+			truncated, _ := a.nextRequest() // the first response is truncated and must not count as a list
 			io.WriteString(truncated, "HTTP/1.1 200 OK\r\n\r\n"+body[:len(body)-1])
 			truncated.Close()
 			nc, target := a.nextRequest()
 			if client.HasList() || target != listTarget {
-				t.Fatalf("half a list was taken; asked for %s", target)
+				t.Fatalf("a truncated list was applied, or a watch was requested: target %s", target)
 			}
 			io.WriteString(nc, c.head+body)
-			c.then(nc)
+			c.finish(nc)
 			if l := s.next(t); !l.Full || len(l.Entries) != 1 {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 			nc, target = a.nextRequest()
 			if target != watchTarget(41) {
-				t.Fatalf("asked for %s", target)
+				t.Fatalf("request for %s, want a watch after index 41", target)
 			}
 			io.WriteString(nc, watchHead+chunk(listJSON(42, false, endpointJSON("a", "Gone"))))
 			if l := s.next(t); l.Full || l.Entries[0].State != policy.Removed {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 		})
 	}
 }
 
-// Where the decisions ask, a connection that ends with the whole list is no failure: the watch is opened without them.
+// With a shared discovery, a connection that closes after the full list must not be reported as a failure, and the watch must be
+// opened without a request of the policy.
 func TestSharedDiscoveryCloseAfterListIsNoFailure(t *testing.T) {
 	a, s, c := startAgentWith(t, true, longLimits)
 	c.Watch()
@@ -160,13 +161,13 @@
 	s.next(t)
 	nc, _ = a.nextRequest()
 	if len(s.failed) > 0 {
-		t.Error("a list that was had was told as a failure")
+		t.Error("WatchFailed was called after a complete list")
 	}
 	io.WriteString(nc, watchHead)
 }
 
-// What a watch says below the version that is held may be old or of a discovery that began anew: it is not taken, nor is
-// the watch trusted further, and a fresh list tells. That one counts whatever its index, and what follows it too.
+// An object in a watch with an index below the current one may be old or from a restarted discovery. The client must not apply it,
+// must end the watch, and must request the full list. That list is applied whatever its index, and so are the changes after it.
 func TestLowerIndexRequestsFullList(t *testing.T) {
 	for name, staleObject := range map[string]string{
 		"a change":     listJSON(43, false, endpointJSON("a", "Ready"), endpointJSON("z", "Ready")),
@@ -180,26 +181,26 @@
 				io.WriteString(nc, chunk(listJSON(45, false, endpointJSON("a", "Terminating"))+"\n"))
 				s.next(t)
 				io.WriteString(nc, chunk(staleObject+"\n"))
-				go func() { // as far as pulses go all is well
+				go func() { // heartbeats continue, so that the watch does not time out
 					for writeAfter(nc, 20*time.Millisecond, chunk("\n")) == nil {
 					}
 				}()
 				newConn, r := a.serveList(newIndex, endpointJSON("a", "Gone"))
 				if l := s.next(t); !l.Full || len(l.Entries) != 1 || l.Entries[0].State != policy.Removed {
-					t.Fatalf("%+v: not the fresh list", l)
+					t.Fatalf("got %+v, want the newly requested list", l)
 				}
 				a.acceptWatch(newConn, r, newIndex)
 				io.WriteString(newConn, chunk(listJSON(newIndex+1, false, endpointJSON("y", "Ready"))+"\n"))
 				if l := s.next(t); l.Full || l.Entries[0].Name != "y" {
-					t.Fatalf("%+v", l)
+					t.Fatalf("unexpected list: %+v", l)
 				}
 			})
 		}
 	}
 }
 
-// The first answer of a watch may be the whole list. It is fresh, and counts at any index; one further on counts from
-// the version that is held. The changes after it go by its index.
+// The first object of a watch may be the full list, which is applied at any index. A later full list is applied only if its index is
+// not below the current one. The changes after a full list are compared with its index.
 func TestFullListInWatch(t *testing.T) {
 	for _, index := range []int{3, 41, 60} {
 		t.Run(fmt.Sprint(index), func(t *testing.T) {
@@ -208,21 +209,21 @@
 			nc := openWatch(t, a, s, endpointJSON("a", "Ready"), endpointJSON("b", "Ready"))
 			io.WriteString(nc, chunk(listJSON(index, true, endpointJSON("a", "Ready"))+"\n"))
 			if l := s.next(t); !l.Full || len(l.Entries) != 1 {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 			io.WriteString(nc, chunk(listJSON(index+1, false, endpointJSON("a", "Terminating"))+"\n"))
 			if l := s.next(t); l.Full || l.Entries[0].State != policy.Draining {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 			io.WriteString(nc, chunk(listJSON(index+1, true, endpointJSON("z", "Ready"))+"\n"))
 			if l := s.next(t); !l.Full || l.Entries[0].Name != "z" {
-				t.Fatalf("%+v", l)
+				t.Fatalf("unexpected list: %+v", l)
 			}
 		})
 	}
 }
 
-// wordless are watches that end, or never begin, without having told anything.
+// emptyWatches are watches that end, or never begin, without a complete object or heartbeat.
 var emptyWatches = map[string]func(net.Conn){
 	"closed unanswered":     func(nc net.Conn) { nc.Close() },
 	"reset unanswered":      resetConn,
@@ -241,28 +242,28 @@
 	"an object with no end": respond(watchHead + chunk(`{"index":2,`) + "0\r\n\r\n"),
 }
 
-// While every watch ends wordless, the whole list is had well before a change counts as told: where the list is pushed, and
-// where it is asked for and the decisions' word does not come.
+// While every watch ends without a report, the client must read the full list well before a change counts as delivered: with an
+// agent, and with a shared discovery without further requests of the policy.
 func TestEmptyWatchesAreFollowedByFullList(t *testing.T) {
 	for name, fail := range emptyWatches {
 		for _, onDemand := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", asked for: ", onDemand), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", on demand: ", onDemand), func(t *testing.T) {
 				t.Parallel()
 				s := newScriptedAgent(t, listenLoopback(t))
 				endedAt := make(chan time.Time, 1000)
 				s.setAnswers(1, nil, func(nc net.Conn) {
 					endedAt <- time.Now()
-					s.setAnswers(2, nil, fail) // for good: no watch ever tells of it
+					s.setAnswers(2, nil, fail) // from now on, so that no watch reports index 2
 					fail(nc)
 				})
 				c, waitForReplica, _ := startClient(t, s.ln.Addr().String(), onDemand)
 				c.Watch()
 				waitForReplica("v1")
-				limit := scaledLimits.RedialMost + slack // an agent's changes count at once
+				limit := scaledLimits.RedialMost + slack // an agent's changes count as delivered at once
 				if name == "unanswered" || name == "a head that trickles" {
-					limit += scaledLimits.AgentTime // it has not ended
+					limit += scaledLimits.AgentTime // the watch does not end by itself
 				}
-				if onDemand { // after two calls with no answer, or some that failed and the longest wait
+				if onDemand { // two calls that time out, or failed calls for WatchSilence and the longest backoff
 					limit = max(2*scaledLimits.CallTime, scaledLimits.WatchSilence+scaledLimits.CallMost) + slack
 				}
 				checkLatency(t, waitForReplica("v2"), <-endedAt, min(limit, deliveryLimit))
@@ -271,8 +272,8 @@
 	}
 }
 
-// A watch that ends when its next word is long due leaves no time for another that says nothing: the whole list is asked
-// for at once.
+// A watch ends when its next heartbeat is long due. A second silent watch would take too long, so the client must request the full
+// list at once.
 func TestWatchThatEndsLateIsFollowedByFullList(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
@@ -282,7 +283,7 @@
 		lastHeartbeat <- time.Now()
 		time.Sleep(scaledLimits.WatchSilence * 9 / 10)
 		s.setAnswers(2, nil, func(nc net.Conn) {
-			time.Sleep(scaledLimits.AgentTime * 9 / 10) // a head in time, and then nothing
+			time.Sleep(scaledLimits.AgentTime * 9 / 10) // the response head is in time; nothing follows
 			io.WriteString(nc, watchHead)
 		})
 		nc.Close()
@@ -292,7 +293,7 @@
 	checkLatency(t, waitForReplica("v2"), <-lastHeartbeat, min(scaledLimits.WatchSilence+scaledLimits.RedialMost+slack, deliveryLimit))
 }
 
-// A head that comes late takes of the time that the watch has for its first word.
+// The time until a late response head must count towards the silence limit of the watch.
 func TestLateResponseHeadCountsAsSilence(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
@@ -308,8 +309,8 @@
 	checkLatency(t, waitForReplica("v2"), <-requestedAt, scaledLimits.WatchSilence+scaledLimits.RedialFirst+slack)
 }
 
-// Where the list is asked for and the decisions were told that it can't be had, what there is when discovery is back does
-// not wait for them.
+// With a shared discovery, after the policy was notified of an outage, the client must read the list once discovery recovers, without
+// a further request of the policy.
 func TestSharedDiscoveryRecoversWithoutWatchRequest(t *testing.T) {
 	for name, fail := range failingLists {
 		t.Run(name, func(t *testing.T) {
@@ -322,11 +323,11 @@
 			c, waitForReplica, failed := startClient(t, s.ln.Addr().String(), true)
 			c.Watch()
 			waitForReplica("v1")
-			for range 2 { // the end of the watch, and then that it can't be had again
+			for range 2 { // once for the end of the watch, once for the failed requests
 				select {
 				case <-failed:
 				case <-time.After(testTimeout):
-					t.Fatal("not told")
+					t.Fatal("WatchFailed was not called")
 				}
 			}
 			s.setAnswers(2, nil, nil)
@@ -336,15 +337,15 @@
 	}
 }
 
-// A watch that is opened anew, ends soon and is told the decisions as a failure is not waited for by them: what it does
-// not tell is had before it counts as told.
+// A reopened watch ends soon, which is reported to the policy as a failure. The client must not wait for the policy: it must have the
+// change that the watch did not report before the change counts as delivered.
 func TestSharedDiscoveryShortWatchIsFollowedInTime(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
 	lastHeartbeat := make(chan time.Time, 1)
 	s.setAnswers(1, nil, func(nc net.Conn) {
 		io.WriteString(nc, watchHead)
-		time.Sleep(scaledLimits.AgentTime * 12 / 10) // long enough to be asked for again without them
+		time.Sleep(scaledLimits.AgentTime * 12 / 10) // lasts long enough to be reopened without a report to the policy
 		io.WriteString(nc, chunk("\n"))
 		lastHeartbeat <- time.Now()
 		s.setAnswers(2, nil, func(nc net.Conn) {
@@ -361,12 +362,12 @@
 	checkLatency(t, waitForReplica("v2"), <-lastHeartbeat, deliveryLimit-slack)
 }
 
-// A move in the middle of whatever becomes of the old address, and whether or not the decisions are waited for, has the
-// list from the new one at once.
+// During any failure of the old address, with an agent or a shared discovery, a move must read the list from the new address at
+// once.
 func TestMoveDuringFailures(t *testing.T) {
 	for name, fail := range emptyWatches {
 		for _, onDemand := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", asked for: ", onDemand), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", on demand: ", onDemand), func(t *testing.T) {
 				t.Parallel()
 				a, b := newScriptedAgent(t, listenLoopback(t)), newScriptedAgent(t, listenLoopback(t))
 				failed := make(chan struct{}, 1000)
@@ -379,7 +380,7 @@
 				c, waitForReplica, _ := startClient(t, a.ln.Addr().String(), onDemand)
 				c.Watch()
 				waitForReplica("v1")
-				if !strings.HasPrefix(name, "a head") { // that one goes on until it is left
+				if !strings.HasPrefix(name, "a head") { // this watch writes until the client closes it
 					<-failed
 				}
 				movedAt := time.Now()
@@ -392,7 +393,7 @@
 	}
 }
 
-// shut holds that an agent has so many connections open, soon.
+// expectConns waits until an agent has the wanted number of open connections.
 func expectConns(t *testing.T, s *scriptedAgent, want int) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); s.addConns(0) != want; time.Sleep(pollInterval) {
@@ -402,7 +403,7 @@
 	}
 }
 
-// Asks that were open all together and are answered in one moment give one list; the others' connections are closed.
+// If several requests in flight are answered at the same time, one response must be used and the other connections closed.
 func TestConcurrentAnswersGiveOneList(t *testing.T) {
 	t.Parallel()
 	s := newScriptedAgent(t, listenLoopback(t))
@@ -423,12 +424,12 @@
 	close(release)
 	waitForReplica("v2")
 	expectConns(t, s, 1)
-	if n := maxConns.Load(); n > maxConcurrentRequests+1 { // one may still be ending
-		t.Errorf("%d were open at once, %d allowed", n, maxConcurrentRequests)
+	if n := maxConns.Load(); n > maxConcurrentRequests+1 { // one may not be closed yet
+		t.Errorf("%d connections were open at the same time, want at most %d", n, maxConcurrentRequests)
 	}
 }
 
-// failures counts what a log tells of failed asks, by what its line holds.
+// matchCounter is a log writer that counts the lines that hold a substring.
 type matchCounter struct {
 	substring string
 	count     atomic.Int32
@@ -441,8 +442,8 @@
 	return len(line), nil
 }
 
-// While the process has no descriptor left the list can't be asked for; it is had as soon as there is one, after however
-// many asks.
+// Guards against a client that does not recover from a lack of file descriptors: after any number of failed attempts, it must read
+// the list as soon as a descriptor is available.
 func TestRequestsResumeAfterDescriptorExhaustion(t *testing.T) {
 	s := newScriptedAgent(t, listenLoopback(t))
 	resetWatch := make(chan struct{})
@@ -453,7 +454,7 @@
 	})
 	refused := &matchCounter{substring: "too many open files"}
 	limits := scaledLimits
-	limits.LogEvery = time.Nanosecond // each is told
+	limits.LogEvery = time.Nanosecond // every failure is logged
 	_, waitForReplica, _ := startClientWith(t, s.ln.Addr().String(), false, limits, refused)
 	waitForReplica("v1")
 	var before syscall.Rlimit
@@ -467,14 +468,14 @@
 	}
 	defer restore()
 	exhausted := before
-	exhausted.Cur = 3 // the standard streams: any further one is refused, while what is open goes on
+	exhausted.Cur = 3 // room for the standard streams: new descriptors are refused, open ones stay usable
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &exhausted); err != nil {
 		t.Fatal(err)
 	}
 	close(resetWatch)
 	for deadline := time.Now().Add(testTimeout); refused.count.Load() <= 2*maxConcurrentRequests; time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d asks were refused", refused.count.Load())
+			t.Fatalf("only %d attempts failed for lack of descriptors", refused.count.Load())
 		}
 	}
 	restore()
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,7 +5,7 @@
 // Reasons for which a connection to discovery is closed.
 var (
 	errTimeout         = errors.New("timeout: discovery sent no complete response, object or heartbeat before the deadline")
-	errOnDemandTimeout = errors.New("requests for the list kept failing for longer than the watch silence limit")
+	errRequestsFailed  = errors.New("requests for the list kept failing for longer than the watch silence limit")
 	errNoList          = errors.New("the response holds no list")
 	errMultipleLists   = errors.New("the response holds more than one list")
 	errClosedAfterList = errors.New("the connection is closed after the full list")
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -13,8 +13,8 @@
 	client         *Client
 	address        string
 	index          int64
-	fullListNeeded bool          // set at the start, after an object that could not be used, and after a timeout
-	confirmedAt    time.Time     // when the list was last known to be current: the last heartbeat or change, or the start of the request for the full list
+	fullListNeeded bool          // set at the start, after an invalid object and, where handleSilence decides so, after a timeout
+	confirmedAt    time.Time     // time of the last heartbeat or change, or start of the request for the full list
 	backoff        time.Duration // wait before the next connection
 	cancel         context.CancelFunc
 
@@ -37,10 +37,10 @@
 	}
 	for ctx.Err() == nil {
 		s, err := f.request(ctx)
-		began := time.Now()
+		startedAt := time.Now()
 		if err == nil {
 			err = f.consume(s)
-			f.markUnconfirmed(err, time.Since(began))
+			f.markUnconfirmed(err, time.Since(startedAt))
 			s.close()
 		}
 		if ctx.Err() != nil {
@@ -48,11 +48,11 @@
 		}
 		c.logWatchEnd(f, err)
 		f.lastErr, f.watchNext = err, errors.Is(err, errClosedAfterList)
-		lasted, closed := time.Since(began), errors.Is(err, errClosedAfterList)
-		if f.backoff = c.retry.nextBackoff(f.backoff); lasted > c.retry.maxBackoff || closed {
+		lifetime, closed := time.Since(startedAt), errors.Is(err, errClosedAfterList)
+		if f.backoff = c.retry.nextBackoff(f.backoff); lifetime > c.retry.maxBackoff || closed {
 			f.backoff = c.retry.reconnectBackoff
 		}
-		if c.onDemand && lasted < c.limits.AgentTime && !closed && c.isActive(f) {
+		if c.onDemand && lifetime < c.limits.AgentTime && !closed && c.isActive(f) {
 			c.sink.WatchFailed()
 		}
 		if errors.Is(err, errTimeout) {
@@ -68,9 +68,9 @@
 
 // markUnconfirmed makes the list count as pending for unconfirmedTime if an agent's watch ended after more than maxBackoff: the
 // full list is then requested at once. After a shorter watch the next request waits for the backoff, so nothing is marked.
-func (f *feed) markUnconfirmed(err error, lasted time.Duration) {
+func (f *feed) markUnconfirmed(err error, lifetime time.Duration) {
 	c := f.client
-	if c.retry.shared || lasted <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errTimeout) || errors.Is(err, errClosedAfterList) {
+	if c.retry.shared || lifetime <= c.retry.maxBackoff || !c.isActive(f) || errors.Is(err, errTimeout) || errors.Is(err, errClosedAfterList) {
 		return
 	}
 	c.unconfirmed.Store(true)
@@ -167,25 +167,25 @@
 }
 
 // applyObject decodes one object and passes it on to the sink; changed is false for a change that is already known. An invalid
-// object leaves the list as it is. The first full list from a new address completes the move: from then on the old address is not
-// read.
+// object leaves the list as it is. fullList means that the object was requested as the full list, first that it is the first object
+// of its response. The first full list from a new address completes the move: from then on the old address is not read.
 //
 // A full list that is the first object of a response was requested after everything known here had been received. It is applied
 // whatever its index, since discovery may have restarted. Later in a watch, an index below the current one has two possible
 // causes: the object is old, and then a full list would undo newer changes; or discovery has restarted, and then all later objects
 // would be ignored as old. Only a newly requested list can tell, so the watch is ended with errStaleIndex.
-func (f *feed) applyObject(raw []byte, whole, fresh bool) (changed bool, err error) {
+func (f *feed) applyObject(raw []byte, fullList, first bool) (changed bool, err error) {
 	c := f.client
-	list, index, odd, err := Parse(raw)
+	list, index, problems, err := Parse(raw)
 	if err != nil {
 		c.limitedLog.Warn("an object from discovery is invalid and was skipped", logrus.Fields{"error": err, "bytes": len(raw)})
 		return false, err
 	}
-	if len(odd) > 0 {
-		c.limitedLog.Warn("the list has invalid entries", logrus.Fields{"entries": odd, "index": index})
+	if len(problems) > 0 {
+		c.limitedLog.Warn("the list has invalid entries", logrus.Fields{"entries": problems, "index": index})
 	}
-	list.Full = list.Full || whole
-	if !(list.Full && fresh) && index < f.index {
+	list.Full = list.Full || fullList
+	if !(list.Full && first) && index < f.index {
 		return false, errStaleIndex
 	}
 	if !list.Full && index == f.index { // the change is already applied
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -49,10 +49,10 @@
 func Parse(raw []byte) (list exchange.ReplicaList, index int64, problems []string, err error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return list, 0, nil, fmt.Errorf("discovery: %w", err)
+		return list, 0, nil, fmt.Errorf("discovery: invalid object: %w", err)
 	}
 	if message.Index == nil {
-		return list, 0, nil, errors.New("discovery: no index")
+		return list, 0, nil, errors.New("discovery: object has no index")
 	}
 	list.Full, list.Index = message.Snapshot, *message.Index
 	for i := range message.Endpoints {
@@ -60,10 +60,10 @@
 		state, known := readinessByStatus[ep.Status]
 		if !known {
 			state = policy.Draining
-			problems = append(problems, fmt.Sprintf("%s: status %q", ep.Name, ep.Status))
+			problems = append(problems, fmt.Sprintf("%s: unknown status %q", ep.Name, ep.Status))
 		}
 		if _, _, err := net.SplitHostPort(ep.Address); ep.Name == "" || err != nil && state != policy.Removed {
-			problems = append(problems, fmt.Sprintf("%s: address %q", ep.Name, ep.Address))
+			problems = append(problems, fmt.Sprintf("%s: missing name or invalid address %q", ep.Name, ep.Address))
 			continue
 		}
 		e := exchange.Endpoint{
--- a/internal/discovery/pending_test.go
+++ b/internal/discovery/pending_test.go
@@ -8,7 +8,7 @@
 	"birchcart/internal/exchange"
 )
 
-// blockingSink takes a list only when the test lets it.
+// blockingSink blocks in UpdateReplicas until the test releases it.
 type blockingSink struct {
 	received chan exchange.ReplicaList
 	release  chan struct{}
@@ -20,8 +20,8 @@
 }
 func (s *blockingSink) WatchFailed() {}
 
-// A change is pending from when it is in the kernel until the sink has it, and nothing is between changes; half an object that has
-// been read waits for its end and holds up nothing.
+// A change must be pending from its arrival in the receive buffer until the sink has it. Nothing is pending between changes, nor while
+// an object has been read in part.
 func TestChangeIsPendingUntilApplied(t *testing.T) {
 	a, s, c := startAgentWith(t, false, longLimits)
 	blocked := &blockingSink{make(chan exchange.ReplicaList), make(chan struct{})}
@@ -30,12 +30,12 @@
 		t.Helper()
 		for deadline := time.Now().Add(testTimeout); c.ListPending() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("pending is not %v", want)
+				t.Fatalf("ListPending did not become %v", want)
 			}
 		}
 	}
 	waitForPending(false)
-	c.mu.Lock() // the reader has no turn to pass it on
+	c.mu.Lock() // keeps the reader from passing the change on
 	c.sink = blocked
 	change := listJSON(42, false, endpointJSON("a", "Terminating"))
 	io.WriteString(nc, chunk(change))
@@ -43,45 +43,45 @@
 	c.mu.Unlock()
 	<-blocked.received
 	if !c.ListPending() {
-		t.Error("a change that the sink has not taken is not pending")
+		t.Error("ListPending is false while the sink has not accepted the change")
 	}
 	blocked.release <- struct{}{}
 	waitForPending(false)
-	half := listJSON(43, false, endpointJSON("a", "Gone"))
-	io.WriteString(nc, chunk(half[:20]))
+	removal := listJSON(43, false, endpointJSON("a", "Gone"))
+	io.WriteString(nc, chunk(removal[:20]))
 	waitForPending(false)
-	io.WriteString(nc, chunk(half[20:]))
+	io.WriteString(nc, chunk(removal[20:]))
 	waitForPending(true)
 	<-blocked.received
 	blocked.release <- struct{}{}
 	waitForPending(false)
 }
 
-// The end of an agent's watch that had lasted leaves the list pending until the full list is passed on, which is requested at once, or
-// for a moment if that does not come.
+// After the end of an agent's watch that lasted longer than maxBackoff, the full list must be requested at once. The list must be
+// pending until the full list is passed on, or for unconfirmedTime if there is no response.
 func TestListIsPendingAfterWatchEnds(t *testing.T) {
 	for name, answered := range map[string]bool{"answered": true, "unanswered": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, s, c := startAgentWith(t, false, longLimits)
 			nc := openWatch(t, a, s, endpointJSON("a", "Ready"))
-			time.Sleep(longLimits.RedialMost + 50*time.Millisecond) // it has lasted
+			time.Sleep(longLimits.RedialMost + 50*time.Millisecond) // longer than maxBackoff
 			nc.Close()
 			nc, target := a.nextRequest()
-			asked := time.Now()
+			requestedAt := time.Now()
 			if target != listTarget {
-				t.Errorf("asked for %s", target)
+				t.Errorf("request for %s, want the full list", target)
 			}
-			if !c.ListPending() && time.Since(asked) < unconfirmedTime/2 {
-				t.Error("nothing is pending after the end")
+			if !c.ListPending() && time.Since(requestedAt) < unconfirmedTime/2 {
+				t.Error("ListPending is false right after the end of the watch")
 			}
 			if answered {
 				io.WriteString(nc, httpResponse(listJSON(42, true, endpointJSON("a", "Terminating"))))
 				s.next(t)
 			}
-			for end := time.Now().Add(testTimeout); c.ListPending(); time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
-					t.Fatal("pending for ever")
+			for deadline := time.Now().Add(testTimeout); c.ListPending(); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Fatal("ListPending stayed true")
 				}
 			}
 		})
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -11,8 +11,11 @@
 )
 
 const (
-	listTarget            = "/api/targets"
-	maxConcurrentRequests = 5 // limit on connections to the agent with a request in flight; their descriptors are part of the reserve for all connections but those to peers
+	listTarget = "/api/targets"
+
+	// maxConcurrentRequests limits the connections to the agent that wait for a response. Their descriptors are part of the number
+	// that the limits reserve for everything but the connections to peers.
+	maxConcurrentRequests = 5
 )
 
 // watchTarget returns the target of a watch for the changes after an index.
@@ -36,7 +39,7 @@
 // failures ends the request, so that the policy is notified.
 func (f *feed) request(ctx context.Context) (*stream, error) {
 	c := f.client
-	began := time.Now()
+	requestedAt := time.Now()
 	answers := make(chan requestResult, maxConcurrentRequests)
 	inFlight := map[int]context.CancelFunc{}
 	defer func() {
@@ -44,7 +47,7 @@
 			cancel()
 		}
 	}()
-	due := f.firstRequestAt(began)
+	due := f.firstRequestAt(requestedAt)
 	c.logRequest(f)
 	for attempts := 0; ; {
 		var retryTimer <-chan time.Time
@@ -76,9 +79,9 @@
 			f.backoff = c.retry.nextBackoff(f.backoff)
 			f.watchNext = false // the watch that was to follow the full list has failed
 			due = f.nextRequestAt(result, due)
-			if c.onDemand && c.isActive(f) && time.Since(began) >= c.limits.WatchSilence {
+			if c.onDemand && c.isActive(f) && time.Since(requestedAt) >= c.limits.WatchSilence {
 				f.resumeAt = due
-				return nil, errOnDemandTimeout
+				return nil, errRequestsFailed
 			}
 		}
 	}
@@ -111,7 +114,7 @@
 func (f *feed) attempt(ctx context.Context, fullList bool, index int64) (*stream, error) {
 	limits := &f.client.limits
 	dialer := net.Dialer{Timeout: f.client.retry.firstByteTime}
-	began := time.Now()
+	startedAt := time.Now()
 	rawConn, err := dialer.DialContext(ctx, "tcp", f.address)
 	if err != nil {
 		return nil, err
@@ -126,7 +129,7 @@
 		conn.Close()
 		f.client.conns.remove(conn)
 	})
-	s := &stream{conn: conn, fullList: fullList, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerDeadline: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: limits.ListBytes}}
+	s := &stream{conn: conn, fullList: fullList, startedAt: startedAt, deadline: startedAt.Add(f.client.retry.firstByteTime), answerDeadline: startedAt.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: limits.ListBytes}}
 	s.splitter.Limits = h1.Limits{Head: limits.HeadBytes}
 	s.scanner = bufio.NewScanner(s)
 	s.scanner.Buffer(nil, limits.HeadBytes+limits.BodyBytes)
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -15,17 +15,17 @@
 	maxConcurrent              int           // limit on requests in flight
 	answerTime                 time.Duration // limit on connecting and reading the complete response
 	firstByteTime              time.Duration // limit on connecting and reading the first byte of the response
-	initialBackoff, maxBackoff time.Duration // between attempts after a failure; doubled with each failure
+	initialBackoff, maxBackoff time.Duration // wait after a failed attempt; doubled with each failure from the first to the second
 	reconnectBackoff           time.Duration // after the end of a connection that lasted longer than maxBackoff
 	maxConfirmationAge         time.Duration // if the last confirmation is older, the full list is requested instead of a watch
-	shared                     bool          // all co-ordinators share discovery: backoffs have jitter, and an attempt begins after the end of the one before
+	shared                     bool          // all co-ordinators share discovery: backoffs have jitter and attempts do not overlap
 }
 
 // newRetryPolicy returns the policy for a shared discovery if onDemand is set, and the policy for an agent otherwise.
 func newRetryPolicy(onDemand bool, limits *config.Limits) retryPolicy {
 	if !onDemand {
 		// A change counts as delivered as soon as the agent has it, whether or not a watch is open, and a watch may end without
-		// reporting it. The next watch may be silent, so after any confirmation age the full list is requested instead.
+		// reporting it. The next watch may be silent, so the full list is requested instead, however recent the last confirmation is.
 		return retryPolicy{
 			maxConcurrent: maxConcurrentRequests, answerTime: limits.AgentTime, firstByteTime: limits.AgentTime / 2,
 			initialBackoff: limits.RedialFirst, maxBackoff: limits.RedialMost, reconnectBackoff: 0, maxConfirmationAge: 0,
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -56,8 +56,8 @@
 
 // timedOut reports whether an error is a timeout of the network.
 func timedOut(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
 // sendGet sends a GET request and reads the head of the response, which must have status 200.
@@ -105,11 +105,11 @@
 			return err
 		}
 		for len(piece) > 0 {
-			n, what, err := s.objects.scan(piece)
+			n, result, err := s.objects.scan(piece)
 			if err != nil {
 				return err
 			}
-			if piece = piece[n:]; what != foundObject {
+			if piece = piece[n:]; result != foundObject {
 				continue
 			}
 			if found {
