--- a/internal/fleet/completed/completed.go
+++ b/internal/fleet/completed/completed.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Most queries are remembered; the oldest go first. A session has one open query that is not safe at a time, and its client
+// MaxEntries queries are remembered; the oldest go first. A session has one open query that is not safe at a time, and its client
 // repeats the newest. Twice as many: 16 bytes more at the owner and 15 in a hand for each; half: a client that repeats five at once may have one run twice.
-const Most = 8
+const MaxEntries = 8
 
-// Unit of the times that are kept, which are rounded down: a window ends early rather than late.
-const Unit = 100 * time.Millisecond
+// TimeUnit of the times that are kept, which are rounded down: a window ends early rather than late.
+const TimeUnit = 100 * time.Millisecond
 
 // ID is a short hash of the id that a client gave its query, among those of one session. Two ids of one hash, one in 2^48, cost a query that is
 // failed and could have run. Zero for none.
@@ -36,37 +36,37 @@
 	return id
 }
 
-// How a query ended that is remembered.
-type How uint8
+// Outcome a query ended that is remembered.
+type Outcome uint8
 
 // Outcomes that are remembered.
 const (
-	Served     How = iota + 1 // with an answer, whether its client got it or not
-	MayHaveRun                // without
+	Served     Outcome = iota + 1 // with an answer, whether its client got it or not
+	MayHaveRun                    // without
 )
 
 // Entry is one query.
 type Entry struct {
-	ID    ID
-	How   How
-	Keyed bool   // a repeat is dropped at the replicas until its window ends; else never
-	Seq   uint32 // its place in the session, the lower bits
-	until uint32 // Keyed: the end of the window, in Units of the own clock
+	ID        ID
+	Outcome   Outcome
+	Keyed     bool   // a repeat is dropped at the replicas until its window ends; else never
+	Seq       uint32 // its place in the session, the lower bits
+	windowEnd uint32 // Keyed: the end of the window, in Units of the own clock
 }
 
-// Keys gives an entry of a keyed query its window's end, by the own clock.
-func (e Entry) Keys(until time.Duration) Entry {
-	e.Keyed, e.until = true, units(until)
+// WithWindowEnd gives an entry of a keyed query its window's end, by the own clock.
+func (e Entry) WithWindowEnd(until time.Duration) Entry {
+	e.Keyed, e.windowEnd = true, toTimeUnits(until)
 	return e
 }
 
-func units(d time.Duration) uint32 { return uint32(min(max(d/Unit, 0), 1<<32-1)) }
+func toTimeUnits(d time.Duration) uint32 { return uint32(min(max(d/TimeUnit, 0), 1<<32-1)) }
 
-// Until is the end of the window, by the own clock.
-func (e Entry) Until() time.Duration { return time.Duration(e.until) * Unit }
+// WindowEnd is the end of the window, by the own clock.
+func (e Entry) WindowEnd() time.Duration { return time.Duration(e.windowEnd) * TimeUnit }
 
-// Bars says that a repeat must not begin which may run until that time.
-func (e Entry) Bars(until time.Duration) bool { return !e.Keyed || until > e.Until() }
+// BlocksRepeat says that a repeat must not begin which may run until that time.
+func (e Entry) BlocksRepeat(until time.Duration) bool { return !e.Keyed || until > e.WindowEnd() }
 
 // Record of a session, the oldest first.
 type Record []Entry
@@ -83,34 +83,34 @@
 	return Entry{}, false
 }
 
-// Note remembers a query as the newest. Of one that is there already the worse is kept: that it is not keyed, and the window that ends first.
-func (r Record) Note(e Entry) Record {
+// Add remembers a query as the newest. Of one that is there already the worse is kept: that it is not keyed, and the window that ends first.
+func (r Record) Add(e Entry) Record {
 	if e.ID == (ID{}) {
 		return r
 	}
 	for i := range r {
 		if b := r[i]; b.ID == e.ID {
-			e.Keyed, e.until = e.Keyed && b.Keyed, min(e.until, b.until)
-			if b.How == Served {
-				e.How = Served
+			e.Keyed, e.windowEnd = e.Keyed && b.Keyed, min(e.windowEnd, b.windowEnd)
+			if b.Outcome == Served {
+				e.Outcome = Served
 			}
 			if !e.Keyed {
-				e.until = 0
+				e.windowEnd = 0
 			}
 			return append(append(r[:i], r[i+1:]...), e)
 		}
 	}
-	if len(r) == Most {
+	if len(r) == MaxEntries {
 		return append(append(r[:0], r[1:]...), e)
 	}
 	return append(r, e)
 }
 
-// Shift moves the windows' ends, as if the own clock had shown d more.
-func (r Record) Shift(d time.Duration) {
+// ShiftWindows moves the windows' ends, as if the own clock had shown d more.
+func (r Record) ShiftWindows(d time.Duration) {
 	for i := range r {
 		if r[i].Keyed {
-			r[i].until = units(r[i].Until() + d)
+			r[i].windowEnd = toTimeUnits(r[i].WindowEnd() + d)
 		}
 	}
 }
--- a/internal/fleet/completed/completed_test.go
+++ b/internal/fleet/completed/completed_test.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-func of(n int) Entry {
-	return Entry{ID: IDOf(fmt.Sprint("q", n)), How: MayHaveRun, Seq: uint32(n)}
+func newEntry(n int) Entry {
+	return Entry{ID: IDOf(fmt.Sprint("q", n)), Outcome: MayHaveRun, Seq: uint32(n)}
 }
 
-func TestRecord(t *testing.T) {
+func TestRecordAddFindAndShift(t *testing.T) {
 	var r Record
-	for n := 1; n <= Most+2; n++ {
-		r = r.Note(of(n))
+	for n := 1; n <= MaxEntries+2; n++ {
+		r = r.Add(newEntry(n))
 	}
-	_, second := r.Find(of(2).ID)
-	third, known := r.Find(of(3).ID)
-	if len(r) != Most || second || !known || third != of(3) || !third.Bars(0) {
+	_, second := r.Find(newEntry(2).ID)
+	third, known := r.Find(newEntry(3).ID)
+	if len(r) != MaxEntries || second || !known || third != newEntry(3) || !third.BlocksRepeat(0) {
 		t.Fatalf("the oldest do not go first: %+v", r)
 	}
-	if again := r.Note(Entry{}); len(again) != Most || IDOf("") != (ID{}) {
+	if again := r.Add(Entry{}); len(again) != MaxEntries || IDOf("") != (ID{}) {
 		t.Fatal("one without an id is remembered")
 	}
 	if _, none := r.Find(ID{}); none {
 		t.Fatal("one without an id is found")
 	}
 	// A keyed one: its first window counts, and a repeat that may run beyond it does not begin.
-	k := of(20).Keys(10 * time.Second)
-	r = r.Note(k).Note(Entry{ID: k.ID, How: Served, Seq: 21}.Keys(15 * time.Second))
-	if e, _ := r.Find(k.ID); e.Until() != 10*time.Second || e.How != Served || e.Seq != 21 || e.Bars(10*time.Second) || !e.Bars(10*time.Second+1) || len(r) != Most {
+	k := newEntry(20).WithWindowEnd(10 * time.Second)
+	r = r.Add(k).Add(Entry{ID: k.ID, Outcome: Served, Seq: 21}.WithWindowEnd(15 * time.Second))
+	if e, _ := r.Find(k.ID); e.WindowEnd() != 10*time.Second || e.Outcome != Served || e.Seq != 21 || e.BlocksRepeat(10*time.Second) || !e.BlocksRepeat(10*time.Second+1) || len(r) != MaxEntries {
 		t.Fatalf("%+v", e)
 	}
 	// One that was unsafe once stays so.
-	if e, _ := r.Note(Entry{ID: of(20).ID, How: MayHaveRun, Seq: 22}).Find(k.ID); e.Keyed || !e.Bars(0) || e.How != Served {
+	if e, _ := r.Add(Entry{ID: newEntry(20).ID, Outcome: MayHaveRun, Seq: 22}).Find(k.ID); e.Keyed || !e.BlocksRepeat(0) || e.Outcome != Served {
 		t.Fatalf("%+v", e)
 	}
 	r = Record{k}
-	r.Shift(-3 * time.Second)
-	if r[0].Until() != 7*time.Second {
-		t.Fatal(r[0].Until())
+	r.ShiftWindows(-3 * time.Second)
+	if r[0].WindowEnd() != 7*time.Second {
+		t.Fatal(r[0].WindowEnd())
 	}
-	r.Shift(-time.Hour)
-	if !r[0].Bars(1) {
+	r.ShiftWindows(-time.Hour)
+	if !r[0].BlocksRepeat(1) {
 		t.Fatal("a window that is over")
 	}
 }
 
 // The hash is part of the form that a hand carries, and no two of many short ids have the same.
-func TestIDs(t *testing.T) {
+func TestIDOfIsStableAndUnique(t *testing.T) {
 	if got := fmt.Sprintf("%x", IDOf("a1")); got != "1307b5454dbb" {
 		t.Fatal(got)
 	}
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestSaved(t *testing.T) {
-	r := Record{of(1), of(2).Keys(7 * time.Second), of(5)}
-	r[2].How = Served
+func TestSaveAndLoad(t *testing.T) {
+	r := Record{newEntry(1), newEntry(2).WithWindowEnd(7 * time.Second), newEntry(5)}
+	r[2].Outcome = Served
 	const ahead = 1_700_000_000 * time.Second
 	raw := r.Save(9, ahead, 1024)
 	got, err := Load(raw, 9, ahead)
@@ -80,7 +80,7 @@
 	if none, err := Load(nil, 0, 0); len(none) > 0 || err != nil || r.Save(9, 0, 5) != nil || (Record{}).Save(1, 0, 99) != nil {
 		t.Fatal(none, err)
 	}
-	if late, err := Load(raw, 9, ahead+time.Hour); err != nil || late[1].Until() != 0 {
+	if late, err := Load(raw, 9, ahead+time.Hour); err != nil || late[1].WindowEnd() != 0 {
 		t.Fatalf("a window that ended long ago: %+v, %v", late, err)
 	}
 	spoilt := func(at int, b byte) []byte {
@@ -102,23 +102,23 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(Record{of(1), of(2).Keys(time.Second)}.Save(4, 0, 99), uint64(4), int64(0))
+	f.Add(Record{newEntry(1), newEntry(2).WithWindowEnd(time.Second)}.Save(4, 0, 99), uint64(4), int64(0))
 	f.Add([]byte{2, 0}, uint64(1), int64(1))
 	f.Fuzz(func(t *testing.T, raw []byte, seq uint64, ahead int64) {
-		a := time.Duration(ahead%(1<<40)) / Unit * Unit
+		a := time.Duration(ahead%(1<<40)) / TimeUnit * TimeUnit
 		r, err := Load(raw, seq, a)
 		if err != nil {
 			return
 		}
-		if len(r) > Most {
+		if len(r) > MaxEntries {
 			t.Fatal(len(r))
 		}
 		again, err := Load(r.Save(seq, a, 1<<10), seq, a)
 		if err != nil || !reflect.DeepEqual(again, r) && len(r)+len(again) > 0 {
 			t.Fatalf("%+v, then %+v, %v", r, again, err)
 		}
-		e := Entry{ID: IDOf(string(raw)), How: Served}
-		if r = r.Note(e); len(r) > Most {
+		e := Entry{ID: IDOf(string(raw)), Outcome: Served}
+		if r = r.Add(e); len(r) > MaxEntries {
 			t.Fatal(len(r))
 		}
 		if got, _ := r.Find(e.ID); got.ID != e.ID {
--- a/internal/fleet/fleetsim/pinned/moves.go
+++ b/internal/fleet/fleetsim/pinned/moves.go
@@ -65,7 +65,7 @@
 			s.left.Shift--
 			s.commit(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{From: "a", To: "b", Replica: "r", N: 1}}})
 			if s.off == OffFreed {
-				for _, t := range s.top().Pool().Asked("a") {
+				for _, t := range s.top().Pool().PendingReleases("a") {
 					s.commit(session.KindActs, session.ActsBody{From: "a", Acts: []session.Act{{Kind: session.Freed, Fence: t.Fence}}})
 				}
 			}
--- a/internal/fleet/migrate/slots.go
+++ b/internal/fleet/migrate/slots.go
@@ -70,8 +70,8 @@
 		}
 		open[t.Fence] = since
 		if t.To != "" && t.Until == 0 && now < since+SlotsWait {
-			s.way[slotKey{t.To, t.Replica}] += t.N
-			s.arriving[slotKey{t.To, t.Replica}] += t.N
+			s.way[slotKey{t.To, t.Replica}] += t.Slots
+			s.arriving[slotKey{t.To, t.Replica}] += t.Slots
 		}
 	}
 	for fence := range p.backs { // in any order: each is on its own
--- a/internal/fleet/migrate/swap/property_test.go
+++ b/internal/fleet/migrate/swap/property_test.go
@@ -218,7 +218,7 @@
 	})
 	for _, tr := range p.Book.Pool().Transfers() {
 		if rapid.Bool().Draw(t, "freed") {
-			_ = p.apply(session.KindActs, session.ActsBody{From: tr.Word(), Acts: []session.Act{{Kind: session.Freed, Fence: tr.Fence}}})
+			_ = p.apply(session.KindActs, session.ActsBody{From: tr.Releaser(), Acts: []session.Act{{Kind: session.Freed, Fence: tr.Fence}}})
 		}
 	}
 	switch c := &all[rapid.IntRange(0, len(all)-1).Draw(t, "who")]; rapid.IntRange(0, 9).Draw(t, "what") {
--- a/internal/fleet/migrate/swap/swap.go
+++ b/internal/fleet/migrate/swap/swap.go
@@ -243,7 +243,7 @@
 			return false
 		}
 	}
-	return len(p.Book.Pool().Asked(co)) == 0
+	return len(p.Book.Pool().PendingReleases(co)) == 0
 }
 
 // act lets each co-ordinator hand and adopt what is its to, and let slots go.
@@ -259,7 +259,7 @@
 		return true
 	})
 	for _, t := range p.Book.Pool().Transfers() {
-		if co := t.Word(); co != "" {
+		if co := t.Releaser(); co != "" {
 			acts[co] = append(acts[co], session.Act{Kind: session.Freed, Fence: t.Fence})
 		}
 	}
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -13,7 +13,7 @@
 // Tick implements statemachine.Part: offers and loans whose time is over end, and what is remembered for a time is forgotten.
 func (b *State) Tick(now time.Duration) {
 	b.now = max(b.now, now)
-	b.pool.Tick(b.now)
+	b.pool.Advance(b.now)
 	if len(b.moves) > 0 && b.nextExpiry <= b.now {
 		b.expireMoves()
 	}
@@ -303,9 +303,9 @@
 	case !ok:
 		return errors.New("no such transfer is open")
 	case t.Stage == 0 && t.From == from:
-		return b.pool.Land(fence)
+		return b.pool.ConfirmSource(fence)
 	case t.Stage != 0 && t.To == from:
-		return b.pool.Return(fence)
+		return b.pool.ReturnLoan(fence)
 	}
 	return fmt.Errorf("the transfer is %s from %q to %q, it does not wait for %q", t.Stage, t.From, t.To, from)
 }
--- a/internal/fleet/session/book.go
+++ b/internal/fleet/session/book.go
@@ -36,7 +36,7 @@
 	// MaxCoordinators co-ordinators are known: of the fleet, and of what was in it within Remember.
 	MaxCoordinators = 4_096
 	// MaxNameBytes bytes in a name.
-	MaxNameBytes = pool.NameMost
+	MaxNameBytes = pool.MaxNameBytes
 	// MaxReasonBytes bytes in a reason. Longer ones are cut.
 	MaxReasonBytes = 120
 	// MaxActs acts, or parts of a plan, in one command.
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, n := range p.CancelledTransfers {
-		if b.countResult(cancelledTransfer(n), b.pool.Back(n)) {
+		if b.countResult(cancelledTransfer(n), b.pool.Cancel(n)) {
 			done++
 		}
 	}
@@ -72,7 +72,7 @@
 		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", b.blockedUntil, b.now)
 	}
 	if s.From == "" && s.Until == 0 {
-		return b.pool.Take(s.To, s.Replica, s.N)
+		return b.pool.Allocate(s.To, s.Replica, s.N)
 	}
 	n, err := fence(), error(nil)
 	if s.Until != 0 {
@@ -154,7 +154,7 @@
 
 // releaseOwned frees what a co-ordinator has that surely acts no more.
 func (b *State) releaseOwned(co, why string) {
-	b.pool.Drop(co)
+	b.pool.RemoveCoordinator(co)
 	for _, id := range sortedIDs(b.moves) {
 		f, l := b.moves[id], b.sessions[id]
 		switch {
@@ -221,8 +221,8 @@
 		{"per_minute", l.PerMinute, 0, MaxOffersPerMinute},
 		{"sessions_most", l.MaxSessions, 0, MaxSessions},
 		{"state_most", l.MaxStateBytes, 0, MaxStateBytes},
-		{"slots", l.Slots, 1, pool.SlotsMost},
-		{"caps", len(l.Caps), 0, pool.ReplicasMost},
+		{"slots", l.Slots, 1, pool.MaxSlots},
+		{"caps", len(l.Caps), 0, pool.MaxReplicas},
 	} {
 		if one.n < one.from || one.n > one.to {
 			return fmt.Errorf("session: limits: %s is %d, it has to be within %d and %d", one.name, one.n, one.from, one.to)
--- a/internal/fleet/session/rules_test.go
+++ b/internal/fleet/session/rules_test.go
@@ -249,7 +249,7 @@
 	}
 	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"c0", "c1", "r0", 2, 0}, {"c0", "c1", "r0", 1, p.now + second}}})
 	fence, pool := p.fence, p.b.Pool()
-	if pool.Held("c0", "r0") != 0 || pool.Held("c1", "r0") != 0 || len(pool.Asked("c0")) != 2 {
+	if pool.Held("c0", "r0") != 0 || pool.Held("c1", "r0") != 0 || len(pool.PendingReleases("c0")) != 2 {
 		t.Fatalf("%+v", pool.Save())
 	}
 	p.mustRefuse(`does not wait for "c1"`, KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
--- a/internal/fleet/sessionctl/shares.go
+++ b/internal/fleet/sessionctl/shares.go
@@ -15,21 +15,21 @@
 // shares gives slots to who is up, was heard of within its lease, does not leave and has less than its even share: free
 // ones, and where none are left, from who holds the most, to one that has less than half of its own. Without the latter
 // one that joins after all are given out could run no pinned query.
-func (l *Look) shares(have session.Limits) (out []session.Shift) {
-	if l.Agreed < l.Book.BlockedUntil() {
+func (l *Input) slotShifts(have session.Limits) (out []session.Shift) {
+	if l.AgreedTime < l.Sessions.BlockedUntil() {
 		return nil
 	}
 	all := slices.DeleteFunc(l.coordinators(), func(m maintenance.Machine) bool { return m.Status == maintenance.Gone })
 	place, leaves := make(map[string]int, len(all)), map[string]bool{}
-	for i := range l.Sites {
-		leaves[l.Sites[i].Name] = l.Sites[i].Leaving
+	for i := range l.Coordinators {
+		leaves[l.Coordinators[i].Name] = l.Coordinators[i].Leaving
 	}
 	takes := make([]bool, len(all))
 	for i, m := range all {
 		place[m.Name] = i
-		takes[i] = m.Status == maintenance.Up && l.Silent(m.Name) < have.Lease && !leaves[m.Name]
+		takes[i] = m.Status == maintenance.Up && l.SilentFor(m.Name) < have.Lease && !leaves[m.Name]
 	}
-	p := l.Book.Pool()
+	p := l.Sessions.Pool()
 	coming := map[string][]pool.Transfer{}
 	for _, t := range p.Transfers() {
 		coming[t.Replica] = append(coming[t.Replica], t)
@@ -38,14 +38,14 @@
 	for _, r := range p.Replicas() {
 		clear(hand)
 		clear(more)
-		p.Hands(r, func(co string, n int) {
+		p.EachHolder(r, func(co string, n int) {
 			if i, ok := place[co]; ok {
 				hand[i] = n
 			}
 		})
 		for _, t := range coming[r] {
 			if i, ok := place[t.To]; ok {
-				more[i] += t.N
+				more[i] += t.Slots
 			}
 		}
 		free, share := p.Free(r), p.Cap(r)/max(1, len(all))
@@ -54,7 +54,7 @@
 			if !takes[i] || has >= share {
 				continue
 			}
-			if len(out) >= ShiftsMost {
+			if len(out) >= MaxShifts {
 				return out
 			}
 			if n := min(share-has, free); n > 0 {
@@ -65,7 +65,7 @@
 			if has >= (share+1)/2 {
 				continue
 			}
-			richest := most(hand)
+			richest := indexOfMax(hand)
 			if hand[richest] <= share {
 				break // no one has any to give, and none is free
 			}
@@ -78,7 +78,7 @@
 }
 
 // most is the place of the highest number, the first of them.
-func most(of []int) (at int) {
+func indexOfMax(of []int) (at int) {
 	for i, n := range of {
 		if n > of[at] {
 			at = i
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -16,211 +16,211 @@
 )
 
 const (
-	// Again is between two proposals of one thing that the state does not show. Twice as long: a lost one costs so much
+	// RetryInterval is between two proposals of one thing that the state does not show. Twice as long: a lost one costs so much
 	// more; half: a slow council has most of them twice.
-	Again = time.Second
-	// PlanEvery is between steps of the planner. Twice as long: a session's move begins, or is called off, so much later; half:
+	RetryInterval = time.Second
+	// PlanInterval is between steps of the planner. Twice as long: a session's move begins, or is called off, so much later; half:
 	// twice the looks at all that is in flight.
-	PlanEvery = 200 * time.Millisecond
-	// ShiftsMost shares are given out in one command. Twice as many: an entry twice as large; half: twice the entries at
+	PlanInterval = 200 * time.Millisecond
+	// MaxShifts shares are given out in one command. Twice as many: an entry twice as large; half: twice the entries at
 	// a fleet's start.
-	ShiftsMost = 500
+	MaxShifts = 500
 )
 
-// Look is all that a step goes by.
-type Look struct {
-	Now    time.Duration // own monotonic
-	Agreed time.Duration // by which a command is proposed
-	Book   *session.State
-	Order  *maintenance.State
-	// Want is what the operators' file says, without Caps and with the file's revision; Slots are those at each replica.
-	Want  session.Limits
-	Slots int
-	// Sites are the co-ordinators of the inventory as the planner sees them, by name; PerSlot of their sessions share a slot at a
+// Input is all that a step goes by.
+type Input struct {
+	Now         time.Duration // own monotonic
+	AgreedTime  time.Duration // by which a command is proposed
+	Sessions    *session.State
+	Maintenance *maintenance.State
+	// WantedLimits is what the operators' file says, without Caps and with the file's revision; Slots are those at each replica.
+	WantedLimits    session.Limits
+	SlotsPerReplica int
+	// Coordinators are the co-ordinators of the inventory as the planner sees them, by name; SessionsPerSlot of their sessions share a slot at a
 	// replica, at most.
-	Sites   []migrate.Coordinator
-	PerSlot int
-	Paused  bool // by the operators
-	// Silent is how long nothing was heard of a co-ordinator while this one leads.
-	Silent func(name string) time.Duration
-	// Done says what came of earlier proposals.
-	Done []Done
+	Coordinators    []migrate.Coordinator
+	SessionsPerSlot int
+	Paused          bool // by the operators
+	// SilentFor is how long nothing was heard of a co-ordinator while this one leads.
+	SilentFor func(name string) time.Duration
+	// Result says what came of earlier proposals.
+	Results []Result
 }
 
-// Done is the end of the waiting for one proposal: Known if it was applied, refused, or never entered the log; else it may
+// Result is the end of the waiting for one proposal: Known if it was applied, refused, or never entered the log; else it may
 // be in it, and come at any later time.
-type Done struct {
-	No    uint64
-	Known bool
+type Result struct {
+	Number       uint64
+	OutcomeKnown bool
 }
 
 // release of a co-ordinator, by the number of its proposal. Once nobody knows what came of it, the end of a later one tells:
 // entries are applied in their order, and that one entered after it.
-type release struct {
-	no     uint64
-	unsure bool
+type pendingRelease struct {
+	number         uint64
+	outcomeUnknown bool
 }
 
-// Propose is a command for the part "sessions". What names it for the log; numbers grow.
-type Propose struct {
-	No         uint64
-	What, Kind string
-	Body       any
+// Proposal is a command for the part "sessions". What names it for the log; numbers grow.
+type Proposal struct {
+	Number            uint64
+	Description, Kind string
+	Body              any
 }
 
-// Steward is a leader's, or one's that may become it. Not for use by several goroutines at once.
-type Steward struct {
-	asked map[string]time.Duration // what was proposed and not seen, and until when it is not proposed again
-	no    uint64                   // of the newest proposal
+// Controller is a leader's, or one's that may become it. Not for use by several goroutines at once.
+type Controller struct {
+	retryAfter map[string]time.Duration // what was proposed and not seen, and until when it is not proposed again
+	lastNumber uint64                   // of the newest proposal
 	// releasing are those whose release may still come, and are given no lease: the log may hold the entry for as long as it
 	// has no majority.
-	releasing map[string]*release
+	releasing map[string]*pendingRelease
 	// lease is the longest that the fleet's limits, which go by a file of their own, let a co-ordinator have: those of now, or of
-	// before until leaseBy.
-	lease, leaseBy time.Duration
-	planner        *migrate.Planner
-	said           migrate.Plan // of the last step
-	planAt         time.Duration
+	// before until maxLeaseUntil.
+	maxLease, maxLeaseUntil time.Duration
+	planner                 *migrate.Planner
+	plan                    migrate.Plan // of the last step
+	plannedAt               time.Duration
 }
 
 // New makes one.
-func New() *Steward {
-	return &Steward{asked: map[string]time.Duration{}, releasing: map[string]*release{}, planner: migrate.New(migrate.Options{})}
+func New() *Controller {
+	return &Controller{retryAfter: map[string]time.Duration{}, releasing: map[string]*pendingRelease{}, planner: migrate.New(migrate.Options{})}
 }
 
 // Reset forgets what holds for one term only. A leader knows that it leads once all that came before its term is applied, so
 // no release of before comes later.
-func (s *Steward) Reset() {
-	clear(s.asked)
+func (s *Controller) Reset() {
+	clear(s.retryAfter)
 	clear(s.releasing)
-	s.planner, s.said, s.planAt = migrate.New(migrate.Options{}), migrate.Plan{}, 0
+	s.planner, s.plan, s.plannedAt = migrate.New(migrate.Options{}), migrate.Plan{}, 0
 }
 
 // Plan is what the planner last said: its forecast, and which sessions it keeps and why.
-func (s *Steward) Plan() migrate.Plan { return s.said }
+func (s *Controller) Plan() migrate.Plan { return s.plan }
 
 // Releasing says that a release of this co-ordinator may be under way: it is given no lease.
-func (s *Steward) Releasing(name string) bool { return s.releasing[name] != nil }
+func (s *Controller) Releasing(name string) bool { return s.releasing[name] != nil }
 
 // Step returns what to propose now.
-func (s *Steward) Step(l Look) (out []Propose) {
-	s.done(l.Done)
-	fleet, _ := l.Order.Limits()
-	s.Lease(l.Now, fleet.Lease)
-	maps.DeleteFunc(s.asked, func(_ string, until time.Duration) bool { return l.Now >= until })
+func (s *Controller) Step(l Input) (out []Proposal) {
+	s.handleResults(l.Results)
+	fleet, _ := l.Maintenance.Limits()
+	s.ObserveLease(l.Now, fleet.Lease)
+	maps.DeleteFunc(s.retryAfter, func(_ string, until time.Duration) bool { return l.Now >= until })
 	put := func(wait time.Duration, what, kind string, body any) bool {
-		_, waits := s.asked[what]
+		_, waits := s.retryAfter[what]
 		if !waits {
-			s.asked[what] = l.Now + wait
-			s.no++
-			out = append(out, Propose{s.no, what, kind, body})
+			s.retryAfter[what] = l.Now + wait
+			s.lastNumber++
+			out = append(out, Proposal{s.lastNumber, what, kind, body})
 		}
 		return !waits
 	}
-	have, revision := l.Book.Limits()
-	if want, ok := l.wanted(have); ok {
-		put(Again, fmt.Sprintf("limits %d", want.Revision), session.KindLimits, session.LimitsBody{Limits: want})
+	have, revision := l.Sessions.Limits()
+	if want, ok := l.changedLimits(have); ok {
+		put(RetryInterval, fmt.Sprintf("limits %d", want.Revision), session.KindLimits, session.LimitsBody{Limits: want})
 		return out // what follows goes by them
 	}
 	if revision == 0 {
 		return nil
 	}
 	need := have.SilentFor()
-	if more := s.lease - have.Lease; more > 0 {
+	if more := s.maxLease - have.Lease; more > 0 {
 		need += more + more/100
 	}
-	for _, name := range l.silent(need) {
+	for _, name := range l.silentCoordinators(need) {
 		if s.Releasing(name) {
 			continue
 		}
-		if put(Again, "release "+name, session.KindRelease, session.ReleaseBody{Name: name, Silent: l.Silent(name), At: l.Agreed}) {
-			s.releasing[name] = &release{no: s.no}
+		if put(RetryInterval, "release "+name, session.KindRelease, session.ReleaseBody{Name: name, Silent: l.SilentFor(name), At: l.AgreedTime}) {
+			s.releasing[name] = &pendingRelease{number: s.lastNumber}
 		}
 	}
-	if shifts := l.shares(have); len(shifts) > 0 {
-		put(Again, "shares of slots", session.KindPlan, session.PlanBody{Shifts: shifts})
+	if shifts := l.slotShifts(have); len(shifts) > 0 {
+		put(RetryInterval, "shares of slots", session.KindPlan, session.PlanBody{Shifts: shifts})
 	}
-	if l.Now >= s.planAt+PlanEvery {
-		s.planAt = l.Now
-		s.said = s.planner.Step(l.Agreed, l.view())
-		if !s.said.Empty() { // the planner itself says again what came to nothing
-			s.no++
-			out = append(out, Propose{s.no, "moves", session.KindPlan, s.said.Body})
+	if l.Now >= s.plannedAt+PlanInterval {
+		s.plannedAt = l.Now
+		s.plan = s.planner.Step(l.AgreedTime, l.plannerView())
+		if !s.plan.Empty() { // the planner itself says again what came to nothing
+			s.lastNumber++
+			out = append(out, Proposal{s.lastNumber, "moves", session.KindPlan, s.plan.Body})
 		}
 	}
-	unsure := slices.DeleteFunc(slices.Sorted(maps.Keys(s.releasing)), func(name string) bool { return !s.releasing[name].unsure })
+	unsure := slices.DeleteFunc(slices.Sorted(maps.Keys(s.releasing)), func(name string) bool { return !s.releasing[name].outcomeUnknown })
 	// The ends of moves are found by agreed time; what came of a release, by a later entry.
-	if l.Book.Moving() > 0 || s.said.Tick || len(unsure) > 0 {
-		if put(Again, "tick", session.KindTick, session.TickBody{}) {
+	if l.Sessions.Moving() > 0 || s.plan.Tick || len(unsure) > 0 {
+		if put(RetryInterval, "tick", session.KindTick, session.TickBody{}) {
 			for _, name := range unsure {
-				s.releasing[name] = &release{no: s.no}
+				s.releasing[name] = &pendingRelease{number: s.lastNumber}
 			}
 		}
 	}
 	return out
 }
 
-// Lease notes, at that own time, how long a lease is by the fleet's limits. One that knows only the limits of before has
+// ObserveLease notes, at that own time, how long a lease is by the fleet's limits. One that knows only the limits of before has
 // theirs: for as long after a shorter lease came into force as the longer one lasts. To be told while another leads, too.
-func (s *Steward) Lease(now, lease time.Duration) {
-	if lease >= s.lease || now >= s.leaseBy {
-		s.lease, s.leaseBy = lease, now+lease
+func (s *Controller) ObserveLease(now, lease time.Duration) {
+	if lease >= s.maxLease || now >= s.maxLeaseUntil {
+		s.maxLease, s.maxLeaseUntil = lease, now+lease
 	}
 }
 
 // done takes what came of proposals.
-func (s *Steward) done(all []Done) {
+func (s *Controller) handleResults(all []Result) {
 	for name, r := range s.releasing { // in any order: each by itself
 		for _, d := range all {
 			switch {
-			case d.No != r.no:
-			case d.Known:
+			case d.Number != r.number:
+			case d.OutcomeKnown:
 				delete(s.releasing, name)
 			default:
-				r.unsure = true
+				r.outcomeUnknown = true
 			}
 		}
 	}
 }
 
 // view is what the planner goes by.
-func (l *Look) view() migrate.View {
-	v := migrate.View{Book: l.Book, Slots: l.Book.Pool(), Coordinators: slices.Clone(l.Sites), PerSlot: l.PerSlot, Paused: l.Paused,
-		Replicas: l.Book.Pool().Replicas()}
-	limits, _ := l.Book.Limits()
+func (l *Input) plannerView() migrate.View {
+	v := migrate.View{Book: l.Sessions, Slots: l.Sessions.Pool(), Coordinators: slices.Clone(l.Coordinators), PerSlot: l.SessionsPerSlot, Paused: l.Paused,
+		Replicas: l.Sessions.Pool().Replicas()}
+	limits, _ := l.Sessions.Limits()
 	for i := range v.Coordinators {
 		c := &v.Coordinators[i]
-		c.Live = c.Live && l.Silent(c.Name) < limits.Lease
+		c.Live = c.Live && l.SilentFor(c.Name) < limits.Lease
 	}
 	return v
 }
 
 // wanted are the limits that the file and the inventory come to, if they differ from those in force. Their revision has the
 // file's in front: a file of an older one changes nothing, and replicas that come and go count up behind it.
-func (l *Look) wanted(have session.Limits) (session.Limits, bool) {
+func (l *Input) changedLimits(have session.Limits) (session.Limits, bool) {
 	const room = 1 << 24
-	if l.Want.Revision == 0 || l.Want.Revision < have.Revision/room {
+	if l.WantedLimits.Revision == 0 || l.WantedLimits.Revision < have.Revision/room {
 		return have, false
 	}
-	want := l.Want
+	want := l.WantedLimits
 	want.Caps = map[string]int{}
-	for _, m := range l.Order.Machines() {
+	for _, m := range l.Maintenance.Machines() {
 		if m.Kind == maintenance.Replica && m.Status != maintenance.Gone {
-			want.Caps[m.Name] = l.Slots
+			want.Caps[m.Name] = l.SlotsPerReplica
 		}
 	}
-	want.Revision = max(l.Want.Revision*room, have.Revision+1)
+	want.Revision = max(l.WantedLimits.Revision*room, have.Revision+1)
 	same := want
 	same.Revision, same.Caps = have.Revision, have.Caps
-	if len(want.Caps) == 0 || l.Want.Revision == have.Revision/room && maps.Equal(want.Caps, have.Caps) && fmt.Sprint(same) == fmt.Sprint(have) {
+	if len(want.Caps) == 0 || l.WantedLimits.Revision == have.Revision/room && maps.Equal(want.Caps, have.Caps) && fmt.Sprint(same) == fmt.Sprint(have) {
 		return have, false
 	}
 	return want, true
 }
 
 // coordinators of the agreed inventory, by name.
-func (l *Look) coordinators() (out []maintenance.Machine) {
-	for _, m := range l.Order.Machines() {
+func (l *Input) coordinators() (out []maintenance.Machine) {
+	for _, m := range l.Maintenance.Machines() {
 		if m.Kind == maintenance.Coordinator {
 			out = append(out, m)
 		}
@@ -229,27 +229,27 @@
 }
 
 // silent are the co-ordinators that have something and have been silent for at least that long.
-func (l *Look) silent(need time.Duration) (out []string) {
-	if l.Agreed < l.Book.BlockedUntil() {
+func (l *Input) silentCoordinators(need time.Duration) (out []string) {
+	if l.AgreedTime < l.Sessions.BlockedUntil() {
 		return nil
 	}
 	names := map[string]bool{} // whether it holds slots in its hand
 	for _, m := range l.coordinators() {
 		names[m.Name] = false
 	}
-	held := l.Book.Pool()
+	held := l.Sessions.Pool()
 	for _, r := range held.Replicas() {
-		held.Hands(r, func(co string, _ int) { names[co] = true })
+		held.EachHolder(r, func(co string, _ int) { names[co] = true })
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if l.Silent(name) >= need && (names[name] || l.Book.Owned(name) > 0 || l.holds(name)) {
+		if l.SilentFor(name) >= need && (names[name] || l.Sessions.Owned(name) > 0 || l.holdsSlots(name)) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-func (l *Look) holds(name string) bool {
-	p := l.Book.Pool()
+func (l *Input) holdsSlots(name string) bool {
+	p := l.Sessions.Pool()
 	return slices.ContainsFunc(p.Replicas(), func(r string) bool { return p.Held(name, r) > 0 })
 }
--- a/internal/fleet/sessionctl/steward_test.go
+++ b/internal/fleet/sessionctl/steward_test.go
@@ -14,47 +14,49 @@
 // rig is an agreed log with an inventory, and a leader's steward over it.
 type rig struct {
 	*testing.T
-	l      *statemachine.Machine
-	look   Look
-	s      *Steward
-	silent map[string]time.Duration
-	no     int
+	machine    *statemachine.Machine
+	input      Input
+	controller *Controller
+	silent     map[string]time.Duration
+	lastID     int
 }
 
-const begin = 100 * time.Hour
+const startTime = 100 * time.Hour
 
 func newRig(t *testing.T, coordinators ...string) *rig {
 	order, book := maintenance.New(), session.New()
-	r := &rig{T: t, s: New(), silent: map[string]time.Duration{}, l: statemachine.New(map[string]statemachine.Part{"takeout": order, "sessions": book})}
-	r.look = Look{
-		Agreed: begin, Book: book, Order: order, Slots: 30, Silent: func(name string) time.Duration { return r.silent[name] },
-		Want: session.Limits{Revision: 3, InFlight: 4, PerMinute: 100, StepTimeout: time.Second, IdleTimeout: time.Minute, Lease: 2 * time.Second,
+	r := &rig{T: t, controller: New(), silent: map[string]time.Duration{}, machine: statemachine.New(map[string]statemachine.Part{"takeout": order, "sessions": book})}
+	r.input = Input{
+		AgreedTime: startTime, Sessions: book, Maintenance: order, SlotsPerReplica: 30, SilentFor: func(name string) time.Duration { return r.silent[name] },
+		WantedLimits: session.Limits{Revision: 3, InFlight: 4, PerMinute: 100, StepTimeout: time.Second, IdleTimeout: time.Minute, Lease: 2 * time.Second,
 			Grace: time.Second, MaxSessions: 100, MaxStateBytes: 100, Slots: 2},
 	}
 	if len(coordinators) == 0 {
 		coordinators = []string{"c0", "c1", "c2"}
 	}
-	r.listOf(coordinators, "r0", "r1")
+	r.setInventory(coordinators, "r0", "r1")
 	return r
 }
 
-func (r *rig) put(part, kind string, body any) error {
+func (r *rig) apply(part, kind string, body any) error {
 	r.Helper()
-	r.no++
+	r.lastID++
 	raw, err := json.Marshal(body)
 	if err == nil {
-		raw, err = statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(r.no), Part: part, Kind: kind, At: r.look.Agreed, Body: raw}.Encode()
+		raw, err = statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(r.lastID), Part: part, Kind: kind, At: r.input.AgreedTime, Body: raw}.Encode()
 	}
 	if err != nil {
 		r.Fatal(err)
 	}
-	return r.l.Apply(r.l.Index()+1, raw)
+	return r.machine.Apply(r.machine.Index()+1, raw)
 }
 
 // list makes the inventory three co-ordinators and these replicas.
-func (r *rig) list(replicas ...string) { r.listOf([]string{"c0", "c1", "c2"}, replicas...) }
+func (r *rig) setReplicas(replicas ...string) {
+	r.setInventory([]string{"c0", "c1", "c2"}, replicas...)
+}
 
-func (r *rig) listOf(coordinators []string, replicas ...string) {
+func (r *rig) setInventory(coordinators []string, replicas ...string) {
 	r.Helper()
 	var all []maintenance.Machine
 	for _, name := range coordinators {
@@ -63,7 +65,7 @@
 	for _, name := range replicas {
 		all = append(all, maintenance.Machine{Name: name, Kind: maintenance.Replica, Status: maintenance.Up, Size: 1})
 	}
-	if err := r.put("takeout", "observe", maintenance.ObserveBody{Complete: true, Machines: all}); err != nil {
+	if err := r.apply("takeout", "observe", maintenance.ObserveBody{Complete: true, Machines: all}); err != nil {
 		r.Fatal(err)
 	}
 }
@@ -71,122 +73,122 @@
 // step plays one look; what is proposed is agreed, if take says so.
 func (r *rig) step(after time.Duration, take bool) (kinds []string) {
 	r.Helper()
-	r.look.Now += after
-	r.look.Agreed += after
-	for _, p := range r.s.Step(r.look) {
+	r.input.Now += after
+	r.input.AgreedTime += after
+	for _, p := range r.controller.Step(r.input) {
 		kinds = append(kinds, p.Kind)
 		if take {
-			if err := r.put("sessions", p.Kind, p.Body); err != nil {
-				r.Errorf("%s: %v", p.What, err)
+			if err := r.apply("sessions", p.Kind, p.Body); err != nil {
+				r.Errorf("%s: %v", p.Description, err)
 			}
 		}
 	}
-	if err := r.l.Check(); err != nil {
+	if err := r.machine.Check(); err != nil {
 		r.Error(err)
 	}
 	return kinds
 }
 
-func (r *rig) wants(got []string, want ...string) {
+func (r *rig) expectKinds(got []string, want ...string) {
 	r.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		r.Errorf("%v, wanted %v", got, want)
 	}
 }
 
-func TestLimitsThenShares(t *testing.T) {
+func TestLimitsAreProposedBeforeSlots(t *testing.T) {
 	r := newRig(t)
-	r.wants(r.step(time.Second, false), "limits")
-	r.wants(r.step(Again/2, true)) // that one may still come
-	r.wants(r.step(Again, true), "limits")
-	r.wants(r.step(Again, true), "plan")
+	r.expectKinds(r.step(time.Second, false), "limits")
+	r.expectKinds(r.step(RetryInterval/2, true)) // that one may still come
+	r.expectKinds(r.step(RetryInterval, true), "limits")
+	r.expectKinds(r.step(RetryInterval, true), "plan")
 	for _, name := range []string{"c0", "c1", "c2"} {
-		if p := r.look.Book.Pool(); p.Held(name, "r0") != 10 || p.Held(name, "r1") != 10 {
+		if p := r.input.Sessions.Pool(); p.Held(name, "r0") != 10 || p.Held(name, "r1") != 10 {
 			t.Errorf("%s holds %d and %d of 30 among three", name, p.Held(name, "r0"), p.Held(name, "r1"))
 		}
 	}
-	r.wants(r.step(Again, true))
-	r.list("r0", "r1", "r2") // another replica has a cap, and shares, too
-	r.wants(r.step(Again, true), "limits")
-	r.wants(r.step(Again, true), "plan")
-	r.look.Want.Revision = 2 // an older file at the next leader
-	r.look.Slots = 5
-	r.wants(r.step(Again, true))
-	r.look.Want.Revision, r.look.Want.InFlight = 4, 9
-	r.wants(r.step(Again, true), "limits")
-	if l, _ := r.look.Book.Limits(); l.InFlight != 9 || l.Caps["r2"] != 5 {
+	r.expectKinds(r.step(RetryInterval, true))
+	r.setReplicas("r0", "r1", "r2") // another replica has a cap, and shares, too
+	r.expectKinds(r.step(RetryInterval, true), "limits")
+	r.expectKinds(r.step(RetryInterval, true), "plan")
+	r.input.WantedLimits.Revision = 2 // an older file at the next leader
+	r.input.SlotsPerReplica = 5
+	r.expectKinds(r.step(RetryInterval, true))
+	r.input.WantedLimits.Revision, r.input.WantedLimits.InFlight = 4, 9
+	r.expectKinds(r.step(RetryInterval, true), "limits")
+	if l, _ := r.input.Sessions.Limits(); l.InFlight != 9 || l.Caps["r2"] != 5 {
 		t.Errorf("%+v", l)
 	}
 }
 
 // One that is silent for as long as its lease can last, and has something, is released once; while that may be under way it
 // is given no lease, and the next leader counts anew.
-func TestTheSilentAreReleased(t *testing.T) {
+func TestSilentCoordinatorIsReleasedOnce(t *testing.T) {
 	r := newRig(t)
 	for range 3 {
-		r.step(Again, true)
+		r.step(RetryInterval, true)
 	}
 	claim := session.ActsBody{From: "c1", Acts: []session.Act{{Kind: session.Claim, ID: session.IDOf(0, []byte("k"))}}}
-	if err := r.put("sessions", session.KindActs, claim); err != nil {
+	if err := r.apply("sessions", session.KindActs, claim); err != nil {
 		t.Fatal(err)
 	}
-	need := r.look.Want.SilentFor()
+	need := r.input.WantedLimits.SilentFor()
 	r.silent["c1"] = need - 1
-	r.wants(r.step(need, false))
+	r.expectKinds(r.step(need, false))
 	r.silent["c1"] = need
-	r.wants(r.step(Again, false), "release")
-	if !r.s.Releasing("c1") || r.s.Releasing("c0") {
+	r.expectKinds(r.step(RetryInterval, false), "release")
+	if !r.controller.Releasing("c1") || r.controller.Releasing("c0") {
 		t.Error("a lease while it is released, or none for another")
 	}
-	no := r.s.no
+	no := r.controller.lastNumber
 	// It is heard of again, and the raft group has no majority: the release may still come, for however long.
 	r.silent["c1"] = 0
-	r.wants(r.step(time.Minute, false))
-	r.look.Done = []Done{{No: no}} // nobody knows whether it entered the log
-	r.wants(r.step(Again, false), "tick")
-	r.look.Done = nil
-	if !r.s.Releasing("c1") {
+	r.expectKinds(r.step(time.Minute, false))
+	r.input.Results = []Result{{Number: no}} // nobody knows whether it entered the log
+	r.expectKinds(r.step(RetryInterval, false), "tick")
+	r.input.Results = nil
+	if !r.controller.Releasing("c1") {
 		t.Error("a lease while a release of before may still come")
 	}
-	r.look.Done = []Done{{No: r.s.no, Known: true}} // that entered after it
-	r.wants(r.step(Again, false))
-	if r.look.Done = nil; r.s.Releasing("c1") {
+	r.input.Results = []Result{{Number: r.controller.lastNumber, OutcomeKnown: true}} // that entered after it
+	r.expectKinds(r.step(RetryInterval, false))
+	if r.input.Results = nil; r.controller.Releasing("c1") {
 		t.Error("no lease, though what came of the release is known")
 	}
 	r.silent["c1"] = need
-	r.wants(r.step(Again, false), "release")
-	r.s.Reset()
-	if r.s.Releasing("c1") {
+	r.expectKinds(r.step(RetryInterval, false), "release")
+	r.controller.Reset()
+	if r.controller.Releasing("c1") {
 		t.Error("the next leader holds a lease back for what it did not propose")
 	}
-	r.wants(r.step(Again, true), "release")
-	r.look.Done = []Done{{No: r.s.no, Known: true}}
-	if r.look.Book.Owned("c1") != 0 || r.look.Book.Pool().Held("c1", "r0") != 0 {
+	r.expectKinds(r.step(RetryInterval, true), "release")
+	r.input.Results = []Result{{Number: r.controller.lastNumber, OutcomeKnown: true}}
+	if r.input.Sessions.Owned("c1") != 0 || r.input.Sessions.Pool().Held("c1", "r0") != 0 {
 		t.Error("what it had is not free")
 	}
-	r.wants(r.step(Again, true)) // up by the inventory, and silent still: it gets no share
+	r.expectKinds(r.step(RetryInterval, true)) // up by the inventory, and silent still: it gets no share
 	r.silent["c1"] = 0
-	if r.step(Again, true); r.look.Book.Pool().Held("c1", "r0") != 10 {
-		t.Errorf("c1 is heard of again, and holds %d", r.look.Book.Pool().Held("c1", "r0"))
+	if r.step(RetryInterval, true); r.input.Sessions.Pool().Held("c1", "r0") != 10 {
+		t.Errorf("c1 is heard of again, and holds %d", r.input.Sessions.Pool().Held("c1", "r0"))
 	}
 }
 
 // One that joins after all slots are given out gets some from who has more than its even share; those say first that they
 // use them no more. Once all are near theirs, nothing moves.
-func TestOneThatJoinsGetsItsShare(t *testing.T) {
+func TestJoiningCoordinatorGetsSlots(t *testing.T) {
 	r := newRig(t, "c0", "c1")
 	for range 3 {
-		r.step(Again, true)
+		r.step(RetryInterval, true)
 	}
-	p := r.look.Book.Pool()
+	p := r.input.Sessions.Pool()
 	if p.Held("c0", "r0") != 15 || p.Free("r0") != 0 {
 		t.Fatalf("%d held, %d free", p.Held("c0", "r0"), p.Free("r0"))
 	}
-	r.list("r0", "r1")
+	r.setReplicas("r0", "r1")
 	for range 4 {
-		r.wants(r.step(Again, true), "plan")
+		r.expectKinds(r.step(RetryInterval, true), "plan")
 		for _, x := range p.Transfers() {
-			if err := r.put("sessions", session.KindActs, session.ActsBody{From: x.From, Acts: []session.Act{{Kind: session.Freed, Fence: x.Fence}}}); err != nil {
+			if err := r.apply("sessions", session.KindActs, session.ActsBody{From: x.From, Acts: []session.Act{{Kind: session.Freed, Fence: x.Fence}}}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -197,78 +199,78 @@
 	if c0, c1, c2 := p.Held("c0", "r0"), p.Held("c1", "r0"), p.Held("c2", "r0"); c2 < 5 || c0 < 10 || c1 < 10 {
 		t.Errorf("%d, %d and %d of 30", c0, c1, c2)
 	}
-	r.wants(r.step(Again, true))
-	r.wants(r.step(Again, true))
+	r.expectKinds(r.step(RetryInterval, true))
+	r.expectKinds(r.step(RetryInterval, true))
 }
 
 // The fleet's limits have leases of their own, of the newest file anywhere; this leader's file, and with it the sessions'
 // limits, may be older. No release comes while a lease by either may last.
-func TestReleaseWaitsForTheLongestLease(t *testing.T) {
+func TestReleaseWaitsForLongestLease(t *testing.T) {
 	r := newRig(t)
 	lease := func(revision int, d time.Duration) {
 		l := maintenance.Limits{Cells: 2, Reach: 1, Shards: 1, MinHolders: 1, MaxOut: 1, MaxOutPerZone: 1, MaxPassedOver: 1, LoadAge: 1, ListAge: 1, Lease: d}
-		if err := r.put("takeout", "limits", maintenance.LimitsBody{Revision: revision, Limits: l}); err != nil {
+		if err := r.apply("takeout", "limits", maintenance.LimitsBody{Revision: revision, Limits: l}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 3 {
-		r.step(Again, true)
+		r.step(RetryInterval, true)
 	}
-	lease(3, r.look.Want.Lease)
-	r.step(Again, true)
+	lease(3, r.input.WantedLimits.Lease)
+	r.step(RetryInterval, true)
 	lease(4, time.Minute)
-	r.silent["c1"] = r.look.Want.SilentFor()
-	r.wants(r.step(Again, true)) // its lease may last for a minute
+	r.silent["c1"] = r.input.WantedLimits.SilentFor()
+	r.expectKinds(r.step(RetryInterval, true)) // its lease may last for a minute
 	lease(5, time.Second)
 	r.silent["c1"] = time.Minute
-	r.wants(r.step(Again, true)) // as far as it knows
+	r.expectKinds(r.step(RetryInterval, true)) // as far as it knows
 	r.silent["c1"] = time.Minute + 2*time.Second
-	r.wants(r.step(Again, false), "release")
-	r.s.Reset()
-	r.silent["c1"] = r.look.Want.SilentFor()
-	r.wants(r.step(time.Minute-3*Again, false))
-	r.wants(r.step(2*Again, false), "release")
+	r.expectKinds(r.step(RetryInterval, false), "release")
+	r.controller.Reset()
+	r.silent["c1"] = r.input.WantedLimits.SilentFor()
+	r.expectKinds(r.step(time.Minute-3*RetryInterval, false))
+	r.expectKinds(r.step(2*RetryInterval, false), "release")
 
-	r.s = New() // another leads, who saw the longer one while it did not
-	r.s.Lease(r.look.Now, time.Minute)
-	r.wants(r.step(Again, false))
-	r.s = New()
-	r.wants(r.step(Again, false), "release")
+	r.controller = New() // another leads, who saw the longer one while it did not
+	r.controller.ObserveLease(r.input.Now, time.Minute)
+	r.expectKinds(r.step(RetryInterval, false))
+	r.controller = New()
+	r.expectKinds(r.step(RetryInterval, false), "release")
 }
 
 // A look at a large fleet while slots are on their way takes little time: it holds the agreed state, for which polls, words and
 // the keeper wait. The quickest of some counts, so that a busy machine does not.
-func TestSharesOfALargeFleet(t *testing.T) {
+func TestSlotShiftTimeInLargeFleet(t *testing.T) {
 	var co, replicas []string
 	for i := range 100 {
 		co, replicas = append(co, fmt.Sprintf("c%02d", i)), append(replicas, fmt.Sprintf("r%02d", i))
 	}
 	r := newRig(t, co...)
-	r.listOf(co, replicas...)
-	r.look.Slots = 1000
-	for len(r.step(Again, true)) > 0 {
+	r.setInventory(co, replicas...)
+	r.input.SlotsPerReplica = 1000
+	for len(r.step(RetryInterval, true)) > 0 {
 	}
 	joined := append(co, "d0", "d1", "d2", "d3", "d4")
-	r.listOf(joined, replicas...)
+	r.setInventory(joined, replicas...)
 	best := time.Hour
 	for i := range 8 {
 		began := time.Now()
-		r.look.Now += Again
-		out := r.s.Step(r.look)
+		r.input.Now += RetryInterval
+		out := r.controller.Step(r.input)
 		if took := time.Since(began); i >= 4 {
 			best = min(best, took)
 		}
 		for _, p := range out {
-			if err := r.put("sessions", p.Kind, p.Body); err != nil {
+			if err := r.apply("sessions", p.Kind, p.Body); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	p := r.look.Book.Pool()
+	p := r.input.Sessions.Pool()
 	given := map[string]int{}
 	for _, x := range p.Transfers() {
-		given[x.To] += x.N
-		if share := 1000 / len(joined); x.N > share || p.Held(x.From, x.Replica) < share {
+		given[x.To] += x.Slots
+		if share := 1000 / len(joined); x.Slots > share || p.Held(x.From, x.Replica) < share {
 			t.Fatalf("%+v, and %d are left there of a share of %d", x, p.Held(x.From, x.Replica), share)
 		}
 	}
--- a/internal/fleet/sessiongate/bench_test.go
+++ b/internal/fleet/sessiongate/bench_test.go
@@ -12,12 +12,12 @@
 func newOpenRig(t testing.TB) *rig {
 	r := newRig(t)
 	r.step(1, 1)
-	first := r.ask("s", time.Minute)
-	r.p.step()
+	first := r.admit("s", time.Minute)
+	r.gate.step()
 	r.agree()
 	r.step(2, 1)
-	r.p.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
-	r.p.step()
+	r.gate.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
+	r.gate.step()
 	if len(r.released) != 1 {
 		t.Fatal("the session is not open")
 	}
@@ -27,18 +27,18 @@
 // A query of a pinned session costs two allocations at most beyond one of none, however many shards it asks.
 func TestQueryCost(t *testing.T) {
 	r := newOpenRig(t)
-	r.p.SetHolders([][]string{{"r"}, {"r"}, {}})
+	r.gate.SetHolders([][]string{{"r"}, {"r"}, {}})
 	for _, parts := range [][]exchange.Part{{{}}, {{}, {Shard: 1}, {Shard: 2}}} {
 		q := &exchange.Query{Session: "s", Tenant: -1, Due: time.Now().Add(50 * time.Second), Parts: parts}
 		each := testing.AllocsPerRun(1000, func() {
 			r.released = r.released[:0]
-			r.p.Admit(q, "")
-			r.p.step()
-			if len(r.released) != 1 || r.p.FinalReply(q, exchange.Reply{Status: exchange.Served}).Status != exchange.Served {
+			r.gate.Admit(q, "")
+			r.gate.step()
+			if len(r.released) != 1 || r.gate.FinalReply(q, exchange.Reply{Status: exchange.Served}).Status != exchange.Served {
 				t.Fatal("it was not served")
 			}
-			r.p.QueryEnded(q, exchange.QueryOutcome{Served: true, Ran: true})
-			r.p.step()
+			r.gate.QueryEnded(q, exchange.QueryOutcome{Served: true, Ran: true})
+			r.gate.step()
 		})
 		t.Logf("%d shards: %v allocations", len(parts), each)
 		if each > 2 {
@@ -59,12 +59,12 @@
 				r.released = r.released[:0]
 				for range many {
 					next := q
-					r.p.Admit(&next, "")
-					r.p.step()
-					r.p.FinalReply(&next, exchange.Reply{})
-					r.p.QueryEnded(&next, exchange.QueryOutcome{Served: true, Ran: true})
+					r.gate.Admit(&next, "")
+					r.gate.step()
+					r.gate.FinalReply(&next, exchange.Reply{})
+					r.gate.QueryEnded(&next, exchange.QueryOutcome{Served: true, Ran: true})
 				}
-				r.p.step()
+				r.gate.step()
 				if len(r.released) != many {
 					b.Fatalf("%d of %d ran", len(r.released), many)
 				}
--- a/internal/fleet/sessiongate/gate.go
+++ b/internal/fleet/sessiongate/gate.go
@@ -27,7 +27,7 @@
 
 const (
 	inlineKeySize = 128  // bytes of a session's key that need no memory of their own
-	maxSpare      = 4096 // inputs, and queries that have ended, whose memory is kept for the next ones
+	maxPooled     = 4096 // inputs, and queries that have ended, whose memory is kept for the next ones
 )
 
 const (
@@ -66,20 +66,20 @@
 
 // Gate keeps the queries of pinned sessions in order. It is an exchange.Gate.
 type Gate struct {
-	options       Options
-	owner         *sessionowner.Owner // run's alone
-	checkedAt     time.Duration       // run's alone, as the next
-	idleAt        time.Duration
-	unsafeAt      time.Duration // when the owner was last asked what is unsafe and open
-	unsafeScratch []sessionowner.UnsafeQuery
-	stepOwner     func() // steps the owner with what is given; one for all steps, as it costs memory
-	stepInputs    []sessionowner.Input
-	stepOutputs   []sessionowner.Output
-	leaseUntil    atomic.Int64 // own time until which a served answer may be given; 0: not
-	holders       atomic.Pointer[[][]string]
-	rules         atomic.Pointer[sessionRules]
-	wake          chan struct{}
-	seed          maphash.Seed // for clients' names
+	options        Options
+	owner          *sessionowner.Owner // run's alone
+	checkedAt      time.Duration       // run's alone, as the next
+	idleListedAt   time.Duration
+	unsafeListedAt time.Duration // when the owner was last asked what is unsafe and open
+	unsafeScratch  []sessionowner.UnsafeQuery
+	stepOwner      func() // steps the owner with what is given; one for all steps, as it costs memory
+	stepInputs     []sessionowner.Input
+	stepOutputs    []sessionowner.Output
+	leaseUntil     atomic.Int64 // own time until which a served answer may be given; 0: not
+	holders        atomic.Pointer[[][]string]
+	rules          atomic.Pointer[sessionRules]
+	wake           chan struct{}
+	seed           maphash.Seed // for clients' names
 
 	mu              sync.Mutex
 	inbox           []sessionowner.Input
@@ -93,7 +93,7 @@
 	index           uint64
 	logEpoch        uint64
 	agreedTime      time.Duration
-	stateMoved      bool
+	stateChanged    bool
 	leaseChanged    bool
 	stats           sessionowner.Stats
 	idle            []session.ID // while it leaves
@@ -160,7 +160,7 @@
 // then, by the own monotonic time; 0 for none.
 func (g *Gate) Update(index, era uint64, agreed, until time.Duration) {
 	g.mu.Lock()
-	g.stateMoved = g.stateMoved || index != g.index || era != g.logEpoch
+	g.stateChanged = g.stateChanged || index != g.index || era != g.logEpoch
 	g.index, g.logEpoch, g.agreedTime = index, era, agreed
 	g.newLease, g.leaseChanged = sessionowner.Lease{Until: until, Valid: until > 0}, true
 	g.mu.Unlock()
--- a/internal/fleet/sessiongate/run.go
+++ b/internal/fleet/sessiongate/run.go
@@ -30,7 +30,7 @@
 }
 
 // turn is what one step takes out of the gate's shared state.
-type turn struct {
+type stepWork struct {
 	inputs   []sessionowner.Input
 	lease    sessionowner.Lease
 	draining bool
@@ -39,7 +39,7 @@
 
 // step gives the owner all events, and carries out what it wants. It says whether something waits or runs.
 func (g *Gate) step() (busy bool) {
-	t := g.beginTurn()
+	t := g.beginStep()
 	g.stepInputs = t.inputs
 	g.options.WithLock(g.stepOwner)
 	clear(t.inputs) // what it holds is not needed any more
@@ -48,7 +48,7 @@
 		g.options.Propose(acts)
 	}
 	now, stats := g.now(), g.owner.Stats()
-	g.checkRules(now)
+	g.checkInvariants(now)
 	unsafe, asked := g.collectUnsafe(now)
 	idle := g.collectIdle(now, t.draining)
 
@@ -60,7 +60,7 @@
 	if idle != nil && g.draining {
 		g.idle = idle
 	}
-	g.endTurn(t)
+	g.endStep(t)
 	g.stats, g.awaitsAgreement = stats, len(acts) > 0 || stats.Waiting > 0
 	g.hasWaiting = g.awaitsAgreement || t.draining
 	if g.hasWaiting && len(g.ended) > 0 { // they came meanwhile
@@ -69,19 +69,19 @@
 	return stats.Waiting > 0 || stats.Open > 0 || len(acts) > 0
 }
 
-// beginTurn takes the inputs that have come, with the agreed state and the lease if they have changed.
-func (g *Gate) beginTurn() turn {
+// beginStep takes the inputs that have come, with the agreed state and the lease if they have changed.
+func (g *Gate) beginStep() stepWork {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := turn{inputs: g.inbox, lease: g.newLease, draining: g.draining, ended: len(g.ended)}
+	t := stepWork{inputs: g.inbox, lease: g.newLease, draining: g.draining, ended: len(g.ended)}
 	g.inbox = g.spareInbox[:0]
-	if g.stateMoved {
+	if g.stateChanged {
 		t.inputs = append(t.inputs, sessionowner.Applied{State: g.options.Sessions, Index: g.index, AgreedTime: g.agreedTime, LogEpoch: g.logEpoch})
 	}
 	if g.leaseChanged {
 		t.inputs = append(t.inputs, t.lease)
 	}
-	g.stateMoved, g.leaseChanged = false, false
+	g.stateChanged, g.leaseChanged = false, false
 	return t
 }
 
@@ -110,8 +110,8 @@
 	return acts
 }
 
-// checkRules logs, every CheckInterval, a rule of the owner that does not hold.
-func (g *Gate) checkRules(now time.Duration) {
+// checkInvariants logs, every CheckInterval, a rule of the owner that does not hold.
+func (g *Gate) checkInvariants(now time.Duration) {
 	if now < g.checkedAt+CheckInterval {
 		return
 	}
@@ -123,10 +123,10 @@
 
 // collectUnsafe lists, every ReportInterval, the sessions with an open unsafe query; false between.
 func (g *Gate) collectUnsafe(now time.Duration) (unsafe []peerproto.UnsafeQuery, asked bool) {
-	if now < g.unsafeAt+ReportInterval {
+	if now < g.unsafeListedAt+ReportInterval {
 		return nil, false
 	}
-	g.unsafeAt, g.unsafeScratch = now, g.owner.Unsafe(g.unsafeScratch[:0], peerproto.MaxUnsafeQueries)
+	g.unsafeListedAt, g.unsafeScratch = now, g.owner.Unsafe(g.unsafeScratch[:0], peerproto.MaxUnsafeQueries)
 	for _, q := range g.unsafeScratch {
 		unsafe = append(unsafe, peerproto.UnsafeQuery(q))
 	}
@@ -135,10 +135,10 @@
 
 // collectIdle lists, every ReportInterval while this co-ordinator drains, the sessions without an open query; nil between.
 func (g *Gate) collectIdle(now time.Duration, draining bool) (idle []session.ID) {
-	if !draining || now < g.idleAt+ReportInterval {
+	if !draining || now < g.idleListedAt+ReportInterval {
 		return nil
 	}
-	g.idleAt = now
+	g.idleListedAt = now
 	g.owner.Idle(func(id session.ID, _ time.Duration) bool {
 		idle = append(idle, id)
 		return len(idle) < peerproto.MaxIdleSessions
@@ -146,14 +146,14 @@
 	return idle
 }
 
-// endTurn keeps the memory of a turn's inputs and ended queries for their next use. g.mu is held.
-func (g *Gate) endTurn(t turn) {
-	if cap(t.inputs) <= maxSpare {
+// endStep keeps the memory of a turn's inputs and ended queries for their next use. g.mu is held.
+func (g *Gate) endStep(t stepWork) {
+	if cap(t.inputs) <= maxPooled {
 		g.spareInbox = t.inputs
 	}
 	for i, q := range g.ended[:t.ended] {
 		q.query = nil
-		if len(g.spareQueries) < maxSpare {
+		if len(g.spareQueries) < maxPooled {
 			g.spareQueries = append(g.spareQueries, q)
 		}
 		g.ended[i] = nil
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, r := range s.completed {
-		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.Until() < q.deadline) {
+		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.WindowEnd() < q.deadline) {
 			e.fail("S3: query %d of %v begins, as %d it ran before: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
@@ -175,7 +175,7 @@
 		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waits, runs, alone, left)
 	case s.phase == Frozen && runs > 0:
 		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, runs)
-	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
+	case len(s.completed) > completed.MaxEntries || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
 		return fmt.Errorf("bounds: session %v, at %d, remembers %+v", id, s.seq, s.completed)
 	case waits > k.options.MaxWaiting:
 		return fmt.Errorf("bounds: %d queries of session %v wait", waits, id)
--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -17,7 +17,7 @@
 // unsafe, or both are keyed and the repeat could act again.
 func (s *sessionEntry) alreadyRan(id completed.ID, effect Effect, due time.Duration) bool {
 	e, ok := s.completed.Find(id)
-	return ok && (effect == NonIdempotent || e.Bars(due))
+	return ok && (effect == NonIdempotent || e.BlocksRepeat(due))
 }
 
 // failDuplicate fails a client's repeat of such a one; nothing of the repeat runs.
@@ -33,14 +33,14 @@
 	if q.effect == Idempotent || end == NotRun || q.epoch != q.session.epoch {
 		return
 	}
-	e := completed.Entry{ID: q.id, How: completed.MayHaveRun, Seq: uint32(q.seq)}
+	e := completed.Entry{ID: q.id, Outcome: completed.MayHaveRun, Seq: uint32(q.seq)}
 	if end == Done {
-		e.How = completed.Served
+		e.Outcome = completed.Served
 	}
 	if q.effect == Keyed {
-		e = e.Keys(q.startedAt + q.window - q.window/windowSlackDivisor)
+		e = e.WithWindowEnd(q.startedAt + q.window - q.window/windowSlackDivisor)
 	}
-	q.session.completed = q.session.completed.Note(e)
+	q.session.completed = q.session.completed.Add(e)
 }
 
 // handOverState is what a hand takes along. This co-ordinator knows the agreed time by what it last saw agreed, which is behind, so
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -157,7 +157,7 @@
 			o.startSession(s, r, ok)
 		case r.Phase != session.HandedOver && r.Epoch == s.epoch:
 			o.stats.Adopted++
-			s.completed.Shift(s.adoptProposedAt - r.Since)
+			s.completed.ShiftWindows(s.adoptProposedAt - r.Since)
 			o.startServing(s, r)
 		case r.Epoch != s.epoch:
 			o.startSession(s, r, ok)
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -155,7 +155,7 @@
 	case k == 8:
 		to := []string{"a", "b"}[p.draw(2)]
 		p.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
-		for _, t := range p.book.Pool().Asked("b") {
+		for _, t := range p.book.Pool().PendingReleases("b") {
 			p.applyActs("b", session.Act{Kind: session.Freed, Fence: t.Fence})
 		}
 	}
@@ -224,9 +224,9 @@
 	}
 	for _, replica := range []string{"r1", "r2"} {
 		may := p.book.Pool().Held("a", replica)
-		for _, t := range p.book.Pool().Asked("a") {
+		for _, t := range p.book.Pool().PendingReleases("a") {
 			if t.Replica == replica {
-				may += t.N
+				may += t.Slots
 			}
 		}
 		if n := p.inUse(replica); n > may {
--- a/internal/fleet/sessionpart/lease.go
+++ b/internal/fleet/sessionpart/lease.go
@@ -38,21 +38,21 @@
 // queries nor their slots. What is agreed when the first complete reply comes tells whether there may be any, as each ran with
 // slots that were held; the first lease may come later, with slots of its own.
 func (p *Part) leaseUntil(t Turn) time.Duration {
-	if (t.LeaseUntil > 0 || t.CaughtUp) && !p.checkedPrevious {
-		p.checkedPrevious = true
-		p.waitForPrevious()
-		if p.waitUntil > t.Now {
-			p.host.Log.WithField("after", p.waitUntil-t.Now).Info("pinned queries wait here for what a process before this one may have out")
+	if (t.LeaseUntil > 0 || t.CaughtUp) && !p.checkedPreviousProcess {
+		p.checkedPreviousProcess = true
+		p.setWaitForPreviousProcess()
+		if p.previousProcessUntil > t.Now {
+			p.host.Log.WithField("after", p.previousProcessUntil-t.Now).Info("pinned queries wait here for what a process before this one may have out")
 		}
 	}
-	if t.Now < p.waitUntil {
+	if t.Now < p.previousProcessUntil {
 		return 0
 	}
 	return t.LeaseUntil
 }
 
-// waitForPrevious sets until when what a process before this one may have out can run, if anything is agreed to be its own.
-func (p *Part) waitForPrevious() {
+// setWaitForPreviousProcess sets until when what a process before this one may have out can run, if anything is agreed to be its own.
+func (p *Part) setWaitForPreviousProcess() {
 	state := p.host.State
 	state.WithLock(func() {
 		sessions := state.Sessions
@@ -61,7 +61,7 @@
 			held = held || sessions.Pool().Held(p.host.Name, r) > 0
 		}
 		if l, _ := sessions.Limits(); held {
-			p.waitUntil = l.SilentFor()
+			p.previousProcessUntil = l.SilentFor()
 		}
 	})
 }
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -37,9 +37,9 @@
 	MaxInFlight = 128
 	// ForecastInterval is between lines about what is to move. Twice as long: a change is logged later; half: twice the lines.
 	ForecastInterval = 10 * time.Second
-	// leaveBefore the end of the time in which its work has to begin a co-ordinator leaves, whatever sessions it has: they are
+	// departureMargin the end of the time in which its work has to begin a co-ordinator leaves, whatever sessions it has: they are
 	// free after its lease. Twice as long: less time for hand-overs; half: the drain may not end in time.
-	leaveBefore = 10 * time.Second
+	departureMargin = 10 * time.Second
 	// maxQueries of sessions are open at one co-ordinator, waiting or running; the owner's own bound is behind it.
 	maxQueries = 32_768
 )
@@ -89,30 +89,30 @@
 type Part struct {
 	host       Host
 	gate       *sessiongate.Gate
-	controller *sessionctl.Steward
+	controller *sessionctl.Controller
 	section    *operator.Sessions // in force here
 
-	index           uint64 // of the newest turn
-	sequence        uint64 // of the newest message of acts
-	controllerAt    time.Duration
-	controllerTerm  uint64
-	capacity        map[string]migrate.Room
-	idle            map[string][]session.ID
-	unsafe          map[string][]migrate.Unsafe
-	coordinators    []migrate.Coordinator // as of planIndex, made anew at planUntil
-	planIndex       uint64
-	planUntil       time.Duration
-	loggedForecast  string
-	loggedAt        time.Duration
-	requests        []peerproto.SessionActions // to be proposed by this leader
-	inFlight        atomic.Int64               // proposals
-	leaveFence      uint64                     // the grant by which this one may leave, once it has no session; 0: none
-	checkedPrevious bool                       // what a process before this one had
-	waitUntil       time.Duration              // own time until which parts of that one may run at replicas
+	index                  uint64 // of the newest turn
+	sequence               uint64 // of the newest message of acts
+	controllerAt           time.Duration
+	controllerTerm         uint64
+	capacity               map[string]migrate.Room
+	idle                   map[string][]session.ID
+	unsafe                 map[string][]migrate.Unsafe
+	coordinators           []migrate.Coordinator // as of planIndex, made anew at planUntil
+	planIndex              uint64
+	planUntil              time.Duration
+	loggedForecast         string
+	forecastLoggedAt       time.Duration
+	requests               []peerproto.SessionActions // to be proposed by this leader
+	inFlight               atomic.Int64               // proposals
+	departureFence         uint64                     // the grant by which this one may leave, once it has no session; 0: none
+	checkedPreviousProcess bool                       // what a process before this one had
+	previousProcessUntil   time.Duration              // own time until which parts of that one may run at replicas
 
 	mu      sync.Mutex
-	acts    []session.Act     // of the own owner, to be handed on
-	results []sessionctl.Done // of the controller's proposals
+	acts    []session.Act       // of the own owner, to be handed on
+	results []sessionctl.Result // of the controller's proposals
 }
 
 // New makes the part and has the exchange ask its gate. It comes before the exchange runs; Run runs the gate.
@@ -170,7 +170,7 @@
 // this co-ordinator. The state is locked.
 func (p *Part) Urgency(now time.Duration) view.PollUrgently {
 	limits, _ := p.host.State.Maintenance.Limits()
-	p.controller.Lease(now, limits.Lease) // it may have to lead with the next step
+	p.controller.ObserveLease(now, limits.Lease) // it may have to lead with the next step
 	return view.PollUrgently{On: p.gate.AwaitsAgreement() || p.host.State.Sessions.HasMoves(p.host.Name)}
 }
 
@@ -242,20 +242,20 @@
 	p.results = nil
 	p.mu.Unlock()
 	state := p.host.State
-	var out []sessionctl.Propose
+	var out []sessionctl.Proposal
 	state.WithLock(func() {
 		p.refreshPlan(t.Now, at)
-		out = p.controller.Step(sessionctl.Look{
-			Now: t.Now, Agreed: at, Book: state.Sessions, Order: state.Maintenance, Want: p.limits(), Slots: p.section.Pool,
-			Silent: p.host.Controller.SilentFor, Done: results, Sites: p.coordinators, PerSlot: p.sessionsPerSlot(),
+		out = p.controller.Step(sessionctl.Input{
+			Now: t.Now, AgreedTime: at, Sessions: state.Sessions, Maintenance: state.Maintenance, WantedLimits: p.limits(), SlotsPerReplica: p.section.Pool,
+			SilentFor: p.host.Controller.SilentFor, Results: results, Coordinators: p.coordinators, SessionsPerSlot: p.sessionsPerSlot(),
 			Paused: state.Maintenance.Requests().Paused,
 		})
 	})
 	for _, o := range out {
 		if o.Kind == session.KindRelease {
-			p.host.Log.WithField("what", o.What).Info("a silent co-ordinator's sessions and slots are to be free")
+			p.host.Log.WithField("what", o.Description).Info("a silent co-ordinator's sessions and slots are to be free")
 		}
-		p.propose(t.Group, command{at: at, id: fmt.Sprintf("s-%d-%d", t.Term, o.No), kind: o.Kind, body: o.Body, controllerNo: o.No})
+		p.propose(t.Group, command{at: at, id: fmt.Sprintf("s-%d-%d", t.Term, o.Number), kind: o.Kind, body: o.Body, proposalNumber: o.Number})
 	}
 }
 
@@ -277,10 +277,10 @@
 func (p *Part) logForecast(now time.Duration) {
 	plan := p.controller.Plan()
 	text := plan.Forecast.String()
-	if len(plan.Kept) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.loggedAt+ForecastInterval {
+	if len(plan.Kept) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.forecastLoggedAt+ForecastInterval {
 		return
 	}
-	p.loggedForecast, p.loggedAt = text, now
+	p.loggedForecast, p.forecastLoggedAt = text, now
 	p.host.Log.WithField("forecast", text).Info("pinned sessions are to move")
 	for _, k := range plan.Kept {
 		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Why, "one_is": k.Example}).Info("sessions stay for now")
@@ -335,7 +335,7 @@
 
 // Leave notes that this co-ordinator may leave by the grant of that fence. It does once its sessions are handed on.
 func (p *Part) Leave(fence uint64) {
-	p.leaveFence = fence
+	p.departureFence = fence
 	p.gate.Drain()
 	p.host.Log.WithFields(logrus.Fields{"fence": fence, "sessions": p.owned()}).Info("this co-ordinator may go for work, and waits for its sessions to be handed on")
 }
@@ -343,7 +343,7 @@
 // MayLeaveNow says that one that may leave can do so now: no session is its any more, or the time before which its work has to
 // begin comes, or the grant has ended otherwise.
 func (p *Part) MayLeaveNow(agreedTime time.Duration) (fence uint64, leaves bool) {
-	if p.leaveFence == 0 {
+	if p.departureFence == 0 {
 		return 0, false
 	}
 	state := p.host.State
@@ -351,12 +351,12 @@
 		it, ok := state.Maintenance.ActiveItem(p.host.Name)
 		limits, _ := state.Maintenance.Limits()
 		switch {
-		case !ok || it.Fence != p.leaveFence || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
-			p.leaveFence = 0
+		case !ok || it.Fence != p.departureFence || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
+			p.departureFence = 0
 			p.gate.CancelDrain()
 			p.host.Log.Info("this co-ordinator goes for work no more, and takes new sessions again")
-		case state.Sessions.Owned(p.host.Name) == 0 || agreedTime >= it.Until-limits.SettleTime-leaveBefore:
-			fence, leaves, p.leaveFence = p.leaveFence, true, 0
+		case state.Sessions.Owned(p.host.Name) == 0 || agreedTime >= it.Until-limits.SettleTime-departureMargin:
+			fence, leaves, p.departureFence = p.departureFence, true, 0
 		}
 	})
 	return fence, leaves
--- a/internal/fleet/sessionpart/part_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -21,7 +21,7 @@
 )
 
 // A pinned class that must not run twice needs a lease that outlasts its clients; one that may needs none.
-func TestSessionsNeedALeaseThatOutlastsTheirQueries(t *testing.T) {
+func TestValidateRequiresLeaseLongerThanQueries(t *testing.T) {
 	names := &settings.Names{Classes: []string{"report", "tally"}}
 	cfg := &policy.Config{Classes: []policy.Class{{GiveUp: 60}, {GiveUp: 4, Effect: policy.Unsafe}}}
 	f := &operator.Fleet{Lease: 4500, Grace: 1000, Sessions: &operator.Sessions{Classes: []string{"report", "tally"}}}
@@ -39,7 +39,7 @@
 
 // A process gets its lease once what the one before it of its name had out at replicas is over: for lease and grace after its start,
 // if anything is agreed to be its own when its first lease comes.
-func TestProcessWaitsForWhatTheOneBeforeHadOut(t *testing.T) {
+func TestLeaseWaitsForPartsOfPreviousProcess(t *testing.T) {
 	limits := session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute,
 		Lease: 2 * time.Second, Grace: 3 * time.Second, MaxSessions: 9, MaxStateBytes: 9, Slots: 2}
 	const first, until = time.Second, time.Minute
@@ -81,7 +81,7 @@
 }
 
 // A message of acts stays within an entry of the log, whatever hands carry.
-func TestActsFitAnEntry(t *testing.T) {
+func TestCountFittingStaysWithinLogEntry(t *testing.T) {
 	full := session.Act{Kind: session.HandOver, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.MaxStateBytes), Lane: 255}
 	many := make([]session.Act, session.MaxActs+1)
 	if n := countFitting(many); n != session.MaxActs {
@@ -108,7 +108,7 @@
 
 // What a co-ordinator tells of its open unsafe queries comes to the leader's forecast: a session with one that may be open beyond the
 // deadline is named, and no offer is made of it; it is, once a later poll tells of none.
-func TestForecastKnowsWhatIsUnsafeAndOpen(t *testing.T) {
+func TestForecastIncludesOpenUnsafeQueries(t *testing.T) {
 	state := agreedstate.New()
 	p := &Part{host: Host{Name: "b", State: state, Controller: drainctl.New(waveplan.Order)}, section: &operator.Sessions{Most: 9},
 		capacity: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
--- a/internal/fleet/sessionpart/propose.go
+++ b/internal/fleet/sessionpart/propose.go
@@ -16,9 +16,9 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// actSize bytes of an entry are one act, in JSON, and as many again one with numbers or a reason. Twice as many: more messages;
+// actBytes bytes of an entry are one act, in JSON, and as many again one with numbers or a reason. Twice as many: more messages;
 // half: an entry may be larger than the raft group takes, and comes to nothing each time.
-const actSize = 104
+const actBytes = 104
 
 // limits are what the section says, with the fleet's revision, lease and grace.
 func (p *Part) limits() session.Limits {
@@ -32,10 +32,10 @@
 
 // command is one for the agreed sessions.
 type command struct {
-	at           time.Duration // agreed time
-	id, kind     string
-	body         any    // the kind's body, as package session has it
-	controllerNo uint64 // the controller's number of it; 0: another's
+	at             time.Duration // agreed time
+	id, kind       string
+	body           any    // the kind's body, as package session has it
+	proposalNumber uint64 // the controller's number of it; 0: another's
 }
 
 // propose puts a command to the raft group, beside the step. What comes to nothing is wanted again by who wants it.
@@ -46,18 +46,18 @@
 	}
 	if err != nil {
 		p.host.Log.WithError(err).Error("a proposal for the sessions can't be written")
-		p.finish(c.controllerNo, true)
+		p.reportResult(c.proposalNumber, true)
 		return
 	}
 	if group == nil || p.inFlight.Load() >= MaxInFlight {
-		p.finish(c.controllerNo, true) // it enters no log
+		p.reportResult(c.proposalNumber, true) // it enters no log
 		return
 	}
 	p.inFlight.Add(1)
 	go func() {
 		defer p.inFlight.Add(-1)
 		err := group.ProposeWithin(raw)
-		p.finish(c.controllerNo, !errors.Is(err, raftgroup.ErrOutcomeUnknown))
+		p.reportResult(c.proposalNumber, !errors.Is(err, raftgroup.ErrOutcomeUnknown))
 		if err != nil {
 			level := logrus.DebugLevel // what came twice or late, mostly
 			if c.kind == session.KindLimits {
@@ -70,12 +70,12 @@
 }
 
 // finish notes the end of a proposal of the controller's. Any goroutine may call it.
-func (p *Part) finish(controllerNo uint64, known bool) {
+func (p *Part) reportResult(controllerNo uint64, known bool) {
 	if controllerNo == 0 {
 		return
 	}
 	p.mu.Lock()
-	p.results = append(p.results, sessionctl.Done{No: controllerNo, Known: known})
+	p.results = append(p.results, sessionctl.Result{Number: controllerNo, OutcomeKnown: known})
 	p.mu.Unlock()
 }
 
@@ -84,8 +84,8 @@
 	size := 0
 	for i := range acts {
 		a := &acts[i]
-		if size += actSize; a.Fence+a.Seq > 0 || a.Reason != "" {
-			size += actSize + len(a.Reason) + len(a.State)*4/3
+		if size += actBytes; a.Fence+a.Seq > 0 || a.Reason != "" {
+			size += actBytes + len(a.Reason) + len(a.State)*4/3
 		}
 		if i == session.MaxActs || size > peerproto.MaxEntrySize && i > 0 {
 			return i
