--- a/internal/fleet/drainctl/acknowledge.go
+++ b/internal/fleet/drainctl/acknowledge.go
@@ -117,7 +117,7 @@
 		case says != nil && !says.Rejected:
 			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > silenceLimit(limits):
-			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent})
+			body.Silent = append(body.Silent, maintenance.Silent{Name: name, Duration: silent})
 		case says != nil:
 			c.withdraw(it, fmt.Sprintf("%s refuses: %s", name, says.Reason))
 			return
--- a/internal/fleet/drainctl/controller_test.go
+++ b/internal/fleet/drainctl/controller_test.go
@@ -15,8 +15,8 @@
 
 const s = time.Second
 
-var limits = maintenance.Limits{Cells: 16, Reach: 2, Shards: 16, MinHolders: 1, MaxOutPerZone: 8, MaxOut: 8, Headroom: 0.1, LoadAge: 10 * s,
-	ListAge: 10 * s, WarmUp: 20 * s, Lease: 5 * s, Grace: 2 * s, SettleTime: 10 * s, FailurePause: 30 * s, MaxPassedOver: 3, MinVoters: 2}
+var limits = maintenance.Limits{Cells: 16, Reach: 2, Shards: 16, MinHolders: 1, MaxOutPerZone: 8, MaxOut: 8, Headroom: 0.1, MaxLoadAge: 10 * s,
+	MaxInventoryAge: 10 * s, WarmUp: 20 * s, Lease: 5 * s, Grace: 2 * s, SettleTime: 10 * s, FailurePause: 30 * s, MaxPassedOver: 3, MinVoters: 2}
 
 // rig steps a leader every 100 ms over a state machine that takes what it proposes, with sixteen replicas and three
 
--- a/internal/fleet/drainctl/observe.go
+++ b/internal/fleet/drainctl/observe.go
@@ -118,13 +118,13 @@
 	if cut := countFitting(body.Machines); cut < len(body.Machines) {
 		c.limitObservation(&body, last)
 	}
-	body.Load, body.LoadKnown = c.fleetLoad(limits.LoadAge)
+	body.Load, body.LoadKnown = c.fleetLoad(limits.MaxLoadAge)
 	if len(body.Machines) == 0 && !body.Complete {
 		if len(open) == 0 {
 			return
 		}
 		_, _, known := c.state.ObservedLoad()
-		fresh := min(limits.ListAge, limits.LoadAge) / 2
+		fresh := min(limits.MaxInventoryAge, limits.MaxLoadAge) / 2
 		if at-last < fresh && (known || !body.LoadKnown) {
 			return
 		}
@@ -146,7 +146,7 @@
 	cut := countFitting(body.Machines)
 	switch {
 	case whole && len(body.Machines) == 0:
-		body.Complete, body.Sum = true, c.state.InventoryDigest()
+		body.Complete, body.Digest = true, c.state.InventoryDigest()
 	case whole || cut < len(body.Machines):
 		body.Machines = body.Machines[:cut]
 		if last > 0 {
--- a/internal/fleet/drainctl/observe_test.go
+++ b/internal/fleet/drainctl/observe_test.go
@@ -68,7 +68,7 @@
 		r := begin(t)
 		c.change(r)
 		r.run(2 * s)
-		load, known := r.l.fleetLoad(limits.LoadAge)
+		load, known := r.l.fleetLoad(limits.MaxLoadAge)
 		r.want(c.what, fmt.Sprint(load, " ", known), c.want)
 	}
 	r := begin(t)
--- a/internal/fleet/fleetfile/fleetfile.go
+++ b/internal/fleet/fleetfile/fleetfile.go
@@ -22,7 +22,7 @@
 	fl := f.Fleet
 	return maintenance.LimitsBody{Revision: fl.Revision, Limits: maintenance.Limits{
 		Cells: cfg.Cells, Reach: cfg.Reach, Shards: cfg.Shards, MinHolders: f.Placement.HoldersLeast,
-		MaxOutPerZone: fl.Zone, MaxOut: fl.Most, Headroom: *fl.Headroom, LoadAge: Milliseconds(fl.LoadAge), ListAge: Milliseconds(fl.ListAge),
+		MaxOutPerZone: fl.Zone, MaxOut: fl.Most, Headroom: *fl.Headroom, MaxLoadAge: Milliseconds(fl.LoadAge), MaxInventoryAge: Milliseconds(fl.ListAge),
 		WarmUp: time.Duration(cfg.WarmUp * float64(time.Second)), Lease: Milliseconds(fl.Lease), Grace: Milliseconds(fl.Grace), SettleTime: Milliseconds(fl.Settle),
 		FailurePause: Milliseconds(fl.Calm), MaxPassedOver: fl.Passed,
 		MinVoters: minVoters(len(fl.Voters)),
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -27,7 +27,7 @@
 func TestLimitsOfTheFiles(t *testing.T) {
 	got := Limits(file(t, `[]`), &policy.Config{Cells: 6, Reach: 2, Shards: 12, WarmUp: 1.5})
 	want := maintenance.LimitsBody{Revision: 7, Limits: maintenance.Limits{
-		Cells: 6, Reach: 2, Shards: 12, MinHolders: 2, MaxOutPerZone: 1, MaxOut: 3, LoadAge: 15 * time.Second, ListAge: 15 * time.Second,
+		Cells: 6, Reach: 2, Shards: 12, MinHolders: 2, MaxOutPerZone: 1, MaxOut: 3, MaxLoadAge: 15 * time.Second, MaxInventoryAge: 15 * time.Second,
 		WarmUp: 1500 * time.Millisecond, Lease: 10 * time.Second, Grace: 250 * time.Millisecond, SettleTime: 30 * time.Second,
 		FailurePause: time.Minute, MaxPassedOver: 8, MinVoters: 4,
 	}}
--- a/internal/fleet/fleetsim/actions.go
+++ b/internal/fleet/fleetsim/actions.go
@@ -180,7 +180,7 @@
 		case n.laid[item.Fence]&(1<<i) != 0 || i == s.leader && s.nodes[i].drains[item.Machine]:
 			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > need+need/view.MaxDriftDivisor, s.off == "told":
-			body.Silent = append(body.Silent, maintenance.Silent{Name: name, For: silent + 1})
+			body.Silent = append(body.Silent, maintenance.Silent{Name: name, Duration: silent + 1})
 		default:
 			return false
 		}
--- a/internal/fleet/fleetsim/canon.go
+++ b/internal/fleet/fleetsim/canon.go
@@ -43,7 +43,7 @@
 	"view.View.out": none, "view.View.index": none, "view.pollState.sequence": none, // see canon.poll and small.digest
 	"statemachine.Machine.parts": none, "statemachine.Machine.index": none, "statemachine.Machine.ids": none, "statemachine.Machine.seen": none,
 	"maintenance.State.byID": none, "maintenance.State.machines": none, "maintenance.State.cells": none, "maintenance.State.latest": none,
-	"maintenance.State.sums": none, "maintenance.State.sumsValid": none, "maintenance.State.pauseWhy": none, "maintenance.request.FirstSeenAt": none,
+	"maintenance.State.sums": none, "maintenance.State.sumsValid": none, "maintenance.State.pauseReason": none, "maintenance.request.FirstSeenAt": none,
 	"maintenance.machine.live": none, "maintenance.machine.pending": none, "maintenance.machine.GoneAt": none, "maintenance.machine.Settle": ahead,
 	"maintenance.Machine.Started": start, "maintenance.Item.StartedAt": start, "maintenance.Item.Reason": none, "maintenance.Item.RequestedAt": none,
 	"history.Checker.items": none, "history.Checker.commands": none, "history.Checker.moved": none, "history.Checker.running": none,
--- a/internal/fleet/fleetsim/plans.go
+++ b/internal/fleet/fleetsim/plans.go
@@ -22,7 +22,7 @@
 
 func smallLimits(off Off, plan Plan) maintenance.Limits {
 	l := maintenance.Limits{Cells: 4, Reach: 2, Shards: 4, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 2, Headroom: 0.25,
-		LoadAge: 4 * time.Second, ListAge: 3 * time.Second, WarmUp: 3 * time.Second, Lease: 3 * time.Second, Grace: time.Second,
+		MaxLoadAge: 4 * time.Second, MaxInventoryAge: 3 * time.Second, WarmUp: 3 * time.Second, Lease: 3 * time.Second, Grace: time.Second,
 		SettleTime: 2 * time.Second, FailurePause: 8 * time.Second, MaxPassedOver: 1, MinVoters: 1}
 	if plan != AllPlan {
 		l.WarmUp, l.SettleTime, l.FailurePause = 2*time.Second, time.Second, 2*time.Second
--- a/internal/fleet/fleetsim/schedule.go
+++ b/internal/fleet/fleetsim/schedule.go
@@ -107,7 +107,7 @@
 		s.Voters = 5
 	}
 	s.Limits = maintenance.Limits{Cells: 4 + rng.IntN(5), Reach: 2 + rng.IntN(2), MinHolders: 1 + rng.IntN(2), MaxOutPerZone: 1 + rng.IntN(3),
-		MaxOut: 1 + rng.IntN(6), Headroom: 0.25, LoadAge: 15 * time.Second, ListAge: 10 * time.Second,
+		MaxOut: 1 + rng.IntN(6), Headroom: 0.25, MaxLoadAge: 15 * time.Second, MaxInventoryAge: 10 * time.Second,
 		WarmUp: time.Duration(2+rng.IntN(10)) * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second, SettleTime: 10 * time.Second,
 		FailurePause: time.Duration(5+rng.IntN(20)) * time.Second, MaxPassedOver: 2 + rng.IntN(5), MinVoters: s.Voters/2 + 1}
 	s.Limits.Shards = s.Limits.Cells
--- a/internal/fleet/fleetsim/swap.go
+++ b/internal/fleet/fleetsim/swap.go
@@ -18,7 +18,7 @@
 		s.Voters = 5
 	}
 	s.Limits = maintenance.Limits{Cells: 50, Reach: 3, Shards: 50, MinHolders: 8, MaxOutPerZone: 20, MaxOut: outMost, Headroom: 0.25,
-		LoadAge: 15 * time.Second, ListAge: 10 * time.Second, WarmUp: 30 * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second,
+		MaxLoadAge: 15 * time.Second, MaxInventoryAge: 10 * time.Second, WarmUp: 30 * time.Second, Lease: 5 * time.Second, Grace: 2 * time.Second,
 		SettleTime: 30 * time.Second, FailurePause: 30 * time.Second, MaxPassedOver: 5, MinVoters: s.Voters/2 + 1}
 	s.Asks = []Ask{{At: 5 * time.Second, By: []int{0, coordinators / 2}, Limits: maintenance.LimitsBody{Revision: 1, Limits: s.Limits},
 		Asks: maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{{ID: "swap", Kind: maintenance.Replica, Zone: zone, Reason: "hardware",
--- a/internal/fleet/fleetsim/world.go
+++ b/internal/fleet/fleetsim/world.go
@@ -117,7 +117,7 @@
 	w.tell(history.Event{Kind: history.Limits, Rules: history.Rules{Cells: s.Limits.Cells, Reach: s.Limits.Reach, Shards: s.Limits.Shards,
 		HoldersLeast: s.Limits.MinHolders, OutByZone: s.Limits.MaxOutPerZone, OutMost: s.Limits.MaxOut, VotersLeast: s.Limits.MinVoters,
 		PassedMost: s.Limits.MaxPassedOver, Overtake: 2*s.Limits.MaxOut + 8, Load: s.Load, Headroom: s.Limits.Headroom, Calm: s.Limits.FailurePause,
-		Skew: s.Offset, Settle: s.Limits.SettleTime, Slack: s.Limits.ListAge + 10*time.Second}})
+		Skew: s.Offset, Settle: s.Limits.SettleTime, Slack: s.Limits.MaxInventoryAge + 10*time.Second}})
 	for i := range s.Replicas {
 		m := &machine{name: fmt.Sprintf("r%03d", i), cell: i % s.Limits.Cells, status: maintenance.Up, start: clockwork.Epoch - time.Hour}
 		m.zone = zone(i/s.Limits.Cells+i, s.Zones)
--- a/internal/fleet/harness/check_load.go
+++ b/internal/fleet/harness/check_load.go
@@ -54,11 +54,11 @@
 	slices.SortStableFunc(parts, func(a, b Part) int { return a.At.Compare(b.At) })
 	for _, g := range grants {
 		at := agreed(g.GrantedAt)
-		if age := h.Limits.ListAge + listNews; h.Limits.ListAge > 0 && h.silent(at.Add(-age), at) {
+		if age := h.Limits.MaxInventoryAge + listNews; h.Limits.MaxInventoryAge > 0 && h.silent(at.Add(-age), at) {
 			v.broken("W3: fence %d of %s was granted, and nobody had heard of discovery for %v", g.Fence, g.Machine, age)
 		}
 		m, ok := h.machine(g.Machine)
-		from := at.Add(-h.Limits.LoadAge - loadNews)
+		from := at.Add(-h.Limits.MaxLoadAge - loadNews)
 		if !ok || m.Kind != maintenance.Replica || h.Bears <= 0 || h.Answer <= 0 ||
 			slices.ContainsFunc(h.Disturbed, func(s []Span) bool { return meets(s, from, at) }) {
 			continue
--- a/internal/fleet/harness/check_rules_test.go
+++ b/internal/fleet/harness/check_rules_test.go
@@ -26,7 +26,7 @@
 	for i := range h.Machines {
 		h.Machines[i].Cell = i
 	}
-	h.Limits.MaxPassedOver, h.Limits.FailurePause, h.Limits.Headroom, h.Limits.LoadAge, h.Limits.ListAge = 2, 8*time.Second, 0.25, 4*time.Second, 6*time.Second
+	h.Limits.MaxPassedOver, h.Limits.FailurePause, h.Limits.Headroom, h.Limits.MaxLoadAge, h.Limits.MaxInventoryAge = 2, 8*time.Second, 0.25, 4*time.Second, 6*time.Second
 	h.Bears, h.Answer, h.Deaf = 1, 20*time.Millisecond, make([][]Span, 2)
 	h.Silent = make([][]Span, 2)
 	return &story{History: h}
--- a/internal/fleet/harness/fleet.go
+++ b/internal/fleet/harness/fleet.go
@@ -27,7 +27,7 @@
 func siteLimits() maintenance.Limits {
 	return maintenance.Limits{
 		Cells: cells, Reach: reach, Shards: shards, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 3, Headroom: 0.25,
-		LoadAge: 10 * time.Second, ListAge: 10 * time.Second, WarmUp: warmUp, Lease: 4 * time.Second, Grace: 500 * time.Millisecond,
+		MaxLoadAge: 10 * time.Second, MaxInventoryAge: 10 * time.Second, WarmUp: warmUp, Lease: 4 * time.Second, Grace: 500 * time.Millisecond,
 		SettleTime: 2 * time.Second, FailurePause: 2 * time.Second, MaxPassedOver: 4, MinVoters: voters/2 + 2,
 	}
 }
@@ -56,7 +56,7 @@
 		},
 		"keys_file": keys, "dir": filepath.Join(dir, "disk", "fleet"), "grants_file": c.grants(i), "drain_self": true,
 		"lease_ms": l.Lease.Milliseconds(), "grace_ms": l.Grace.Milliseconds(), "settle_ms": l.SettleTime.Milliseconds(),
-		"calm_ms": l.FailurePause.Milliseconds(), "load_age_ms": l.LoadAge.Milliseconds(), "list_age_ms": l.ListAge.Milliseconds(),
+		"calm_ms": l.FailurePause.Milliseconds(), "load_age_ms": l.MaxLoadAge.Milliseconds(), "list_age_ms": l.MaxInventoryAge.Milliseconds(),
 		"out_by_zone": l.MaxOutPerZone, "out_most": l.MaxOut, "headroom": l.Headroom, "passed_most": l.MaxPassedOver,
 		"parts_per_replica": c.h.Bears, "work": c.asked(ask),
 	}
--- a/internal/fleet/harness/terms.go
+++ b/internal/fleet/harness/terms.go
@@ -38,7 +38,7 @@
 // limits are the site's by the terms.
 func (t *Terms) limits() maintenance.Limits {
 	l := siteLimits()
-	l.FailurePause, l.LoadAge, l.ListAge = or(t.Calm, l.FailurePause), or(t.LoadAge, l.LoadAge), or(t.ListAge, l.ListAge)
+	l.FailurePause, l.MaxLoadAge, l.MaxInventoryAge = or(t.Calm, l.FailurePause), or(t.LoadAge, l.MaxLoadAge), or(t.ListAge, l.MaxInventoryAge)
 	l.MinHolders, l.MaxOutPerZone, l.MaxPassedOver = or(t.Holders, l.MinHolders), or(t.OutByZone, l.MaxOutPerZone), or(t.PassedMost, l.MaxPassedOver)
 	return l
 }
--- a/internal/fleet/maintenance/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -40,7 +40,7 @@
 }
 
 func (s *State) applyLimits(b LimitsBody) error {
-	if err := b.Limits.valid(); err != nil {
+	if err := b.Limits.validate(); err != nil {
 		return err
 	}
 	if b.Revision < s.revision || b.Revision < 1 {
@@ -62,11 +62,11 @@
 }
 
 // valid says what makes limits unfit.
-func (l Limits) valid() error {
+func (l Limits) validate() error {
 	for _, d := range []struct {
 		name string
 		d    time.Duration
-	}{{"load_age", l.LoadAge}, {"list_age", l.ListAge}, {"lease", l.Lease}} {
+	}{{"load_age", l.MaxLoadAge}, {"list_age", l.MaxInventoryAge}, {"lease", l.Lease}} {
 		if d.d <= 0 {
 			return fmt.Errorf("limits: %s is %v, it has to be over 0", d.name, d.d)
 		}
@@ -104,14 +104,14 @@
 	if b.Until <= s.now || b.Until > s.now+MaxGrantTime {
 		return fmt.Errorf("W7: until %s, it is %s and %v is the most", formatTime(b.Until), formatTime(s.now), MaxGrantTime)
 	}
-	left, room, err := s.mayGrant(s.now, e)
+	holdersLeft, spareCapacity, err := s.evaluateGrant(s.now, e)
 	if err != nil {
 		return err
 	}
 	s.countPassedOver(e)
 	m := s.machines[e.Machine]
 	e.Phase, e.Fence, e.GrantedAt, e.Until, e.Reason = Granted, fence(), s.now, b.Until, ""
-	e.HoldersLeft, e.SpareCapacity, e.Revision, e.StartedAt, e.Zone, e.Voter = left, room, s.revision, m.Started, m.Zone, m.Voter
+	e.HoldersLeft, e.SpareCapacity, e.Revision, e.StartedAt, e.Zone, e.Voter = holdersLeft, spareCapacity, s.revision, m.Started, m.Zone, m.Voter
 	if m.Kind == Replica {
 		e.MinHolders = s.limits.MinHolders
 	}
@@ -124,13 +124,13 @@
 }
 
 // grantedMachine finds the grant that a word is about: still granted, with that number.
-func (s *State) grantedMachine(name string, number uint64) (*machine, error) {
+func (s *State) grantedMachine(name string, fence uint64) (*machine, error) {
 	m := s.machines[name]
-	if m == nil || m.live == nil || m.live.Fence != number {
-		return nil, fmt.Errorf("W4: %s has no live grant of number %d", name, number)
+	if m == nil || m.live == nil || m.live.Fence != fence {
+		return nil, fmt.Errorf("W4: %s has no live grant of number %d", name, fence)
 	}
 	if m.live.Phase != Granted {
-		return nil, fmt.Errorf("W4: %s of number %d is %s, not granted", name, number, m.live.Phase)
+		return nil, fmt.Errorf("W4: %s of number %d is %s, not granted", name, fence, m.live.Phase)
 	}
 	return m, nil
 }
@@ -142,19 +142,19 @@
 	if err != nil {
 		return err
 	}
-	heard := make(map[string]bool, len(b.Acknowledged)+len(b.Silent))
+	accountedFor := make(map[string]bool, len(b.Acknowledged)+len(b.Silent))
 	for _, name := range b.Acknowledged {
-		heard[name] = true
+		accountedFor[name] = true
 	}
-	need := s.limits.Lease + s.limits.Grace
+	minSilence := s.limits.Lease + s.limits.Grace
 	for _, q := range b.Silent {
-		if !heard[q.Name] && q.For < need {
-			return fmt.Errorf("told: %s is silent for %v, its lease and grace are %v", q.Name, q.For, need)
+		if !accountedFor[q.Name] && q.Duration < minSilence {
+			return fmt.Errorf("told: %s is silent for %v, its lease and grace are %v", q.Name, q.Duration, minSilence)
 		}
-		heard[q.Name] = true
+		accountedFor[q.Name] = true
 	}
 	for _, c := range s.list {
-		if c.Kind == Coordinator && !heard[c.Name] {
+		if c.Kind == Coordinator && !accountedFor[c.Name] {
 			return fmt.Errorf("told: nothing is said of co-ordinator %s", c.Name)
 		}
 	}
@@ -177,8 +177,8 @@
 }
 
 // endItem closes an item. A grant's machine settles. The caller tidies the open ones.
-func (s *State) endItem(e *entry, p Phase, why string) {
-	e.Phase, e.EndedAt, e.Reason = p, s.now, why
+func (s *State) endItem(e *entry, p Phase, reason string) {
+	e.Phase, e.EndedAt, e.Reason = p, s.now, reason
 	m := s.machines[e.Machine] // it stays while an item is open
 	m.removePending(e)
 	if m.live == e {
--- a/internal/fleet/maintenance/check.go
+++ b/internal/fleet/maintenance/check.go
@@ -8,7 +8,7 @@
 // Check names the first of W1 to W7 that does not hold, with the evidence. W1, W3 and W6 are read from what each grant
 // wrote down of its moment: later failures may leave less, and are no fault of the plan.
 func (s *State) Check() error {
-	for _, check := range []func() error{s.checkGrants, s.checkOutCounts, s.checkFences, s.checkPassedOver, s.checkTimes} {
+	for _, check := range []func() error{s.checkGrantEvidence, s.checkOutCounts, s.checkFences, s.checkPassedOver, s.checkTimes} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// checkGrants is W1, W3 and W6, by the evidence of each grant.
-func (s *State) checkGrants() error {
+// checkGrantEvidence is W1, W3 and W6, by the evidence of each grant.
+func (s *State) checkGrantEvidence() error {
 	for _, list := range [][]*entry{s.open, s.ended} {
 		for _, e := range list {
 			switch {
@@ -29,7 +29,7 @@
 				return fmt.Errorf("W3: the grant %d of %s left %.2f under the load with headroom", e.Fence, e.Machine, -e.SpareCapacity)
 			case e.GrantedAt > s.pauseFrom && e.GrantedAt < s.pauseUntil:
 				return fmt.Errorf("W6: the grant %d of %s at %v is in the pause from %v to %v: %s",
-					e.Fence, e.Machine, e.GrantedAt, s.pauseFrom, s.pauseUntil, s.pauseWhy)
+					e.Fence, e.Machine, e.GrantedAt, s.pauseFrom, s.pauseUntil, s.pauseReason)
 			}
 		}
 	}
@@ -38,12 +38,12 @@
 
 // checkOutCounts is W2, for what was granted by the limits in force: lowered limits end no grant.
 func (s *State) checkOutCounts() error {
-	zones, voters, all := map[string]int{}, 0, 0
+	zones, voters, total := map[string]int{}, 0, 0
 	for _, e := range s.open {
 		if !e.Phase.live() || e.Revision != s.revision {
 			continue
 		}
-		all++
+		total++
 		zones[e.Zone]++
 		if e.Voter {
 			voters++
@@ -55,8 +55,8 @@
 			return fmt.Errorf("W2: %d voters are out at once, the last is %s", voters, e.Machine)
 		}
 	}
-	if all > s.limits.MaxOut {
-		return fmt.Errorf("W2: %d are out in all, %d are allowed", all, s.limits.MaxOut)
+	if total > s.limits.MaxOut {
+		return fmt.Errorf("W2: %d are out in all, %d are allowed", total, s.limits.MaxOut)
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 		if !e.Phase.live() {
 			continue
 		}
-		if other, two := live[e.Machine]; two {
+		if other, duplicate := live[e.Machine]; duplicate {
 			return fmt.Errorf("W4: %s has two live grants, %d and %d", e.Machine, other, e.Fence)
 		}
 		live[e.Machine] = e.Fence
@@ -103,13 +103,13 @@
 		if i == 0 {
 			continue
 		}
-		b := grants[i-1]
-		if b.Fence == e.Fence {
-			return fmt.Errorf("W4: number %d is of %s and of %s", e.Fence, b.Machine, e.Machine)
+		previous := grants[i-1]
+		if previous.Fence == e.Fence {
+			return fmt.Errorf("W4: number %d is of %s and of %s", e.Fence, previous.Machine, e.Machine)
 		}
-		if b.GrantedAt > e.GrantedAt {
+		if previous.GrantedAt > e.GrantedAt {
 			return fmt.Errorf("W4: number %d of %s at %v is later than %d of %s at %v",
-				b.Fence, b.Machine, b.GrantedAt, e.Fence, e.Machine, e.GrantedAt)
+				previous.Fence, previous.Machine, previous.GrantedAt, e.Fence, e.Machine, e.GrantedAt)
 		}
 	}
 	return nil
--- a/internal/fleet/maintenance/check_test.go
+++ b/internal/fleet/maintenance/check_test.go
@@ -7,8 +7,8 @@
 )
 
 // Check finds each rule broken, by the evidence that is kept.
-func TestCheckFinds(t *testing.T) {
-	for words, spoil := range map[string]func(*State, *entry){
+func TestCheckReportsEachBrokenRule(t *testing.T) {
+	for want, corrupt := range map[string]func(*State, *entry){
 		"W1: the grant 1 of r0 left 1 holders":  func(s *State, e *entry) { e.HoldersLeft = 1 },
 		`W2: 2 are out in zone "z0", 1 are`:     func(s *State, e *entry) { s.limits.MaxOutPerZone = 1 },
 		"W2: 2 are out in all, 1 are allowed":   func(s *State, e *entry) { s.limits.MaxOut = 1 },
@@ -25,43 +25,43 @@
 		"W6: the grant 2 of c0 at 16m40s is in": func(s *State, e *entry) { s.pauseFrom, s.pauseUntil = s.now-1, s.now+1 },
 		"W7: r0 is granted past its time":       func(s *State, e *entry) { e.Until = s.now },
 	} {
-		p := start(t, limits, names("a", "r0", "c0", "r3"))
+		p := newFixture(t, testLimits, requestFor("a", "r0", "c0", "r3"))
 		p.grant("a", "r0")
 		p.grant("a", "c0")
-		spoil(p.s, p.s.latest[key{"a", "r0"}])
-		if err := p.s.Check(); err == nil || !strings.HasPrefix(err.Error(), words) {
-			t.Errorf("%v, want %q", err, words)
+		corrupt(p.state, p.state.latest[key{"a", "r0"}])
+		if err := p.state.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%v, want %q", err, want)
 		}
 	}
 }
 
 // Full of items: the oldest ended ones of what is requested no more go, and no others.
-func TestItemsMost(t *testing.T) {
-	p := start(t, limits)
+func TestMaxItemsDropsOnlyEndedItemsOfRemovedRequests(t *testing.T) {
+	p := newFixture(t, testLimits)
 	b := ObserveBody{Load: 1, LoadKnown: true}
 	for i := range 3000 {
 		b.Machines = append(b.Machines, Machine{Name: fmt.Sprintf("x%04d", i), Kind: Replica, Cell: i % 8, Status: Up})
 	}
-	p.must("observe", b)
+	p.mustApply("observe", b)
 	var rs []Request
 	for i := range 7 {
 		rs = append(rs, Request{ID: fmt.Sprint("q", i), Prefix: "x", MaxOutage: sec})
 	}
 	rs[1].Latest = p.now
-	p.ask(rs...)
-	if n := len(p.s.Items()); n != MaxItems {
+	p.setRequests(rs...)
+	if n := len(p.state.Items()); n != MaxItems {
 		t.Fatalf("%d items", n)
 	}
 	p.now += sec
-	p.must("tick", TickBody{}) // ends those of q1, which are asked for still and so are kept
+	p.mustApply("tick", TickBody{}) // ends those of q1, which are asked for still and so are kept
 	p.now += sec
-	p.ask(rs[1:]...) // the 3,000 of q0 make room for what q6 wants still
-	if items := p.s.Items(); len(items) != MaxItems || items[999].Request != "q0" || items[1000].Request != "q0" ||
+	p.setRequests(rs[1:]...) // the 3,000 of q0 make room for what q6 wants still
+	if items := p.state.Items(); len(items) != MaxItems || items[999].Request != "q0" || items[1000].Request != "q0" ||
 		items[2000].Request != "q1" {
 		t.Fatalf("%d items, the 1000th of %s, the 2000th of %s", len(items), items[999].Request, items[2000].Request)
 	}
 	for i := range MaxMachines { // as many again as fit
 		b.Machines = append(b.Machines, Machine{Name: fmt.Sprintf("y%05d", i), Kind: Replica, Status: Up})
 	}
-	p.refused("13011 machines, 10000 are allowed", "observe", b)
+	p.mustReject("13011 machines, 10000 are allowed", "observe", b)
 }
--- a/internal/fleet/maintenance/compat_test.go
+++ b/internal/fleet/maintenance/compat_test.go
@@ -31,7 +31,7 @@
 	})
 	t.Run("the same commands give the same digest", func(t *testing.T) {
 		const digestThen, grantsThen = 6483368069660924322, 14
-		if digest, grants := play(t, 77, 150); digest != digestThen || grants != grantsThen {
+		if digest, grants := runRandomCommands(t, 77, 150); digest != digestThen || grants != grantsThen {
 			t.Errorf("digest %d after %d grants; the earlier version has %d after %d", digest, grants, uint64(digestThen), grantsThen)
 		}
 	})
--- a/internal/fleet/maintenance/fairness.go
+++ b/internal/fleet/maintenance/fairness.go
@@ -25,7 +25,7 @@
 func (s *State) hasReservedTurn(e *entry) bool { return e.PassedOver >= s.limits.MaxPassedOver }
 
 // before: by rank, urgent first, then in the order of asking.
-func before(a, b *entry) bool {
+func precedes(a, b *entry) bool {
 	if a.req.Priority != b.req.Priority {
 		return a.req.Priority > b.req.Priority
 	}
@@ -34,30 +34,30 @@
 
 // reservedHead is the reserved item that e has to leave room for; nil if there is none.
 func (s *State) reservedHead(now time.Duration, e *entry) *entry {
-	var h *entry
+	var head *entry
 	for _, o := range s.inventorySums(now).reserved {
-		if o.Request == e.Request || !s.isWaiting(now, o) || s.hasReservedTurn(e) && !before(o, e) ||
-			h != nil && !before(o, h) {
+		if o.Request == e.Request || !s.isWaiting(now, o) || s.hasReservedTurn(e) && !precedes(o, e) ||
+			head != nil && !precedes(o, head) {
 			continue
 		}
 		if s.canEverBeGranted(now, o) {
-			h = o
+			head = o
 		}
 	}
-	return h
+	return head
 }
 
 // canEverBeGranted: the end of what is in the plan now could let it go. While that is not so it holds no turn.
 func (s *State) canEverBeGranted(now time.Duration, e *entry) bool {
 	m, l := s.machines[e.Machine], &s.limits
-	if m == nil || m.Status == Gone || m.inPlan(now) || l.MaxOut < 1 || l.MaxOutPerZone < 1 {
+	if m == nil || m.Status == Gone || m.inMaintenance(now) || l.MaxOut < 1 || l.MaxOutPerZone < 1 {
 		return false
 	}
-	t, own := s.inventorySums(now), 1
+	t, removed := s.inventorySums(now), 1
 	if s.isFlapping(m, now) {
-		own = 0
+		removed = 0
 	}
-	if m.Voter && t.votersPresent-own < l.MinVoters {
+	if m.Voter && t.votersPresent-removed < l.MinVoters {
 		return false
 	}
 	if m.Kind != Replica {
@@ -66,36 +66,36 @@
 	if m.Cell < 0 || m.Cell >= l.Cells {
 		return false
 	}
-	left, _, ok := l.fewestHolders(t.present, m.Cell, own)
+	left, _, ok := l.fewestHolders(t.present, m.Cell, removed)
 	return !ok || left >= l.MinHolders
 }
 
-// checkYields says what of the head's e would take.
-func (s *State) checkYields(now time.Duration, e, h *entry) error {
-	m, o, t, l := s.machines[e.Machine], s.machines[h.Machine], s.inventorySums(now), &s.limits
-	what := ""
+// checkReservation says what of the head's e would take.
+func (s *State) checkReservation(now time.Duration, e, head *entry) error {
+	m, o, t, l := s.machines[e.Machine], s.machines[head.Machine], s.inventorySums(now), &s.limits
+	resource := ""
 	switch {
 	case m.Kind == Replica && o.Kind == Replica && l.shareShard(m.Cell, o.Cell):
-		what = "a shard"
+		resource = "a shard"
 	case t.out+2 > l.MaxOut:
-		what = "the last place"
+		resource = "the last place"
 	case m.Zone == o.Zone && t.zones[m.Zone]+2 > l.MaxOutPerZone:
-		what = "the last place in its zone"
+		resource = "the last place in its zone"
 	case m.Voter && o.Voter:
-		what = "the voters' one place"
+		resource = "the voters' one place"
 	case m.Kind == Replica && o.Kind == Replica && s.capacityTooSmall(t, m, o, now):
-		what = "capacity"
+		resource = "capacity"
 	default:
 		return nil
 	}
-	return fmt.Errorf("W5: %s, passed over %d times, has reserved %s", h.Machine, h.PassedOver, what)
+	return fmt.Errorf("W5: %s, passed over %d times, has reserved %s", head.Machine, head.PassedOver, resource)
 }
 
 // capacityTooSmall: with both out, the capacity left does not cover the load.
 func (s *State) capacityTooSmall(t *inventorySums, m, o *machine, now time.Duration) bool {
 	left := t.readySize
 	for _, x := range []*machine{m, o} {
-		if s.ready(x, now) {
+		if s.isReady(x, now) {
 			left -= x.size()
 		}
 	}
@@ -114,16 +114,16 @@
 // countPassedOver counts the grant of e against all that wait before it, before it is made. Past MaxPassedOver only a grant that
 // takes what the head has reserved counts, which Check finds.
 func (s *State) countPassedOver(e *entry) {
-	h := s.reservedHead(s.now, e)
+	head := s.reservedHead(s.now, e)
 	for _, o := range s.open {
-		if o.seq >= e.seq || o.Request == e.Request || !s.isWaiting(s.now, o) || s.machines[o.Machine].inPlan(s.now) {
+		if o.seq >= e.seq || o.Request == e.Request || !s.isWaiting(s.now, o) || s.machines[o.Machine].inMaintenance(s.now) {
 			continue
 		}
 		if o.PassedOver < s.limits.MaxPassedOver {
 			o.PassedOver++
 		}
 	}
-	if h != nil && s.checkYields(s.now, e, h) != nil {
-		h.PassedOver++
+	if head != nil && s.checkReservation(s.now, e, head) != nil {
+		head.PassedOver++
 	}
 }
--- a/internal/fleet/maintenance/flapping.go
+++ b/internal/fleet/maintenance/flapping.go
@@ -65,7 +65,7 @@
 }
 
 // valid says what of a saved one can not be.
-func (f *flapHistory) valid() error {
+func (f *flapHistory) validate() error {
 	switch {
 	case len(f.Failures) > FlapThreshold || !slices.IsSorted(f.Failures):
 		return fmt.Errorf("%d failures are remembered, %d in their order may be", len(f.Failures), FlapThreshold)
--- a/internal/fleet/maintenance/observe.go
+++ b/internal/fleet/maintenance/observe.go
@@ -13,39 +13,39 @@
 		return
 	}
 	s.now = now
-	failed := ""
-	var over []*entry
+	failure := ""
+	var ended []*entry
 	for _, e := range s.open {
 		switch {
 		case e.Phase == Pending:
 			if e.req.Latest > 0 && now > e.req.Latest {
 				s.endItem(e, Rejected, "its latest time passed before it could go")
-				over = append(over, e)
+				ended = append(ended, e)
 			}
 		case e.Phase == Returned && s.machines[e.Machine].Status == Up:
 			if now >= s.machines[e.Machine].Started+s.limits.WarmUp {
 				s.endItem(e, Done, "")
-				over = append(over, e)
+				ended = append(ended, e)
 			}
 		case now < e.Until:
 		case e.Phase == Granted || e.Phase == Acknowledged:
 			s.endItem(e, Expired, "not gone by its time")
-			over = append(over, e)
+			ended = append(ended, e)
 		default:
 			s.endItem(e, Expired, "not back by its time: counts as failed")
-			over = append(over, e)
+			ended = append(ended, e)
 			if s.wouldPause(s.machines[e.Machine]) {
-				failed = e.Machine + " is not back by its time"
+				failure = e.Machine + " is not back by its time"
 			}
 		}
 	}
-	if failed != "" {
-		s.pauseAfterFailure(failed)
+	if failure != "" {
+		s.pauseAfterFailure(failure)
 	}
-	if len(over) > 0 {
+	if len(ended) > 0 {
 		s.dropClosed()
 	}
-	for _, e := range over {
+	for _, e := range ended {
 		s.retry(e)
 	}
 }
@@ -53,7 +53,7 @@
 // pauseAfterFailure pauses new grants (W6): for FailurePause, and twice as long as the last time if it comes within a pause, or within
 // as long again after one, up to MaxPauseFactor times FailurePause. Without the time after it, machines that fail every little more
 // than FailurePause would start and stop the plan each time. What one flapping machine does is left out, see flapping.go.
-func (s *State) pauseAfterFailure(why string) {
+func (s *State) pauseAfterFailure(reason string) {
 	calm := s.limits.FailurePause
 	span := calm
 	if s.pauseSpan > 0 && s.now < s.pauseUntil+s.pauseSpan {
@@ -62,7 +62,7 @@
 	if s.now >= s.pauseUntil {
 		s.pauseFrom = s.now
 	}
-	s.pauseSpan, s.pauseWhy = span, truncate(why)
+	s.pauseSpan, s.pauseReason = span, truncate(reason)
 	s.pauseUntil = max(s.pauseUntil, s.now+span)
 }
 
@@ -77,7 +77,7 @@
 		return err
 	}
 	failure, added := s.applyMachines(b.Machines)
-	if b.Complete && b.Sum == "" {
+	if b.Complete && b.Digest == "" {
 		failure = cmp.Or(failure, s.markMissingGone(reported))
 	}
 	s.needsInventory = s.needsInventory && !b.Complete
@@ -106,13 +106,13 @@
 	if b.Load < 0 || math.IsNaN(b.Load) {
 		return nil, fmt.Errorf("a load of %v", b.Load)
 	}
-	if b.Sum != "" && (!b.Complete || len(b.Machines) > 0 || b.Sum != s.InventoryDigest()) {
-		return nil, fmt.Errorf("complete inventory of sum %s with %d machines; the agreed inventory's is %s", truncate(b.Sum), len(b.Machines), s.InventoryDigest())
+	if b.Digest != "" && (!b.Complete || len(b.Machines) > 0 || b.Digest != s.InventoryDigest()) {
+		return nil, fmt.Errorf("complete inventory of sum %s with %d machines; the agreed inventory's is %s", truncate(b.Digest), len(b.Machines), s.InventoryDigest())
 	}
 	reported = make(map[string]bool, len(b.Machines))
 	unknown := 0
 	for _, m := range b.Machines {
-		if err := m.valid(); err != nil {
+		if err := m.validate(); err != nil {
 			return nil, err
 		}
 		if reported[m.Name] {
@@ -134,12 +134,12 @@
 // applyMachines updates the machines that are known and adds the others. It returns the first failure outside the plan, if any
 // wouldPause it, and whether a machine was added.
 func (s *State) applyMachines(machines []Machine) (failure string, added bool) {
-	for _, n := range machines {
-		if m := s.machines[n.Name]; m != nil {
-			why := s.observeMachine(m, n)
-			failure = cmp.Or(failure, why)
+	for _, next := range machines {
+		if m := s.machines[next.Name]; m != nil {
+			reason := s.observeMachine(m, next)
+			failure = cmp.Or(failure, reason)
 		} else {
-			added = s.add(n) != nil || added
+			added = s.add(next) != nil || added
 		}
 	}
 	return failure, added
@@ -151,10 +151,10 @@
 		if reported[m.Name] || m.Status == Gone {
 			continue
 		}
-		n := m.Machine
-		n.Status = Gone
-		why := s.observeMachine(m, n)
-		failure = cmp.Or(failure, why)
+		next := m.Machine
+		next.Status = Gone
+		reason := s.observeMachine(m, next)
+		failure = cmp.Or(failure, reason)
 	}
 	return failure
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-func (m Machine) valid() error {
+func (m Machine) validate() error {
 	switch {
 	case m.Name == "" || len(m.Name) > MaxNameLength || len(m.Zone) > MaxNameLength:
 		return fmt.Errorf("machine %q in zone %q: names have 1 to %d bytes", truncate(m.Name), truncate(m.Zone), MaxNameLength)
@@ -201,76 +201,76 @@
 }
 
 // observeMachine takes one machine's news and says, if it is a failure outside the plan that pauses it, which.
-func (s *State) observeMachine(m *machine, n Machine) string {
+func (s *State) observeMachine(m *machine, next Machine) string {
 	old, wasUp := m.Machine, m.Last == Up
 	if m.Flapping && !s.isFlapping(m, s.now) {
 		m.flapHistory = flapHistory{} // it has been calm for long enough, whatever comes now
 	}
-	if n.Status == Unknown || n.Started == 0 && n.Status != Up {
-		n.Started = old.Started // nothing is known of a newer one
+	if next.Status == Unknown || next.Started == 0 && next.Status != Up {
+		next.Started = old.Started // nothing is known of a newer one
 	}
-	if n == old {
+	if next == old {
 		return ""
 	}
-	if n.Cell != old.Cell || n.Kind != old.Kind {
+	if next.Cell != old.Cell || next.Kind != old.Kind {
 		s.removeFromCell(m)
-		m.Machine = n
+		m.Machine = next
 		s.addToCell(m)
 	}
-	m.Machine = n
-	if n.Status != Unknown {
-		m.Last = n.Status
+	m.Machine = next
+	if next.Status != Unknown {
+		m.Last = next.Status
 	}
-	if n.Status == Gone && old.Status != Gone {
+	if next.Status == Gone && old.Status != Gone {
 		m.GoneAt = s.now
 	}
-	newer := n.Started > old.Started
-	went := wasUp && (n.down() || newer)
-	failed := ""
-	if went {
-		failed = s.unplannedChange(m, n)
+	newer := next.Started > old.Started
+	interrupted := wasUp && (next.down() || newer)
+	failure := ""
+	if interrupted {
+		failure = s.unplannedChange(m, next)
 	}
 	since := s.now
 	if newer {
-		since = min(n.Started, s.now)
+		since = min(next.Started, s.now)
 	}
-	if n.Status == Up && (newer || !wasUp) {
+	if next.Status == Up && (newer || !wasUp) {
 		m.UpAt = since
 	}
-	if failed != "" && !s.recordFailure(m, since) {
-		failed = ""
+	if failure != "" && !s.recordFailure(m, since) {
+		failure = ""
 	}
 	s.advanceItem(m)
-	return failed
+	return failure
 }
 
 func (m Machine) down() bool { return m.Status == Terminating || m.Status == Gone }
 
 // unplannedChange says, of a machine that went down or started anew, what of it was outside the plan, and ends or sets back
 // its grant.
-func (s *State) unplannedChange(m *machine, n Machine) string {
-	what := fmt.Sprintf("%s is %s", n.Name, n.Status)
-	if n.Status == Up {
-		what = n.Name + " started anew"
+func (s *State) unplannedChange(m *machine, next Machine) string {
+	change := fmt.Sprintf("%s is %s", next.Name, next.Status)
+	if next.Status == Up {
+		change = next.Name + " started anew"
 	}
 	switch e := m.live; {
 	case e == nil && m.Settle > s.now:
-		return what + " after its grant ended"
+		return change + " after its grant ended"
 	case e == nil:
-		return what
+		return change
 	case e.Phase == Granted:
 		s.endItem(e, Expired, "went out before it was told: counts as failed")
-		return what + " before it was told"
+		return change + " before it was told"
 	case e.Phase == Returned:
 		switch {
-		case !n.down():
-			e.StartedAt = n.Started
+		case !next.down():
+			e.StartedAt = next.Started
 		case s.now < e.Until:
 			e.Phase = Out
 		default:
 			s.endItem(e, Expired, "down again past its time: counts as failed")
 		}
-		return what + " while it was cold"
+		return change + " while it was cold"
 	}
 	return ""
 }
@@ -293,17 +293,17 @@
 
 // dropLongGone drops machines that are gone for GoneRetention and that nothing is open for.
 func (s *State) dropLongGone() {
-	var old []*machine
+	var expired []*machine
 	for _, m := range s.list {
 		if m.Status == Gone && s.now-m.GoneAt >= GoneRetention && m.Settle <= s.now {
-			old = append(old, m)
+			expired = append(expired, m)
 		}
 	}
-	if len(old) == 0 {
+	if len(expired) == 0 {
 		return
 	}
 	busy := s.machinesWithOpenItems()
-	for _, m := range old {
+	for _, m := range expired {
 		if !busy[m.Name] {
 			s.remove(m)
 		}
--- a/internal/fleet/maintenance/renew.go
+++ b/internal/fleet/maintenance/renew.go
@@ -9,36 +9,36 @@
 // is out already; that one counts as failed. One that was not told is requested again. Until until, when all that was
 // grantedMachine by others has ended too, nothing is granted.
 func (s *State) Renew(until time.Duration) {
-	const why = "the raft group was set up anew"
-	failed := ""
-	var over []*entry
+	const reason = "the raft group was set up anew"
+	failure := ""
+	var ended []*entry
 	for _, e := range s.open {
 		if !e.Phase.live() {
 			continue
 		}
-		m, settle, words := s.machines[e.Machine], s.now, why
+		m, settle, endReason := s.machines[e.Machine], s.now, reason
 		switch {
 		case e.Phase == Granted || e.Phase == Acknowledged:
 			settle = max(s.now, e.Until)
 		case e.Phase == Out && s.wouldPause(m):
-			words += ": counts as failed"
-			failed = e.Machine + " was out when " + why
+			endReason += ": counts as failed"
+			failure = e.Machine + " was out when " + reason
 		}
-		s.endItem(e, Expired, words)
+		s.endItem(e, Expired, endReason)
 		m.Settle = settle + s.limits.SettleTime
-		over = append(over, e)
+		ended = append(ended, e)
 	}
-	if failed != "" {
-		s.pauseAfterFailure(failed)
+	if failure != "" {
+		s.pauseAfterFailure(failure)
 	}
 	if until > s.now && until > s.pauseUntil {
 		if s.now >= s.pauseUntil {
 			s.pauseFrom = s.now
 		}
-		s.pauseUntil, s.pauseWhy = until, why
+		s.pauseUntil, s.pauseReason = until, reason
 	}
 	s.dropClosed()
-	for _, e := range over {
+	for _, e := range ended {
 		s.retry(e)
 	}
 	s.sumsValid = false
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -26,7 +26,7 @@
 	next := make([]*request, len(b.Requests))
 	byID := make(map[string]*request, len(b.Requests))
 	for i, r := range b.Requests {
-		if err := r.valid(); err != nil {
+		if err := r.validate(); err != nil {
 			return err
 		}
 		if byID[r.ID] != nil {
@@ -68,7 +68,7 @@
 	return errX == nil && errY == nil && bytes.Equal(x, y)
 }
 
-func (r Request) valid() error {
+func (r Request) validate() error {
 	switch {
 	case r.ID == "" || len(r.ID) > MaxNameLength || len(r.Reason) > MaxNameLength:
 		return fmt.Errorf("request %q: an id has 1 to %d bytes, a reason at most as many", truncate(r.ID), MaxNameLength)
@@ -118,17 +118,17 @@
 
 // addItem makes the item of a machine in a request, unless there is one. One that the operators withdrew, and now ask for
 // once more, is made anew; so is one whose grant ended before it was acknowledged, if it is to be retried.
-func (s *State) addItem(r *request, m *machine, again bool) {
+func (s *State) addItem(r *request, m *machine, isRetry bool) {
 	k := key{r.ID, m.Name}
 	old := s.latest[k]
-	if old != nil && !again && (old.Phase != Withdrawn || !old.Cancelled) || r.Latest > 0 && r.Latest < s.now {
+	if old != nil && !isRetry && (old.Phase != Withdrawn || !old.Cancelled) || r.Latest > 0 && r.Latest < s.now {
 		return
 	}
 	if len(s.open)+len(s.ended) >= MaxItems && !s.dropEnded() {
 		return
 	}
 	e := &entry{Item: Item{Request: r.ID, Machine: m.Name, Phase: Pending, RequestedAt: s.now}, seq: s.seq, req: r}
-	if again {
+	if isRetry {
 		e.Attempt = old.Attempt + 1
 	}
 	s.seq++
--- a/internal/fleet/maintenance/rules.go
+++ b/internal/fleet/maintenance/rules.go
@@ -27,12 +27,12 @@
 	reserved      []*entry
 }
 
-// inPlan: a machine has a live item or an ended grant that still counts.
-func (m *machine) inPlan(now time.Duration) bool { return m.live != nil || m.Settle > now }
+// inMaintenance: a machine has a live item or an ended grant that still counts.
+func (m *machine) inMaintenance(now time.Duration) bool { return m.live != nil || m.Settle > now }
 
 // ready: counts as serving: up, warm, not flapping, and nothing of the plan is on it.
-func (s *State) ready(m *machine, now time.Duration) bool {
-	return m.Kind == Replica && m.Status == Up && now >= m.Started+s.limits.WarmUp && !m.inPlan(now) && !s.isFlapping(m, now)
+func (s *State) isReady(m *machine, now time.Duration) bool {
+	return m.Kind == Replica && m.Status == Up && now >= m.Started+s.limits.WarmUp && !m.inMaintenance(now) && !s.isFlapping(m, now)
 }
 
 // isPresent: it is there, and may be relied on once nothing of the plan is on it.
@@ -61,21 +61,21 @@
 	clear(t.present)
 	*t = inventorySums{at: now, ready: t.ready, present: t.present, zones: map[string]int{}}
 	for _, m := range s.list {
-		in := m.Kind == Replica && m.Cell >= 0 && m.Cell < n
-		stays := s.isPresent(m, now) || m.live != nil // what is out by the plan comes back
-		if in && stays {
+		inRing := m.Kind == Replica && m.Cell >= 0 && m.Cell < n
+		countsAsPresent := s.isPresent(m, now) || m.live != nil // what is out by the plan comes back
+		if inRing && countsAsPresent {
 			t.present[m.Cell]++
 		}
-		if s.ready(m, now) {
+		if s.isReady(m, now) {
 			t.readySize += m.size()
-			if in {
+			if inRing {
 				t.ready[m.Cell]++
 			}
 		}
-		busy := m.inPlan(now)
+		busy := m.inMaintenance(now)
 		if busy {
 			t.out++
-			t.zones[m.zone()]++
+			t.zones[m.effectiveZone()]++
 		}
 		if m.Voter || m.live != nil && m.live.Voter {
 			switch {
@@ -84,7 +84,7 @@
 			case m.Status == Up && s.isPresent(m, now):
 				t.voters++
 			}
-			if stays {
+			if countsAsPresent {
 				t.votersPresent++
 			}
 		}
@@ -99,7 +99,7 @@
 }
 
 // zone of a machine: while it has a live item, the one that it was granted in.
-func (m *machine) zone() string {
+func (m *machine) effectiveZone() string {
 	if m.live != nil {
 		return m.live.Zone
 	}
@@ -108,20 +108,20 @@
 
 // fewestHolders gives the fewest of count that are left to a shard of a cell without `without` of them, and that shard. ok is
 // false if the cell holds no shard.
-func (l *Limits) fewestHolders(count []int, cell, without int) (left, shard int, ok bool) {
+func (l *Limits) fewestHolders(holders []int, cell, removed int) (left, shard int, ok bool) {
 	wrap := func(c int) int { return ((c % l.Cells) + l.Cells) % l.Cells }
 	n := 0
 	for k := 0; k < l.Reach; k++ {
-		n += count[wrap(cell+k)]
+		n += holders[wrap(cell+k)]
 	}
 	left = math.MaxInt
 	for j := 0; j < l.Reach; j++ { // shard cell-j is held by the cells from it on, so one comes in and one goes
 		r := wrap(cell - j)
 		if j > 0 {
-			n += count[r] - count[wrap(r+l.Reach)]
+			n += holders[r] - holders[wrap(r+l.Reach)]
 		}
-		if r < l.Shards && n-without < left {
-			left, shard, ok = n-without, r, true
+		if r < l.Shards && n-removed < left {
+			left, shard, ok = n-removed, r, true
 		}
 	}
 	return left, shard, ok
@@ -147,7 +147,7 @@
 	for _, p := range []Priority{Urgent, Routine} {
 		for _, e := range m.pending {
 			if e.req.Priority == p {
-				if left, _, err = s.mayGrant(now, e); err == nil {
+				if left, _, err = s.evaluateGrant(now, e); err == nil {
 					return e.Item, left, nil
 				}
 			}
@@ -156,8 +156,8 @@
 	return Item{}, 0, err
 }
 
-// mayGrant is the one choke point of a grant.
-func (s *State) mayGrant(now time.Duration, e *entry) (left int, room float64, err error) {
+// evaluateGrant is the one choke point of a grant.
+func (s *State) evaluateGrant(now time.Duration, e *entry) (holdersLeft int, spareCapacity float64, err error) {
 	m := s.machines[e.Machine]
 	if m == nil {
 		return 0, 0, fmt.Errorf("W4: %s is not in the inventory", e.Machine)
@@ -182,19 +182,19 @@
 		return 0, 0, err
 	}
 	if m.Kind == Replica {
-		if left, err = s.checkHolders(t, m, now); err != nil {
+		if holdersLeft, err = s.checkHolders(t, m, now); err != nil {
 			return 0, 0, err
 		}
-		if room, err = s.checkCapacity(t, m, now); err != nil {
+		if spareCapacity, err = s.checkCapacity(t, m, now); err != nil {
 			return 0, 0, err
 		}
 	}
-	if h := s.reservedHead(now, e); h != nil {
-		if err := s.checkYields(now, e, h); err != nil {
+	if head := s.reservedHead(now, e); head != nil {
+		if err := s.checkReservation(now, e, head); err != nil {
 			return 0, 0, err
 		}
 	}
-	return left, room, nil
+	return holdersLeft, spareCapacity, nil
 }
 
 // requiredCapacity is the load with its headroom. The conversion keeps it from being fused into a sum, which would give other bits
@@ -212,10 +212,10 @@
 		return errors.New("W1: the limits changed, and no whole inventory has come since")
 	case !s.observed:
 		return errors.New("W3: no inventory has come yet")
-	case now-s.observedAt > s.limits.ListAge:
-		return fmt.Errorf("W3: the inventory is %v old, %v is allowed", roundSpan(now-s.observedAt), s.limits.ListAge)
+	case now-s.observedAt > s.limits.MaxInventoryAge:
+		return fmt.Errorf("W3: the inventory is %v old, %v is allowed", roundSpan(now-s.observedAt), s.limits.MaxInventoryAge)
 	case now < s.pauseUntil:
-		return fmt.Errorf("W6: paused until %s, for %v more: %s", formatTime(s.pauseUntil), roundSpan(s.pauseUntil-now), s.pauseWhy)
+		return fmt.Errorf("W6: paused until %s, for %v more: %s", formatTime(s.pauseUntil), roundSpan(s.pauseUntil-now), s.pauseReason)
 	}
 	return nil
 }
@@ -225,11 +225,11 @@
 	if m.Cell < 0 || m.Cell >= s.limits.Cells {
 		return 0, fmt.Errorf("W1: cell %d of %s is not in a ring of %d", m.Cell, m.Name, s.limits.Cells)
 	}
-	own := 0
-	if s.ready(m, now) {
-		own = 1
+	removed := 0
+	if s.isReady(m, now) {
+		removed = 1
 	}
-	left, shard, ok := s.limits.fewestHolders(t.ready, m.Cell, own)
+	left, shard, ok := s.limits.fewestHolders(t.ready, m.Cell, removed)
 	if ok && left < s.limits.MinHolders {
 		return 0, fmt.Errorf("W1: shard %d would be left with %d holders up and warm, %d wanted",
 			shard, left, s.limits.MinHolders)
@@ -264,20 +264,20 @@
 }
 
 // checkCapacity is W3: what is left, warm, covers the load with the headroom.
-func (s *State) checkCapacity(t *inventorySums, m *machine, now time.Duration) (room float64, err error) {
+func (s *State) checkCapacity(t *inventorySums, m *machine, now time.Duration) (spareCapacity float64, err error) {
 	if !s.loadKnown {
 		return 0, errors.New("W3: the load is not known")
 	}
-	if age := now - s.loadAt; age > s.limits.LoadAge {
-		return 0, fmt.Errorf("W3: the load is %v old, %v is allowed", roundSpan(age), s.limits.LoadAge)
+	if age := now - s.loadAt; age > s.limits.MaxLoadAge {
+		return 0, fmt.Errorf("W3: the load is %v old, %v is allowed", roundSpan(age), s.limits.MaxLoadAge)
 	}
 	left := t.readySize
-	if s.ready(m, now) {
+	if s.isReady(m, now) {
 		left -= m.size()
 	}
-	need := s.requiredCapacity()
-	if left < need {
-		return 0, fmt.Errorf("W3: %.2f would be left warm, the load with headroom is %.2f", left, need)
+	required := s.requiredCapacity()
+	if left < required {
+		return 0, fmt.Errorf("W3: %.2f would be left warm, the load with headroom is %.2f", left, required)
 	}
-	return left - need, nil
+	return left - required, nil
 }
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	players = 12 // replicas, and a quarter as many co-ordinators
-	second  = time.Second
+	replicaCount = 12 // replicas, and a quarter as many co-ordinators
+	second       = time.Second
 )
 
 // play runs seeded commands, sensible and senseless ones, through a state machine. On the way it loads snapshots of itself and
 // repeats commands; the invariants are looked at after each.
-func play(t testing.TB, seed uint64, steps int) (digest uint64, grants int) {
+func runRandomCommands(t testing.TB, seed uint64, steps int) (digest uint64, grants int) {
 	// Long: one loop that draws among all kinds of commands, so that a seed stands for one order of them.
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	s := maintenance.New()
-	l := statemachine.New(map[string]statemachine.Part{"takeout": s})
-	now, index, no := 1000*second, uint64(0), 0
+	machine := statemachine.New(map[string]statemachine.Part{"takeout": s})
+	now, index, commandNo := 1000*second, uint64(0), 0
 	var log [][]byte
 	apply := func(raw []byte) error {
 		index++
-		err := l.Apply(index, raw)
-		if e := l.Check(); e != nil {
+		err := machine.Apply(index, raw)
+		if e := machine.Check(); e != nil {
 			t.Fatalf("seed %d, entry %d %.200s: %v", seed, index, raw, e)
 		}
 		return err
 	}
 	do := func(kind string, body any) error {
 		b, _ := json.Marshal(body)
-		no++
-		raw, err := statemachine.Command{V: 1, ID: fmt.Sprint(no), Part: "takeout", Kind: kind, At: now, Body: b}.Encode()
+		commandNo++
+		raw, err := statemachine.Command{V: 1, ID: fmt.Sprint(commandNo), Part: "takeout", Kind: kind, At: now, Body: b}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		log = append(log, raw)
 		return apply(raw)
 	}
-	lim := maintenance.Limits{Cells: players / 2, Reach: 2, Shards: players / 2, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 4,
-		Headroom: .2, LoadAge: 30 * second, ListAge: 30 * second, WarmUp: 10 * second, Lease: 2 * second, Grace: second,
+	lim := maintenance.Limits{Cells: replicaCount / 2, Reach: 2, Shards: replicaCount / 2, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 4,
+		Headroom: .2, MaxLoadAge: 30 * second, MaxInventoryAge: 30 * second, WarmUp: 10 * second, Lease: 2 * second, Grace: second,
 		SettleTime: 5 * second, FailurePause: 8 * second, MaxPassedOver: 3, MinVoters: 2}
 	must(t, do("limits", maintenance.LimitsBody{Revision: 1, Limits: lim}))
 	world := map[string]maintenance.Machine{}
 	var names, said []string
-	for i := range players {
+	for i := range replicaCount {
 		n := fmt.Sprintf("r%02d", i)
 		names = append(names, n)
 		world[n] = maintenance.Machine{Name: n, Kind: maintenance.Replica, Zone: fmt.Sprint("z", i%3), Cell: i % lim.Cells,
 			Status: maintenance.Up}
 	}
-	for i := range players / 4 {
+	for i := range replicaCount / 4 {
 		n := fmt.Sprintf("c%02d", i)
 		names, said = append(names, n), append(said, n)
 		world[n] = maintenance.Machine{Name: n, Kind: maintenance.Coordinator, Zone: fmt.Sprint("z", i), Status: maintenance.Up,
@@ -105,15 +105,15 @@
 		case k == 23:
 			_ = apply(log[rnd.IntN(len(log))])
 		case k == 24:
-			raw, err := l.Save()
+			raw, err := machine.Save()
 			must(t, err)
 			s = maintenance.New()
 			other := statemachine.New(map[string]statemachine.Part{"takeout": s})
 			must(t, other.Load(raw))
-			if other.Digest() != l.Digest() {
+			if other.Digest() != machine.Digest() {
 				t.Fatalf("seed %d: a loaded snapshot is another state", seed)
 			}
-			l = other
+			machine = other
 		default:
 			open := s.Open()
 			if len(open) == 0 {
@@ -121,17 +121,17 @@
 			}
 			o := open[rnd.IntN(len(open))]
 			must(t, do("tick", maintenance.TickBody{})) // ends what is over, which MayGrant does not
-			_, may := s.MayGrant(now, o.Machine)
+			_, checkErr := s.MayGrant(now, o.Machine)
 			err := do("grant", maintenance.GrantBody{Request: o.Request, Machine: o.Machine, Until: now + 10*second})
 			if err == nil {
 				grants++
 			}
-			if err == nil && may != nil {
-				t.Fatalf("seed %d: granted %s, and MayGo: %v", seed, o.Machine, may)
+			if err == nil && checkErr != nil {
+				t.Fatalf("seed %d: granted %s, and MayGo: %v", seed, o.Machine, checkErr)
 			}
 		}
 	}
-	return l.Digest(), grants
+	return machine.Digest(), grants
 }
 
 func must(t testing.TB, err error) {
@@ -141,16 +141,16 @@
 	}
 }
 
-func TestPlayIsTheSame(t *testing.T) {
+func TestRandomCommandsAreDeterministic(t *testing.T) {
 	grants := 0
 	for seed := range uint64(15) {
-		was := runtime.GOMAXPROCS(1)
-		one, n := play(t, seed, 400)
+		previous := runtime.GOMAXPROCS(1)
+		single, n := runRandomCommands(t, seed, 400)
 		runtime.GOMAXPROCS(4)
-		four, _ := play(t, seed, 400)
-		runtime.GOMAXPROCS(was)
-		if one != four {
-			t.Fatalf("seed %d: %x and %x", seed, one, four)
+		parallel, _ := runRandomCommands(t, seed, 400)
+		runtime.GOMAXPROCS(previous)
+		if single != parallel {
+			t.Fatalf("seed %d: %x and %x", seed, single, parallel)
 		}
 		grants += n
 	}
@@ -163,30 +163,30 @@
 func BenchmarkGrant(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		s, now := big(b)
+		s, now := newLargeState(b)
 		b.StartTimer()
-		may := 0
+		allowed := 0
 		for i := range 200 {
 			if _, err := s.MayGrant(now, fmt.Sprintf("r%03d", i)); err == nil {
-				may++
+				allowed++
 			}
 		}
 		body, _ := json.Marshal(maintenance.GrantBody{Request: "all", Machine: "r000", Until: now + second})
 		must(b, s.Apply(now, func() uint64 { return 1 }, "grant", body))
-		if may != 200 {
-			b.Fatal(may)
+		if allowed != 200 {
+			b.Fatal(allowed)
 		}
 	}
 }
 
-func big(t testing.TB) (*maintenance.State, time.Duration) {
+func newLargeState(t testing.TB) (*maintenance.State, time.Duration) {
 	s, now := maintenance.New(), 1000*second
 	do := func(kind string, body any) {
 		raw, _ := json.Marshal(body)
 		must(t, s.Apply(now, nil, kind, raw))
 	}
 	do("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 100, Reach: 4, Shards: 100, MinHolders: 4,
-		MaxOutPerZone: 20, MaxOut: 40, LoadAge: second, ListAge: second, Lease: second, MaxPassedOver: 9}})
+		MaxOutPerZone: 20, MaxOut: 40, MaxLoadAge: second, MaxInventoryAge: second, Lease: second, MaxPassedOver: 9}})
 	var b maintenance.ObserveBody
 	for i := range 200 {
 		m := maintenance.Machine{Name: fmt.Sprintf("r%03d", i), Kind: maintenance.Replica, Cell: i / 2, Status: maintenance.Up}
--- a/internal/fleet/maintenance/snapshot.go
+++ b/internal/fleet/maintenance/snapshot.go
@@ -31,9 +31,9 @@
 	ObservedAt     time.Duration   `json:"list_at"`
 	Observed       bool            `json:"listed"`
 	PauseFrom      time.Duration   `json:"pause_from"`
-	PauseTo        time.Duration   `json:"pause_to"`
+	PauseUntil     time.Duration   `json:"pause_to"`
 	PauseSpan      time.Duration   `json:"pause_span"`
-	PauseWhy       string          `json:"pause_why,omitempty"`
+	PauseReason    string          `json:"pause_why,omitempty"`
 }
 
 type savedItem struct {
@@ -45,7 +45,7 @@
 func (s *State) Save() ([]byte, error) {
 	v := savedState{V: Version, Now: s.now, Limits: s.limits, Revision: s.revision, NeedsInventory: s.needsInventory, Requests: s.requested,
 		Fence: s.fence, Load: s.load, LoadKnown: s.loadKnown, LoadAt: s.loadAt, ObservedAt: s.observedAt, Observed: s.observed,
-		PauseFrom: s.pauseFrom, PauseTo: s.pauseUntil, PauseSpan: s.pauseSpan, PauseWhy: s.pauseWhy}
+		PauseFrom: s.pauseFrom, PauseUntil: s.pauseUntil, PauseSpan: s.pauseSpan, PauseReason: s.pauseReason}
 	for _, r := range s.requests {
 		v.RequestedAt = append(v.RequestedAt, r.FirstSeenAt)
 	}
@@ -94,7 +94,7 @@
 	s.now, s.limits, s.revision, s.needsInventory, s.requested = v.Now, v.Limits, v.Revision, v.NeedsInventory, v.Requests
 	s.fence, s.load, s.loadKnown, s.loadAt = v.Fence, v.Load, v.LoadKnown, v.LoadAt
 	s.observedAt, s.observed = v.ObservedAt, v.Observed
-	s.pauseFrom, s.pauseUntil, s.pauseSpan, s.pauseWhy = v.PauseFrom, v.PauseTo, v.PauseSpan, v.PauseWhy
+	s.pauseFrom, s.pauseUntil, s.pauseSpan, s.pauseReason = v.PauseFrom, v.PauseUntil, v.PauseSpan, v.PauseReason
 	for i, r := range v.Requests.Requests {
 		n := &request{Request: r, FirstSeenAt: v.RequestedAt[i]}
 		s.requests = append(s.requests, n)
@@ -105,7 +105,7 @@
 		if s.machines[m.Name] != nil || i > 0 && v.Machines[i-1].Name > m.Name {
 			return fmt.Errorf("machine %s is out of order", m.Name)
 		}
-		if err := m.flapHistory.valid(); err != nil {
+		if err := m.flapHistory.validate(); err != nil {
 			return fmt.Errorf("machine %s: %w", m.Name, err)
 		}
 		s.machines[m.Name] = m
--- a/internal/fleet/maintenance/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -97,7 +97,7 @@
 	observed   bool          // there was one
 
 	pauseFrom, pauseUntil, pauseSpan time.Duration // W6
-	pauseWhy                         string
+	pauseReason                      string
 
 	sums      inventorySums // of the inventory, while fresh
 	sumsValid bool
@@ -241,19 +241,19 @@
 	if m.Kind != Replica {
 		return
 	}
-	in := s.cells[m.Cell]
-	i := sort.Search(len(in), func(i int) bool { return in[i].Name > m.Name })
-	in = append(in, nil)
-	copy(in[i+1:], in[i:])
-	in[i] = m
-	s.cells[m.Cell] = in
+	replicas := s.cells[m.Cell]
+	i := sort.Search(len(replicas), func(i int) bool { return replicas[i].Name > m.Name })
+	replicas = append(replicas, nil)
+	copy(replicas[i+1:], replicas[i:])
+	replicas[i] = m
+	s.cells[m.Cell] = replicas
 }
 
 func (s *State) removeFromCell(m *machine) {
-	in := s.cells[m.Cell]
-	for i := range in {
-		if in[i] == m {
-			s.cells[m.Cell] = append(in[:i:i], in[i+1:]...)
+	replicas := s.cells[m.Cell]
+	for i := range replicas {
+		if replicas[i] == m {
+			s.cells[m.Cell] = append(replicas[:i:i], replicas[i+1:]...)
 			return
 		}
 	}
@@ -270,16 +270,16 @@
 // dropGone makes room in the inventory for one: the longest gone that nothing is open for.
 func (s *State) dropGone() bool {
 	busy := s.machinesWithOpenItems()
-	var best *machine
+	var oldest *machine
 	for _, m := range s.list {
-		if m.Status == Gone && !busy[m.Name] && m.Settle <= s.now && (best == nil || m.GoneAt < best.GoneAt) {
-			best = m
+		if m.Status == Gone && !busy[m.Name] && m.Settle <= s.now && (oldest == nil || m.GoneAt < oldest.GoneAt) {
+			oldest = m
 		}
 	}
-	if best == nil {
+	if oldest == nil {
 		return false
 	}
-	s.remove(best)
+	s.remove(oldest)
 	return true
 }
 
--- a/internal/fleet/maintenance/types.go
+++ b/internal/fleet/maintenance/types.go
@@ -39,22 +39,22 @@
 
 // Limits is what the operators allow. All of it comes from the operators' file and the platform's settings.
 type Limits struct {
-	Cells         int           `json:"cells"` // the ring: shard s is held by the cells (s+j) mod Cells, j < Reach
-	Reach         int           `json:"reach"`
-	Shards        int           `json:"shards"`
-	MinHolders    int           `json:"holders_least"` // W1
-	MaxOutPerZone int           `json:"out_by_zone"`   // W2: machines granted, acknowledged, out or warming up at once in a zone
-	MaxOut        int           `json:"out_most"`      // W2: in all
-	Headroom      float64       `json:"headroom"`      // W3: share of the load seen that stays free, as 0.25
-	LoadAge       time.Duration `json:"load_age"`      // W3: a load older than this is unknown
-	ListAge       time.Duration `json:"list_age"`      // an inventory older than this grants nothing
-	WarmUp        time.Duration `json:"warm_up"`       // a replica is cold for so long after its start
-	Lease         time.Duration `json:"lease"`         // of a co-ordinator's part in the fleet
-	Grace         time.Duration `json:"grace"`         // after its lease, or after a drain was laid, until nothing new is sent
-	SettleTime    time.Duration `json:"settle"`        // after a grant's end, until its machine counts as staying
-	FailurePause  time.Duration `json:"calm"`          // W6: without an unplanned failure for so long, plans go on; see flapping.go
-	MaxPassedOver int           `json:"passed_most"`   // W5: passed over so many times, a request reserves its turn
-	MinVoters     int           `json:"voters_least"`  // W2: voters that stay up: a majority and one to spare
+	Cells           int           `json:"cells"` // the ring: shard s is held by the cells (s+j) mod Cells, j < Reach
+	Reach           int           `json:"reach"`
+	Shards          int           `json:"shards"`
+	MinHolders      int           `json:"holders_least"` // W1
+	MaxOutPerZone   int           `json:"out_by_zone"`   // W2: machines granted, acknowledged, out or warming up at once in a zone
+	MaxOut          int           `json:"out_most"`      // W2: in all
+	Headroom        float64       `json:"headroom"`      // W3: share of the load seen that stays free, as 0.25
+	MaxLoadAge      time.Duration `json:"load_age"`      // W3: a load older than this is unknown
+	MaxInventoryAge time.Duration `json:"list_age"`      // an inventory older than this grants nothing
+	WarmUp          time.Duration `json:"warm_up"`       // a replica is cold for so long after its start
+	Lease           time.Duration `json:"lease"`         // of a co-ordinator's part in the fleet
+	Grace           time.Duration `json:"grace"`         // after its lease, or after a drain was laid, until nothing new is sent
+	SettleTime      time.Duration `json:"settle"`        // after a grant's end, until its machine counts as staying
+	FailurePause    time.Duration `json:"calm"`          // W6: without an unplanned failure for so long, plans go on; see flapping.go
+	MaxPassedOver   int           `json:"passed_most"`   // W5: passed over so many times, a request reserves its turn
+	MinVoters       int           `json:"voters_least"`  // W2: voters that stay up: a majority and one to spare
 }
 
 // Priority of a request.
@@ -156,7 +156,7 @@
 		ObservedAt time.Duration `json:"seen,omitempty"`
 		// InventoryDigest, with Complete and no machines: all is as the agreed inventory of this sum has it, see State.InventoryDigest. Another
 		// one is refused: the observations of two leaders crossed.
-		Sum string `json:"sum,omitempty"`
+		Digest string `json:"sum,omitempty"`
 	}
 	// GrantBody ("grant") lets one machine go. Checked against W1 to W6 as the state is when it is applied.
 	GrantBody struct {
@@ -174,8 +174,8 @@
 	}
 	// Silent is a co-ordinator that the leader has not heard of for so long, by its monotonic clock.
 	Silent struct {
-		Name string        `json:"name"`
-		For  time.Duration `json:"for"`
+		Name     string        `json:"name"`
+		Duration time.Duration `json:"for"`
 	}
 	// WithdrawBody ("withdraw") takes a grant back before it was acknowledged.
 	WithdrawBody struct {
--- a/internal/fleet/migrate/order_test.go
+++ b/internal/fleet/migrate/order_test.go
@@ -29,7 +29,7 @@
 	}
 	see := func() { apply("observe", maintenance.ObserveBody{Complete: true, Machines: machines, LoadKnown: true}) }
 	apply("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 1, Reach: 1, Shards: 1, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
-		LoadAge: 60 * sec, ListAge: 60 * sec, Lease: 10 * sec, Grace: 10 * sec, SettleTime: 30 * sec, FailurePause: 30 * sec, MaxPassedOver: 3, WarmUp: sec}})
+		MaxLoadAge: 60 * sec, MaxInventoryAge: 60 * sec, Lease: 10 * sec, Grace: 10 * sec, SettleTime: 30 * sec, FailurePause: 30 * sec, MaxPassedOver: 3, WarmUp: sec}})
 	see()
 	apply("asks", maintenance.RequestsBody{Revision: 1, Requests: []maintenance.Request{
 		{ID: "r", Names: []string{"c0", "c1", "c2"}, Reason: "disks", MaxOutage: 600 * sec},
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -61,7 +61,7 @@
 		do("tick", maintenance.TickBody{})
 	}
 	do("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 5000, Reach: 2, Shards: 5000, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
-		LoadAge: time.Second, ListAge: time.Second, Lease: time.Second, MaxPassedOver: 1}})
+		MaxLoadAge: time.Second, MaxInventoryAge: time.Second, Lease: time.Second, MaxPassedOver: 1}})
 	for range 10 {
 		var ms []maintenance.Machine
 		for range maintenance.MaxMachines / 10 {
--- a/internal/fleet/waveplan/order.go
+++ b/internal/fleet/waveplan/order.go
@@ -20,7 +20,7 @@
 	var p Problem
 	p.Limits, _ = s.Limits()
 	load, at, known := s.ObservedLoad()
-	p.Load, p.LoadKnown = load, known && now-at <= p.Limits.LoadAge
+	p.Load, p.LoadKnown = load, known && now-at <= p.Limits.MaxLoadAge
 	requests := map[string]maintenance.Request{}
 	for _, r := range s.Requests().Requests {
 		requests[r.ID] = r
--- a/internal/fleet/waveplan/order_test.go
+++ b/internal/fleet/waveplan/order_test.go
@@ -59,7 +59,7 @@
 
 func limits(cells int) maintenance.Limits {
 	return maintenance.Limits{Cells: cells, Reach: 3, Shards: cells, MinHolders: 2, MaxOutPerZone: cells, MaxOut: 2 * cells,
-		Headroom: 0.25, LoadAge: 30 * sec, ListAge: 30 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec,
+		Headroom: 0.25, MaxLoadAge: 30 * sec, MaxInventoryAge: 30 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec,
 		SettleTime: 10 * sec, FailurePause: 60 * sec, MaxPassedOver: 8, MinVoters: 3}
 }
 
