--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -44,7 +44,7 @@
 	listener     net.Listener
 	acceptEnded  chan struct{} // closed when Serve has ended
 	mu           sync.Mutex
-	placeFreed   *sync.Cond // a connection has ended, or may be asked to by now
+	slotFreed    *sync.Cond // a connection has ended, or may be asked to by now
 	conns        map[*clientConn]struct{}
 	draining     atomic.Bool               // told to end
 	closing      atomic.Bool               // past the time for clients to come: each answer closes its connection
@@ -65,7 +65,7 @@
 		s.idempotencyKeyed = append(s.idempotencyKeyed, c.Effect == policy.Keyed)
 		s.maxClientWait = append(s.maxClientWait, time.Duration(c.GiveUp*float64(time.Second)))
 	}
-	s.placeFreed = sync.NewCond(&s.mu)
+	s.slotFreed = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -106,10 +106,10 @@
 			s.onEvict()
 			look := time.AfterFunc(s.limits.SlowRequest/4, func() { // one may be spared by then
 				s.mu.Lock()
-				s.placeFreed.Broadcast()
+				s.slotFreed.Broadcast()
 				s.mu.Unlock()
 			})
-			s.placeFreed.Wait()
+			s.slotFreed.Wait()
 			look.Stop()
 		}
 		full := len(s.conns) >= s.limits.Clients+s.limits.ClientsOver
@@ -126,7 +126,7 @@
 				if empty {
 					return s.listener.Close()
 				}
-				empty = s.extendAccept(acceptExtension)
+				empty = s.extendAccept(acceptIdleTimeout)
 				continue
 			}
 			s.log.Warn("accept failed", logrus.Fields{"error": err})
@@ -135,7 +135,7 @@
 		}
 		empty = false
 		s.mu.Lock()
-		c := newClient(s, nc)
+		c := newClientConn(s, nc)
 		if len(s.conns) >= s.limits.Clients {
 			c.overLimit = !s.evict(c)
 		}
@@ -155,7 +155,7 @@
 		if c == but {
 			continue
 		}
-		if k, at := c.evictable(); k != needed && (best == nil || k < kind || k == kind && at.Before(since)) {
+		if k, at := c.evictable(); k != notEvictable && (best == nil || k < kind || k == kind && at.Before(since)) {
 			best, kind, since = c, k, at
 		}
 	}
@@ -222,7 +222,7 @@
 		var between []kept
 		s.mu.Lock()
 		for c := range s.conns {
-			if kind, since := c.evictable(); kind == idle {
+			if kind, since := c.evictable(); kind == evictIdle {
 				between = append(between, kept{c, since})
 			}
 		}
@@ -253,6 +253,6 @@
 	s.mu.Lock()
 	c.conn.Close()
 	delete(s.conns, c)
-	s.placeFreed.Signal()
+	s.slotFreed.Signal()
 	s.mu.Unlock()
 }
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -29,14 +29,14 @@
 	}
 	s.closing.Store(true)
 	s.mu.Lock()
-	s.placeFreed.Broadcast()
+	s.slotFreed.Broadcast()
 	s.mu.Unlock()
 	// Guards against requests that the machine has taken and nobody has read: the listener's end resets what waits there.
 	if s.extendAccept(0) {
 		select {
 		case <-s.acceptEnded:
 		case <-ctx.Done():
-		case <-time.After(maxAcceptTime):
+		case <-time.After(finalAcceptTimeout):
 		}
 	}
 	s.listener.Close()
@@ -82,10 +82,10 @@
 
 const (
 	drainTick = 20 * time.Millisecond // how often the drain looks for connections that are done
-	// acceptExtension without anybody to accept ends the accepting. Twice as long ends later by so much; half as long and a
+	// acceptIdleTimeout without anybody to accept ends the accepting. Twice as long ends later by so much; half as long and a
 	// busy machine finds nobody though one waits.
-	acceptExtension = 5 * time.Millisecond
-	// maxAcceptTime bounds the accepting at the end: clients that go on coming are refused by the machine then. Half as long
+	acceptIdleTimeout = 5 * time.Millisecond
+	// finalAcceptTimeout bounds the accepting at the end: clients that go on coming are refused by the machine then. Half as long
 	// and a process that gets a quarter of a core does not come round to it.
-	maxAcceptTime = 100 * time.Millisecond
+	finalAcceptTimeout = 100 * time.Millisecond
 )
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -13,11 +13,11 @@
 )
 
 // draining tells the server to end and waits until each answer closes its connection.
-func (st *stand) draining() (done chan struct{}) {
+func (st *testServer) startDrain() (done chan struct{}) {
 	st.Helper()
 	done = make(chan struct{})
-	go func() { st.s.Drain(context.Background()); close(done) }()
-	for end := time.Now().Add(patience); !st.s.closing.Load(); time.Sleep(time.Millisecond) {
+	go func() { st.server.Drain(context.Background()); close(done) }()
+	for end := time.Now().Add(testTimeout); !st.server.closing.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			st.Fatal("not leaving")
 		}
@@ -25,74 +25,74 @@
 	return done
 }
 
-// lateEnd leaves a busy machine time for what is not about the end.
-func lateEnd(l *config.Limits) { l.EndTime = 4 * time.Second }
+// extendEndTime leaves a busy machine time for what is not about the end.
+func extendEndTime(l *config.Limits) { l.EndTime = 4 * time.Second }
 
-func (st *stand) drained(done chan struct{}) {
+func (st *testServer) expectDrained(done chan struct{}) {
 	st.Helper()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		st.Fatal("not done")
 	}
 }
 
 // A request of which half was read when the connections are closed is read to its end and answered.
-func TestAHalfReadRequestAtTheClose(t *testing.T) {
-	st := newStand(t, lateEnd)
-	c, text := st.dial(), query("a", "", goodBody)
+func TestPartialRequestIsAnsweredDuringDrain(t *testing.T) {
+	st := newTestServer(t, extendEndTime)
+	c, text := st.dial(), queryRequest("a", "", validBody)
 	c.write(text[:len(text)/2])
 	time.Sleep(80 * time.Millisecond) // longer than what makes room for others
-	done := st.draining()
+	done := st.startDrain()
 	time.Sleep(3 * drainTick)
 	c.write(text[len(text)/2:])
-	st.next().Reply(exchange.Reply{})
-	if r := c.status(200); !r.Close {
+	st.nextQuery().Reply(exchange.Reply{})
+	if r := c.expectStatus(200); !r.Close {
 		t.Error("the connection is kept")
 	}
-	st.drained(done)
+	st.expectDrained(done)
 }
 
 // A request that is read ahead in part when the one before is answered keeps its connection and is answered, too.
-func TestAPipelinedRequestAtTheClose(t *testing.T) {
+func TestPipelinedRequestIsAnsweredDuringDrain(t *testing.T) {
 	for _, cut := range []int{0, 30} { // bytes that are missing still
-		st := newStand(t, lateEnd)
-		c, second := st.dial(), query("b", "", goodBody)
-		c.write(query("a", "", goodBody) + second[:len(second)-cut])
-		q := st.next()
-		done := st.draining()
+		st := newTestServer(t, extendEndTime)
+		c, second := st.dial(), queryRequest("b", "", validBody)
+		c.write(queryRequest("a", "", validBody) + second[:len(second)-cut])
+		q := st.nextQuery()
+		done := st.startDrain()
 		time.Sleep(2 * drainTick)
 		q.Reply(exchange.Reply{})
-		if r := c.status(200); r.Close {
+		if r := c.expectStatus(200); r.Close {
 			t.Error("closed over a request that had begun")
 		}
 		c.write(second[len(second)-cut:])
-		st.next().Reply(exchange.Reply{})
-		if r := c.status(200); !r.Close {
+		st.nextQuery().Reply(exchange.Reply{})
+		if r := c.expectStatus(200); !r.Close {
 			t.Error("the connection is kept")
 		}
-		st.drained(done)
+		st.expectDrained(done)
 	}
 }
 
 // Who goes on sending ahead does not put off the end: from the last moment for answers each closes its connection.
-func TestSendingAheadEnds(t *testing.T) {
-	st := newStand(t, nil)
+func TestPipeliningDoesNotDelayEndOfDrain(t *testing.T) {
+	st := newTestServer(t, nil)
 	c := st.dial()
-	c.write(query("a", "", goodBody) + query("b", "", goodBody)[:100])
-	q := st.next()
-	done := st.draining()
-	time.Sleep(st.s.limits.EndTime)
+	c.write(queryRequest("a", "", validBody) + queryRequest("b", "", validBody)[:100])
+	q := st.nextQuery()
+	done := st.startDrain()
+	time.Sleep(st.server.limits.EndTime)
 	q.Reply(exchange.Reply{})
-	if r := c.status(200); !r.Close {
+	if r := c.expectStatus(200); !r.Close {
 		t.Error("the connection is kept")
 	}
-	st.drained(done)
+	st.expectDrained(done)
 }
 
 // What waits to be read on a connection between requests is a request that was taken: it is not closed over it.
-func TestNoCloseOverWhatWaits(t *testing.T) {
-	st := newStand(t, nil)
+func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
+	st := newTestServer(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -107,17 +107,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClient(st.s, nc) // its goroutine is not running: it has not had the processor
+	c := newClientConn(st.server, nc) // its goroutine is not running: it has not had the processor
 	c.sentValid = true
-	if _, err := peer.Write([]byte(query("a", "", goodBody))); err != nil {
+	if _, err := peer.Write([]byte(queryRequest("a", "", validBody))); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(10 * time.Millisecond)
 	c.closeRequested = true // asked to close before that came
 	go c.run()
-	st.next().Reply(exchange.Reply{})
+	st.nextQuery().Reply(exchange.Reply{})
 	b := make([]byte, 100)
-	peer.SetReadDeadline(time.Now().Add(patience))
+	peer.SetReadDeadline(time.Now().Add(testTimeout))
 	n, err := peer.Read(b)
 	if err != nil || !strings.HasPrefix(string(b[:n]), "HTTP/1.1 200") {
 		t.Errorf("%q %v", b[:n], err)
@@ -130,65 +130,65 @@
 
 // Half a request whose rest does not come puts off the end until the moment for the last answers, not for all the time
 // that a request may take.
-func TestAHalfRequestDoesNotHoldTheEnd(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.RequestTime, l.FirstTime = time.Minute, time.Minute })
+func TestPartialRequestDelaysDrainOnlyUntilEndTime(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.RequestTime, l.FirstTime = time.Minute, time.Minute })
 	c := st.dial()
-	c.write(query("a", "", goodBody)[:100])
+	c.write(queryRequest("a", "", validBody)[:100])
 	began := time.Now()
-	st.drained(st.draining())
-	if took := time.Since(began); took < st.s.limits.EndTime {
+	st.expectDrained(st.startDrain())
+	if took := time.Since(began); took < st.server.limits.EndTime {
 		t.Errorf("given up after %v, before the last moment", took)
 	}
-	c.ended()
+	c.expectClosed()
 }
 
-// slowToAccept is a listener that gets no processor for a while after the drain has begun to leave.
-type slowToAccept struct {
+// blockedListener is a listener that gets no processor for a while after the drain has begun to leave.
+type blockedListener struct {
 	*net.TCPListener
-	free chan struct{}
+	release chan struct{}
 }
 
-func (l slowToAccept) Accept() (net.Conn, error) {
-	<-l.free
+func (l blockedListener) Accept() (net.Conn, error) {
+	<-l.release
 	return l.TCPListener.Accept()
 }
 
 // What the machine has accepted when the accepting ends, and we have not, is taken and answered: the end of the listener
 // would reset it.
-func TestWhatWaitsToBeAcceptedAtTheClose(t *testing.T) {
-	held := newStandOn(t, lateEnd, func(ln net.Listener) net.Listener {
-		return slowToAccept{ln.(*net.TCPListener), make(chan struct{})}
+func TestDrainAnswersConnectionsInAcceptQueue(t *testing.T) {
+	held := newTestServerWithListener(t, extendEndTime, func(ln net.Listener) net.Listener {
+		return blockedListener{ln.(*net.TCPListener), make(chan struct{})}
 	})
-	var waiting []*conn
+	var waiting []*testClient
 	for i := range 10 {
 		c := held.dial()
-		c.write(query(fmt.Sprint("q", i), "", goodBody))
+		c.write(queryRequest(fmt.Sprint("q", i), "", validBody))
 		waiting = append(waiting, c)
 	}
-	done := held.draining()
+	done := held.startDrain()
 	time.Sleep(2 * drainTick)
-	close(held.s.listener.(slowToAccept).free)
+	close(held.server.listener.(blockedListener).release)
 	for range waiting {
-		held.next().Reply(exchange.Reply{})
+		held.nextQuery().Reply(exchange.Reply{})
 	}
 	for _, c := range waiting {
-		if r := c.status(200); !r.Close {
+		if r := c.expectStatus(200); !r.Close {
 			t.Error("the connection is kept")
 		}
 	}
-	held.drained(done)
+	held.expectDrained(done)
 }
 
 // A query from before the end whose client waits past the time for the last answers has its answer still: its replicas are at
 // work, and it is for SIGKILL to end that, not for the drain.
-func TestAQueryOutlivesTheTimeForLastAnswers(t *testing.T) {
-	st := newStand(t, nil)
+func TestDrainWaitsForEarlierQueryBeyondEndTime(t *testing.T) {
+	st := newTestServer(t, nil)
 	c := st.dial()
-	c.write(strings.Replace(query("a", "", goodBody), "X-Timeout-Ms: 480", "X-Timeout-Ms: 60000", 1))
-	q := st.next()
-	done := st.draining()
-	st.until("the time for last answers is over", func() bool { return !st.s.mayRespond() })
-	if end := st.s.lastReplyBy.Load(); !q.Due.After(*end) {
+	c.write(strings.Replace(queryRequest("a", "", validBody), "X-Timeout-Ms: 480", "X-Timeout-Ms: 60000", 1))
+	q := st.nextQuery()
+	done := st.startDrain()
+	st.waitFor("the time for last answers is over", func() bool { return !st.server.mayRespond() })
+	if end := st.server.lastReplyBy.Load(); !q.Due.After(*end) {
 		t.Fatalf("due %v before the last answers", end.Sub(q.Due))
 	}
 	select {
@@ -197,8 +197,8 @@
 	case <-time.After(3 * drainTick):
 	}
 	q.Reply(exchange.Reply{})
-	if r := c.status(200); !r.Close {
+	if r := c.expectStatus(200); !r.Close {
 		t.Error("the connection is kept")
 	}
-	st.drained(done)
+	st.expectDrained(done)
 }
--- a/internal/front/input_test.go
+++ b/internal/front/input_test.go
@@ -10,8 +10,8 @@
 
 // Whatever is not of the form gets a 4xx or a closed connection, and no part of it goes on.
 func TestBadInput(t *testing.T) {
-	st := newStand(t, nil)
-	good := query("a", "", goodBody)
+	st := newTestServer(t, nil)
+	good := queryRequest("a", "", validBody)
 	for name, in := range map[string]struct {
 		text   string
 		status int
@@ -22,93 +22,93 @@
 		"tenant":         {strings.Replace(good, "acme", "nobody", 1), 400},
 		"no tenant":      {strings.Replace(good, "X-Tenant-Id: acme\r\n", "", 1), 400},
 		"no id":          {strings.Replace(good, "X-Request-ID: a\r\n", "", 1), 400},
-		"id with space":  {query("a b", "", goodBody), 400},
-		"long id":        {query(strings.Repeat("x", 65), "", goodBody), 400},
+		"id with space":  {queryRequest("a b", "", validBody), 400},
+		"long id":        {queryRequest(strings.Repeat("x", 65), "", validBody), 400},
 		"no time-out":    {strings.Replace(good, "X-Timeout-Ms: 480\r\n", "", 1), 400},
 		"past time-out":  {strings.Replace(good, "480", "-40", 1), 400},
 		"zero time-out":  {strings.Replace(good, "480", "000", 1), 400},
 		"odd time-out":   {strings.Replace(good, "480", "4.8", 1), 400},
 		"huge time-out":  {strings.Replace(good, "480", "99999999999999999999", 1), 400},
-		"no JSON":        {query("a", "", "nonsense"), 400},
-		"two JSONs":      {query("a", "", goodBody+goodBody), 400},
-		"array":          {query("a", "", "[]"), 400},
-		"no buckets":     {query("a", "", `{"body":"x"}`), 400},
-		"no text":        {query("a", "", `{"buckets":[{"bucket":1,"part":1}]}`), 400},
-		"not UTF-8":      {query("a", "", "{\"buckets\":[{\"bucket\":1,\"part\":1}],\"body\":\"\xff\"}"), 400},
-		"shard":          {query("a", "", `{"buckets":[{"bucket":10,"part":1}],"body":"x"}`), 400},
-		"negative shard": {query("a", "", `{"buckets":[{"bucket":-1,"part":1}],"body":"x"}`), 400},
-		"shard twice":    {query("a", "", `{"buckets":[{"bucket":1,"part":0.5},{"bucket":1,"part":0.5}],"body":"x"}`), 400},
-		"no share":       {query("a", "", `{"buckets":[{"bucket":1}],"body":"x"}`), 400},
-		"zero share":     {query("a", "", `{"buckets":[{"bucket":1,"part":0}],"body":"x"}`), 400},
-		"over a whole":   {query("a", "", `{"buckets":[{"bucket":1,"part":0.9},{"bucket":2,"part":0.9}],"body":"x"}`), 400},
-		"keyed":          {strings.Replace(query("a", "Idempotency-Key: k\r\n", goodBody), "/search", "/keyed", 1), 501},
-		"under a whole":  {query("a", "", `{"buckets":[{"bucket":1,"part":0.5}],"body":"x"}`), 400},
-		"share over 1":   {query("a", "", `{"buckets":[{"bucket":1,"part":1.5}],"body":"x"}`), 400},
-		"minus share":    {query("a", "", `{"buckets":[{"bucket":1,"part":1.5},{"bucket":2,"part":-0.5}],"body":"x"}`), 400},
-		"huge share":     {query("a", "", `{"buckets":[{"bucket":1,"part":1e999}],"body":"x"}`), 400},
-		"minus effort":   {query("a", "", `{"buckets":[{"bucket":1,"part":1,"effort":-1}],"body":"x"}`), 400},
-		"huge effort":    {query("a", "", `{"buckets":[{"bucket":1,"part":1,"effort":1e300}],"body":"x"}`), 400},
-		"odd seed":       {query("a", "", `{"buckets":[{"bucket":1,"part":1,"seed":"xyz"}],"body":"x"}`), 400},
-		"key twice":      {query("a", "", `{"buckets":[{"bucket":1,"part":1}],"body":"x","body":"y"}`), 400},
-		"key twice deep": {query("a", "", `{"buckets":[{"bucket":1,"part":1,"Bucket":2}],"body":"x"}`), 400},
-		"half a pair":    {query("a", "", `{"buckets":[{"bucket":1,"part":1}],"body":"\ud800"}`), 400},
-		"deep":           {query("a", "", strings.Repeat("[", 10000)), 400},
+		"no JSON":        {queryRequest("a", "", "nonsense"), 400},
+		"two JSONs":      {queryRequest("a", "", validBody+validBody), 400},
+		"array":          {queryRequest("a", "", "[]"), 400},
+		"no buckets":     {queryRequest("a", "", `{"body":"x"}`), 400},
+		"no text":        {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1}]}`), 400},
+		"not UTF-8":      {queryRequest("a", "", "{\"buckets\":[{\"bucket\":1,\"part\":1}],\"body\":\"\xff\"}"), 400},
+		"shard":          {queryRequest("a", "", `{"buckets":[{"bucket":10,"part":1}],"body":"x"}`), 400},
+		"negative shard": {queryRequest("a", "", `{"buckets":[{"bucket":-1,"part":1}],"body":"x"}`), 400},
+		"shard twice":    {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":0.5},{"bucket":1,"part":0.5}],"body":"x"}`), 400},
+		"no share":       {queryRequest("a", "", `{"buckets":[{"bucket":1}],"body":"x"}`), 400},
+		"zero share":     {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":0}],"body":"x"}`), 400},
+		"over a whole":   {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":0.9},{"bucket":2,"part":0.9}],"body":"x"}`), 400},
+		"keyed":          {strings.Replace(queryRequest("a", "Idempotency-Key: k\r\n", validBody), "/search", "/keyed", 1), 501},
+		"under a whole":  {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":0.5}],"body":"x"}`), 400},
+		"share over 1":   {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1.5}],"body":"x"}`), 400},
+		"minus share":    {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1.5},{"bucket":2,"part":-0.5}],"body":"x"}`), 400},
+		"huge share":     {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1e999}],"body":"x"}`), 400},
+		"minus effort":   {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1,"effort":-1}],"body":"x"}`), 400},
+		"huge effort":    {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1,"effort":1e300}],"body":"x"}`), 400},
+		"odd seed":       {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1,"seed":"xyz"}],"body":"x"}`), 400},
+		"key twice":      {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1}],"body":"x","body":"y"}`), 400},
+		"key twice deep": {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1,"Bucket":2}],"body":"x"}`), 400},
+		"half a pair":    {queryRequest("a", "", `{"buckets":[{"bucket":1,"part":1}],"body":"\ud800"}`), 400},
+		"deep":           {queryRequest("a", "", strings.Repeat("[", 10000)), 400},
 		"signed time":    {strings.Replace(good, "480", "+480", 1), 400},
 		"endless time":   {strings.Replace(good, "480", "999999999", 1), 400},
-		"two time-outs":  {query("a", "X-Timeout-Ms: 9\r\n", goodBody), 400},
-		"two ids":        {query("a", "X-Request-ID: a\r\n", goodBody), 400},
-		"id of a part":   {query("a.3", "", goodBody), 400},
-		"two lengths":    {query("a", "Content-Length: 5\r\n", goodBody), 400},
-		"two framings":   {query("a", "Transfer-Encoding: chunked\r\n", goodBody), 400},
+		"two time-outs":  {queryRequest("a", "X-Timeout-Ms: 9\r\n", validBody), 400},
+		"two ids":        {queryRequest("a", "X-Request-ID: a\r\n", validBody), 400},
+		"id of a part":   {queryRequest("a.3", "", validBody), 400},
+		"two lengths":    {queryRequest("a", "Content-Length: 5\r\n", validBody), 400},
+		"two framings":   {queryRequest("a", "Transfer-Encoding: chunked\r\n", validBody), 400},
 		"empty lines":    {strings.Repeat("\r\n", 20), 400},
-		"over 64 KiB":    {query("a", "", strings.Repeat(" ", 64<<10+1)), 413},
-		"long head":      {query("a", "X: "+strings.Repeat("x", 3000)+"\r\n", goodBody), 431},
+		"over 64 KiB":    {queryRequest("a", "", strings.Repeat(" ", 64<<10+1)), 413},
+		"long head":      {queryRequest("a", "X: "+strings.Repeat("x", 3000)+"\r\n", validBody), 431},
 		"request line":   {"NONSENSE\r\n\r\n", 400},
 		"binary":         {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400},
 	} {
 		c := st.dial()
 		c.nc.Write([]byte(in.text))
-		if r, _ := c.read(); r.StatusCode != in.status {
+		if r, _ := c.readResponse(); r.StatusCode != in.status {
 			t.Errorf("%s: %d, want %d", name, r.StatusCode, in.status)
 		}
 	}
-	st.none()
+	st.expectNoQuery()
 	c := st.dial()
 	c.write(good) // others are served as before
-	st.next().Reply(exchange.Reply{})
-	c.status(200)
+	st.nextQuery().Reply(exchange.Reply{})
+	c.expectStatus(200)
 }
 
 // Bad input of either kind ends the connection with its error, and nothing behind it is read: what hides in the body
 // of a request with two framings is not passed on, and its place goes to others.
 func TestBadInputEndsTheConnection(t *testing.T) {
-	st := newStand(t, nil)
+	st := newTestServer(t, nil)
 	for _, bad := range []string{
-		query("a", "", "nonsense"), "nonsense\r\n\r\n", query("a", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+		queryRequest("a", "", "nonsense"), "nonsense\r\n\r\n", queryRequest("a", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"),
 	} {
 		c := st.dial()
-		c.write(query("a", "", goodBody))
-		st.next().Reply(exchange.Reply{})
-		c.status(200)
-		c.write(bad + query("b", "", goodBody))
-		if r := c.status(400); !r.Close {
+		c.write(queryRequest("a", "", validBody))
+		st.nextQuery().Reply(exchange.Reply{})
+		c.expectStatus(200)
+		c.write(bad + queryRequest("b", "", validBody))
+		if r := c.expectStatus(400); !r.Close {
 			t.Errorf("%q: the connection is kept", bad)
 		}
-		c.ended()
+		c.expectClosed()
 	}
-	st.none()
+	st.expectNoQuery()
 }
 
 // Whatever a body holds, what is taken of it is of the form.
 func FuzzBody(f *testing.F) {
-	f.Add([]byte(goodBody))
+	f.Add([]byte(validBody))
 	f.Add([]byte(`{"buckets":[{"bucket":1,"part":0.9},{"bucket":1,"part":0.1}],"body":"x"}`))
 	f.Add([]byte(`{"buckets":[{"bucket":-0,"part":1e0,"effort":null}],"body":"\ud83d\ude00","Body":1}`))
 	f.Add([]byte(`[[[[{"a":[{}],"b":{"a":1}}]]]]`))
 	s := &Server{shards: 10, limits: config.Limits{MostWork: 3600}}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var q exchange.Query
-		if s.readBody(&q, raw) != nil {
+		if s.parseBody(&q, raw) != nil {
 			return
 		}
 		sum, seen := 0.0, map[int]bool{}
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -13,8 +13,8 @@
 )
 
 // Guards against megabytes of a body that is rejected: the error goes out at once, and of the rest little is read.
-func TestAHugeBodyIsNotRead(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.Linger = 100 * time.Millisecond })
+func TestOversizedBodyIsNotRead(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.Linger = 100 * time.Millisecond })
 	c := st.dial()
 	sent := make(chan int, 1)
 	go func() {
@@ -28,7 +28,7 @@
 		}
 		sent <- n
 	}()
-	c.status(413)
+	c.expectStatus(413)
 	if n := <-sent; n >= 60_000_000 {
 		t.Error("all of it was read")
 	}
@@ -36,83 +36,83 @@
 
 // A client that says nothing, or half a request, is closed on time from its connecting, though an established one
 // may be idle for longer.
-func TestTheFirstRequestHasItsTime(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.FirstTime = 300 * time.Millisecond }) // in which a busy machine asks, too
+func TestFirstRequestDeadline(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.FirstTime = 300 * time.Millisecond }) // in which a busy machine asks, too
 	kept := st.dial()
-	kept.write(query("a", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	kept.status(200)
-	st.dial().ended()
+	kept.write(queryRequest("a", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	kept.expectStatus(200)
+	st.dial().expectClosed()
 	half := st.dial()
-	half.write(query("b", "", goodBody)[:50])
-	half.status(408)
-	half.ended()
+	half.write(queryRequest("b", "", validBody)[:50])
+	half.expectStatus(408)
+	half.expectClosed()
 	bit := st.dial() // a byte now and then gives no more time
 	go func() {
-		for _, b := range []byte(query("c", "", goodBody)) {
+		for _, b := range []byte(queryRequest("c", "", validBody)) {
 			if _, err := bit.nc.Write([]byte{b}); err != nil {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	bit.status(408)
-	kept.write(query("d", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	kept.status(200)
+	bit.expectStatus(408)
+	kept.write(queryRequest("d", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	kept.expectStatus(200)
 }
 
 // Guards against many bodies at once that a small memory does not hold: past the budget for all connections a
 // large request is rejected while small ones pass, and what is over is given back.
-func TestUnreadRequestsHaveABudget(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.UnreadBytes = 20 << 10 })
-	large := func() *conn {
+func TestPartialRequestBytesAreLimited(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.UnreadBytes = 20 << 10 })
+	large := func() *testClient {
 		c := st.dial()
-		head, _, _ := strings.Cut(query("x", "", strings.Repeat(" ", 60<<10)), "   ")
+		head, _, _ := strings.Cut(queryRequest("x", "", strings.Repeat(" ", 60<<10)), "   ")
 		c.write(head + strings.Repeat(" ", 12<<10))
 		return c
 	}
 	first := large()
-	for end := time.Now().Add(patience); st.s.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // it is booked
+	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // it is booked
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are booked", st.s.partialBytes.Load())
+			t.Fatalf("%d bytes are booked", st.server.partialBytes.Load())
 		}
 	}
 	second := large()
-	second.status(503)
-	second.ended()
+	second.expectStatus(503)
+	second.expectClosed()
 	small := st.dial()
-	small.write(query("a", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	small.status(200)
+	small.write(queryRequest("a", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	small.expectStatus(200)
 	first.nc.Close()
-	for end := time.Now().Add(patience); st.s.partialBytes.Load() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are still booked", st.s.partialBytes.Load())
+			t.Fatalf("%d bytes are still booked", st.server.partialBytes.Load())
 		}
 	}
 }
 
 // The limit on connections holds while draining, too, or descriptors run out where clients come by hundreds.
-func TestTheLimitHoldsWhileDraining(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) {
+func TestConnectionLimitHoldsDuringDrain(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) {
 		l.Clients, l.ClientsOver, l.SlowRequest, l.FirstTime = 2, 1, time.Minute, 300*time.Millisecond
 		l.DrainTime, l.EndTime = time.Second, 3*time.Second // a busy machine dials late
 	})
 	done := make(chan struct{})
-	go func() { st.s.Drain(context.Background()); close(done) }()
-	for !st.s.draining.Load() {
+	go func() { st.server.Drain(context.Background()); close(done) }()
+	for !st.server.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	for range 10 {
 		st.dial()
 	}
 	count := func() int {
-		st.s.mu.Lock()
-		defer st.s.mu.Unlock()
-		return len(st.s.conns)
+		st.server.mu.Lock()
+		defer st.server.mu.Unlock()
+		return len(st.server.conns)
 	}
-	for end := time.Now().Add(patience); count() != 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); count() != 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d connections", count())
 		}
@@ -121,163 +121,163 @@
 	if n := count(); n > 3 {
 		t.Errorf("%d connections", n)
 	}
-	st.s.mu.Lock()
-	for c := range st.s.conns {
+	st.server.mu.Lock()
+	for c := range st.server.conns {
 		c.conn.Close()
 	}
-	st.s.mu.Unlock()
+	st.server.mu.Unlock()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("not done")
 	}
 }
 
 // Connections between requests are kept up to a number; past that the one idle longest is closed, though there is
 // room for more. One with a request open is not counted.
-func TestIdleConnectionsHaveALimit(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.IdleMost = 2 })
-	var all []*conn
+func TestIdleConnectionsAreLimited(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.IdleMost = 2 })
+	var all []*testClient
 	for range 5 {
 		c := st.dial()
-		c.write(query("a", "", goodBody))
-		st.next().Reply(exchange.Reply{})
-		c.status(200)
+		c.write(queryRequest("a", "", validBody))
+		st.nextQuery().Reply(exchange.Reply{})
+		c.expectStatus(200)
 		all = append(all, c)
 		time.Sleep(2 * time.Millisecond)
 	}
 	open := st.dial()
-	open.write(query("b", "", goodBody))
-	q := st.next()
+	open.write(queryRequest("b", "", validBody))
+	q := st.nextQuery()
 	for _, c := range all[:3] {
-		c.ended()
+		c.expectClosed()
 	}
 	time.Sleep(30 * time.Millisecond)
 	for _, c := range all[3:] {
-		c.write(query("c", "", goodBody))
-		st.next().Reply(exchange.Reply{})
-		c.status(200)
+		c.write(queryRequest("c", "", validBody))
+		st.nextQuery().Reply(exchange.Reply{})
+		c.expectStatus(200)
 	}
 	q.Reply(exchange.Reply{})
-	open.status(200)
+	open.expectStatus(200)
 }
 
 // Silent connections and those that only sent what could not be used make room for new ones before a client's that
 // is between requests; a new one has its time to speak first.
-func TestWhoMakesRoom(t *testing.T) {
+func TestSilentConnectionsAreEvictedBeforeIdleOnes(t *testing.T) {
 	t.Parallel()
 	// Far past what a busy machine takes from connecting to asking.
 	const slowAfter = 600 * time.Millisecond
-	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 3, 1, slowAfter })
+	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 3, 1, slowAfter })
 	usual := st.dial()
-	usual.write(query("a", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	usual.status(200)
+	usual.write(queryRequest("a", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	usual.expectStatus(200)
 	time.Sleep(20 * time.Millisecond)
-	quiet := [2]*conn{st.dialled(), st.dialled()}
+	quiet := [2]*testClient{st.dialAccepted(), st.dialAccepted()}
 	time.Sleep(slowAfter * 5 / 4)
-	st.dialled() // silent as well, and new
-	quiet[0].ended()
+	st.dialAccepted() // silent as well, and new
+	quiet[0].expectClosed()
 	for range 5 { // more than there are places
-		st.dialled()
+		st.dialAccepted()
 		time.Sleep(slowAfter * 6 / 5)
 	}
-	quiet[1].ended()
+	quiet[1].expectClosed()
 	late := st.dial()
-	late.write(query("b", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	late.status(200)
-	usual.write(query("c", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	usual.status(200)
+	late.write(queryRequest("b", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	late.expectStatus(200)
+	usual.write(queryRequest("c", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	usual.expectStatus(200)
 }
 
 // At the limit of connections idle ones and slow requests make room; where all are busy the newest gets a
 // refusal, and past a further few the rest wait with the machine until one ends.
-func TestTheLimitOfConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	const slowAfter = 250 * time.Millisecond // far past what a busy machine takes from connecting to asking
-	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 2, 1, slowAfter })
+	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 2, 1, slowAfter })
 	idle, busy := st.dial(), st.dial()
 	idle.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	idle.status(200)
-	busy.write(query("a", "", goodBody))
-	first := st.next()
+	idle.expectStatus(200)
+	busy.write(queryRequest("a", "", validBody))
+	first := st.nextQuery()
 	time.Sleep(2 * slowAfter)
 	second := st.dial()
-	idle.ended()
-	second.write(query("b", "", goodBody))
-	b := st.next()
+	idle.expectClosed()
+	second.write(queryRequest("b", "", validBody))
+	b := st.nextQuery()
 	over := st.dial()
-	over.write(query("c", "", goodBody))
-	over.status(503)
-	over.ended()
+	over.write(queryRequest("c", "", validBody))
+	over.expectStatus(503)
+	over.expectClosed()
 	waits := st.dial()
-	waits.write(query("d", "", goodBody))
-	waits.status(503)
+	waits.write(queryRequest("d", "", validBody))
+	waits.expectStatus(503)
 	first.Reply(exchange.Reply{})
-	busy.status(200)
+	busy.expectStatus(200)
 	b.Reply(exchange.Reply{})
-	second.status(200)
-	st.none()
+	second.expectStatus(200)
+	st.expectNoQuery()
 	slow := st.dial()
-	busy.ended()
+	busy.expectClosed()
 	slow.write("POST /search")
 	time.Sleep(2 * slowAfter)
 	c := st.dial()
-	c.write(query("e", "", goodBody))
-	e := st.next()
+	c.write(queryRequest("e", "", validBody))
+	e := st.nextQuery()
 	d := st.dial()
-	slow.ended()
-	second.ended()
-	d.write(query("f", "", goodBody))
-	st.next().Reply(exchange.Reply{})
-	d.status(200)
+	slow.expectClosed()
+	second.expectClosed()
+	d.write(queryRequest("f", "", validBody))
+	st.nextQuery().Reply(exchange.Reply{})
+	d.expectStatus(200)
 	e.Reply(exchange.Reply{})
-	c.status(200)
+	c.expectStatus(200)
 }
 
 // A client that came past the limit makes room for those behind it, not for itself: it is rejected, however late its
 // request is taken.
-func TestNoRoomByOneself(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 3, time.Millisecond })
+func TestConnectionOverLimitDoesNotEvictItself(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 3, time.Millisecond })
 	busy := st.dial()
-	busy.write(query("a", "", goodBody))
-	a := st.next()
+	busy.write(queryRequest("a", "", validBody))
+	a := st.nextQuery()
 	for range 3 {
 		over := st.dial()
 		time.Sleep(20 * time.Millisecond) // past the time of one that is new
-		over.write(query("b", "", goodBody))
-		over.status(503)
-		over.ended()
+		over.write(queryRequest("b", "", validBody))
+		over.expectStatus(503)
+		over.expectClosed()
 	}
 	a.Reply(exchange.Reply{})
-	busy.status(200)
+	busy.expectStatus(200)
 }
 
 // A place that comes to be spared is freed though nobody else comes.
-func TestRoomIsLookedFor(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver = 1, 1 })
+func TestIdleConnectionIsEvictedWithoutNewConnection(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver = 1, 1 })
 	idle := st.dial()
 	st.dial()
-	idle.ended()
+	idle.expectClosed()
 }
 
 // Who has seen the end of a connection finds its place free.
-func TestThePlaceIsFreeAtTheEnd(t *testing.T) {
-	st := newStand(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 1, time.Minute })
+func TestClosedConnectionFreesItsSlot(t *testing.T) {
+	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 1, time.Minute })
 	for range 200 {
 		first := st.dial()
-		first.write(query("a", "", goodBody))
-		a := st.next()
+		first.write(queryRequest("a", "", validBody))
+		a := st.nextQuery()
 		next := st.dial()
 		first.nc.(*net.TCPConn).CloseWrite()
-		<-st.sink.left
+		<-st.exchange.gone
 		a.Reply(exchange.Reply{}) // nobody waits for it
-		first.ended()
-		next.write(query("b", "", goodBody))
-		st.next().Reply(exchange.Reply{})
-		next.status(200)
+		first.expectClosed()
+		next.write(queryRequest("b", "", validBody))
+		st.nextQuery().Reply(exchange.Reply{})
+		next.expectStatus(200)
 		next.nc.(*net.TCPConn).CloseWrite()
-		next.ended()
+		next.expectClosed()
 	}
 }
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -16,7 +16,7 @@
 )
 
 // body is what a client posts.
-type body struct {
+type requestBody struct {
 	Buckets []bucket `json:"buckets"`
 	Body    *string  `json:"body"`
 }
@@ -32,7 +32,7 @@
 	microsecond     = 1e-6
 	weightTolerance = 1e-3 // of the whole: shares may be rounded
 	seedDigits      = 16
-	maxDepth        = 16 // objects and arrays within each other
+	maxNestingDepth = 16 // objects and arrays within each other
 )
 
 func invalidRequest(status int, reason string) error {
@@ -41,7 +41,7 @@
 
 // parse reads a query; whatever is not of the form is told apart here, before anything is sent. A replica drops the
 // whole connection over what it can't read, so nothing that is in doubt passes.
-func (s *Server) parse(r *h1.Request, at time.Time) (*exchange.Query, error) {
+func (s *Server) parseQuery(r *h1.Request, at time.Time) (*exchange.Query, error) {
 	class := settings.Place(s.names.Classes, h1.FirstSegment(r.Target))
 	if class < 0 {
 		return nil, invalidRequest(404, "unknown class")
@@ -97,21 +97,21 @@
 		}
 		q.LaneMark = r.Header.Get(s.laneHeader)
 	}
-	if err := s.readBody(q, r.Body); err != nil {
+	if err := s.parseBody(q, r.Body); err != nil {
 		return nil, err
 	}
 	return q, nil
 }
 
-// readBody takes the parts and the text.
-func (s *Server) readBody(q *exchange.Query, raw []byte) error {
+// parseBody takes the parts and the text.
+func (s *Server) parseBody(q *exchange.Query, raw []byte) error {
 	if !utf8.Valid(raw) {
 		return invalidRequest(400, "body is not text")
 	}
-	if err := once(raw); err != nil {
+	if err := checkDuplicateKeys(raw); err != nil {
 		return invalidRequest(400, "body: "+err.Error())
 	}
-	var b body
+	var b requestBody
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return invalidRequest(400, "body: "+err.Error())
 	}
@@ -151,7 +151,7 @@
 
 // once finds a key that stands twice in an object: which of them holds is anybody's guess. Keys are compared as the
 // decoder does, without regard to case.
-func once(raw []byte) error {
+func checkDuplicateKeys(raw []byte) error {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.UseNumber()
 	type level struct {
@@ -169,7 +169,7 @@
 		}
 		top := len(open) - 1
 		switch d, _ := t.(json.Delim); {
-		case (d == '{' || d == '[') && top+1 >= maxDepth:
+		case (d == '{' || d == '[') && top+1 >= maxNestingDepth:
 			return invalidRequest(400, "too deep")
 		case d == '{':
 			open = append(open, level{keys: map[string]bool{}})
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -39,7 +39,7 @@
 	partialBytes int64 // bytes that have come of an unfinished request; the goroutine's own
 }
 
-func newClient(s *Server, nc net.Conn) *clientConn {
+func newClientConn(s *Server, nc net.Conn) *clientConn {
 	now := time.Now()
 	c := &clientConn{server: s, peer: nc.RemoteAddr().String(), idleSince: now, acceptedAt: now}
 	c.conn = duplexconn.New(nc, c, s.limits.WriteTime)
@@ -57,7 +57,7 @@
 func (c *clientConn) run() {
 	lim := &c.server.limits
 	split := &h1.RequestSplitter{Limits: h1.Limits{Head: lim.HeadBytes, Body: lim.BodyBytes}}
-	in := bufio.NewScanner(reader{c, split})
+	in := bufio.NewScanner(requestReader{c, split})
 	// Room for the body in the smallest chunks of sixteen bytes and for a trailer; past that it is too long.
 	in.Buffer(nil, 2*lim.HeadBytes+2*lim.BodyBytes)
 	ahead := 0 // bytes that were read behind the request
@@ -68,14 +68,14 @@
 	})
 	last := false
 	for !last && in.Scan() {
-		c.requestRead(ahead)
+		c.onRequestRead(ahead)
 		last = c.handleRequest(&split.Request)
 	}
 	err := in.Err()
 	if last {
 		err = c.awaitAnswers()
 	}
-	c.reserve(-c.partialBytes)
+	c.reserveBytes(-c.partialBytes)
 	if errors.Is(err, bufio.ErrTooLong) {
 		err = &h1.Error{Status: 413, Reason: "message over the limit"}
 	}
@@ -92,15 +92,15 @@
 	c.server.remove(c)
 }
 
-// requestRead notes that a request has been read to its end, with so many bytes of the next behind it.
-func (c *clientConn) requestRead(ahead int) {
+// onRequestRead notes that a request has been read to its end, with so many bytes of the next behind it.
+func (c *clientConn) onRequestRead(ahead int) {
 	c.mu.Lock()
 	c.handling, c.expectsContinue = true, false
 	if c.partialSince = (time.Time{}); ahead > 0 {
 		c.partialSince = c.conn.ReadAt()
 	}
 	c.mu.Unlock()
-	c.reserve(-c.partialBytes)
+	c.reserveBytes(-c.partialBytes)
 }
 
 // respondAndClose answers what could not be read. What is still open on the connection is answered first.
@@ -134,7 +134,7 @@
 const awaitTick = 10 * time.Millisecond
 
 // reserve books bytes of an unfinished request and says whether there is room for them.
-func (c *clientConn) reserve(more int64) bool {
+func (c *clientConn) reserveBytes(more int64) bool {
 	c.partialBytes += more
 	return c.server.partialBytes.Add(more) <= c.server.limits.UnreadBytes
 }
@@ -151,16 +151,16 @@
 	}
 }
 
-// firstBuffer is what bufio.Scanner starts with.
-const firstBuffer = 4 << 10
+// initialScanBuffer is what bufio.Scanner starts with.
+const initialScanBuffer = 4 << 10
 
 // reader notes when an unfinished request began to arrive.
-type reader struct {
+type requestReader struct {
 	c     *clientConn
 	split *h1.RequestSplitter
 }
 
-func (r reader) Read(p []byte) (int, error) {
+func (r requestReader) Read(p []byte) (int, error) {
 	if r.split.Expects {
 		r.split.Expects = false
 		r.c.mu.Lock()
@@ -175,7 +175,7 @@
 		}
 		r.c.mu.Unlock()
 		// Guards against many bodies at once in a small memory; what fits into a buffer's first size always may.
-		if !r.c.reserve(int64(n)) && r.c.partialBytes > firstBuffer {
+		if !r.c.reserveBytes(int64(n)) && r.c.partialBytes > initialScanBuffer {
 			return n, errNoCapacity
 		}
 	}
@@ -190,14 +190,14 @@
 	c.closing = c.closing || r.Close
 	c.mu.Unlock()
 	if !dropped {
-		c.parseRequest(r)
+		c.dispatchRequest(r)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-func (c *clientConn) parseRequest(r *h1.Request) {
+func (c *clientConn) dispatchRequest(r *h1.Request) {
 	if r.Target == "/-/ready" {
 		switch {
 		case r.Method != "GET" && r.Method != "HEAD":
@@ -209,7 +209,7 @@
 		}
 		return
 	}
-	q, err := c.server.parse(r, c.conn.ReadAt())
+	q, err := c.server.parseQuery(r, c.conn.ReadAt())
 	if err == nil {
 		q.Client, _, _ = net.SplitHostPort(c.peer)
 	}
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -8,7 +8,7 @@
 	"birchcart/internal/h1"
 )
 
-var statuses = map[exchange.Status]int{
+var statusCodes = map[exchange.Status]int{
 	exchange.Served: 200, exchange.Rejected: 503, exchange.Failed: 504, exchange.Conflict: 409,
 }
 
@@ -31,7 +31,7 @@
 		return
 	}
 	c.current = nil
-	c.output = h1.AppendResponse(c.output, statuses[r.Status], header, body, c.isLastReply())
+	c.output = h1.AppendResponse(c.output, statusCodes[r.Status], header, body, c.isLastReply())
 	var next *exchange.Query
 	switch {
 	case len(c.pipelined) > 0 && !c.conn.Open(): // the client left while its goroutine was held up in a write
@@ -134,14 +134,14 @@
 	case now.Before(until):
 		return until, nil
 	case c.conn.Waits():
-		return now.Add(lateReadTime), nil
+		return now.Add(lateReadTimeout), nil
 	}
 	return until, end
 }
 
-// lateReadTime is the time for reading what waits already. It is done in one call; a wake in between has the source asked
+// lateReadTimeout is the time for reading what waits already. It is done in one call; a wake in between has the source asked
 // again.
-const lateReadTime = 10 * time.Millisecond
+const lateReadTimeout = 10 * time.Millisecond
 
 // Wrote is told how much went out; answers need no count.
 func (c *clientConn) Wrote(int) {
@@ -160,10 +160,10 @@
 type evictionPriority int
 
 const (
-	silent evictionPriority = iota // has never sent a request that could be used, for some time
-	slow                           // is in the middle of a request, for some time
-	idle                           // between requests
-	needed
+	evictSilent evictionPriority = iota // has never sent a request that could be used, for some time
+	evictSlow                           // is in the middle of a request, for some time
+	evictIdle                           // between requests
+	notEvictable
 )
 
 // evictable says whether the client may be asked to close, and since when that is so: it has nothing open, and nothing
@@ -175,19 +175,19 @@
 }
 
 func (c *clientConn) evictableLocked() (evictionPriority, time.Time) {
-	kind, since := idle, c.idleSince
+	kind, since := evictIdle, c.idleSince
 	switch {
 	case c.current != nil || c.handling || len(c.output) > 0 || c.closing || c.closeRequested || c.isWriteBlocked():
-		return needed, since
+		return notEvictable, since
 	case !c.partialSince.IsZero() && c.server.closing.Load() && c.server.mayRespond():
-		return needed, since // nobody else wants its place, and what of it is on its way would be lost
+		return notEvictable, since // nobody else wants its place, and what of it is on its way would be lost
 	case !c.sentValid:
-		kind, since = silent, c.acceptedAt
+		kind, since = evictSilent, c.acceptedAt
 	case !c.partialSince.IsZero():
-		kind, since = slow, c.partialSince
+		kind, since = evictSlow, c.partialSince
 	}
-	if kind != idle && time.Since(since) <= c.server.limits.SlowRequest {
-		return needed, since
+	if kind != evictIdle && time.Since(since) <= c.server.limits.SlowRequest {
+		return notEvictable, since
 	}
 	return kind, since
 }
@@ -207,7 +207,7 @@
 // for received: it is read first, however late we come to it.
 func (c *clientConn) mayClose() bool {
 	kind, _ := c.evictableLocked()
-	return kind != needed && (kind == slow || !c.conn.Waits())
+	return kind != notEvictable && (kind == evictSlow || !c.conn.Waits())
 }
 
 // appendAnswer writes the body of an answer. Values go out byte for byte, but for what JSON has to escape.
@@ -219,21 +219,21 @@
 			b = append(b, ',')
 		}
 		b = strconv.AppendInt(append(b, `{"bucket":`...), int64(v.Shard), 10)
-		b = append(appendText(append(b, `,"item":`...), v.Item), '}')
+		b = append(appendJSONString(append(b, `,"item":`...), v.Item), '}')
 	}
 	return append(b, "]}"...)
 }
 
-const hex = "0123456789abcdef"
+const hexDigits = "0123456789abcdef"
 
-func appendText(b, text []byte) []byte {
+func appendJSONString(b, text []byte) []byte {
 	b = append(b, '"')
 	for _, c := range text {
 		switch {
 		case c == '"' || c == '\\':
 			b = append(b, '\\', c)
 		case c < ' ':
-			b = append(b, '\\', 'u', '0', '0', hex[c>>4], hex[c&15])
+			b = append(b, '\\', 'u', '0', '0', hexDigits[c>>4], hexDigits[c&15])
 		default:
 			b = append(b, c)
 		}
