--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -1,5 +1,5 @@
-// Package front is the server side: it accepts clients, reads their queries, hands these to the exchange and
-// writes the answers. A connection has one goroutine.
+// Package front is the HTTP server for clients: it accepts connections, parses queries, submits them to the
+// exchange and writes the answers. One goroutine serves each connection.
 package front
 
 import (
@@ -21,40 +21,40 @@
 	"birchcart/policy"
 )
 
-// Sink takes queries and the messages that their clients have gone.
+// Sink receives queries, and is notified when the client of a query has disconnected.
 type Sink interface {
 	Submit(*exchange.Query)
 	ClientGone(*exchange.Query)
 }
 
-// Server accepts clients.
+// Server accepts client connections and serves their queries.
 type Server struct {
 	limits           config.Limits
 	names            *settings.Names
 	shards           int
 	idempotencyKeyed []bool          // by class
-	maxClientWait    []time.Duration // by class: the longest that its clients wait, 0 if that is not told
+	maxClientWait    []time.Duration // by class: the longest time that its clients wait, 0 if unknown
 	sink             Sink
 	ready            func() bool
 	log              *logs.Limited
-	sessionHeader    string // request header with a session's key; "": none is read
-	laneHeader       string // request header with a mark for the lanes; "": none is read
-	ownerHeader      string // header of a rejection that names the session's co-ordinator; "": none is written
+	sessionHeader    string // request header that carries the session key; empty if none is read
+	laneHeader       string // request header that carries the lane mark; empty if none is read
+	ownerHeader      string // response header of a rejection that names the co-ordinator that owns the session; empty if none is written
 
 	listener     net.Listener
-	acceptEnded  chan struct{} // closed when Serve has ended
+	acceptEnded  chan struct{} // closed when Serve returns
 	mu           sync.Mutex
-	slotFreed    *sync.Cond // a connection has ended, or may be asked to by now
+	slotFreed    *sync.Cond // signalled when a connection has ended, or when one may have become evictable
 	conns        map[*clientConn]struct{}
-	draining     atomic.Bool               // told to end
-	closing      atomic.Bool               // past the time for clients to come: each answer closes its connection
-	lastReplyBy  atomic.Pointer[time.Time] // once told to end: when the last answer goes
-	partialBytes atomic.Int64              // bytes of requests that are not yet complete
-	loggedAt     time.Time                 // of the last line on all connections being taken
-	onEvict      func()                    // called with each look for room, for tests
+	draining     atomic.Bool               // Drain has been called
+	closing      atomic.Bool               // DrainTime is over: each answer closes its connection
+	lastReplyBy  atomic.Pointer[time.Time] // deadline for the last answer, set by Drain
+	partialBytes atomic.Int64              // total size of all incomplete requests
+	loggedAt     time.Time                 // when "all connections are in use" was last logged
+	onEvict      func()                    // test hook, called on each attempt to free a connection slot
 }
 
-// New returns a server. ready says whether a list has come.
+// New returns a server. ready reports whether a replica list has been received.
 func New(cfg *config.Config, sink Sink, ready func() bool, log *logrus.Entry) *Server {
 	s := &Server{
 		limits: cfg.Limits, names: cfg.Names, shards: cfg.Policy.Shards, sink: sink, ready: ready,
@@ -69,52 +69,53 @@
 	return s
 }
 
-// SetSessionHeader has the key of a query's session read from one request header, and the co-ordinator that has it named in another of
-// a refusal, "" for not at all. To be called before Serve.
+// SetSessionHeader sets the request header that carries a query's session key, and the header of a rejection that names
+// the co-ordinator that owns the session. An empty name disables the header. It must be called before Serve.
 func (s *Server) SetSessionHeader(key, owner string) { s.sessionHeader, s.ownerHeader = key, owner }
 
-// SetLaneHeader has the mark of a query, by which the fleet's lanes may know its account, read from one request header. To be called
-// before Serve.
+// SetLaneHeader sets the request header that carries a query's lane mark, from which the fleet's lanes may identify its
+// account. It must be called before Serve.
 func (s *Server) SetLaneHeader(header string) { s.laneHeader = header }
 
-// Listen takes the address; from then on connections are accepted by the machine.
+// Listen binds the address. From then on the kernel accepts connections into the listen queue.
 func (s *Server) Listen(address string) error {
 	ln, err := net.Listen("tcp", address)
 	s.listener = ln
 	return err
 }
 
-// Addr is where the server listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve accepts until the listener is closed, or at the end until nobody waits. It is called once. Up to Clients connections are served. Past that one that can be
-// spared makes room; where there is none the new one gets a rejection, and past ClientsOver of those the rest wait
-// with the machine, so that descriptors never run out.
+// Serve accepts connections until the listener is closed or, at the end of a drain, until no connection waits in the
+// listen queue. It must be called only once. Up to Clients connections are served. Beyond that a new connection evicts
+// an expendable one; where there is none the new connection gets a rejection. Beyond ClientsOver of those, further
+// connections stay in the kernel's listen queue, so that the process never runs out of descriptors.
 func (s *Server) Serve(ctx context.Context) error {
 	defer close(s.acceptEnded)
 	go s.closeIdle(ctx)
-	for empty := false; ; {
+	for extended := false; ; {
 		s.mu.Lock()
 		for len(s.conns) >= s.limits.Clients+s.limits.ClientsOver && !s.closing.Load() {
 			if now := time.Now(); now.Sub(s.loggedAt) >= s.limits.LogEvery {
 				s.loggedAt = now
-				s.log.Warn("all connections are taken", s.connectionCounts())
+				s.log.Warn("all connections are in use", s.connectionCounts())
 			}
 			if wanted := len(s.conns) - s.limits.Clients - s.limits.ClientsOver + 1; s.closingCount() < wanted {
 				s.evict(nil)
 			}
 			s.onEvict()
-			look := time.AfterFunc(s.limits.SlowRequest/4, func() { // one may be spared by then
+			recheck := time.AfterFunc(s.limits.SlowRequest/4, func() { // a connection may have become evictable by then
 				s.mu.Lock()
 				s.slotFreed.Broadcast()
 				s.mu.Unlock()
 			})
 			s.slotFreed.Wait()
-			look.Stop()
+			recheck.Stop()
 		}
 		full := len(s.conns) >= s.limits.Clients+s.limits.ClientsOver
 		s.mu.Unlock()
-		if full { // and leaving
+		if full { // the loop above ended because the drain is closing connections
 			return s.listener.Close()
 		}
 		nc, err := s.listener.Accept()
@@ -123,17 +124,17 @@
 				return nil
 			}
 			if s.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-				if empty {
+				if extended {
 					return s.listener.Close()
 				}
-				empty = s.extendAccept(acceptIdleTimeout)
+				extended = s.extendAccept(acceptIdleTimeout)
 				continue
 			}
 			s.log.Warn("accept failed", logrus.Fields{"error": err})
-			time.Sleep(10 * time.Millisecond) // out of descriptors or memory for the moment
+			time.Sleep(10 * time.Millisecond) // likely a temporary lack of descriptors or memory
 			continue
 		}
-		empty = false
+		extended = false
 		s.mu.Lock()
 		c := newClientConn(s, nc)
 		if len(s.conns) >= s.limits.Clients {
@@ -145,18 +146,19 @@
 	}
 }
 
-// evict asks the client to go that can best be spared, among those alike the one that has waited longest. It is not the
-// one that the room is for, which has sent nothing of use until its request is taken.
-func (s *Server) evict(but *clientConn) bool {
+// evict requests the close of the most expendable connection; among connections of equal priority, of the one that has
+// been in its state longest. It reports whether a connection will close. The connection for which the slot is wanted is
+// excluded: until its request is accepted it has sent no valid request, so it might be chosen itself.
+func (s *Server) evict(except *clientConn) bool {
 	var best *clientConn
-	var kind evictionPriority
+	var priority evictionPriority
 	var since time.Time
 	for c := range s.conns {
-		if c == but {
+		if c == except {
 			continue
 		}
-		if k, at := c.evictable(); k != notEvictable && (best == nil || k < kind || k == kind && at.Before(since)) {
-			best, kind, since = c, k, at
+		if p, at := c.evictable(); p != notEvictable && (best == nil || p < priority || p == priority && at.Before(since)) {
+			best, priority, since = c, p, at
 		}
 	}
 	if best == nil {
@@ -165,7 +167,7 @@
 	return best.requestClose()
 }
 
-// closingCount counts the clients that were asked to close and will as soon as they have the processor.
+// closingCount counts the connections whose close was requested and that close as soon as their goroutine is scheduled.
 func (s *Server) closingCount() (n int) {
 	for c := range s.conns {
 		c.mu.Lock()
@@ -177,39 +179,39 @@
 	return n
 }
 
-// connectionCounts counts the connections by what they do, for the log.
+// connectionCounts counts the connections by state, for the log.
 func (s *Server) connectionCounts() logrus.Fields {
-	f := logrus.Fields{"connections": len(s.conns)}
-	n := map[string]int{}
+	fields := logrus.Fields{"connections": len(s.conns)}
+	counts := map[string]int{}
 	for c := range s.conns {
 		c.mu.Lock()
 		switch {
 		case c.current != nil:
-			n["open"]++
+			counts["open"]++
 		case c.closing:
-			n["closing"]++
+			counts["closing"]++
 		case !c.partialSince.IsZero():
-			n["unfinished"]++
+			counts["unfinished"]++
 		case !c.sentValid:
-			n["silent"]++
+			counts["silent"]++
 		default:
-			n["idle"]++
+			counts["idle"]++
 		}
 		c.mu.Unlock()
 	}
-	for kind, count := range n {
-		f[kind] = count
+	for state, count := range counts {
+		fields[state] = count
 	}
-	return f
+	return fields
 }
 
-// closeIdle closes connections that are between requests, the longest first, while there are too many. Guards against
-// clients that ask once and keep their connections: each may hold only so many, and with those kept for nothing it
-// has none left to ask on, however few of ours are in use.
+// closeIdle closes connections that are between requests while there are more than IdleMost, the longest idle first. It
+// guards against clients that send one request and keep the connection: a client may hold a limited number of connections,
+// and if all of them are idle it has none left to query on, however few connections the server has in use.
 func (s *Server) closeIdle(ctx context.Context) {
 	tick := time.NewTicker(s.limits.TidyEvery)
 	defer tick.Stop()
-	type kept struct {
+	type idleConn struct {
 		c     *clientConn
 		since time.Time
 	}
@@ -219,25 +221,25 @@
 			return
 		case <-tick.C:
 		}
-		var between []kept
+		var idle []idleConn
 		s.mu.Lock()
 		for c := range s.conns {
-			if kind, since := c.evictable(); kind == evictIdle {
-				between = append(between, kept{c, since})
+			if priority, since := c.evictable(); priority == evictIdle {
+				idle = append(idle, idleConn{c, since})
 			}
 		}
 		s.mu.Unlock()
-		if over := len(between) - s.limits.IdleMost; over > 0 {
-			slices.SortFunc(between, func(a, b kept) int { return a.since.Compare(b.since) })
-			for _, k := range between[:over] {
-				k.c.requestClose()
+		if excess := len(idle) - s.limits.IdleMost; excess > 0 {
+			slices.SortFunc(idle, func(a, b idleConn) int { return a.since.Compare(b.since) })
+			for _, conn := range idle[:excess] {
+				conn.c.requestClose()
 			}
 		}
 	}
 }
 
-// admitOverLimit looks once more for room for a client that came past the limit and has asked for something: there may be
-// some by now. Without it the client is rejected.
+// admitOverLimit tries again to free a slot for a connection over the limit that has sent a request, since a slot may have
+// become free or a connection evictable meanwhile. If it returns false, the request is rejected.
 func (s *Server) admitOverLimit(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,8 +249,8 @@
 	return !c.overLimit
 }
 
-// remove closes a connection and forgets it, for all others at once: who has seen its end finds its place free, and what
-// is not counted holds no descriptor.
+// remove closes a connection and deletes it from the server in one critical section: a client that has seen the close
+// finds the slot free, and a connection that is not counted holds no descriptor.
 func (s *Server) remove(c *clientConn) {
 	s.mu.Lock()
 	c.conn.Close()
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// isReady says whether clients should come.
+// isReady reports whether clients should send requests to this server.
 func (s *Server) isReady() bool { return !s.draining.Load() && s.ready() }
 
-// mayRespond says whether a request that has begun may still be answered: not from the moment for the last answers on.
+// mayRespond reports whether an incomplete request may still be answered. Once the deadline for the last answer has passed
+// it may not.
 func (s *Server) mayRespond() bool {
 	end := s.lastReplyBy.Load()
 	return end == nil || time.Now().Before(*end)
 }
 
-// Drain ends the service. For a while it goes on accepting, since clients and their front learn of the end late, and
-// serves the connections that are there as before: whoever takes our place may be starting still, and a client that is
-// sent away has nowhere to go then. From then on each answer closes its connection unless a further request has begun
-// there, idle ones are closed, and what is open or half read is waited for. What comes during the drain is given up in
-// time before the process may be killed.
+// Drain shuts the server down gracefully. For DrainTime it accepts connections and serves the existing ones as before:
+// clients and load balancers learn of the shutdown late, and a successor may still be starting, so that rejected clients
+// would have no other server. After that each answer closes its connection unless another request has begun on it, idle
+// connections are closed, and open or partly read requests are waited for. Queries received during the drain end before
+// the process may be killed.
 func (s *Server) Drain(ctx context.Context) {
 	end := time.Now().Add(s.limits.EndTime)
 	s.lastReplyBy.Store(&end)
@@ -31,7 +32,7 @@
 	s.mu.Lock()
 	s.slotFreed.Broadcast()
 	s.mu.Unlock()
-	// Guards against requests that the machine has taken and nobody has read: the listener's end resets what waits there.
+	// Connections that wait in the kernel's listen queue may carry requests, and closing the listener would reset them.
 	if s.extendAccept(0) {
 		select {
 		case <-s.acceptEnded:
@@ -42,17 +43,17 @@
 	s.listener.Close()
 	for tick := time.NewTicker(drainTick); ; {
 		s.mu.Lock()
-		left := len(s.conns)
-		idle := make([]*clientConn, 0, left)
+		remaining := len(s.conns)
+		conns := make([]*clientConn, 0, remaining)
 		for c := range s.conns {
-			idle = append(idle, c)
+			conns = append(conns, c)
 		}
 		s.mu.Unlock()
-		if left == 0 && (s.acceptHasEnded() || !s.mayRespond()) {
+		if remaining == 0 && (s.acceptHasEnded() || !s.mayRespond()) {
 			tick.Stop()
 			return
 		}
-		for _, c := range idle {
+		for _, c := range conns {
 			c.requestClose()
 		}
 		select {
@@ -64,7 +65,7 @@
 	}
 }
 
-// acceptHasEnded says whether the accepting has ended: until then a connection that was accepted may not be among the others.
+// acceptHasEnded reports whether Serve has returned. Until then there may be an accepted connection that is not yet in conns.
 func (s *Server) acceptHasEnded() bool {
 	select {
 	case <-s.acceptEnded:
@@ -74,18 +75,19 @@
 	}
 }
 
-// extendAccept lets the accepting go on for a time, from now; false if the listener knows no times.
-func (s *Server) extendAccept(during time.Duration) bool {
+// extendAccept sets the deadline for accepting connections to d from now. It returns false if the listener does not support
+// deadlines.
+func (s *Server) extendAccept(d time.Duration) bool {
 	ln, ok := s.listener.(interface{ SetDeadline(time.Time) error })
-	return ok && ln.SetDeadline(time.Now().Add(during)) == nil
+	return ok && ln.SetDeadline(time.Now().Add(d)) == nil
 }
 
 const (
-	drainTick = 20 * time.Millisecond // how often the drain looks for connections that are done
-	// acceptIdleTimeout without anybody to accept ends the accepting. Twice as long ends later by so much; half as long and a
-	// busy machine finds nobody though one waits.
+	drainTick = 20 * time.Millisecond // interval at which Drain checks for connections that can close
+	// acceptIdleTimeout ends the accepting when no connection arrives for that long. Twice as long would delay the end of
+	// the drain by as much; with half as long, a busy machine misses a connection that waits in the listen queue.
 	acceptIdleTimeout = 5 * time.Millisecond
-	// finalAcceptTimeout bounds the accepting at the end: clients that go on coming are refused by the machine then. Half as long
-	// and a process that gets a quarter of a core does not come round to it.
+	// finalAcceptTimeout limits how long Drain goes on accepting; after that the kernel refuses new connections. With half
+	// as long, a process limited to a quarter of a core may not get to run the accept loop.
 	finalAcceptTimeout = 100 * time.Millisecond
 )
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -23,20 +23,20 @@
 	mu              sync.Mutex
 	output          []byte
 	current         *exchange.Query   // the query that waits for its answer
-	pipelined       []*exchange.Query // read ahead; one at a time is asked
-	closing         bool              // nothing more is read once all is answered and written
-	closeRequested  bool              // asked to close
-	overLimit       bool              // came past the limit of connections; guarded by the server's lock
-	sentValid       bool              // has sent a request that could be used
+	pipelined       []*exchange.Query // read ahead and submitted one at a time, each after the answer before it
+	closing         bool              // no further request is served; the connection ends once all is answered and written
+	closeRequested  bool              // requestClose has marked the connection for closing
+	overLimit       bool              // accepted beyond the connection limit; guarded by the server's lock
+	sentValid       bool              // has sent a valid request
 	idleSince       time.Time
-	partialSince    time.Time // when the first bytes of an unfinished request came
-	handling        bool      // a request has been read to its end and is neither asked nor waiting yet
-	expectsContinue bool      // the client waits for a word before it sends the body of the unfinished request
-	lastWasReply    bool      // an answer was the last thing that happened
-	writingSince    time.Time // since when the newest bytes are being written, zero once they are
+	partialSince    time.Time // when the first bytes of an incomplete request arrived, zero if there is none
+	handling        bool      // a request has been read completely and is neither submitted nor queued yet
+	expectsContinue bool      // the client waits for "100 Continue" before it sends the body of the incomplete request
+	lastWasReply    bool      // the most recent event on the connection was an answer
+	writingSince    time.Time // when the write of the newest bytes began, zero once they are written
 
 	acceptedAt   time.Time
-	partialBytes int64 // bytes that have come of an unfinished request; the goroutine's own
+	partialBytes int64 // received bytes of an incomplete request; used by the connection's goroutine only
 }
 
 func newClientConn(s *Server, nc net.Conn) *clientConn {
@@ -47,52 +47,52 @@
 }
 
 var (
-	errAllAnswered    = errors.New("front: all is answered")
+	errAllAnswered    = errors.New("front: all requests are answered")
 	errIdle           = errors.New("front: closed as idle")
 	errRequestTimeout = &h1.Error{Status: 408, Reason: "the request took too long to arrive"}
-	errNoCapacity     = &h1.Error{Status: 503, Reason: "no room for more of unfinished requests"}
+	errNoCapacity     = &h1.Error{Status: 503, Reason: "incomplete requests exceed their memory limit"}
 )
 
-// run is the goroutine of the connection.
+// run reads and serves the connection's requests until it ends. It is the connection's goroutine.
 func (c *clientConn) run() {
-	lim := &c.server.limits
-	split := &h1.RequestSplitter{Limits: h1.Limits{Head: lim.HeadBytes, Body: lim.BodyBytes}}
-	in := bufio.NewScanner(requestReader{c, split})
-	// Room for the body in the smallest chunks of sixteen bytes and for a trailer; past that it is too long.
-	in.Buffer(nil, 2*lim.HeadBytes+2*lim.BodyBytes)
-	ahead := 0 // bytes that were read behind the request
-	in.Split(func(data []byte, atEOF bool) (int, []byte, error) {
-		n, token, err := split.Split(data, atEOF)
+	limits := &c.server.limits
+	splitter := &h1.RequestSplitter{Limits: h1.Limits{Head: limits.HeadBytes, Body: limits.BodyBytes}}
+	scanner := bufio.NewScanner(requestReader{c, splitter})
+	// Large enough for a body in chunks as small as 16 bytes and for a trailer; anything larger is too long.
+	scanner.Buffer(nil, 2*limits.HeadBytes+2*limits.BodyBytes)
+	ahead := 0 // bytes that were read beyond the request
+	scanner.Split(func(data []byte, atEOF bool) (int, []byte, error) {
+		n, token, err := splitter.Split(data, atEOF)
 		ahead = len(data) - n
 		return n, token, err
 	})
 	last := false
-	for !last && in.Scan() {
+	for !last && scanner.Scan() {
 		c.onRequestRead(ahead)
-		last = c.handleRequest(&split.Request)
+		last = c.handleRequest(&splitter.Request)
 	}
-	err := in.Err()
+	err := scanner.Err()
 	if last {
 		err = c.awaitAnswers()
 	}
 	c.reserveBytes(-c.partialBytes)
 	if errors.Is(err, bufio.ErrTooLong) {
-		err = &h1.Error{Status: 413, Reason: "message over the limit"}
+		err = &h1.Error{Status: 413, Reason: "message exceeds the size limit"}
 	}
-	var unfit *h1.Error
-	if errors.As(err, &unfit) {
-		c.server.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": unfit.Status, "reason": unfit.Reason})
-		c.respondAndClose(unfit.Status)
+	var badRequest *h1.Error
+	if errors.As(err, &badRequest) {
+		c.server.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": badRequest.Status, "reason": badRequest.Reason})
+		c.respondAndClose(badRequest.Status)
 	} else if errors.Is(err, errAllAnswered) {
 		c.conn.CloseWrite()
-		c.conn.Drain(lim.Linger, lim.LingerBytes)
+		c.conn.Drain(limits.Linger, limits.LingerBytes)
 	}
-	c.server.log.Debug("a client's connection ended", logrus.Fields{"peer": c.peer, "error": err, "last_request": last})
+	c.server.log.Debug("client connection ended", logrus.Fields{"peer": c.peer, "error": err, "last_request": last})
 	c.notifyGone()
 	c.server.remove(c)
 }
 
-// onRequestRead notes that a request has been read to its end, with so many bytes of the next behind it.
+// onRequestRead records that a request has been read completely and that ahead bytes of the next one were read with it.
 func (c *clientConn) onRequestRead(ahead int) {
 	c.mu.Lock()
 	c.handling, c.expectsContinue = true, false
@@ -103,7 +103,8 @@
 	c.reserveBytes(-c.partialBytes)
 }
 
-// respondAndClose answers what could not be read. What is still open on the connection is answered first.
+// respondAndClose answers a malformed request with an error status and ends the connection. If a query is pending, that
+// query is answered instead and the error is not sent.
 func (c *clientConn) respondAndClose(status int) {
 	c.mu.Lock()
 	busy := c.current != nil
@@ -112,7 +113,7 @@
 	}
 	c.closing = true
 	c.mu.Unlock()
-	if busy { // the query in hand keeps its answer; what follows it is dropped with the connection
+	if busy { // the pending query still gets its answer; everything after it is dropped with the connection
 		if err := c.awaitAnswers(); !errors.Is(err, errAllAnswered) {
 			return
 		}
@@ -123,24 +124,26 @@
 	c.conn.Drain(c.server.limits.Linger, c.server.limits.LingerBytes)
 }
 
-// awaitAnswers waits for the answers that are due on a connection of which no further request is taken. It reads on
-// meanwhile, though no faster than it has to: a client's end stands behind all that it has sent, and once that end is
-// seen nothing further may begin for it. It ends with errAllAnswered once all is written.
+// awaitAnswers waits until the pending answers are written on a connection from which no further request is accepted, and
+// then returns errAllAnswered. Meanwhile it reads and discards input, at a limited rate: the end of the client's stream
+// comes behind everything that the client has sent, and once that end is seen no further query may be submitted for it.
 func (c *clientConn) awaitAnswers() error { return c.conn.Rest(c.server.limits.LingerBytes, awaitTick) }
 
-// awaitTick is the pause after each LingerBytes that are read for a client's end alone. With 64 KiB, 700 KiB go by in
-// the 0.1 s after which nothing may begin for a client that has left, at a hundredth of a core or less; twice as long
-// finds the end late behind half as much.
+// awaitTick is the pause after each LingerBytes that awaitAnswers discards. Nothing may begin for a client later than
+// 0.1 s after it has disconnected. With LingerBytes of 64 KiB, about 700 KiB are read in that time, at no more than a
+// hundredth of a core; with a pause twice as long, half as much unread data already delays the detection too far.
 const awaitTick = 10 * time.Millisecond
 
-// reserve books bytes of an unfinished request and says whether there is room for them.
-func (c *clientConn) reserveBytes(more int64) bool {
-	c.partialBytes += more
-	return c.server.partialBytes.Add(more) <= c.server.limits.UnreadBytes
+// reserveBytes adds n bytes, which may be negative, to the size of the incomplete requests and reports whether the total
+// of all connections is within its limit.
+func (c *clientConn) reserveBytes(n int64) bool {
+	c.partialBytes += n
+	return c.server.partialBytes.Add(n) <= c.server.limits.UnreadBytes
 }
 
-// notifyGone tells the exchange that nobody waits any more. The end of what a client sends is taken for its leaving, also
-// where it might still read: the two can't be told apart, and the protocol knows clients that close alone.
+// notifyGone tells the exchange that the client of the pending query has disconnected, and drops the pipelined queries. The
+// end of the client's stream counts as a disconnect even if the client could still read: a half-close and a full close
+// can't be told apart, and the protocol defines only the full close.
 func (c *clientConn) notifyGone() {
 	c.mu.Lock()
 	q := c.current
@@ -151,18 +154,18 @@
 	}
 }
 
-// initialScanBuffer is what bufio.Scanner starts with.
+// initialScanBuffer is the initial buffer size of a bufio.Scanner.
 const initialScanBuffer = 4 << 10
 
-// reader notes when an unfinished request began to arrive.
+// requestReader reads from the connection, records when an incomplete request began to arrive and accounts for its size.
 type requestReader struct {
-	c     *clientConn
-	split *h1.RequestSplitter
+	c        *clientConn
+	splitter *h1.RequestSplitter
 }
 
 func (r requestReader) Read(p []byte) (int, error) {
-	if r.split.Expects {
-		r.split.Expects = false
+	if r.splitter.Expects {
+		r.splitter.Expects = false
 		r.c.mu.Lock()
 		r.c.expectsContinue = true
 		r.c.mu.Unlock()
@@ -174,7 +177,8 @@
 			r.c.partialSince = r.c.conn.ReadAt()
 		}
 		r.c.mu.Unlock()
-		// Guards against many bodies at once in a small memory; what fits into a buffer's first size always may.
+		// Guards against many concurrent bodies that exhaust a small memory. A request that fits into the scanner's
+		// initial buffer is always permitted.
 		if !r.c.reserveBytes(int64(n)) && r.c.partialBytes > initialScanBuffer {
 			return n, errNoCapacity
 		}
@@ -182,10 +186,10 @@
 	return n, err
 }
 
-// handleRequest takes one request and says whether it is the connection's last.
+// handleRequest handles one request and reports whether it is the connection's last.
 func (c *clientConn) handleRequest(r *h1.Request) (last bool) {
 	c.mu.Lock()
-	dropped := c.closing // what follows the last request is not served
+	dropped := c.closing // requests after the last one are not served
 	c.handling = !dropped
 	c.closing = c.closing || r.Close
 	c.mu.Unlock()
@@ -197,6 +201,7 @@
 	return c.closing
 }
 
+// dispatchRequest answers a readiness probe, rejects an invalid request, and submits a valid query.
 func (c *clientConn) dispatchRequest(r *h1.Request) {
 	if r.Target == "/-/ready" {
 		switch {
@@ -214,24 +219,24 @@
 		q.Client, _, _ = net.SplitHostPort(c.peer)
 	}
 	if err != nil {
-		var unfit *h1.Error
-		if !errors.As(err, &unfit) {
-			unfit = &h1.Error{Status: 400, Reason: err.Error()}
+		var badRequest *h1.Error
+		if !errors.As(err, &badRequest) {
+			badRequest = &h1.Error{Status: 400, Reason: err.Error()}
 		}
 		c.server.log.Warn("bad request", logrus.Fields{
-			"peer": c.peer, "status": unfit.Status, "reason": unfit.Reason, "target": r.Target[:min(len(r.Target), 200)],
+			"peer": c.peer, "status": badRequest.Status, "reason": badRequest.Reason, "target": r.Target[:min(len(r.Target), 200)],
 		})
 		c.mu.Lock()
-		c.closing = true // its buffer and its place go to others
+		c.closing = true // frees its buffer and its connection slot for other clients
 		c.mu.Unlock()
-		c.queueStatus(unfit.Status, nil)
+		c.queueStatus(badRequest.Status, nil)
 		return
 	}
-	over := c.overLimit && !c.server.admitOverLimit(c)
+	rejected := c.overLimit && !c.server.admitOverLimit(c)
 	c.mu.Lock()
-	c.closing, c.sentValid = c.closing || over, true
+	c.closing, c.sentValid = c.closing || rejected, true
 	c.mu.Unlock()
-	if over {
+	if rejected {
 		c.queueStatus(503, retryAfterHeader(c.server.limits.ComeBack))
 		return
 	}
@@ -239,29 +244,30 @@
 	c.submit(q)
 }
 
-// submit hands a query on, or lets it wait for the one before. A client whose end stands behind its request already, since
-// we come to it late, has left: nothing begins for it.
+// submit passes a query to the exchange, or queues it behind the pending one. If the goroutine runs late, the client may
+// already have closed its connection after the request; then the query is dropped.
 func (c *clientConn) submit(q *exchange.Query) {
-	left := !c.conn.Open()
+	disconnected := !c.conn.Open()
 	c.mu.Lock()
 	c.handling = false
-	if left {
-		c.closing = true // the goroutine reads the end next
+	if disconnected {
+		c.closing = true // the goroutine reads the end of the stream next
 		c.mu.Unlock()
 		return
 	}
 	if c.current != nil {
 		if c.pipelined = append(c.pipelined, q); len(c.pipelined) > c.server.limits.Pipelined {
-			open := c.current
+			pending := c.current
 			c.current, c.pipelined, c.closing = nil, nil, true
 			c.output = h1.AppendResponse(c.output, 400, nil, nil, true)
 			c.mu.Unlock()
-			// Guards against clients that send all at once: one after the other they would be answered long after
-			// the first has its error. The query in hand fails with them, which is allowed where it may have run
-			// (a refusal would not be). With its answer kept, such a client would hold a place, a reading goroutine
-			// and attempts for all its time; one that sends so much does not wait for any one answer.
-			c.server.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": 400, "reason": "too many at once"})
-			c.server.sink.ClientGone(open)
+			// Guards against clients that send all their requests at once: processed one by one, they would still be
+			// answered long after the first has its error. The pending query fails with the others: a failure is permitted
+			// for a query that may have run, a rejection would not be. If the answer of the pending query were
+			// awaited, such a client would occupy a connection slot, a reading goroutine and attempts until then; and
+			// a client that sends so many requests does not wait for any single answer.
+			c.server.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": 400, "reason": "too many pipelined requests"})
+			c.server.sink.ClientGone(pending)
 			return
 		}
 		c.mu.Unlock()
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -8,11 +8,13 @@
 	"birchcart/internal/h1"
 )
 
+// statusCodes maps the outcome of a query to the status of its HTTP response.
 var statusCodes = map[exchange.Status]int{
 	exchange.Served: 200, exchange.Rejected: 503, exchange.Failed: 504, exchange.Conflict: 409,
 }
 
-// queueReply writes the answer of a query. The exchange calls it, so it only queues.
+// queueReply queues the answer of a query and submits the next pipelined query. The exchange calls it, so it must not
+// block: the connection's goroutine does the writing.
 func (c *clientConn) queueReply(q *exchange.Query, r exchange.Reply) {
 	var header h1.Header
 	var body []byte
@@ -26,7 +28,7 @@
 		}
 	}
 	c.mu.Lock()
-	if c.current != q { // its client has gone
+	if c.current != q { // the client has disconnected
 		c.mu.Unlock()
 		return
 	}
@@ -34,7 +36,7 @@
 	c.output = h1.AppendResponse(c.output, statusCodes[r.Status], header, body, c.isLastReply())
 	var next *exchange.Query
 	switch {
-	case len(c.pipelined) > 0 && !c.conn.Open(): // the client left while its goroutine was held up in a write
+	case len(c.pipelined) > 0 && !c.conn.Open(): // the client disconnected while the goroutine was blocked in a write
 		c.pipelined, c.closing = nil, true
 	case len(c.pipelined) > 0:
 		next, c.pipelined = c.pipelined[0], c.pipelined[1:]
@@ -47,7 +49,7 @@
 	c.conn.Wake()
 }
 
-// retryAfterHeader names the time to come again, if there is one.
+// retryAfterHeader returns a Retry-After header, or nil if no time is given.
 func retryAfterHeader(after time.Duration) h1.Header {
 	if after <= 0 {
 		return nil
@@ -55,20 +57,21 @@
 	return h1.Header{{Name: "Retry-After", Value: strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}}
 }
 
-// queueStatus queues an answer of our own.
+// queueStatus queues a response that does not come from the exchange. Behind a pending query none is sent, and the
+// connection closes after that query's answer.
 func (c *clientConn) queueStatus(status int, header h1.Header) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handling = false
-	if c.current != nil { // read ahead: its answer would overtake the one before
+	if c.current != nil { // the request was pipelined: its response would overtake the pending answer
 		c.closing = true
 		return
 	}
 	c.output = h1.AppendResponse(c.output, status, header, nil, c.isLastReply())
 }
 
-// isLastReply says whether the answer that is written now is the connection's last. It is not while a request waits for its
-// turn or is about to: whoever is told of the end looks for no further answer.
+// isLastReply reports whether the answer that is being queued is the connection's last. It is not while another request is
+// queued or about to be, since a client that is told of the close expects no further answer.
 func (c *clientConn) isLastReply() bool {
 	if c.handling || len(c.pipelined) > 0 {
 		return false
@@ -79,17 +82,18 @@
 	return c.closing
 }
 
-// Pull hands over what is queued. It is called by the connection's goroutine.
+// Pull appends the queued output to buf and returns the time by which the next event is due. It returns an error when the
+// connection is to end. It is called by the connection's goroutine.
 func (c *clientConn) Pull(buf []byte) ([]byte, time.Time, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closeRequested && !c.conn.Waits() { // else that is read first, and may be all that was missing
+	if c.closeRequested && !c.conn.Waits() { // otherwise the waiting input is read first; it may complete a request
 		c.closeRequested = false
 		c.closing = c.closing || c.mayClose()
 	}
 	buf = append(buf, c.output...)
 	c.output = c.output[:0]
-	if c.expectsContinue && c.current == nil && !c.closing { // else the answer comes first
+	if c.expectsContinue && c.current == nil && !c.closing { // otherwise the pending answer comes first
 		c.expectsContinue = false
 		buf = append(buf, h1.Continue...)
 	}
@@ -108,8 +112,8 @@
 		return buf, time.Time{}, errAllAnswered
 	case !c.partialSince.IsZero():
 		until := c.partialSince.Add(c.server.limits.RequestTime)
-		if first := c.acceptedAt.Add(c.server.limits.FirstTime); !c.sentValid && first.Before(until) {
-			until = first
+		if firstUntil := c.acceptedAt.Add(c.server.limits.FirstTime); !c.sentValid && firstUntil.Before(until) {
+			until = firstUntil
 		}
 		until, err := c.checkDeadline(now, until, errRequestTimeout)
 		return buf, until, err
@@ -126,91 +130,93 @@
 	return buf, until, err
 }
 
-// checkDeadline ends a connection whose time is over, unless something waits there to be read: that came before, and the goroutine
-// comes to it late. It is read within what is left or a moment of its own. Who sends a byte now and then gains nothing, as
-// that is read by the next look.
-func (c *clientConn) checkDeadline(now, until time.Time, end error) (time.Time, error) {
+// checkDeadline returns expired once the deadline has passed, unless input waits to be read: that may have arrived in time
+// and the goroutine is late, so it gets another lateReadTimeout to be read. A client that sends a byte now and then
+// gains no time, since that byte has been read by the next check.
+func (c *clientConn) checkDeadline(now, until time.Time, expired error) (time.Time, error) {
 	switch {
 	case now.Before(until):
 		return until, nil
 	case c.conn.Waits():
 		return now.Add(lateReadTimeout), nil
 	}
-	return until, end
+	return until, expired
 }
 
-// lateReadTimeout is the time for reading what waits already. It is done in one call; a wake in between has the source asked
-// again.
+// lateReadTimeout is the time for reading input that already waits. One read call takes it; after a wake-up in between,
+// Pull is called again.
 const lateReadTimeout = 10 * time.Millisecond
 
-// Wrote is told how much went out; answers need no count.
+// Wrote records that the output has been written. The number of bytes is not used.
 func (c *clientConn) Wrote(int) {
 	c.mu.Lock()
 	c.writingSince = time.Time{}
 	c.mu.Unlock()
 }
 
-// isWriteBlocked says whether the client has not taken what is written for some time: it can't go before it has, or the time for
-// writing is over.
+// isWriteBlocked reports whether a write has been blocked for longer than SlowRequest. Such a connection can't close until
+// the client has accepted the output or the write has timed out.
 func (c *clientConn) isWriteBlocked() bool {
 	return !c.writingSince.IsZero() && time.Since(c.writingSince) > c.server.limits.SlowRequest
 }
 
-// evictionPriority tells how well a connection can be spared; the first kinds go first.
+// evictionPriority orders connections by how expendable they are; lower values are evicted first.
 type evictionPriority int
 
 const (
-	evictSilent evictionPriority = iota // has never sent a request that could be used, for some time
-	evictSlow                           // is in the middle of a request, for some time
-	evictIdle                           // between requests
-	notEvictable
+	evictSilent  evictionPriority = iota // has not sent a valid request for longer than SlowRequest
+	evictSlow                            // has had an incomplete request for longer than SlowRequest
+	evictIdle                            // between requests
+	notEvictable                         // in use, or not expendable yet
 )
 
-// evictable says whether the client may be asked to close, and since when that is so: it has nothing open, and nothing
-// half sent but what has taken too long already. A client that is new gets its time, too.
+// evictable returns the connection's eviction priority and since when it has been in that state. A connection is evictable
+// if it has no open request, and no incomplete one other than one that has already taken too long. A new connection is not
+// evictable for SlowRequest.
 func (c *clientConn) evictable() (evictionPriority, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.evictableLocked()
 }
 
+// evictableLocked is evictable for callers that hold c.mu.
 func (c *clientConn) evictableLocked() (evictionPriority, time.Time) {
-	kind, since := evictIdle, c.idleSince
+	priority, since := evictIdle, c.idleSince
 	switch {
 	case c.current != nil || c.handling || len(c.output) > 0 || c.closing || c.closeRequested || c.isWriteBlocked():
 		return notEvictable, since
 	case !c.partialSince.IsZero() && c.server.closing.Load() && c.server.mayRespond():
-		return notEvictable, since // nobody else wants its place, and what of it is on its way would be lost
+		return notEvictable, since // no new client needs its slot, and the rest of its request would be lost
 	case !c.sentValid:
-		kind, since = evictSilent, c.acceptedAt
+		priority, since = evictSilent, c.acceptedAt
 	case !c.partialSince.IsZero():
-		kind, since = evictSlow, c.partialSince
+		priority, since = evictSlow, c.partialSince
 	}
-	if kind != evictIdle && time.Since(since) <= c.server.limits.SlowRequest {
+	if priority != evictIdle && time.Since(since) <= c.server.limits.SlowRequest {
 		return notEvictable, since
 	}
-	return kind, since
+	return priority, since
 }
 
-// requestClose closes the connection if it can be spared still, and says whether it looks so. The connection's goroutine
-// decides, right before it closes.
+// requestClose asks the connection's goroutine to close the connection if it is still evictable, and reports whether it is
+// at present. The goroutine checks again right before it closes.
 func (c *clientConn) requestClose() bool {
 	c.mu.Lock()
 	c.closeRequested = c.closeRequested || c.mayClose()
-	ends := c.closeRequested
+	requested := c.closeRequested
 	c.mu.Unlock()
 	c.conn.Wake()
-	return ends
+	return requested
 }
 
-// mayClose says whether the connection may be closed now. What waits to be read there is a request that the client takes
-// for received: it is read first, however late we come to it.
+// mayClose reports whether the connection may be closed now. If input waits to be read, the client assumes that its request
+// was received, so the input is read first, however late.
 func (c *clientConn) mayClose() bool {
-	kind, _ := c.evictableLocked()
-	return kind != notEvictable && (kind == evictSlow || !c.conn.Waits())
+	priority, _ := c.evictableLocked()
+	return priority != notEvictable && (priority == evictSlow || !c.conn.Waits())
 }
 
-// appendAnswer writes the body of an answer. Values go out byte for byte, but for what JSON has to escape.
+// appendAnswer appends the body of an answer. Values are copied byte for byte, except for characters that JSON must escape.
 func appendAnswer(b []byte, r exchange.Reply) []byte {
 	b = strconv.AppendBool(append(b, `{"finished":`...), r.Complete)
 	b = append(b, `,"found":[`...)
@@ -226,6 +232,7 @@
 
 const hexDigits = "0123456789abcdef"
 
+// appendJSONString appends text as a JSON string.
 func appendJSONString(b, text []byte) []byte {
 	b = append(b, '"')
 	for _, c := range text {
