--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -11,26 +11,26 @@
 	"birchcart/internal/h1"
 )
 
-// arrived waits until what a client wrote can be read at the server's side.
+// waitForData waits until data from the client can be read at the server's side.
 func (st *testServer) waitForData(c *clientConn) {
 	st.Helper()
-	st.waitFor("bytes arrive", c.conn.Waits)
+	st.waitFor("data arrives", c.conn.Waits)
 }
 
-// A request that waits unread when a time runs out came before that: it is read first, however late the goroutine of
-// its connection comes to it, and the connection does not end over it.
+// When a deadline of a connection has passed but its goroutine is late and a request waits unread, that request arrived in
+// time. It is read and answered before the deadline ends the connection.
 func TestExpiredDeadlineReadsPendingRequestFirst(t *testing.T) {
-	long := time.Now().Add(-time.Hour)
-	for name, past := range map[string]func(*clientConn){
-		"between requests":  func(c *clientConn) { c.idleSince = long },
-		"the first request": func(c *clientConn) { c.acceptedAt, c.sentValid = long, false },
-		"half a request":    func(c *clientConn) { c.partialSince = long },
-		"half of the first": func(c *clientConn) { c.partialSince, c.acceptedAt, c.sentValid = long, long, false },
+	hourAgo := time.Now().Add(-time.Hour)
+	for name, expire := range map[string]func(*clientConn){
+		"between requests":      func(c *clientConn) { c.idleSince = hourAgo },
+		"first request":         func(c *clientConn) { c.acceptedAt, c.sentValid = hourAgo, false },
+		"partial request":       func(c *clientConn) { c.partialSince = hourAgo },
+		"partial first request": func(c *clientConn) { c.partialSince, c.acceptedAt, c.sentValid = hourAgo, hourAgo, false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			st := newTestServer(t, nil)
 			c, peer := st.newUnstartedConn()
-			past(c)
+			expire(c)
 			peer.write(queryRequest("a", "", validBody))
 			st.waitForData(c)
 			go c.run()
@@ -40,7 +40,8 @@
 	}
 }
 
-// Whoever sends a byte now and then gets no more time by it: what waits is read, and once nothing waits the time is over.
+// A client that sends a byte now and then does not extend the request's deadline: the waiting bytes are read, and once none
+// are left the request times out.
 func TestTrickledBytesDoNotExtendDeadline(t *testing.T) {
 	st := newTestServer(t, nil)
 	c, peer := st.newUnstartedConn()
@@ -53,36 +54,37 @@
 	st.expectNoQuery()
 }
 
-// A client that is asked to close in the middle of a request that has taken long, and whose rest waits unread by then, has
-// sent it whole: it is answered. With nothing waiting it goes, also when it has sent a little more.
+// When the close of a connection with a slow, partly read request is requested while the rest of the request waits unread,
+// the request is answered and the connection stays open. If some of the request is still missing after the waiting bytes
+// are read, the connection is closed.
 func TestEvictionReadsPendingRequestFirst(t *testing.T) {
 	text := queryRequest("a", "", validBody)
-	for _, cut := range []int{0, 30} { // bytes that are missing
+	for _, missing := range []int{0, 30} { // bytes of the request that are never sent
 		st := newTestServer(t, nil)
 		c, peer := st.newUnstartedConn()
 		c.partialSince = time.Now().Add(-time.Hour)
-		peer.write(text[:len(text)-cut])
+		peer.write(text[:len(text)-missing])
 		st.waitForData(c)
 		if !c.requestClose() {
-			t.Error("it is not asked to go")
+			t.Error("the connection is not evictable")
 		}
 		go c.run()
-		if cut > 0 {
+		if missing > 0 {
 			peer.expectClosed()
 			st.expectNoQuery()
 			continue
 		}
 		st.nextQuery().Reply(exchange.Reply{})
 		if r := peer.expectStatus(200); r.Close {
-			t.Error("the connection is closed over its answer")
+			t.Error("the answer closes the connection")
 		}
 	}
 }
 
-// A request that was read to its end is not yet asked when the answer before it goes out during the drain: that answer does
-// not close the connection, since what a client hears nothing of after such an answer is lost.
+// During the drain, an answer is queued while the next request has been read but not yet submitted. That answer must not
+// close the connection, or the client would never get a response to the next request.
 func TestReplyDuringDrainKeepsConnectionForParsedRequest(t *testing.T) {
-	for _, what := range []string{"a query", "a bad query"} {
+	for _, name := range []string{"valid query", "invalid query"} {
 		st := newTestServer(t, nil)
 		end := time.Now().Add(time.Hour)
 		st.server.lastReplyBy.Store(&end)
@@ -91,43 +93,43 @@
 		first := &exchange.Query{ID: "a"}
 		c.current = first
 		text := queryRequest("b", "", validBody)
-		if what != "a query" {
+		if name != "valid query" {
 			text = queryRequest("b", "", "nonsense")
 		}
-		split := &h1.RequestSplitter{Limits: h1.Limits{Head: 2000, Body: 2000}}
-		if _, token, err := split.Split([]byte(text), false); token == nil || err != nil {
+		splitter := &h1.RequestSplitter{Limits: h1.Limits{Head: 2000, Body: 2000}}
+		if _, token, err := splitter.Split([]byte(text), false); token == nil || err != nil {
 			t.Fatalf("%q %v", token, err)
 		}
 		c.onRequestRead(0)
 		c.queueReply(first, exchange.Reply{})
-		last := c.handleRequest(&split.Request)
-		if what == "a query" {
+		last := c.handleRequest(&splitter.Request)
+		if name == "valid query" {
 			if b := st.nextQuery(); b.ID != "b" || last {
-				t.Errorf("asked %s, last %t", b.ID, last)
+				t.Errorf("submitted %s, last %t", b.ID, last)
 			} else {
 				b.Reply(exchange.Reply{})
 			}
 		}
 		go c.run()
 		if r := peer.expectStatus(200); r.Close {
-			t.Errorf("%s: the answer before it closes the connection", what)
+			t.Errorf("%s: the answer before it closes the connection", name)
 		}
 		want := 200
-		if what != "a query" {
+		if name != "valid query" {
 			want = 400
 		}
 		if r := peer.expectStatus(want); !r.Close {
-			t.Errorf("%s: the connection is kept", what)
+			t.Errorf("%s: the connection is kept", name)
 		}
 		peer.expectClosed()
 	}
 }
 
-// What comes after an answer that closes its connection is never taken for a request, neither while the server waits
-// for the client to close nor later.
+// Input after an answer that closes its connection is never parsed as a request, neither while the server waits for the
+// client to close nor later.
 func TestRequestAfterLastAnswerIsIgnored(t *testing.T) {
 	for name, last := range map[string]func(*testServer, *testClient){
-		"asked for by the client": func(st *testServer, c *testClient) { c.write(queryRequest("a", "Connection: close\r\n", validBody)) },
+		"by the client": func(st *testServer, c *testClient) { c.write(queryRequest("a", "Connection: close\r\n", validBody)) },
 		"by the drain": func(st *testServer, c *testClient) {
 			st.dialAccepted()
 			c.write(queryRequest("a", "", validBody))
@@ -150,15 +152,15 @@
 	}
 }
 
-// A client that waits for the word to send its body when the server is told to end gets it, and its answer.
+// A client that waits for "100 Continue" when the drain begins still gets it, and the answer to its request.
 func TestContinueIsSentDuringDrain(t *testing.T) {
 	st := newTestServer(t, extendEndTime)
 	c := st.dialAccepted()
 	head, body, _ := strings.Cut(queryRequest("a", "Expect: 100-continue\r\n", validBody), "\r\n\r\n")
 	c.write(head + "\r\n\r\n")
-	st.waitFor("the word is on its way", func() bool { return st.server.partialBytes.Load() == int64(len(head)+4) })
+	st.waitFor("the head is read", func() bool { return st.server.partialBytes.Load() == int64(len(head)+4) })
 	done := st.startDrain()
-	time.Sleep(2 * drainTick) // each connection has been looked at
+	time.Sleep(2 * drainTick) // Drain has checked each connection
 	c.expectContinue()
 	c.write(body)
 	st.nextQuery().Reply(exchange.Reply{})
@@ -168,7 +170,7 @@
 	st.expectDrained(done)
 }
 
-// continues reads the word to send a body.
+// expectContinue reads the response "100 Continue".
 func (c *testClient) expectContinue() {
 	c.t.Helper()
 	c.nc.SetReadDeadline(time.Now().Add(testTimeout))
@@ -178,8 +180,8 @@
 	c.r.ReadString('\n')
 }
 
-// The word for a body that comes behind an open query follows that one's answer; without it the client waits until its
-// time is over.
+// When a request that expects "100 Continue" is pipelined behind a pending query, the response is sent after that query's
+// answer. Without it the client would wait until its timeout.
 func TestContinueFollowsPendingAnswer(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -195,7 +197,7 @@
 	c.expectStatus(200)
 }
 
-// delayedListener is a listener whose connections are had from the machine, but come to the server late.
+// delayedListener is a listener that accepts a connection from the kernel but returns it to the server only when released.
 type delayedListener struct {
 	*net.TCPListener
 	accepted, release chan struct{}
@@ -210,7 +212,7 @@
 	return nc, err
 }
 
-// A connection that was accepted and has not come among the others when the listener is closed is waited for.
+// Drain waits for a connection that has been accepted but is not yet registered when the listener is closed.
 func TestDrainWaitsForConnectionBeingAccepted(t *testing.T) {
 	late := delayedListener{accepted: make(chan struct{}), release: make(chan struct{})}
 	st := newTestServerWithListener(t, extendEndTime, func(ln net.Listener) net.Listener {
@@ -230,7 +232,7 @@
 	})
 	select {
 	case <-done:
-		t.Fatal("done over a connection that was accepted")
+		t.Fatal("Drain returned although a connection had been accepted")
 	case <-time.After(3 * drainTick):
 	}
 	close(late.release)
@@ -241,15 +243,15 @@
 	st.expectDrained(done)
 }
 
-// begun says whether some connection has an unfinished request.
+// hasPartialRequest reports whether any connection has an incomplete request.
 func (st *testServer) hasPartialRequest() bool {
 	st.server.mu.Lock()
 	defer st.server.mu.Unlock()
 	for c := range st.server.conns {
 		c.mu.Lock()
-		begun := !c.partialSince.IsZero()
+		partial := !c.partialSince.IsZero()
 		c.mu.Unlock()
-		if begun {
+		if partial {
 			return true
 		}
 	}
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -12,20 +12,20 @@
 	"birchcart/internal/exchange"
 )
 
-// draining tells the server to end and waits until each answer closes its connection.
+// startDrain starts Drain and waits until DrainTime is over, when each answer closes its connection.
 func (st *testServer) startDrain() (done chan struct{}) {
 	st.Helper()
 	done = make(chan struct{})
 	go func() { st.server.Drain(context.Background()); close(done) }()
 	for end := time.Now().Add(testTimeout); !st.server.closing.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			st.Fatal("not leaving")
+			st.Fatal("DrainTime did not end")
 		}
 	}
 	return done
 }
 
-// extendEndTime leaves a busy machine time for what is not about the end.
+// extendEndTime sets an EndTime that a busy machine does not reach, for tests that are not about the end of the drain.
 func extendEndTime(l *config.Limits) { l.EndTime = 4 * time.Second }
 
 func (st *testServer) expectDrained(done chan struct{}) {
@@ -33,16 +33,16 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		st.Fatal("not done")
+		st.Fatal("Drain did not return")
 	}
 }
 
-// A request of which half was read when the connections are closed is read to its end and answered.
+// A request that has been read in part when the drain begins to close connections is read completely and answered.
 func TestPartialRequestIsAnsweredDuringDrain(t *testing.T) {
 	st := newTestServer(t, extendEndTime)
 	c, text := st.dial(), queryRequest("a", "", validBody)
 	c.write(text[:len(text)/2])
-	time.Sleep(80 * time.Millisecond) // longer than what makes room for others
+	time.Sleep(80 * time.Millisecond) // longer than SlowRequest: the connection could be evicted for new clients
 	done := st.startDrain()
 	time.Sleep(3 * drainTick)
 	c.write(text[len(text)/2:])
@@ -53,20 +53,21 @@
 	st.expectDrained(done)
 }
 
-// A request that is read ahead in part when the one before is answered keeps its connection and is answered, too.
+// When a query is answered during the drain while a pipelined request has been read in whole or in part, the connection
+// stays open and the second request is answered, too.
 func TestPipelinedRequestIsAnsweredDuringDrain(t *testing.T) {
-	for _, cut := range []int{0, 30} { // bytes that are missing still
+	for _, missing := range []int{0, 30} { // bytes of the second request that are sent after the first answer
 		st := newTestServer(t, extendEndTime)
 		c, second := st.dial(), queryRequest("b", "", validBody)
-		c.write(queryRequest("a", "", validBody) + second[:len(second)-cut])
+		c.write(queryRequest("a", "", validBody) + second[:len(second)-missing])
 		q := st.nextQuery()
 		done := st.startDrain()
 		time.Sleep(2 * drainTick)
 		q.Reply(exchange.Reply{})
 		if r := c.expectStatus(200); r.Close {
-			t.Error("closed over a request that had begun")
+			t.Error("the connection is closed although a request had begun")
 		}
-		c.write(second[len(second)-cut:])
+		c.write(second[len(second)-missing:])
 		st.nextQuery().Reply(exchange.Reply{})
 		if r := c.expectStatus(200); !r.Close {
 			t.Error("the connection is kept")
@@ -75,7 +76,8 @@
 	}
 }
 
-// Who goes on sending ahead does not put off the end: from the last moment for answers each closes its connection.
+// A client that goes on pipelining requests does not delay the end of the drain: once EndTime has passed, each answer
+// closes its connection.
 func TestPipeliningDoesNotDelayEndOfDrain(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -90,7 +92,8 @@
 	st.expectDrained(done)
 }
 
-// What waits to be read on a connection between requests is a request that was taken: it is not closed over it.
+// A connection between requests is not closed while unread input waits, since the client assumes that its request was
+// received.
 func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	st := newTestServer(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,13 +110,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientConn(st.server, nc) // its goroutine is not running: it has not had the processor
+	c := newClientConn(st.server, nc) // its goroutine has not been scheduled yet
 	c.sentValid = true
 	if _, err := peer.Write([]byte(queryRequest("a", "", validBody))); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(10 * time.Millisecond)
-	c.closeRequested = true // asked to close before that came
+	c.closeRequested = true // as if requested before the request arrived
 	go c.run()
 	st.nextQuery().Reply(exchange.Reply{})
 	b := make([]byte, 100)
@@ -124,12 +127,11 @@
 	}
 	c.requestClose()
 	if n, err := peer.Read(b); err == nil {
-		t.Errorf("not closed though nothing waits: %q", b[:n])
+		t.Errorf("the connection is not closed although no input waits: %q", b[:n])
 	}
 }
 
-// Half a request whose rest does not come puts off the end until the moment for the last answers, not for all the time
-// that a request may take.
+// A partial request whose rest never arrives delays the end of the drain until EndTime, not for the whole RequestTime.
 func TestPartialRequestDelaysDrainOnlyUntilEndTime(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.RequestTime, l.FirstTime = time.Minute, time.Minute })
 	c := st.dial()
@@ -137,12 +139,12 @@
 	began := time.Now()
 	st.expectDrained(st.startDrain())
 	if took := time.Since(began); took < st.server.limits.EndTime {
-		t.Errorf("given up after %v, before the last moment", took)
+		t.Errorf("abandoned after %v, before EndTime", took)
 	}
 	c.expectClosed()
 }
 
-// blockedListener is a listener that gets no processor for a while after the drain has begun to leave.
+// blockedListener is a listener whose Accept blocks until released, as if its goroutine were not scheduled.
 type blockedListener struct {
 	*net.TCPListener
 	release chan struct{}
@@ -153,47 +155,47 @@
 	return l.TCPListener.Accept()
 }
 
-// What the machine has accepted when the accepting ends, and we have not, is taken and answered: the end of the listener
-// would reset it.
+// Connections that wait in the kernel's listen queue when the accepting is about to end are accepted and answered: closing
+// the listener first would reset them.
 func TestDrainAnswersConnectionsInAcceptQueue(t *testing.T) {
-	held := newTestServerWithListener(t, extendEndTime, func(ln net.Listener) net.Listener {
+	st := newTestServerWithListener(t, extendEndTime, func(ln net.Listener) net.Listener {
 		return blockedListener{ln.(*net.TCPListener), make(chan struct{})}
 	})
 	var waiting []*testClient
 	for i := range 10 {
-		c := held.dial()
+		c := st.dial()
 		c.write(queryRequest(fmt.Sprint("q", i), "", validBody))
 		waiting = append(waiting, c)
 	}
-	done := held.startDrain()
+	done := st.startDrain()
 	time.Sleep(2 * drainTick)
-	close(held.server.listener.(blockedListener).release)
+	close(st.server.listener.(blockedListener).release)
 	for range waiting {
-		held.nextQuery().Reply(exchange.Reply{})
+		st.nextQuery().Reply(exchange.Reply{})
 	}
 	for _, c := range waiting {
 		if r := c.expectStatus(200); !r.Close {
 			t.Error("the connection is kept")
 		}
 	}
-	held.expectDrained(done)
+	st.expectDrained(done)
 }
 
-// A query from before the end whose client waits past the time for the last answers has its answer still: its replicas are at
-// work, and it is for SIGKILL to end that, not for the drain.
+// A query that was received before the drain and is due after EndTime is still answered: its replicas are already working on
+// it, and only SIGKILL may end it, not the drain.
 func TestDrainWaitsForEarlierQueryBeyondEndTime(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
 	c.write(strings.Replace(queryRequest("a", "", validBody), "X-Timeout-Ms: 480", "X-Timeout-Ms: 60000", 1))
 	q := st.nextQuery()
 	done := st.startDrain()
-	st.waitFor("the time for last answers is over", func() bool { return !st.server.mayRespond() })
+	st.waitFor("EndTime is over", func() bool { return !st.server.mayRespond() })
 	if end := st.server.lastReplyBy.Load(); !q.Due.After(*end) {
-		t.Fatalf("due %v before the last answers", end.Sub(q.Due))
+		t.Fatalf("due %v before EndTime", end.Sub(q.Due))
 	}
 	select {
 	case <-done:
-		t.Fatal("done over an open query")
+		t.Fatal("Drain returned with a query pending")
 	case <-time.After(3 * drainTick):
 	}
 	q.Reply(exchange.Reply{})
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -14,37 +14,37 @@
 	"birchcart/internal/exchange"
 )
 
-// until waits for what comes within milliseconds on a quiet machine.
-func (st *testServer) waitFor(what string, is func() bool) {
+// waitFor polls until a condition holds, for testTimeout at most.
+func (st *testServer) waitFor(what string, condition func() bool) {
 	st.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			st.Fatal("never: " + what)
+			st.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// leaves waits for the news that the client of a query has gone.
+// expectClientGone waits for the notification that the client of a query has disconnected.
 func (st *testServer) expectClientGone(q *exchange.Query) {
 	st.Helper()
 	select {
-	case l := <-st.exchange.gone:
-		if l != q {
-			st.Errorf("%s left, want %s", l.ID, q.ID)
+	case gone := <-st.exchange.gone:
+		if gone != q {
+			st.Errorf("the client of %s was reported gone, want that of %s", gone.ID, q.ID)
 		}
 	case <-time.After(testTimeout):
-		st.Fatalf("nobody noticed that the client of %s left", q.ID)
+		st.Fatalf("the disconnect of the client of %s was not reported", q.ID)
 	}
 }
 
-// unstarted is a connection whose goroutine has not had the processor yet.
+// newUnstartedConn returns a connection whose goroutine has not been scheduled yet, and its client.
 func (st *testServer) newUnstartedConn() (*clientConn, *testClient) {
 	st.Helper()
 	c, peer, _ := st.newUnstartedConnWithSocket()
 	return c, peer
 }
 
-// newUnstartedConnWithSocket tells the server's socket too.
+// newUnstartedConnWithSocket is newUnstartedConn that also returns the server's socket.
 func (st *testServer) newUnstartedConnWithSocket() (*clientConn, *testClient, *net.TCPConn) {
 	st.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,36 +66,36 @@
 	return c, &testClient{st.T, peer, bufio.NewReader(peer)}, nc.(*net.TCPConn)
 }
 
-// tcpCloseWait is the state of a socket whose peer has ended, as the kernel numbers it.
+// tcpCloseWait is Linux's number for the state CLOSE_WAIT, in which a socket is after the peer's FIN.
 const tcpCloseWait = 8
 
-// waitForPeerFIN waits until the end of the peer has come to a socket, whether or not what stands before it was read.
+// waitForPeerFIN waits until a socket has received the peer's FIN, whether or not the data before it has been read.
 func (st *testServer) waitForPeerFIN(nc *net.TCPConn) {
 	st.Helper()
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		st.Fatal(err)
 	}
-	st.waitFor("the client's end comes", func() bool {
+	st.waitFor("the client's FIN arrives", func() bool {
 		var info *unix.TCPInfo
 		raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
 		return err == nil && info.State == tcpCloseWait
 	})
 }
 
-// The end of a client stands behind all that it has sent. On a connection of which no further request is taken it is
-// found there, the open query is given up and those that wait for their turn are never asked.
+// The end of a client's stream comes behind all data that it has sent. On a connection from which no further request is
+// accepted, that end is still detected: the pending query is abandoned and the pipelined ones are never submitted.
 func TestDisconnectBehindUnreadDataIsReported(t *testing.T) {
-	const junk = 80 << 10 // many times LingerBytes, and the socket buffers hold it
+	const junk = 80 << 10 // many times LingerBytes, but the socket buffers hold it
 	head, _, _ := strings.Cut(queryRequest("z", "", strings.Repeat(" ", 60<<10)), "   ")
 	for name, sent := range map[string]string{
-		"the last request":     queryRequest("a", "", validBody) + queryRequest("b", "Connection: close\r\n", validBody),
-		"nonsense":             queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + "nonsense\r\n\r\n",
-		"a bad query":          queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", "nonsense"),
-		"two framings":         queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "Transfer-Encoding: chunked\r\n", ""),
-		"a head without end":   queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + strings.Repeat("x", 9000),
-		"no room for it":       queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + head + strings.Repeat(" ", 9000),
-		"a probe of readiness": queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
+		"last request":      queryRequest("a", "", validBody) + queryRequest("b", "Connection: close\r\n", validBody),
+		"malformed request": queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + "nonsense\r\n\r\n",
+		"invalid query":     queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", "nonsense"),
+		"two framings":      queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "Transfer-Encoding: chunked\r\n", ""),
+		"oversized head":    queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + strings.Repeat("x", 9000),
+		"over memory limit": queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + head + strings.Repeat(" ", 9000),
+		"readiness probe":   queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			st := newTestServer(t, func(l *config.Limits) { l.UnreadBytes = 6 << 10 })
@@ -111,14 +111,15 @@
 	}
 }
 
-// A client that leaves with requests sent ahead, all of them read, has left with all of them.
+// When a client disconnects after its pipelined requests have been read, the pending query is abandoned and the others are
+// never submitted.
 func TestDisconnectDropsPipelinedRequests(t *testing.T) {
-	for _, hard := range []bool{false, true} {
+	for _, reset := range []bool{false, true} {
 		st := newTestServer(t, nil)
 		c := st.dial()
 		c.write(queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", validBody)[:100])
 		a := st.nextQuery()
-		if hard {
+		if reset {
 			c.nc.(*net.TCPConn).SetLinger(0)
 		}
 		c.nc.Close()
@@ -128,8 +129,8 @@
 	}
 }
 
-// A client that has shut its side for writing counts as one that has gone, though it could still read: to us the two
-// look alike, and an answer that nobody reads costs replicas their time.
+// A client that has closed only its sending side counts as disconnected, although it could still read: the server can't
+// tell the two apart, and an answer that no client reads wastes the replicas' time.
 func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -141,7 +142,7 @@
 	c.expectClosed()
 }
 
-// A client that leaves during the drain is seen as well.
+// A disconnect during the drain is detected, too.
 func TestDisconnectDuringDrainIsReported(t *testing.T) {
 	st := newTestServer(t, extendEndTime)
 	c := st.dial()
@@ -155,20 +156,20 @@
 	st.expectDrained(done)
 }
 
-// hugeReply is more than the socket buffers of both sides take.
+// hugeReply returns an answer that is larger than the socket buffers of both sides.
 func hugeReply() exchange.Reply {
 	return exchange.Reply{Values: []exchange.Value{{Shard: 1, Item: []byte(strings.Repeat("x", 32<<20))}}}
 }
 
-// A client that leaves while its answer waits to be taken leaves at once with the query that came next, not when the
-// time for writing is over.
+// When a client disconnects while the write of an answer is blocked, its next query is abandoned at once, not only when
+// the write times out.
 func TestDisconnectDuringWriteIsReported(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.WriteTime = time.Hour })
 	c := st.dial()
 	c.write(queryRequest("a", "", validBody) + queryRequest("b", "", validBody))
 	st.nextQuery().Reply(hugeReply())
 	b := st.nextQuery()
-	if _, err := io.ReadFull(c.nc, make([]byte, 100)); err != nil { // it is being written
+	if _, err := io.ReadFull(c.nc, make([]byte, 100)); err != nil { // the answer is being written
 		t.Fatal(err)
 	}
 	c.nc.Close()
@@ -176,27 +177,27 @@
 	b.Reply(exchange.Reply{})
 }
 
-// A client that never reads its answer holds its connection for the time of a write, and no longer.
+// A client that never reads its answer occupies its connection only until the write times out.
 func TestUnreadAnswerEndsConnectionAfterWriteTime(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.WriteTime = 50 * time.Millisecond })
 	c := st.dial()
 	c.write(queryRequest("a", "", validBody))
 	st.nextQuery().Reply(hugeReply())
-	st.waitFor("the connection's end", func() bool {
+	st.waitFor("the connection is removed", func() bool {
 		st.server.mu.Lock()
 		defer st.server.mu.Unlock()
 		return len(st.server.conns) == 0
 	})
 }
 
-// A client that has left before its requests are read, since we come to them late, has nothing begun for it: the end that
-// stands behind them is seen first.
+// When a client has disconnected before its requests are read, because the goroutine runs late, none of them is submitted:
+// the end of the stream behind them is detected first.
 func TestNothingIsSubmittedForDisconnectedClient(t *testing.T) {
 	for name, sent := range map[string]string{
-		"one request":        queryRequest("a", "", validBody),
-		"several":            queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", validBody),
-		"the last one":       queryRequest("a", "Connection: close\r\n", validBody),
-		"and half a request": queryRequest("a", "", validBody) + queryRequest("b", "", validBody)[:100],
+		"one request":      queryRequest("a", "", validBody),
+		"several requests": queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", validBody),
+		"last request":     queryRequest("a", "Connection: close\r\n", validBody),
+		"partial request":  queryRequest("a", "", validBody) + queryRequest("b", "", validBody)[:100],
 	} {
 		t.Run(name, func(t *testing.T) {
 			st := newTestServer(t, nil)
@@ -206,34 +207,34 @@
 			st.waitForPeerFIN(nc)
 			c.run()
 			if n := len(st.exchange.submitted); n > 0 {
-				t.Errorf("%d queries of a client that had left were handed on", n)
+				t.Errorf("%d queries of a disconnected client were submitted", n)
 			}
 		})
 	}
 }
 
-// A client that ends while an answer waits to be taken has its further requests never asked, though its end can't be read
-// before the answer is out.
+// When a client closes its sending side while the write of an answer is blocked, its further requests are never submitted,
+// although the end of the stream can't be read before the answer is written.
 func TestHalfCloseDuringWriteDropsPipelinedRequests(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.WriteTime = time.Hour })
 	c, peer, nc := st.newUnstartedConnWithSocket()
 	go c.run()
 	peer.write(queryRequest("a", "", validBody) + queryRequest("b", "", validBody) + queryRequest("c", "", validBody))
 	a := st.nextQuery()
-	st.waitFor("all is read", func() bool {
+	st.waitFor("all requests are read", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.pipelined) == 2
 	})
 	a.Reply(hugeReply())
 	b := st.nextQuery()
-	if _, err := io.ReadFull(peer.nc, make([]byte, 100)); err != nil { // it is being written
+	if _, err := io.ReadFull(peer.nc, make([]byte, 100)); err != nil { // the answer is being written
 		t.Fatal(err)
 	}
 	peer.nc.(*net.TCPConn).CloseWrite()
 	st.waitForPeerFIN(nc)
 	b.Reply(exchange.Reply{})
 	if n := len(st.exchange.submitted); n > 0 {
-		t.Error("a query of a client that had left was handed on")
+		t.Error("a query of a disconnected client was submitted")
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,10 +20,10 @@
 	"birchcart/policy"
 )
 
-// patience is how long a busy machine may take to what comes within milliseconds on a quiet one.
+// testTimeout is how long a test waits, on a busy machine, for an event that takes milliseconds on an idle one.
 const testTimeout = time.Minute
 
-// sink stands in for the exchange: the test answers each query by hand.
+// fakeExchange is a Sink that passes each query to the test, which answers it.
 type fakeExchange struct {
 	submitted chan *exchange.Query
 	gone      chan *exchange.Query
@@ -32,6 +32,7 @@
 func (s *fakeExchange) Submit(q *exchange.Query)     { s.submitted <- q }
 func (s *fakeExchange) ClientGone(q *exchange.Query) { s.gone <- q }
 
+// testServer is a running server with a fakeExchange.
 type testServer struct {
 	*testing.T
 	server   *Server
@@ -39,13 +40,13 @@
 	ready    atomic.Bool
 }
 
-func newTestServer(t *testing.T, change func(*config.Limits)) *testServer {
+func newTestServer(t *testing.T, adjust func(*config.Limits)) *testServer {
 	t.Helper()
-	return newTestServerWithListener(t, change, func(ln net.Listener) net.Listener { return ln })
+	return newTestServerWithListener(t, adjust, func(ln net.Listener) net.Listener { return ln })
 }
 
-// newTestServerWithListener listens through what wrap makes of the listener.
-func newTestServerWithListener(t *testing.T, change func(*config.Limits), wrap func(net.Listener) net.Listener) *testServer {
+// newTestServerWithListener is newTestServer with a wrapped listener.
+func newTestServerWithListener(t *testing.T, adjust func(*config.Limits), wrap func(net.Listener) net.Listener) *testServer {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -56,8 +57,8 @@
 		Linger: 20 * time.Millisecond, LingerBytes: 4 << 10, UnreadBytes: 1 << 20, Longest: time.Hour, MostWork: 3600,
 		WriteTime: time.Second, DrainTime: 100 * time.Millisecond, EndTime: 300 * time.Millisecond, LogEvery: time.Second,
 	}
-	if change != nil {
-		change(&l)
+	if adjust != nil {
+		adjust(&l)
 	}
 	st := &testServer{T: t, exchange: &fakeExchange{make(chan *exchange.Query, 20), make(chan *exchange.Query, 20)}}
 	st.ready.Store(true)
@@ -76,7 +77,7 @@
 	return st
 }
 
-// conn is one client.
+// testClient is one client connection.
 type testClient struct {
 	t  *testing.T
 	nc net.Conn
@@ -93,21 +94,21 @@
 	return &testClient{st.T, nc, bufio.NewReader(nc)}
 }
 
-// dialled is a client that the server has taken: from then on its times run.
+// dialAccepted connects and waits until the server has accepted the connection; the connection's deadlines count from then.
 func (st *testServer) dialAccepted() *testClient {
 	st.Helper()
 	c := st.dial()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		st.server.mu.Lock()
-		for x := range st.server.conns {
-			if x.peer == c.nc.LocalAddr().String() {
+		for accepted := range st.server.conns {
+			if accepted.peer == c.nc.LocalAddr().String() {
 				st.server.mu.Unlock()
 				return c
 			}
 		}
 		st.server.mu.Unlock()
 		if time.Now().After(end) {
-			st.Fatal("a connection was not taken")
+			st.Fatal("the connection was not accepted")
 		}
 	}
 }
@@ -146,7 +147,7 @@
 	c.t.Helper()
 	c.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		c.t.Fatalf("still open: %v", err)
+		c.t.Fatalf("the connection is still open: %v", err)
 	}
 }
 
@@ -156,7 +157,7 @@
 	case q := <-st.exchange.submitted:
 		return q
 	case <-time.After(testTimeout):
-		st.Fatal("no query came")
+		st.Fatal("no query was submitted")
 	}
 	panic("unreachable")
 }
@@ -165,7 +166,7 @@
 	st.Helper()
 	select {
 	case q := <-st.exchange.submitted:
-		st.Fatalf("a query was handed on: %+v", q)
+		st.Fatalf("a query was submitted: %+v", q)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
@@ -196,8 +197,8 @@
 	if r.StatusCode != 200 || body != "{\"finished\":true,\"found\":[{\"bucket\":3,\"item\":\"5be2\"},{\"bucket\":9,\"item\":\"\\\"\\\\\\u000a\xff\"}]}" {
 		t.Fatalf("%d %q", r.StatusCode, body)
 	}
-	// The connection is kept; a body in chunks is as good, and each end has its status.
-	for i, end := range []struct {
+	// The connection is kept. A chunked body is accepted as well, and each outcome has its status.
+	for i, outcome := range []struct {
 		r      exchange.Reply
 		status int
 	}{
@@ -207,15 +208,15 @@
 	} {
 		c.write(strings.Replace(queryRequest(fmt.Sprint("b", i), "Transfer-Encoding: chunked\r\n", ""), "Content-Length: 0\r\n", "", 1) +
 			fmt.Sprintf("5\r\n%s\r\n%x;x\r\n%s\r\n0\r\n\r\n", validBody[:5], len(validBody)-5, validBody[5:]))
-		st.nextQuery().Reply(end.r)
-		r := c.expectStatus(end.status)
-		if got := r.Header.Get("Retry-After"); (got == "0.250") != (end.r.RetryAfter > 0) {
+		st.nextQuery().Reply(outcome.r)
+		r := c.expectStatus(outcome.status)
+		if got := r.Header.Get("Retry-After"); (got == "0.250") != (outcome.r.RetryAfter > 0) {
 			t.Errorf("Retry-After %q", got)
 		}
 	}
 }
 
-// The mark for the lanes is read from the header that the operators name, and from no other; two of them are not guessed at.
+// The lane mark is read from the configured header and from no other. A request that has the header twice is rejected.
 func TestLaneMarkIsReadFromConfiguredHeader(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -245,8 +246,8 @@
 	c.expectStatus(405)
 }
 
-// Guards against clients that send all they have at once: one error for all of them at once, the open one is given
-// up, and the rest is neither read nor waited for.
+// Guards against clients that send many requests at once: all of them get a single error immediately, the pending query
+// is abandoned, and the rest is neither read nor waited for.
 func TestTooManyPipelinedRequestsGetOneError(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -260,41 +261,41 @@
 		t.Error("the connection is kept")
 	}
 	select {
-	case l := <-st.exchange.gone:
-		if l != q {
-			t.Errorf("%+v left", l)
+	case gone := <-st.exchange.gone:
+		if gone != q {
+			t.Errorf("the client of %+v was reported gone", gone)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the open one was not given up")
+		t.Fatal("the pending query was not abandoned")
 	}
 	c.expectClosed()
 	st.expectNoQuery()
 }
 
-// A client that goes away while its query is open is noticed, whichever way it goes.
+// A client that disconnects while its query is pending is detected, whether its connection is closed or reset.
 func TestClientDisconnectIsReported(t *testing.T) {
 	st := newTestServer(t, nil)
-	for _, hard := range []bool{false, true} {
+	for _, reset := range []bool{false, true} {
 		c := st.dial()
 		c.write(queryRequest("a", "", validBody))
 		q := st.nextQuery()
-		if hard {
+		if reset {
 			c.nc.(*net.TCPConn).SetLinger(0)
 		}
 		c.nc.Close()
 		select {
-		case l := <-st.exchange.gone:
-			if l != q {
-				t.Errorf("%+v left", l)
+		case gone := <-st.exchange.gone:
+			if gone != q {
+				t.Errorf("the client of %+v was reported gone", gone)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("nobody noticed")
+			t.Fatal("the disconnect was not reported")
 		}
-		q.Reply(exchange.Reply{}) // too late, and harmless
+		q.Reply(exchange.Reply{}) // too late: must have no effect
 	}
 }
 
-// A query is not held for longer than the clients of its class wait, whatever its own says.
+// The deadline of a query is capped by the longest time that clients of its class wait, whatever its timeout header says.
 func TestTimeoutIsCappedByClass(t *testing.T) {
 	st := newTestServer(t, nil)
 	st.server.maxClientWait[0] = time.Second
@@ -305,7 +306,7 @@
 	}
 }
 
-// Once a request was the last one, what its client sends on is left where it is; its leaving is still seen.
+// After a connection's last request, further input is not parsed, but a disconnect is still detected.
 func TestDisconnectAfterLastRequestIsReported(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -320,21 +321,21 @@
 	q = st.nextQuery()
 	c.nc.Close()
 	select {
-	case l := <-st.exchange.gone:
-		if l != q {
-			t.Errorf("%+v left", l)
+	case gone := <-st.exchange.gone:
+		if gone != q {
+			t.Errorf("the client of %+v was reported gone", gone)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("nobody noticed")
+		t.Fatal("the disconnect was not reported")
 	}
 }
 
-// endless is what a client sends that does not stop.
+// endlessReader supplies the input of a client that never stops sending.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// Requests that were sent ahead are asked one by one and answered in order.
+// Pipelined requests are submitted one at a time and answered in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -351,7 +352,7 @@
 	}
 }
 
-// The query in hand keeps its answer though nonsense follows it on the connection.
+// A pending query is answered although a malformed request follows it on the connection.
 func TestQueryIsAnsweredThoughMalformedRequestFollows(t *testing.T) {
 	st := newTestServer(t, nil)
 	c := st.dial()
@@ -392,17 +393,17 @@
 	c := st.dial()
 	c.write(queryRequest("a", "", validBody))
 	q := st.nextQuery()
-	time.Sleep(60 * time.Millisecond) // waiting for an answer is not idle
+	time.Sleep(60 * time.Millisecond) // a connection that waits for an answer is not idle
 	q.Reply(exchange.Reply{})
 	c.expectStatus(200)
 	c.expectClosed()
 }
 
-// After the word to end, clients still come for a while on old and new connections, which are kept meanwhile: whoever
-// takes over may not be there yet. Then each answer closes its connection, idle ones are closed, and what is open is
-// answered before the server is done, which is before the process may be killed.
+// After the drain has begun, clients are served for DrainTime on existing and new connections, which stay open meanwhile:
+// a successor may not be running yet. Then each answer closes its connection, idle connections are closed, and pending
+// queries are answered before Drain returns. Queries received during the drain are due before the process may be killed.
 func TestDrain(t *testing.T) {
-	st := newTestServer(t, func(l *config.Limits) { l.DrainTime, l.EndTime = time.Second, 3*time.Second }) // in which a busy machine asks twice, too
+	st := newTestServer(t, func(l *config.Limits) { l.DrainTime, l.EndTime = time.Second, 3*time.Second }) // long enough for two queries on a busy machine
 	open, idle := st.dial(), st.dial()
 	open.write(queryRequest("a", "", validBody))
 	a := st.nextQuery()
@@ -420,11 +421,11 @@
 		late.write(strings.Replace(queryRequest("b", "", validBody), "480", "60000", 1))
 		q := st.nextQuery()
 		if d := q.Due.Sub(q.Received); d > 3*time.Second {
-			t.Errorf("it may take %v", d)
+			t.Errorf("due after %v, past the end of the drain", d)
 		}
 		q.Reply(exchange.Reply{})
 		if r := late.expectStatus(200); r.Close {
-			t.Error("the connection is closed too soon")
+			t.Error("the connection is closed during DrainTime")
 		}
 	}
 	late.expectClosed()
@@ -434,7 +435,7 @@
 	}
 	select {
 	case <-done:
-		t.Fatal("done with a query open")
+		t.Fatal("Drain returned with a query pending")
 	default:
 	}
 	a.Reply(exchange.Reply{})
@@ -444,6 +445,6 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("not done")
+		t.Fatal("Drain did not return")
 	}
 }
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -12,7 +12,7 @@
 	"birchcart/internal/exchange"
 )
 
-// Guards against megabytes of a body that is rejected: the error goes out at once, and of the rest little is read.
+// Guards against reading megabytes of a body that is rejected: the error is sent at once, and little of the rest is read.
 func TestOversizedBodyIsNotRead(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Linger = 100 * time.Millisecond })
 	c := st.dial()
@@ -30,40 +30,40 @@
 	}()
 	c.expectStatus(413)
 	if n := <-sent; n >= 60_000_000 {
-		t.Error("all of it was read")
+		t.Error("the whole body was read")
 	}
 }
 
-// A client that says nothing, or half a request, is closed on time from its connecting, though an established one
-// may be idle for longer.
+// A connection on which no request, or only a partial one, has been sent is closed FirstTime after it was accepted, although
+// an established connection may be idle for longer.
 func TestFirstRequestDeadline(t *testing.T) {
-	st := newTestServer(t, func(l *config.Limits) { l.FirstTime = 300 * time.Millisecond }) // in which a busy machine asks, too
-	kept := st.dial()
-	kept.write(queryRequest("a", "", validBody))
+	st := newTestServer(t, func(l *config.Limits) { l.FirstTime = 300 * time.Millisecond }) // long enough for a query on a busy machine
+	established := st.dial()
+	established.write(queryRequest("a", "", validBody))
 	st.nextQuery().Reply(exchange.Reply{})
-	kept.expectStatus(200)
+	established.expectStatus(200)
 	st.dial().expectClosed()
-	half := st.dial()
-	half.write(queryRequest("b", "", validBody)[:50])
-	half.expectStatus(408)
-	half.expectClosed()
-	bit := st.dial() // a byte now and then gives no more time
+	partial := st.dial()
+	partial.write(queryRequest("b", "", validBody)[:50])
+	partial.expectStatus(408)
+	partial.expectClosed()
+	trickling := st.dial() // sending a byte now and then does not extend the deadline
 	go func() {
 		for _, b := range []byte(queryRequest("c", "", validBody)) {
-			if _, err := bit.nc.Write([]byte{b}); err != nil {
+			if _, err := trickling.nc.Write([]byte{b}); err != nil {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	bit.expectStatus(408)
-	kept.write(queryRequest("d", "", validBody))
+	trickling.expectStatus(408)
+	established.write(queryRequest("d", "", validBody))
 	st.nextQuery().Reply(exchange.Reply{})
-	kept.expectStatus(200)
+	established.expectStatus(200)
 }
 
-// Guards against many bodies at once that a small memory does not hold: past the budget for all connections a
-// large request is rejected while small ones pass, and what is over is given back.
+// Guards against many concurrent bodies that exhaust a small memory: when the incomplete requests of all connections exceed
+// UnreadBytes, a large request is rejected while small ones are accepted. The bytes of an ended connection are released.
 func TestPartialRequestBytesAreLimited(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.UnreadBytes = 20 << 10 })
 	large := func() *testClient {
@@ -73,9 +73,9 @@
 		return c
 	}
 	first := large()
-	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // it is booked
+	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // until its bytes are counted
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are booked", st.server.partialBytes.Load())
+			t.Fatalf("%d bytes are reserved", st.server.partialBytes.Load())
 		}
 	}
 	second := large()
@@ -88,16 +88,17 @@
 	first.nc.Close()
 	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes are still booked", st.server.partialBytes.Load())
+			t.Fatalf("%d bytes are still reserved", st.server.partialBytes.Load())
 		}
 	}
 }
 
-// The limit on connections holds while draining, too, or descriptors run out where clients come by hundreds.
+// The connection limit also holds during the drain, or the process would run out of descriptors when hundreds of clients
+// connect.
 func TestConnectionLimitHoldsDuringDrain(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) {
 		l.Clients, l.ClientsOver, l.SlowRequest, l.FirstTime = 2, 1, time.Minute, 300*time.Millisecond
-		l.DrainTime, l.EndTime = time.Second, 3*time.Second // a busy machine dials late
+		l.DrainTime, l.EndTime = time.Second, 3*time.Second // a busy machine may connect late
 	})
 	done := make(chan struct{})
 	go func() { st.server.Drain(context.Background()); close(done) }()
@@ -129,12 +130,12 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("not done")
+		t.Fatal("Drain did not return")
 	}
 }
 
-// Connections between requests are kept up to a number; past that the one idle longest is closed, though there is
-// room for more. One with a request open is not counted.
+// At most IdleMost connections between requests are kept. Beyond that the longest idle one is closed, although the
+// connection limit is not reached. A connection with a pending query does not count.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.IdleMost = 2 })
 	var all []*testClient
@@ -162,40 +163,40 @@
 	open.expectStatus(200)
 }
 
-// Silent connections and those that only sent what could not be used make room for new ones before a client's that
-// is between requests; a new one has its time to speak first.
+// For new connections, silent connections are evicted before a client's idle connection. A new connection can't be evicted
+// before it has had SlowRequest to send a request.
 func TestSilentConnectionsAreEvictedBeforeIdleOnes(t *testing.T) {
 	t.Parallel()
-	// Far past what a busy machine takes from connecting to asking.
+	// Much longer than a busy machine takes between connecting and sending a request.
 	const slowAfter = 600 * time.Millisecond
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 3, 1, slowAfter })
-	usual := st.dial()
-	usual.write(queryRequest("a", "", validBody))
+	established := st.dial()
+	established.write(queryRequest("a", "", validBody))
 	st.nextQuery().Reply(exchange.Reply{})
-	usual.expectStatus(200)
+	established.expectStatus(200)
 	time.Sleep(20 * time.Millisecond)
-	quiet := [2]*testClient{st.dialAccepted(), st.dialAccepted()}
+	silent := [2]*testClient{st.dialAccepted(), st.dialAccepted()}
 	time.Sleep(slowAfter * 5 / 4)
-	st.dialAccepted() // silent as well, and new
-	quiet[0].expectClosed()
-	for range 5 { // more than there are places
+	st.dialAccepted() // also silent, but new
+	silent[0].expectClosed()
+	for range 5 { // more than there are connection slots
 		st.dialAccepted()
 		time.Sleep(slowAfter * 6 / 5)
 	}
-	quiet[1].expectClosed()
-	late := st.dial()
-	late.write(queryRequest("b", "", validBody))
+	silent[1].expectClosed()
+	last := st.dial()
+	last.write(queryRequest("b", "", validBody))
 	st.nextQuery().Reply(exchange.Reply{})
-	late.expectStatus(200)
-	usual.write(queryRequest("c", "", validBody))
+	last.expectStatus(200)
+	established.write(queryRequest("c", "", validBody))
 	st.nextQuery().Reply(exchange.Reply{})
-	usual.expectStatus(200)
+	established.expectStatus(200)
 }
 
-// At the limit of connections idle ones and slow requests make room; where all are busy the newest gets a
-// refusal, and past a further few the rest wait with the machine until one ends.
+// At the connection limit, idle connections and those with slow requests are evicted for new ones. When all are busy the
+// newest gets a rejection, and beyond ClientsOver of those the rest wait in the kernel's listen queue until one ends.
 func TestConnectionLimit(t *testing.T) {
-	const slowAfter = 250 * time.Millisecond // far past what a busy machine takes from connecting to asking
+	const slowAfter = 250 * time.Millisecond // much longer than a busy machine takes between connecting and sending a request
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 2, 1, slowAfter })
 	idle, busy := st.dial(), st.dial()
 	idle.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -211,9 +212,9 @@
 	over.write(queryRequest("c", "", validBody))
 	over.expectStatus(503)
 	over.expectClosed()
-	waits := st.dial()
-	waits.write(queryRequest("d", "", validBody))
-	waits.expectStatus(503)
+	waiting := st.dial()
+	waiting.write(queryRequest("d", "", validBody))
+	waiting.expectStatus(503)
 	first.Reply(exchange.Reply{})
 	busy.expectStatus(200)
 	b.Reply(exchange.Reply{})
@@ -236,8 +237,8 @@
 	c.expectStatus(200)
 }
 
-// A client that came past the limit makes room for those behind it, not for itself: it is rejected, however late its
-// request is taken.
+// A connection over the limit may be evicted for later ones but not for itself: its request is rejected even if it is read
+// only after the connection has become evictable.
 func TestConnectionOverLimitDoesNotEvictItself(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 3, time.Millisecond })
 	busy := st.dial()
@@ -245,7 +246,7 @@
 	a := st.nextQuery()
 	for range 3 {
 		over := st.dial()
-		time.Sleep(20 * time.Millisecond) // past the time of one that is new
+		time.Sleep(20 * time.Millisecond) // longer than SlowRequest, for which a new connection is not evictable
 		over.write(queryRequest("b", "", validBody))
 		over.expectStatus(503)
 		over.expectClosed()
@@ -254,7 +255,7 @@
 	busy.expectStatus(200)
 }
 
-// A place that comes to be spared is freed though nobody else comes.
+// When all slots are in use, a connection that becomes evictable is evicted even if no further connection event occurs.
 func TestIdleConnectionIsEvictedWithoutNewConnection(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver = 1, 1 })
 	idle := st.dial()
@@ -262,7 +263,7 @@
 	idle.expectClosed()
 }
 
-// Who has seen the end of a connection finds its place free.
+// Once a client has seen the end of a connection, its slot is free.
 func TestClosedConnectionFreesItsSlot(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 1, 1, time.Minute })
 	for range 200 {
@@ -272,7 +273,7 @@
 		next := st.dial()
 		first.nc.(*net.TCPConn).CloseWrite()
 		<-st.exchange.gone
-		a.Reply(exchange.Reply{}) // nobody waits for it
+		a.Reply(exchange.Reply{}) // its client has disconnected
 		first.expectClosed()
 		next.write(queryRequest("b", "", validBody))
 		st.nextQuery().Reply(exchange.Reply{})
--- a/internal/front/room_test.go
+++ b/internal/front/room_test.go
@@ -12,7 +12,7 @@
 	"birchcart/internal/exchange"
 )
 
-// closeRequestedCount counts the clients that were asked to close.
+// closeRequestedCount counts the connections whose close has been requested.
 func (st *testServer) closeRequestedCount() (n int) {
 	st.server.mu.Lock()
 	defer st.server.mu.Unlock()
@@ -26,12 +26,12 @@
 	return n
 }
 
-// While all places are taken, as many clients are asked to close as there are places wanted, however late they come round
-// to it; once they have gone, the next ones are.
+// While all slots are in use, the close of only as many connections is requested as slots are needed, however late their
+// goroutines run. Once these have closed, new connections are served.
 func TestNoMoreEvictionsThanNeeded(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Clients, l.ClientsOver, l.SlowRequest = 4, 1, time.Millisecond })
 	var idle []*clientConn
-	for range 5 { // their goroutines have not had the processor
+	for range 5 { // their goroutines have not been scheduled yet
 		c, _ := st.newUnstartedConn()
 		idle = append(idle, c)
 	}
@@ -40,14 +40,14 @@
 		st.server.conns[c] = struct{}{}
 	}
 	st.server.mu.Unlock()
-	var looks atomic.Int64
+	var attempts atomic.Int64
 	st.server.mu.Lock()
-	st.server.onEvict = func() { looks.Add(1) }
+	st.server.onEvict = func() { attempts.Add(1) }
 	st.server.mu.Unlock()
-	st.dial() // accepted into a sixth place: two have to go before the next
-	st.waitFor("Serve looks for room many times", func() bool { return looks.Load() > 20 })
+	st.dial() // gets a sixth slot: two connections must close before the next is accepted
+	st.waitFor("Serve has tried many times to free a slot", func() bool { return attempts.Load() > 20 })
 	if n := st.closeRequestedCount(); n != 2 {
-		t.Errorf("%d were asked to go, want 2", n)
+		t.Errorf("the close of %d connections was requested, want 2", n)
 	}
 	for _, c := range idle {
 		go c.run()
@@ -58,7 +58,7 @@
 	next.expectStatus(200)
 }
 
-// A client that takes no answer can't go before its time for that is over, so it is not the one that is asked.
+// A connection whose client does not read its answer can't close before the write times out, so it is not evicted.
 func TestConnectionBlockedInWriteIsNotEvicted(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.WriteTime, l.SlowRequest = time.Hour, time.Nanosecond })
 	c := st.dialAccepted()
@@ -70,13 +70,13 @@
 	})
 	st.server.mu.Lock()
 	if st.server.evict(nil) {
-		t.Error("one is asked to go that is being written to")
+		t.Error("a connection that is blocked in a write was chosen for eviction")
 	}
 	st.server.mu.Unlock()
 	c.nc.Close()
 }
 
-// spent is a listener on a machine that is out of descriptors, until it is not.
+// exhaustedListener is a listener whose Accept fails for lack of descriptors until recovered is set.
 type exhaustedListener struct {
 	*net.TCPListener
 	recovered, closed *atomic.Bool
@@ -88,7 +88,7 @@
 	return l.TCPListener.Close()
 }
 
-// Accept finds the listener's end before it finds no descriptor, as the runtime does.
+// Accept reports a closed listener before a lack of descriptors, as the runtime does.
 func (l exhaustedListener) Accept() (net.Conn, error) {
 	if !l.recovered.Load() && !l.closed.Load() {
 		l.attempts.Add(1)
@@ -97,29 +97,30 @@
 	return l.TCPListener.Accept()
 }
 
-func newTestServerWithoutDescriptors(t *testing.T, change func(*config.Limits)) (*testServer, exhaustedListener) {
+func newTestServerWithoutDescriptors(t *testing.T, adjust func(*config.Limits)) (*testServer, exhaustedListener) {
 	l := exhaustedListener{recovered: new(atomic.Bool), closed: new(atomic.Bool), attempts: new(atomic.Int64)}
-	return newTestServerWithListener(t, change, func(ln net.Listener) net.Listener {
+	return newTestServerWithListener(t, adjust, func(ln net.Listener) net.Listener {
 		l.TCPListener = ln.(*net.TCPListener)
 		return l
 	}), l
 }
 
-// Out of descriptors the accepting goes on trying, and serves who came meanwhile once there are some.
+// When the process is out of descriptors, Serve goes on trying to accept. Clients that connected meanwhile are served once
+// there are descriptors again.
 func TestAcceptResumesAfterDescriptorExhaustion(t *testing.T) {
 	st, l := newTestServerWithoutDescriptors(t, nil)
 	c := st.dial()
 	c.write(queryRequest("a", "", validBody))
-	st.waitFor("some tries", func() bool { return l.attempts.Load() >= 3 })
+	st.waitFor("Accept has failed several times", func() bool { return l.attempts.Load() >= 3 })
 	l.recovered.Store(true)
 	st.nextQuery().Reply(exchange.Reply{})
 	c.expectStatus(200)
 }
 
-// The drain ends also where no descriptor is had any more, and the listener with it.
+// The drain ends and closes the listener although the process stays out of descriptors.
 func TestDrainEndsWithoutDescriptors(t *testing.T) {
 	st, l := newTestServerWithoutDescriptors(t, nil)
-	st.waitFor("some tries", func() bool { return l.attempts.Load() >= 3 })
+	st.waitFor("Accept has failed several times", func() bool { return l.attempts.Load() >= 3 })
 	st.expectDrained(st.startDrain())
 	if !st.server.acceptHasEnded() {
 		t.Error("still accepting")
--- a/internal/front/turns_test.go
+++ b/internal/front/turns_test.go
@@ -10,21 +10,22 @@
 	"birchcart/internal/exchange"
 )
 
-// The time of a request counts from its last byte, in pieces as well, and goes on while it waits for its turn.
+// The timeout of a request counts from its last byte, also if it arrives in pieces, and runs while the request is queued
+// behind a pending query.
 func TestReceivedTimeIsThatOfLastByte(t *testing.T) {
 	st := newTestServer(t, nil)
 	c, second := st.dial(), queryRequest("b", "", validBody)
 	c.write(queryRequest("a", "", validBody) + second[:100])
 	a := st.nextQuery()
-	st.waitFor("half of it is read", st.hasPartialRequest)
+	st.waitFor("part of the second request is read", st.hasPartialRequest)
 	before := time.Now()
 	c.write(second[100:])
-	st.waitFor("all of it is read", func() bool { return !st.hasPartialRequest() })
+	st.waitFor("the second request is read completely", func() bool { return !st.hasPartialRequest() })
 	read := time.Now()
 	if !a.Received.Before(before) {
-		t.Error("the first counts from the second's bytes")
+		t.Error("the first request counts from the bytes of the second")
 	}
-	time.Sleep(time.Until(a.Due) + 20*time.Millisecond) // by now both are over their time
+	time.Sleep(time.Until(a.Due) + 20*time.Millisecond) // now the deadlines of both have passed
 	a.Reply(exchange.Reply{Status: exchange.Failed})
 	c.expectStatus(504)
 	b := st.nextQuery()
@@ -38,8 +39,8 @@
 	c.expectStatus(503)
 }
 
-// More sent ahead than is read ahead ends the query in hand as failed, never as refused, since it may have run; its own
-// answer, should it cross that, is not written. See submit for why it does not keep that answer.
+// When a client exceeds the pipeline limit, the pending query ends as failed, never as rejected, since it may have run. If
+// its answer arrives at the same time, that answer is not written. See submit for the reason.
 func TestPipelineOverflowFailsPendingQueryOnce(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Pipelined = 2 })
 	c := st.dial()
@@ -53,20 +54,20 @@
 		t.Error("the connection is kept")
 	}
 	c.expectClosed()
-	held, peer := st.newUnstartedConn()
+	late, peer := st.newUnstartedConn()
 	for range 4 {
-		held.submit(&exchange.Query{})
+		late.submit(&exchange.Query{})
 	}
 	a = st.nextQuery()
 	st.expectClientGone(a)
-	held.queueReply(a, exchange.Reply{})
-	go held.run()
+	late.queueReply(a, exchange.Reply{})
+	go late.run()
 	peer.expectStatus(400)
 	peer.expectClosed()
 	st.expectNoQuery()
 }
 
-// As many as are read ahead are all answered, in order.
+// As many pipelined requests as the limit allows are all answered, in order.
 func TestPipelineLimitIsInclusive(t *testing.T) {
 	st := newTestServer(t, func(l *config.Limits) { l.Pipelined = 2 })
 	c := st.dial()
@@ -78,7 +79,7 @@
 	for i := range 3 {
 		q := st.nextQuery()
 		if q.ID != fmt.Sprint("a", i) {
-			t.Errorf("%s was asked in place %d", q.ID, i)
+			t.Errorf("%s was submitted in position %d", q.ID, i)
 		}
 		q.Reply(exchange.Reply{})
 		c.expectStatus(200)
