--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -32,14 +32,14 @@
 	limits           config.Limits
 	names            *settings.Names
 	shards           int
-	idempotencyKeyed []bool          // by class
+	idempotencyKeyed []bool          // by class: whether its effect is policy.Keyed
 	maxClientWait    []time.Duration // by class: the longest time that its clients wait, 0 if unknown
 	sink             Sink
 	ready            func() bool
 	log              *logs.Limited
 	sessionHeader    string // request header that carries the session key; empty if none is read
 	laneHeader       string // request header that carries the lane mark; empty if none is read
-	ownerHeader      string // response header of a rejection that names the co-ordinator that owns the session; empty if none is written
+	ownerHeader      string // header of a rejection that names the session's co-ordinator; empty if none is written
 
 	listener     net.Listener
 	acceptEnded  chan struct{} // closed when Serve returns
@@ -88,9 +88,9 @@
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve accepts connections until the listener is closed or, at the end of a drain, until no connection waits in the
-// listen queue. It must be called only once. Up to Clients connections are served. Beyond that a new connection evicts
-// an expendable one; where there is none the new connection gets a rejection. Beyond ClientsOver of those, further
-// connections stay in the kernel's listen queue, so that the process never runs out of descriptors.
+// listen queue. It must be called only once. Up to Clients connections are served. A connection beyond that evicts an
+// expendable one; if there is none, it gets a rejection. Once there are ClientsOver such connections, further ones stay in
+// the kernel's listen queue, so that the process never runs out of descriptors.
 func (s *Server) Serve(ctx context.Context) error {
 	defer close(s.acceptEnded)
 	go s.closeIdle(ctx)
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -18,8 +18,8 @@
 // Drain shuts the server down gracefully. For DrainTime it accepts connections and serves the existing ones as before:
 // clients and load balancers learn of the shutdown late, and a successor may still be starting, so that rejected clients
 // would have no other server. After that each answer closes its connection unless another request has begun on it, idle
-// connections are closed, and open or partly read requests are waited for. Queries received during the drain end before
-// the process may be killed.
+// connections are closed, and pending queries and partly read requests are waited for. Queries received during the drain
+// are due before the process may be killed.
 func (s *Server) Drain(ctx context.Context) {
 	end := time.Now().Add(s.limits.EndTime)
 	s.lastReplyBy.Store(&end)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -403,7 +403,8 @@
 // a successor may not be running yet. Then each answer closes its connection, idle connections are closed, and pending
 // queries are answered before Drain returns. Queries received during the drain are due before the process may be killed.
 func TestDrain(t *testing.T) {
-	st := newTestServer(t, func(l *config.Limits) { l.DrainTime, l.EndTime = time.Second, 3*time.Second }) // long enough for two queries on a busy machine
+	// Long enough for two queries on a busy machine.
+	st := newTestServer(t, func(l *config.Limits) { l.DrainTime, l.EndTime = time.Second, 3*time.Second })
 	open, idle := st.dial(), st.dial()
 	open.write(queryRequest("a", "", validBody))
 	a := st.nextQuery()
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -73,7 +73,7 @@
 		return c
 	}
 	first := large()
-	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) { // until its bytes are counted
+	for end := time.Now().Add(testTimeout); st.server.partialBytes.Load() < 12<<10; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d bytes are reserved", st.server.partialBytes.Load())
 		}
@@ -208,10 +208,10 @@
 	idle.expectClosed()
 	second.write(queryRequest("b", "", validBody))
 	b := st.nextQuery()
-	over := st.dial()
-	over.write(queryRequest("c", "", validBody))
-	over.expectStatus(503)
-	over.expectClosed()
+	rejected := st.dial()
+	rejected.write(queryRequest("c", "", validBody))
+	rejected.expectStatus(503)
+	rejected.expectClosed()
 	waiting := st.dial()
 	waiting.write(queryRequest("d", "", validBody))
 	waiting.expectStatus(503)
@@ -245,11 +245,11 @@
 	busy.write(queryRequest("a", "", validBody))
 	a := st.nextQuery()
 	for range 3 {
-		over := st.dial()
+		rejected := st.dial()
 		time.Sleep(20 * time.Millisecond) // longer than SlowRequest, for which a new connection is not evictable
-		over.write(queryRequest("b", "", validBody))
-		over.expectStatus(503)
-		over.expectClosed()
+		rejected.write(queryRequest("b", "", validBody))
+		rejected.expectStatus(503)
+		rejected.expectClosed()
 	}
 	a.Reply(exchange.Reply{})
 	busy.expectStatus(200)
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -22,7 +22,7 @@
 
 	mu              sync.Mutex
 	output          []byte
-	current         *exchange.Query   // the query that waits for its answer
+	current         *exchange.Query   // the pending query: submitted and not yet answered
 	pipelined       []*exchange.Query // read ahead and submitted one at a time, each after the answer before it
 	closing         bool              // no further request is served; the connection ends once all is answered and written
 	closeRequested  bool              // requestClose has marked the connection for closing
@@ -130,8 +130,8 @@
 func (c *clientConn) awaitAnswers() error { return c.conn.Rest(c.server.limits.LingerBytes, awaitTick) }
 
 // awaitTick is the pause after each LingerBytes that awaitAnswers discards. Nothing may begin for a client later than
-// 0.1 s after it has disconnected. With LingerBytes of 64 KiB, about 700 KiB are read in that time, at no more than a
-// hundredth of a core; with a pause twice as long, half as much unread data already delays the detection too far.
+// 0.1 s after it has disconnected. With LingerBytes of 64 KiB, 700 KiB are read in that time, at a hundredth of a core or
+// less. With a pause twice as long, the end of the stream would be detected too late behind half as much data.
 const awaitTick = 10 * time.Millisecond
 
 // reserveBytes adds n bytes, which may be negative, to the size of the incomplete requests and reports whether the total
@@ -261,11 +261,11 @@
 			c.current, c.pipelined, c.closing = nil, nil, true
 			c.output = h1.AppendResponse(c.output, 400, nil, nil, true)
 			c.mu.Unlock()
-			// Guards against clients that send all their requests at once: processed one by one, they would still be
-			// answered long after the first has its error. The pending query fails with the others: a failure is permitted
-			// for a query that may have run, a rejection would not be. If the answer of the pending query were
-			// awaited, such a client would occupy a connection slot, a reading goroutine and attempts until then; and
-			// a client that sends so many requests does not wait for any single answer.
+			// Guards against clients that send all their requests at once: processed one by one, the requests would be
+			// answered long after the first of them has got its error. The pending query fails with the others: a failure
+			// is permitted for a query that may have run, whereas a rejection is not. If its answer were awaited, such
+			// a client would occupy a connection slot, a reading goroutine and attempts for that time; a client that sends
+			// so many requests does not wait for any single answer.
 			c.server.log.Warn("bad request", logrus.Fields{"peer": c.peer, "status": 400, "reason": "too many pipelined requests"})
 			c.server.sink.ClientGone(pending)
 			return
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -57,7 +57,7 @@
 	return h1.Header{{Name: "Retry-After", Value: strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}}
 }
 
-// queueStatus queues a response that does not come from the exchange. Behind a pending query none is sent, and the
+// queueStatus queues a response that does not come from the exchange. If a query is pending, no response is sent and the
 // connection closes after that query's answer.
 func (c *clientConn) queueStatus(status int, header h1.Header) {
 	c.mu.Lock()
@@ -171,8 +171,8 @@
 )
 
 // evictable returns the connection's eviction priority and since when it has been in that state. A connection is evictable
-// if it has no open request, and no incomplete one other than one that has already taken too long. A new connection is not
-// evictable for SlowRequest.
+// if it has no pending query and no incomplete request, unless that request has already taken longer than SlowRequest. A
+// connection that has not sent a valid request becomes evictable SlowRequest after it was accepted.
 func (c *clientConn) evictable() (evictionPriority, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
