--- a/internal/fleet/drainctl/acknowledge.go
+++ b/internal/fleet/drainctl/acknowledge.go
@@ -42,13 +42,13 @@
 		drains = slices.DeleteFunc(drains, func(x peerproto.DrainStatus) bool { return !slices.Contains(h.drains, x) })
 	} else {
 		h.sequence, h.sequenceAt = p.Sequence, c.now
-		h.peerClock = peerClock{offset: p.Wall - c.now, at: c.now, set: p.Wall > 0}
+		h.peerClock = peerClock{offset: p.Wall - c.now, at: c.now, known: p.Wall > 0}
 	}
 	h.lastPollAt, h.drains = c.now, drains
 }
 
 // silence is how long nothing was heard of a co-ordinator: since its last poll, or the own election, whichever is later.
-func (c *Controller) silence(name string) time.Duration {
+func (c *Controller) silentFor(name string) time.Duration {
 	from := c.electedAt
 	if h := c.pollers[name]; h != nil {
 		from = max(from, h.lastPollAt)
@@ -106,7 +106,7 @@
 	body := maintenance.AcknowledgeBody{Machine: it.Machine, Fence: it.Fence}
 	var missing []string
 	for _, name := range acknowledgers {
-		silent := c.silence(name)
+		silent := c.silentFor(name)
 		var says *peerproto.DrainStatus
 		if h := c.pollers[name]; h != nil {
 			if i := slices.IndexFunc(h.drains, func(x peerproto.DrainStatus) bool { return x.Fence == it.Fence && x.Machine == it.Machine }); i >= 0 {
@@ -131,7 +131,7 @@
 	case len(missing) == 0:
 		c.propose(fmt.Sprintf("told %s %d", it.Machine, it.Fence), "told", body, c.noLongerGranted(it))
 	case c.now-max(c.grantedAt[it.Fence], c.electedAt) > silenceLimit(limits)+AcknowledgeSlack:
-		c.withdraw(it, fmt.Sprintf("not laid in time by %s", firstNames(missing)))
+		c.withdraw(it, fmt.Sprintf("not laid in time by %s", abbreviateNames(missing)))
 	}
 }
 
@@ -150,8 +150,8 @@
 	}
 }
 
-// firstNames are the first names of many.
-func firstNames(names []string) string {
+// abbreviateNames are the first names of many.
+func abbreviateNames(names []string) string {
 	if len(names) <= 3 {
 		return strings.Join(names, ", ")
 	}
--- a/internal/fleet/drainctl/clock.go
+++ b/internal/fleet/drainctl/clock.go
@@ -49,14 +49,14 @@
 type peerClock struct {
 	offset time.Duration
 	at     time.Duration // own time of the poll
-	set    bool
+	known  bool
 }
 
 // clockLeads are by how much the own wall's clock is ahead of each that is known, the own among them, in rising order.
 func (c *Controller) clockLeads(wall time.Duration) []time.Duration {
 	all := []time.Duration{0}
 	for name, h := range c.pollers { // in any order: sorted below
-		if clk := h.peerClock; clk.set && name != c.name && c.now-clk.at <= MaxClockAge {
+		if clk := h.peerClock; clk.known && name != c.name && c.now-clk.at <= MaxClockAge {
 			all = append(all, wall-(clk.offset+c.now))
 		}
 	}
@@ -64,10 +64,10 @@
 	return all
 }
 
-// clockLead is by how much the own wall's clock is ahead of the most known: of all clocks, the own among them, more than
+// medianClockLead is by how much the own wall's clock is ahead of the most known: of all clocks, the own among them, more than
 // half are behind it by so much or more; of two, the other is. Negative: behind them. others are the clocks of others that
 // are known.
-func (c *Controller) clockLead(wall time.Duration) (by time.Duration, others int) {
+func (c *Controller) medianClockLead(wall time.Duration) (by time.Duration, others int) {
 	all := c.clockLeads(wall)
 	if len(all) == 2 { // nobody can say which of two is right: the one behind goes on, the one ahead counts the cold as warm
 		return all[0] + all[1], 1
@@ -98,8 +98,8 @@
 	return wall + behind, false
 }
 
-// quorumOfClocks is how many others' clocks are waited for: of those that may be there, MinOtherClocks at most.
-func (c *Controller) quorumOfClocks() int {
+// requiredPeerClocks is how many others' clocks are waited for: of those that may be there, MinOtherClocks at most.
+func (c *Controller) requiredPeerClocks() int {
 	if !c.membersKnown {
 		return MinOtherClocks
 	}
@@ -115,10 +115,10 @@
 // mayUseClock says whether the own wall's clock may be proposed, which would lead agreed time on from pace, and says why
 // it has been wrong for long.
 func (c *Controller) mayUseClock(wall, pace time.Duration) bool {
-	by, others := c.clockLead(wall)
+	by, others := c.medianClockLead(wall)
 	if by <= MaxClockLead {
 		c.clockAhead = false
-		if others >= c.quorumOfClocks() {
+		if others >= c.requiredPeerClocks() {
 			c.clocksUnknown = false
 			return true
 		}
--- a/internal/fleet/drainctl/controller.go
+++ b/internal/fleet/drainctl/controller.go
@@ -46,9 +46,9 @@
 	// AcknowledgeSlack is how long, after the time in which any co-ordinator has either polled or is silent for long, a live one
 	// may take to say that it applies a drain. Then the grant is withdrawn. Half as long: a slow list costs a grant.
 	AcknowledgeSlack = 10 * time.Second
-	// StartWithin is how long the site's tools have to begin, once a machine's drain is acknowledged. Twice as long: a place in the plan is
+	// StartTimeout is how long the site's tools have to begin, once a machine's drain is acknowledged. Twice as long: a place in the plan is
 	// held so much longer by who does not come; half as long: tools that look once a minute miss their turn.
-	StartWithin = 3 * time.Minute
+	StartTimeout = 3 * time.Minute
 	// InitialGrantBackoff is until a machine whose grant ended before it was acknowledged is granted again, doubled each time after. Half
 	// as long: a cause that passes, as a list that is slow, uses up all the times that it is requested again.
 	InitialGrantBackoff = 15 * time.Second
@@ -90,8 +90,8 @@
 type (
 	// Elected says that this process, by the name Own, leads in the term, with its own copy caught up with all before it.
 	Elected struct {
-		Term uint64
-		Own  string
+		Term     uint64
+		NodeName string
 	}
 	// Deposed says that it no longer does, or may not.
 	Deposed struct{}
@@ -178,16 +178,16 @@
 	base       time.Duration // the newest agreed time that was applied or proposed, first at the own time baseAt
 	baseAt     time.Duration
 
-	replicas             []maintenance.Machine // by name, each once
-	replicasKnown        bool
-	inventory            []maintenance.Machine // of list and members, by name; nil: one of both came since
-	replicasAt           time.Duration         // own time at which it was confirmed
-	members              []Member              // by name, each once
-	membersAt            time.Duration
-	membersKnown         bool // members came
-	limits               maintenance.LimitsBody
-	requests             maintenance.RequestsBody
-	sameRequestsRevision int // revision under which asks says what was agreed; 0: not compared yet
+	replicas                 []maintenance.Machine // by name, each once
+	replicasKnown            bool
+	inventory                []maintenance.Machine // of list and members, by name; nil: one of both came since
+	replicasAt               time.Duration         // own time at which it was confirmed
+	members                  []Member              // by name, each once
+	membersAt                time.Duration
+	membersKnown             bool // members came
+	limits                   maintenance.LimitsBody
+	requests                 maintenance.RequestsBody
+	verifiedRequestsRevision int // revision under which asks says what was agreed; 0: not compared yet
 
 	clockAhead               bool // the own wall's clock is ahead of the others', since clockAheadAt
 	clockAheadAt, handOverAt time.Duration
@@ -210,7 +210,7 @@
 type grantSearch struct {
 	index uint64
 	at    time.Duration
-	set   bool
+	valid bool
 }
 
 // New makes one. Without an order, reserved ones go first, then urgent ones, then by asking.
@@ -259,7 +259,7 @@
 			c.seq = 0
 		}
 		c.reset()
-		c.leading, c.term, c.name, c.electedAt = true, in.Term, in.Own, c.now
+		c.leading, c.term, c.name, c.electedAt = true, in.Term, in.NodeName, c.now
 		c.log("leads in term %d", in.Term)
 	case Deposed:
 		if c.leading {
@@ -275,14 +275,14 @@
 		c.members, c.membersAt, c.membersKnown, c.inventoryChanged = sortedMembers(in.Members), c.now, true, true
 		c.inventory = nil
 	case ReplicaList:
-		c.replicas, c.replicasAt, c.replicasKnown, c.inventoryChanged = sortedList(in.Replicas), c.now-in.Age, true, true
+		c.replicas, c.replicasAt, c.replicasKnown, c.inventoryChanged = sortedMachines(in.Replicas), c.now-in.Age, true, true
 		c.inventory = nil
 	case MaintenanceFile:
 		if in.Limits.Revision > 0 && in.Limits.Revision >= c.limits.Revision {
 			c.limits = in.Limits
 		}
 		if in.Requests.Revision > 0 && in.Requests.Revision >= c.requests.Revision {
-			c.requests, c.sameRequestsRevision = in.Requests, 0
+			c.requests, c.verifiedRequestsRevision = in.Requests, 0
 		}
 	case Applied:
 		if in.State != nil && in.Epoch > c.epoch {
@@ -344,4 +344,4 @@
 func (c *Controller) Time() (time.Duration, bool) { return c.time, c.leading && c.mayPropose }
 
 // SilentFor is how long nothing was heard of a co-ordinator while this one leads: since its last poll, or the own election.
-func (c *Controller) SilentFor(name string) time.Duration { return c.silence(name) }
+func (c *Controller) SilentFor(name string) time.Duration { return c.silentFor(name) }
--- a/internal/fleet/drainctl/grant.go
+++ b/internal/fleet/drainctl/grant.go
@@ -46,7 +46,7 @@
 
 // MaxGrantDuration is from a grant until its machine has to be gone.
 func MaxGrantDuration(limits maintenance.Limits) time.Duration {
-	return silenceLimit(limits) + AcknowledgeSlack + StartWithin + limits.SettleTime
+	return silenceLimit(limits) + AcknowledgeSlack + StartTimeout + limits.SettleTime
 }
 
 // proposeGrant proposes at most one grant: the first in the order that the agreed state would let go now, and that shares
@@ -54,7 +54,7 @@
 // has passed.
 func (c *Controller) proposeGrant(limits maintenance.Limits, open []maintenance.Item) {
 	if !slices.ContainsFunc(open, func(it maintenance.Item) bool { return it.Phase == maintenance.Pending }) ||
-		c.countPending("grant ") >= MaxPendingGrants || c.lastSearch.set && c.lastSearch.index == c.index && c.now < c.lastSearch.at+ActiveTickInterval {
+		c.countPending("grant ") >= MaxPendingGrants || c.lastSearch.valid && c.lastSearch.index == c.index && c.now < c.lastSearch.at+ActiveTickInterval {
 		return
 	}
 	if stop, _ := c.state.Paused(c.time); !stop {
@@ -73,7 +73,7 @@
 				now, ok := c.state.ActiveItem(it.Machine)
 				return ok && now.Request == it.Request
 			}) {
-				c.lastSearch.set = false
+				c.lastSearch.valid = false
 				return
 			}
 		}
--- a/internal/fleet/drainctl/observe.go
+++ b/internal/fleet/drainctl/observe.go
@@ -9,8 +9,8 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// sortedList is the list by name, each once: the first said counts.
-func sortedList(in []maintenance.Machine) []maintenance.Machine {
+// sortedMachines is the list by name, each once: the first said counts.
+func sortedMachines(in []maintenance.Machine) []maintenance.Machine {
 	out := slices.Clone(in)
 	slices.SortStableFunc(out, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(out, func(a, b maintenance.Machine) bool { return a.Name == b.Name })
@@ -34,7 +34,7 @@
 			c.inventory = append(c.inventory, maintenance.Machine{Name: m.Name, Kind: maintenance.Coordinator, Zone: m.Zone, Status: m.Status,
 				Started: m.Started, Voter: m.Voter})
 		}
-		c.inventory = sortedList(c.inventory)
+		c.inventory = sortedMachines(c.inventory)
 	}
 	all := c.inventory[:len(c.inventory):len(c.inventory)]
 	for _, m := range c.state.Machines() {
@@ -52,7 +52,7 @@
 	if len(all) == len(c.inventory) {
 		return all
 	}
-	return sortedList(all)
+	return sortedMachines(all)
 }
 
 func byName(m maintenance.Machine, name string) int { return cmp.Compare(m.Name, name) }
--- a/internal/fleet/drainctl/propose.go
+++ b/internal/fleet/drainctl/propose.go
@@ -102,9 +102,9 @@
 	}
 	if want := c.requests; want.Revision > asks.Revision {
 		c.propose(fmt.Sprintf("asks %d", want.Revision), "asks", want, func() bool { return c.state.Requests().Revision >= want.Revision })
-	} else if want.Revision == asks.Revision && want.Revision > 0 && c.sameRequestsRevision != want.Revision {
+	} else if want.Revision == asks.Revision && want.Revision > 0 && c.verifiedRequestsRevision != want.Revision {
 		if sameRequests(want, asks) {
-			c.sameRequestsRevision = want.Revision
+			c.verifiedRequestsRevision = want.Revision
 		} else {
 			c.logConfigError("asks", want.Revision)
 		}
--- a/internal/fleet/drainstore/store.go
+++ b/internal/fleet/drainstore/store.go
@@ -42,7 +42,7 @@
 	onDisk   []drain  // the newest set that the disk took
 	writing  []drain  // the set that it was asked for, at writeAt
 	writeAt  time.Duration
-	missing  bool // something may not be reported, since the disk does not have it
+	unsaved  bool // something may not be reported, since the disk does not have it
 }
 
 // New makes an empty store.
@@ -80,7 +80,7 @@
 	s.pending += 2
 	s.options.Apply(s.withPrevious(machines))
 	f := file{Version: Version, Drains: s.grantsOf(machines)}
-	s.writing, s.writeAt, s.missing = f.Drains, now, false
+	s.writing, s.writeAt, s.unsaved = f.Drains, now, false
 	path := s.Path()
 	go func() {
 		err := os.MkdirAll(filepath.Dir(path), 0o700)
@@ -123,14 +123,14 @@
 		lost := !status.Rejected && slices.Contains(s.wanted, status.Machine) && !slices.ContainsFunc(s.onDisk, func(d drain) bool {
 			return d.Machine == status.Machine && d.fence == status.Fence
 		})
-		s.missing = s.missing || lost
+		s.unsaved = s.unsaved || lost
 		return lost
 	})
 }
 
 // Retry asks the disk again for what it did not take.
 func (s *Store) Retry(now time.Duration) {
-	if s.missing && s.pending == 0 && now >= s.writeAt+RetryInterval {
+	if s.unsaved && s.pending == 0 && now >= s.writeAt+RetryInterval {
 		s.Set(now, s.wanted)
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	wall := time.Duration(time.Now().UnixNano())
 	left := slices.DeleteFunc(slices.Clone(s.previous), func(d drain) bool {
-		return caughtUp && s.isOver(d) || d.Until <= wall
+		return caughtUp && s.canDrop(d) || d.Until <= wall
 	})
 	if len(left) != len(s.previous) {
 		s.previous = left
@@ -150,9 +150,9 @@
 	}
 }
 
-// isOver says that the agreed state knows of the drain's grant, or that its machine has come back. Of an earlier epoch the raft
+// canDrop says that the agreed state knows of the drain's grant, or that its machine has come back. Of an earlier epoch the raft
 // group of now can't say when its drain may go.
-func (s *Store) isOver(d drain) (over bool) {
+func (s *Store) canDrop(d drain) (over bool) {
 	state := s.options.State
 	state.WithLock(func() {
 		m, ok := state.Maintenance.Machine(d.Machine)
--- a/internal/fleet/drainstore/store_test.go
+++ b/internal/fleet/drainstore/store_test.go
@@ -10,7 +10,7 @@
 )
 
 // What the process before had applied is taken over while its time runs; another version and a torn file are reported.
-func TestDrainsOfTheProcessBefore(t *testing.T) {
+func TestReadUnexpiredDrains(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "laid.json")
 	if got, err := read(path, 0); err != nil || len(got) > 0 {
 		t.Errorf("%v %v", got, err)
@@ -32,7 +32,7 @@
 }
 
 // A file as the version of 7c55f5a wrote it is read.
-func TestFileOfEarlierVersion(t *testing.T) {
+func TestFileFormatOfEarlierVersion(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName)
 	old := `{
  "version": 1,
--- a/internal/fleet/fleetsim/leader.go
+++ b/internal/fleet/fleetsim/leader.go
@@ -20,7 +20,7 @@
 			return
 		}
 		n.leads = true
-		n.stepLead(drainctl.Elected{Term: n.v.term, Own: n.name}, n.leadApplied())
+		n.stepLead(drainctl.Elected{Term: n.v.term, NodeName: n.name}, n.leadApplied())
 	}
 	var in []drainctl.Input
 	if n.w.Now >= n.newsAt { // the members' news and the list are confirmed once a second
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -120,7 +120,7 @@
 	case s.Leading:
 		n.term = s.Term
 		n.log.WithField("term", s.Term).Info("leads the raft group")
-		n.controllerInputs = append(n.controllerInputs, drainctl.Elected{Term: s.Term, Own: n.name}, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
+		n.controllerInputs = append(n.controllerInputs, drainctl.Elected{Term: s.Term, NodeName: n.name}, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
 		n.fedAt, n.replicasFedAt = 0, time.Time{} // list and members are told at once
 		clear(n.loads)
 	default:
--- a/internal/fleet/waveplan/bound.go
+++ b/internal/fleet/waveplan/bound.go
@@ -18,7 +18,7 @@
 //
 // What is out already takes its part of the first wave; no more of it than a wave's worth counts.
 func (f *fleet) bound() (best int, why string) {
-	if len(f.asks) == 0 {
+	if len(f.candidates) == 0 {
 		return 0, ""
 	}
 	best, why = 1, "one wave is the least"
@@ -30,16 +30,16 @@
 			best, why = n, fmt.Sprintf(what, args...)+fmt.Sprintf(": %d asked, %d out, %d at once", asked, out, most)
 		}
 	}
-	asked, zones, away := make([]int, len(f.spare)), make([]int, len(f.zones)), slices.Clone(f.away)
-	voters, ring, least, size, cold := 0, 0, math.MaxInt, 0.0, f.cold
-	for i := range f.asks {
-		c := &f.asks[i]
+	asked, zones, away := make([]int, len(f.spare)), make([]int, len(f.zones)), slices.Clone(f.awayInFirst)
+	voters, ring, least, size, cold := 0, 0, math.MaxInt, 0.0, f.sizeAway
+	for i := range f.candidates {
+		c := &f.candidates[i]
 		zones[c.zone]++
 		size += c.size
 		if c.voter {
 			voters++
 		}
-		if c.own == 0 || len(c.shards) == 0 {
+		if c.holders == 0 || len(c.shards) == 0 {
 			continue
 		}
 		ring++
@@ -61,13 +61,13 @@
 	}
 	over(ring, 0, together/least, "the ring")
 	for z, n := range zones {
-		over(n, f.busy[z], f.lim.MaxOutPerZone, "zone %q", f.zones[z])
+		over(n, f.outByZone[z], f.limits.MaxOutPerZone, "zone %q", f.zones[z])
 	}
-	over(len(f.asks), f.out, f.lim.MaxOut, "places in all")
-	over(voters, f.voter, 1, "voters")
-	if f.lack && f.room > 0 {
-		if n := int(math.Ceil((size+min(cold, f.room))/f.room - slip)); n > best {
-			best, why = n, fmt.Sprintf("capacity: %.2f asked, %.2f out, %.2f at once", size, cold, f.room)
+	over(len(f.candidates), f.out, f.limits.MaxOut, "places in all")
+	over(voters, f.votersOut, 1, "voters")
+	if f.loadKnown && f.sizeBudget > 0 {
+		if n := int(math.Ceil((size+min(cold, f.sizeBudget))/f.sizeBudget - sizeTolerance)); n > best {
+			best, why = n, fmt.Sprintf("capacity: %.2f asked, %.2f out, %.2f at once", size, cold, f.sizeBudget)
 		}
 	}
 	return best, why
--- a/internal/fleet/waveplan/order.go
+++ b/internal/fleet/waveplan/order.go
@@ -49,14 +49,14 @@
 				class = Urgent
 			}
 			items = append(items, it)
-			p.Asks = append(p.Asks, Ask{it.Machine, class})
+			p.Requests = append(p.Requests, Request{it.Machine, class})
 		}
 	}
 	for _, m := range s.Machines() {
 		replica, up := m.Kind == maintenance.Replica, m.Status == maintenance.Up
 		p.Machines = append(p.Machines, Machine{
 			Name: m.Name, Zone: m.Zone, Replica: replica, Voter: m.Voter, Cell: m.Cell, Size: m.Size,
-			Serves: up || busy[m.Name], Busy: busy[m.Name], Cold: replica && up && now < m.Started+p.Limits.WarmUp,
+			Serving: up || busy[m.Name], InProgress: busy[m.Name], Cold: replica && up && now < m.Started+p.Limits.WarmUp,
 		})
 	}
 	return p, items
@@ -73,8 +73,8 @@
 	}
 	p, items := fromState(s, now)
 	first := make(map[string]int, len(items))
-	for i, a := range p.Asks {
-		if k, twice := first[a.Machine]; !twice || a.Class < p.Asks[k].Class {
+	for i, a := range p.Requests {
+		if k, twice := first[a.Machine]; !twice || a.Class < p.Requests[k].Class {
 			first[a.Machine] = i
 		}
 	}
--- a/internal/fleet/waveplan/order_test.go
+++ b/internal/fleet/waveplan/order_test.go
@@ -16,21 +16,21 @@
 // site is an agreed state with its machines, and tools that act at once on what is told.
 type site struct {
 	t        *testing.T
-	s        *maintenance.State
+	state    *maintenance.State
 	now      time.Duration
 	fence    uint64
 	machines []maintenance.Machine
-	back     []time.Duration // by machine: when it comes back, 0 while it is not away
+	returnAt []time.Duration // by machine: when it comes back, 0 while it is not away
 	load     float64
 }
 
 func (s *site) apply(kind string, body any) {
 	s.t.Helper()
 	raw, _ := json.Marshal(body)
-	if err := s.s.Apply(s.now, func() uint64 { s.fence++; return s.fence }, kind, raw); err != nil {
+	if err := s.state.Apply(s.now, func() uint64 { s.fence++; return s.fence }, kind, raw); err != nil {
 		s.t.Fatalf("%v %s: %v", s.now, kind, err)
 	}
-	if err := s.s.Check(); err != nil {
+	if err := s.state.Check(); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -40,8 +40,8 @@
 }
 
 func newSite(t *testing.T, replicas, coordinators int, l maintenance.Limits, requests ...maintenance.Request) *site {
-	s := &site{t: t, s: maintenance.New(), now: 1000 * sec, load: 0.4 * float64(replicas)}
-	s.back = make([]time.Duration, replicas+coordinators)
+	s := &site{t: t, state: maintenance.New(), now: 1000 * sec, load: 0.4 * float64(replicas)}
+	s.returnAt = make([]time.Duration, replicas+coordinators)
 	for i := range replicas {
 		s.machines = append(s.machines, maintenance.Machine{Name: fmt.Sprintf("r%03d", i), Kind: maintenance.Replica, Zone: fmt.Sprint("z", i%4),
 			Cell: i % l.Cells, Status: maintenance.Up})
@@ -64,17 +64,17 @@
 }
 
 // swap lets all go, as Order says and MayGo allows, each away for about a minute, and tells how long it took.
-func (s *site) swap(jitter float64) (took time.Duration, most int) {
+func (s *site) runSwap(jitter float64) (took time.Duration, most int) {
 	rng, began, busy := rand.New(rand.NewPCG(1, 1)), s.now, 0
 	for changed := true; s.now < began+3*time.Hour; s.now += sec {
 		for i := range s.machines {
 			m := &s.machines[i]
-			it, live := s.s.ActiveItem(m.Name)
+			it, live := s.state.ActiveItem(m.Name)
 			switch {
 			case live && it.Phase == maintenance.Acknowledged && m.Status == maintenance.Up:
 				m.Status, changed = maintenance.Gone, true
-				s.back[i] = s.now + time.Duration((1+jitter*(2*rng.Float64()-1))*float64(60*sec))
-			case m.Status == maintenance.Gone && s.now >= s.back[i]:
+				s.returnAt[i] = s.now + time.Duration((1+jitter*(2*rng.Float64()-1))*float64(60*sec))
+			case m.Status == maintenance.Gone && s.now >= s.returnAt[i]:
 				m.Status, m.Started, changed = maintenance.Up, s.now, true
 			case live && it.Phase == maintenance.Returned && s.now >= m.Started+40*sec:
 				changed = true
@@ -87,12 +87,12 @@
 			continue
 		}
 		changed = false
-		order := Order(s.s, s.now)
-		if again := Order(s.s, s.now); !reflect.DeepEqual(order, again) {
+		order := Order(s.state, s.now)
+		if again := Order(s.state, s.now); !reflect.DeepEqual(order, again) {
 			s.t.Fatal("two orders of one state")
 		}
 		for _, it := range order {
-			if _, err := s.s.MayGrant(s.now, it.Machine); err != nil {
+			if _, err := s.state.MayGrant(s.now, it.Machine); err != nil {
 				continue
 			}
 			s.apply("grant", maintenance.GrantBody{Request: it.Request, Machine: it.Machine, Until: s.now + 10*time.Minute})
@@ -104,7 +104,7 @@
 			}
 			s.apply("told", maintenance.AcknowledgeBody{Machine: it.Machine, Fence: s.fence, Acknowledged: said})
 		}
-		open := s.s.Open()
+		open := s.state.Open()
 		if busy = 0; len(open) == 0 {
 			return s.now - began, most
 		}
@@ -120,14 +120,14 @@
 
 // A swap of 200 replicas, one of each after the other as places come free, against what no order goes below: the bound's
 // number of times that one is away and cold.
-func TestSwapTakesLittleMoreThanTheBound(t *testing.T) {
+func TestSwapDurationIsNearBound(t *testing.T) {
 	for _, jitter := range []float64{0, 0.1} {
 		all := maintenance.Request{ID: "swap", Kind: maintenance.Replica, Reason: "new hardware", MaxOutage: 10 * time.Minute}
 		s := newSite(t, 200, 7, limits(200), all)
-		plan := Plan(FromState(s.s, s.now))
-		took, most := s.swap(jitter)
+		plan := Plan(FromState(s.state, s.now))
+		took, most := s.runSwap(jitter)
 		done := 0
-		for _, it := range s.s.Items() {
+		for _, it := range s.state.Items() {
 			if it.Phase == maintenance.Done {
 				done++
 			}
@@ -141,38 +141,38 @@
 	}
 }
 
-func TestOrderFollowsTheState(t *testing.T) {
+func TestOrderFollowsState(t *testing.T) {
 	l := limits(12)
 	l.MaxOut = 3
 	work := maintenance.Request{ID: "work", Kind: maintenance.Replica, Reason: "work", MaxOutage: time.Minute}
 	soon := maintenance.Request{ID: "soon", Names: []string{"r004", "r005"}, Reason: "disk", MaxOutage: time.Minute, Priority: maintenance.Urgent}
 	later := maintenance.Request{ID: "later", Names: []string{"c003"}, Reason: "later", MaxOutage: time.Minute, Earliest: 2000 * sec}
 	s := newSite(t, 12, 5, l, work, soon, later)
-	order := Order(s.s, s.now)
+	order := Order(s.state, s.now)
 	if len(order) != 12 || order[0].Machine != "r004" || order[0].Request != "soon" {
 		t.Fatalf("%+v", order)
 	}
 	s.apply("grant", maintenance.GrantBody{Request: "soon", Machine: "r004", Until: s.now + time.Minute})
-	p := FromState(s.s, s.now)
-	if plan := Plan(p); len(plan.Waves[0]) != 2 || legal(p, true, plan.Waves[0]) != "" {
+	p := FromState(s.state, s.now)
+	if plan := Plan(p); len(plan.Waves[0]) != 2 || violation(p, true, plan.Waves[0]) != "" {
 		t.Errorf("beside one that is out already: %v", plan.Waves)
 	}
-	for _, it := range Order(s.s, s.now) {
+	for _, it := range Order(s.state, s.now) {
 		if it.Machine == "r004" || it.Machine == "c003" {
 			t.Errorf("%s is in the order", it.Machine)
 		}
 	}
 	s.machines[0].Started = s.now - sec // it broke, and is cold
 	s.observe()
-	if s.now += 70 * sec; Order(s.s, s.now) != nil {
+	if s.now += 70 * sec; Order(s.state, s.now) != nil {
 		t.Error("an order from an old inventory")
 	}
 	s.observe()
-	if len(Order(s.s, s.now)) == 0 {
+	if len(Order(s.state, s.now)) == 0 {
 		t.Error("nothing goes after the calm")
 	}
 	s.apply("asks", maintenance.RequestsBody{Revision: 2, Paused: true, Requests: []maintenance.Request{work}})
-	if Order(s.s, s.now) != nil {
+	if Order(s.state, s.now) != nil {
 		t.Error("an order while paused")
 	}
 }
--- a/internal/fleet/waveplan/plan_test.go
+++ b/internal/fleet/waveplan/plan_test.go
@@ -12,26 +12,26 @@
 
 // legal says what is wrong with machines being away together, the first wave beside those that are away already. It
 // counts holders anew for each shard and shares no code with the plan.
-func legal(p Problem, first bool, wave []string) string {
+func violation(p Problem, first bool, wave []string) string {
 	l, gone, out, voters, size, places := p.Limits, 0, len(wave), 0, 0.0, map[string]int{}
 	holds := func(is func(Machine) bool) bool {
 		return slices.ContainsFunc(p.Machines, func(m Machine) bool { return is(m) && slices.Contains(wave, m.Name) })
 	}
 	for _, m := range p.Machines {
 		in := slices.Contains(wave, m.Name)
-		if first && m.Busy {
+		if first && m.InProgress {
 			out++
 		}
-		if in || first && m.Busy {
+		if in || first && m.InProgress {
 			places[m.Zone]++
 			if m.Voter {
 				voters++
-				if in && m.Serves {
+				if in && m.Serving {
 					gone++
 				}
 			}
 		}
-		if m.Replica && m.Serves && !in && !(first && (m.Busy || m.Cold)) {
+		if m.Replica && m.Serving && !in && !(first && (m.InProgress || m.Cold)) {
 			size += max(m.Size, map[bool]float64{true: 1}[m.Size == 0])
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	up, member := 0, false
 	for _, m := range p.Machines {
-		if m.Voter && m.Serves {
+		if m.Voter && m.Serving {
 			up++
 		}
 		member = member || m.Voter && slices.Contains(wave, m.Name)
@@ -64,7 +64,7 @@
 				}
 				in := slices.Contains(wave, m.Name)
 				concerned = concerned || in
-				if m.Serves && !in && !(first && (m.Busy || m.Cold)) {
+				if m.Serving && !in && !(first && (m.InProgress || m.Cold)) {
 					left++
 				}
 			}
@@ -77,7 +77,7 @@
 }
 
 // least is the fewest waves by trying all.
-func least(p Problem, names []string) int {
+func fewestWaves(p Problem, names []string) int {
 	best := len(names) + 1
 	var waves [][]string
 	var try func(i int)
@@ -91,7 +91,7 @@
 				waves = append(waves, nil)
 			}
 			waves[w] = append(waves[w], names[i])
-			if len(waves) < best+1 && legal(p, w == 0, waves[w]) == "" {
+			if len(waves) < best+1 && violation(p, w == 0, waves[w]) == "" {
 				try(i + 1)
 			}
 			waves[w] = waves[w][:len(waves[w])-1]
@@ -111,45 +111,45 @@
 		MinHolders: 1 + rng.IntN(2), MaxOutPerZone: 1 + rng.IntN(4), MaxOut: 1 + rng.IntN(6), Headroom: 0.25, MinVoters: 2}
 	p := Problem{Limits: l, LoadKnown: rng.IntN(2) > 0}
 	for i := range cells * (1 + rng.IntN(3)) {
-		m := Machine{Name: fmt.Sprint("r", i), Zone: fmt.Sprint("z", rng.IntN(3)), Replica: true, Cell: i % cells, Serves: rng.IntN(9) > 0,
+		m := Machine{Name: fmt.Sprint("r", i), Zone: fmt.Sprint("z", rng.IntN(3)), Replica: true, Cell: i % cells, Serving: rng.IntN(9) > 0,
 			Size: []float64{0, 1, 0.5, 2}[rng.IntN(4)]}
-		m.Busy, m.Cold = rng.IntN(12) == 0, m.Serves && rng.IntN(12) == 0
-		m.Serves = m.Serves || m.Busy
+		m.InProgress, m.Cold = rng.IntN(12) == 0, m.Serving && rng.IntN(12) == 0
+		m.Serving = m.Serving || m.InProgress
 		p.Machines = append(p.Machines, m)
 	}
 	p.Load = float64(len(p.Machines)) * 0.6 * rng.Float64()
 	for i := range 5 {
-		p.Machines = append(p.Machines, Machine{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%3), Voter: i < 3, Serves: rng.IntN(12) > 0})
+		p.Machines = append(p.Machines, Machine{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%3), Voter: i < 3, Serving: rng.IntN(12) > 0})
 	}
 	for range 1 + rng.IntN(7) {
-		p.Asks = append(p.Asks, Ask{p.Machines[rng.IntN(len(p.Machines))].Name, Class(rng.IntN(3))})
+		p.Requests = append(p.Requests, Request{p.Machines[rng.IntN(len(p.Machines))].Name, Class(rng.IntN(3))})
 	}
 	return p
 }
 
 // Plans of up to seven machines against the best of all that are possible.
-func TestSmallPlansAreTheBest(t *testing.T) {
+func TestSmallPlansAreOptimal(t *testing.T) {
 	tight, kept, long := 0, 0, 0
 	for seed := range uint64(3000) {
 		p := randomProblem(rand.New(rand.NewPCG(seed, 3)))
 		r := Plan(p)
 		var names []string
 		for i, w := range r.Waves {
-			if why := legal(p, i == 0, w); why != "" {
+			if why := violation(p, i == 0, w); why != "" {
 				t.Fatalf("seed %d: wave %d of %v: %s\n%+v", seed, i, r.Waves, why, p)
 			}
 			names = append(names, w...)
 		}
 		asked := map[string]bool{}
-		for _, a := range p.Asks {
-			if i := slices.IndexFunc(p.Machines, func(m Machine) bool { return m.Name == a.Machine }); !p.Machines[i].Busy {
+		for _, a := range p.Requests {
+			if i := slices.IndexFunc(p.Machines, func(m Machine) bool { return m.Name == a.Machine }); !p.Machines[i].InProgress {
 				asked[a.Machine] = true
 			}
 		}
-		for _, k := range r.Kept {
+		for _, k := range r.Excluded {
 			kept++
-			if legal(p, false, []string{k.Machine}) == "" {
-				t.Fatalf("seed %d: %s is kept (%s) and could go alone\n%+v", seed, k.Machine, k.Why, p)
+			if violation(p, false, []string{k.Machine}) == "" {
+				t.Fatalf("seed %d: %s is kept (%s) and could go alone\n%+v", seed, k.Machine, k.Reason, p)
 			}
 			delete(asked, k.Machine)
 		}
@@ -160,7 +160,7 @@
 		if len(names) == 0 {
 			continue
 		}
-		best := least(p, names)
+		best := fewestWaves(p, names)
 		if r.Bound > best || len(r.Waves) != best {
 			t.Fatalf("seed %d: %v, the best has %d\n%+v", seed, r, best, p)
 		}
@@ -179,47 +179,47 @@
 
 // swap is a site of replicas, one a cell, and co-ordinators over four zones, of which all replicas, and with all set the
 // co-ordinators too, are to go.
-func swap(replicas, coordinators, reach, least, byZone, most int, all bool) Problem {
+func swapProblem(replicas, coordinators, reach, least, byZone, most int, all bool) Problem {
 	p := Problem{Limits: maintenance.Limits{Cells: replicas, Reach: reach, Shards: replicas, MinHolders: least,
 		MaxOutPerZone: byZone, MaxOut: most, Headroom: 0.25, MinVoters: 3}, Load: 0.5 * float64(replicas), LoadKnown: true}
 	for i := range replicas {
-		m := Machine{Name: fmt.Sprintf("r%03d", i), Zone: fmt.Sprint("z", i%4), Replica: true, Cell: i, Serves: true}
-		p.Machines, p.Asks = append(p.Machines, m), append(p.Asks, Ask{m.Name, Routine})
+		m := Machine{Name: fmt.Sprintf("r%03d", i), Zone: fmt.Sprint("z", i%4), Replica: true, Cell: i, Serving: true}
+		p.Machines, p.Requests = append(p.Machines, m), append(p.Requests, Request{m.Name, Routine})
 	}
 	for i := range coordinators {
-		m := Machine{Name: fmt.Sprintf("c%03d", i), Zone: fmt.Sprint("z", i%4), Serves: true, Voter: i < 5}
+		m := Machine{Name: fmt.Sprintf("c%03d", i), Zone: fmt.Sprint("z", i%4), Serving: true, Voter: i < 5}
 		if p.Machines = append(p.Machines, m); all {
-			p.Asks = append(p.Asks, Ask{m.Name, Routine})
+			p.Requests = append(p.Requests, Request{m.Name, Routine})
 		}
 	}
 	return p
 }
 
-func TestSwapsAreNearTheBound(t *testing.T) {
+func TestSwapPlansAreNearBound(t *testing.T) {
 	for _, c := range []struct{ reach, least, byZone, most int }{
 		{3, 2, 100, 500}, {3, 1, 100, 500}, {2, 1, 100, 500}, {4, 3, 100, 500}, {3, 2, 5, 20}, {3, 2, 4, 13}, {3, 2, 1, 1}, {5, 3, 11, 40},
 	} {
 		for _, all := range []bool{false, true} {
-			p := swap(200, 300, c.reach, c.least, c.byZone, c.most, all)
+			p := swapProblem(200, 300, c.reach, c.least, c.byZone, c.most, all)
 			r := Plan(p)
 			t.Logf("%+v, co-ordinators too: %v: %v", c, all, r)
 			n := 0
 			for i, w := range r.Waves {
 				n += len(w)
-				if why := legal(p, i == 0, w); why != "" {
+				if why := violation(p, i == 0, w); why != "" {
 					t.Fatalf("wave %d: %s", i, why)
 				}
 			}
-			if n != len(p.Asks) || float64(len(r.Waves)) > 1.2*float64(r.Bound) {
-				t.Errorf("%d of %d machines", n, len(p.Asks))
+			if n != len(p.Requests) || float64(len(r.Waves)) > 1.2*float64(r.Bound) {
+				t.Errorf("%d of %d machines", n, len(p.Requests))
 			}
 		}
 	}
 }
 
 // The plan hangs on the asks and their order alone, not on that of the inventory, and each run gives the same.
-func TestPlansAreTheSame(t *testing.T) {
-	p := swap(200, 300, 3, 2, 5, 20, true)
+func TestPlanIgnoresInventoryOrder(t *testing.T) {
+	p := swapProblem(200, 300, 3, 2, 5, 20, true)
 	want := Plan(p)
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -231,9 +231,9 @@
 }
 
 // Reserved machines go before urgent ones, these before routine ones; what shares nothing with them goes beside them.
-func TestClassesGoInTheirOrder(t *testing.T) {
-	p := swap(12, 0, 2, 1, 12, 3, false)
-	p.Asks[7].Class, p.Asks[4].Class, p.Asks[5].Class = Reserved, Urgent, Urgent
+func TestClassOrder(t *testing.T) {
+	p := swapProblem(12, 0, 2, 1, 12, 3, false)
+	p.Requests[7].Class, p.Requests[4].Class, p.Requests[5].Class = Reserved, Urgent, Urgent
 	r := Plan(p)
 	if w := r.Waves[0]; len(w) != 3 || w[0] != "r007" || w[1] != "r004" || slices.Contains(w, "r005") {
 		t.Errorf("%v", r.Waves)
@@ -243,25 +243,25 @@
 	}
 }
 
-func TestMoreThanTheMostArePlannedInTurn(t *testing.T) {
-	p := swap(Most+50, 0, 3, 2, 500, 2000, false)
-	p.Asks[Most+49].Class = Urgent
+func TestRequestsBeyondMaxPlannedAreDeferred(t *testing.T) {
+	p := swapProblem(MaxPlanned+50, 0, 3, 2, 500, 2000, false)
+	p.Requests[MaxPlanned+49].Class = Urgent
 	r := Plan(p)
-	if r.Rest != 50 || !slices.Contains(r.Waves[0], fmt.Sprintf("r%03d", Most+49)) || float64(len(r.Waves)) > 1.2*float64(r.Bound) {
+	if r.Deferred != 50 || !slices.Contains(r.Waves[0], fmt.Sprintf("r%03d", MaxPlanned+49)) || float64(len(r.Waves)) > 1.2*float64(r.Bound) {
 		t.Errorf("%v", r)
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct{ byZone, most int }{{100, 500}, {5, 20}, {1, 1}} {
-		p := swap(200, 300, 3, 2, c.byZone, c.most, true)
+		p := swapProblem(200, 300, 3, 2, c.byZone, c.most, true)
 		b.Run(fmt.Sprintf("200+300, %d at once", c.most), func(b *testing.B) {
 			for range b.N {
 				Plan(p)
 			}
 		})
 	}
-	p := swap(Most, 0, 3, 2, 500, 2000, false)
+	p := swapProblem(MaxPlanned, 0, 3, 2, 500, 2000, false)
 	b.Run("1000", func(b *testing.B) {
 		for range b.N {
 			Plan(p)
