--- a/internal/fleet/sessionowner/applied.go
+++ b/internal/fleet/sessionowner/applied.go
@@ -6,7 +6,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-// handleApplied looks at all for which the agreed state is waited for, and at what moves.
+// handleApplied takes over a new agreed state and refreshes the sessions that wait for a change of it or are being handed over.
 func (o *Owner) handleApplied(a Applied) {
 	if o.state != nil && (a.LogEpoch < o.logEpoch || a.LogEpoch == o.logEpoch && a.Index < o.index) {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// refreshHandOvers looks at the sessions that are offered or handed, from here and to here.
+// refreshHandOvers refreshes the sessions that are offered or handed, by this co-ordinator and to it.
 func (o *Owner) refreshHandOvers() {
 	o.offersDueAt = 0
 	old := o.pendingOffers
@@ -40,7 +40,7 @@
 		here := r.Owner == o.name
 		switch {
 		case here && s != nil && s.phase != Gone:
-			if !s.inActQueue { // else it was just looked at
+			if !s.inActQueue { // sessions in actQueue have been refreshed already
 				o.refresh(s, r, true)
 			}
 			return true
@@ -62,7 +62,7 @@
 	})
 }
 
-// declineForCapacity declines what is offered to this co-ordinator, or handed, if it has no capacity for it.
+// declineForCapacity declines a session that is offered or handed to this co-ordinator if there is no capacity for it.
 func (o *Owner) declineForCapacity(r session.Record, old []pendingProposal) {
 	due := pendingProposal{fence: r.Fence, dueAt: o.now}
 	for _, p := range old {
@@ -79,7 +79,7 @@
 	o.offersDueAt = o.now + ActRetryInterval
 }
 
-// agreedSince is how long ago an agreed time was, as far as this co-ordinator knows.
+// agreedSince returns how much agreed time has passed since at, as far as this co-ordinator knows.
 func (o *Owner) agreedSince(at time.Duration) time.Duration {
 	return o.agreedTime + o.now - o.agreedAt - at
 }
--- a/internal/fleet/sessionowner/bench_test.go
+++ b/internal/fleet/sessionowner/bench_test.go
@@ -78,7 +78,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	with := heap()
+	heapBefore := heap()
 	q := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour, Replicas: []string{"r1", "r2"}}
 	var in [1]Input
 	var e QueryEnded
@@ -92,9 +92,9 @@
 		r.owner.Step(r.now, in[:])
 	})
 	r.owner = nil
-	each := int(with-heap()) / len(ids)
-	t.Logf("%v allocations a query, %d bytes a session", allocations, each)
-	if allocations > 2 || each >= 400 {
-		t.Errorf("%v allocations a query, %d bytes a session", allocations, each)
+	bytesPerSession := int(heapBefore-heap()) / len(ids)
+	t.Logf("%v allocations a query, %d bytes a session", allocations, bytesPerSession)
+	if allocations > 2 || bytesPerSession >= 400 {
+		t.Errorf("%v allocations a query, %d bytes a session", allocations, bytesPerSession)
 	}
 }
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -18,24 +18,24 @@
 }
 
 // began looks at a query that begins.
-func (e *invariantChecks) checkStart(k *Owner, q *query) {
+func (e *invariantChecks) checkStart(owner *Owner, q *query) {
 	s := q.session
-	if k.now >= k.leaseUntil {
-		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), k.now, k.leaseUntil)
+	if owner.now >= owner.leaseUntil {
+		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), owner.now, owner.leaseUntil)
 	}
-	if r, ok := k.state.Get(s.id); !ok || r.Owner != k.name || r.Epoch != q.epoch || r.Phase > session.Offered {
-		e.fail("S1: query %d of %v began at %v in epoch %d, agreed is %s of %s in %d", q.token, session.ID(s.id), k.now, q.epoch, r.Phase, r.Owner, r.Epoch)
+	if r, ok := owner.state.Get(s.id); !ok || r.Owner != owner.name || r.Epoch != q.epoch || r.Phase > session.Offered {
+		e.fail("S1: query %d of %v began at %v in epoch %d, agreed is %s of %s in %d", q.token, session.ID(s.id), owner.now, q.epoch, r.Phase, r.Owner, r.Epoch)
 	}
 	if s.phase != Active {
 		e.fail("S3: query %d of %v began while it was %s", q.token, session.ID(s.id), s.phase)
 	}
-	for o := s.openQueries.head; o != nil; o = o.next {
+	for other := s.openQueries.head; other != nil; other = other.next {
 		switch {
-		case o == q || o.detached:
-		case o.effect != Idempotent || q.effect != Idempotent:
-			e.fail("S3: query %d (%d) of %v began beside %d (%d)", q.token, q.effect, session.ID(s.id), o.token, o.effect)
-		case o.arrival > q.arrival || o.epoch == q.epoch && o.seq >= q.seq:
-			e.fail("S3: query %d of %v began as %d behind %d as %d", q.token, session.ID(s.id), q.seq, o.token, o.seq)
+		case other == q || other.detached:
+		case other.effect != Idempotent || q.effect != Idempotent:
+			e.fail("S3: query %d (%d) of %v began beside %d (%d)", q.token, q.effect, session.ID(s.id), other.token, other.effect)
+		case other.arrival > q.arrival || other.epoch == q.epoch && other.seq >= q.seq:
+			e.fail("S3: query %d of %v began as %d behind %d as %d", q.token, session.ID(s.id), q.seq, other.token, other.seq)
 		}
 	}
 	for _, r := range s.completed {
@@ -43,25 +43,25 @@
 			e.fail("S3: query %d of %v begins, as %d it ran before: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
-	if k.now >= q.deadline {
-		e.fail("S4: query %d began at %v, its time was over at %v", q.token, k.now, q.deadline)
+	if owner.now >= q.deadline {
+		e.fail("S4: query %d began at %v, its time was over at %v", q.token, owner.now, q.deadline)
 	}
 	for _, name := range q.replicas {
-		if l := k.slots[name]; l.used > l.quota {
+		if l := owner.slots[name]; l.used > l.quota {
 			e.fail("S2: query %d has slot %d of %d at %s", q.token, l.used, l.quota, name)
 		}
 	}
 }
 
 // answered looks at a served answer that is allowed.
-func (e *invariantChecks) checkAnswer(k *Owner, now time.Duration, q *query) {
+func (e *invariantChecks) checkAnswer(owner *Owner, now time.Duration, q *query) {
 	if q.responded {
 		e.fail("S4: query %d has its response and is answered", q.token)
 	}
-	if now >= k.leaseUntil || now >= q.deadline || q.detached {
-		e.fail("S1: query %d is answered at %v, the lease until %v, its time until %v", q.token, now, k.leaseUntil, q.deadline)
+	if now >= owner.leaseUntil || now >= q.deadline || q.detached {
+		e.fail("S1: query %d is answered at %v, the lease until %v, its time until %v", q.token, now, owner.leaseUntil, q.deadline)
 	}
-	if r, _ := k.state.Get(q.session.id); r.Owner != k.name || r.Epoch != q.epoch {
+	if r, _ := owner.state.Get(q.session.id); r.Owner != owner.name || r.Epoch != q.epoch {
 		e.fail("S1: query %d of epoch %d is answered in %d of %s", q.token, q.epoch, r.Epoch, r.Owner)
 	}
 }
@@ -74,13 +74,13 @@
 }
 
 // checkRetry looks at one that ran and whose client is asked to retry.
-func (e *invariantChecks) checkRetry(k *Owner, q *query, after time.Duration, end Outcome) {
+func (e *invariantChecks) checkRetry(owner *Owner, q *query, after time.Duration, end Outcome) {
 	switch {
 	case end == NotRun || q.effect == Idempotent:
 	case q.effect == NonIdempotent:
 		e.fail("S5: query %d is unsafe, may have run, and its client is asked to retry", q.token)
-	case k.now+after >= q.startedAt+q.window:
-		e.fail("S5: query %d is keyed for %v from %v, its client comes again at %v", q.token, q.window, q.startedAt, k.now+after)
+	case owner.now+after >= q.startedAt+q.window:
+		e.fail("S5: query %d is keyed for %v from %v, its client comes again at %v", q.token, q.window, q.startedAt, owner.now+after)
 	}
 }
 
@@ -151,41 +151,41 @@
 	return nil
 }
 
-func (s *sessionEntry) check(k *Owner) error {
+func (s *sessionEntry) check(owner *Owner) error {
 	id := session.ID(s.id)
-	var waits, runs, alone, left int
+	var waiting, running, exclusive, detached int
 	for q := s.waitingQueries.head; q != nil; q = q.next {
-		waits++
+		waiting++
 		if q.next != nil && q.arrival > q.next.arrival {
 			return fmt.Errorf("S3: queries %d and %d of %v wait out of order", q.token, q.next.token, id)
 		}
 	}
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if q.detached {
-			left++
+			detached++
 			continue
 		}
-		runs++
+		running++
 		if q.effect != Idempotent {
-			alone++
+			exclusive++
 		}
 	}
 	switch {
-	case waits != int(s.waitingCount) || runs != int(s.runningCount) || alone != int(s.exclusiveCount) || left != int(s.detachedCount):
-		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waits, runs, alone, left)
-	case s.phase == Frozen && runs > 0:
-		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, runs)
+	case waiting != int(s.waitingCount) || running != int(s.runningCount) || exclusive != int(s.exclusiveCount) || detached != int(s.detachedCount):
+		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
+	case s.phase == Frozen && running > 0:
+		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, running)
 	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
 		return fmt.Errorf("bounds: session %v, at %d, remembers %+v", id, s.seq, s.completed)
-	case waits > k.options.MaxWaiting:
-		return fmt.Errorf("bounds: %d queries of session %v wait", waits, id)
-	case s.idle && (s.phase != Active || waits+runs > 0):
-		return fmt.Errorf("session %v is idle, %s, with %d queries", id, s.phase, waits+runs)
+	case waiting > owner.options.MaxWaiting:
+		return fmt.Errorf("bounds: %d queries of session %v wait", waiting, id)
+	case s.idle && (s.phase != Active || waiting+running > 0):
+		return fmt.Errorf("session %v is idle, %s, with %d queries", id, s.phase, waiting+running)
 	case s.inActQueue != (s.phase != Active && s.phase != Gone):
 		return fmt.Errorf("session %v is %s, and looked after: %t", id, s.phase, s.inActQueue)
-	case s.phase == Active && !s.idle && waits+runs == 0:
+	case s.phase == Active && !s.idle && waiting+running == 0:
 		return fmt.Errorf("session %v is pinned and unused, and not among the idle ones", id)
-	case s.phase == Gone && waits+runs+left == 0:
+	case s.phase == Gone && waiting+running+detached == 0:
 		return fmt.Errorf("session %v is gone and still known", id)
 	}
 	return nil
--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -7,28 +7,29 @@
 	"birchcart/internal/fleet/session"
 )
 
-// What a session remembers of its queries that must not run twice, here and across a move.
+// The functions of this file maintain the record of completed queries that must not run twice, which a hand-over takes along.
 
-// windowSlackDivisor is the part of a keyed query's window, one of so many, that is left out for clocks: 1 % for each of the two
-// that it may be measured by. Twice the part: nothing is gained; half: a clock that is 1 % slow lets a repeat act again.
+// windowSlackDivisor is the fraction of a keyed query's window by which the window is shortened to allow for clock drift: 1 % for
+// each of the two clocks that may measure it. Twice the slack gains nothing; with half of it, a clock that is 1 % slow lets a repeat
+// take effect again.
 const windowSlackDivisor = 50
 
-// alreadyRan says that a query of that id, which may run until due, must not begin: it ran here or at an owner before, or may have, and one of both is
-// unsafe, or both are keyed and the repeat could act again.
+// alreadyRan reports whether a query with that id, which may run until due, must not start because it ran, or may have run, here or
+// at an earlier owner. That holds if either of the two is NonIdempotent, or if both are Keyed and the repeat could take effect again.
 func (s *sessionEntry) alreadyRan(id completed.ID, effect Effect, due time.Duration) bool {
 	e, ok := s.completed.Find(id)
 	return ok && (effect == NonIdempotent || e.Bars(due))
 }
 
-// failDuplicate fails a client's repeat of such a one; nothing of the repeat runs.
+// failDuplicate fails a repeat of a query that must not run twice. Nothing of the repeat runs.
 func (o *Owner) failDuplicate(token uint64) {
 	o.stats.Failed++
 	o.stats.Duplicates++
 	o.out = append(o.out, Fail{token, Duplicate})
 }
 
-// recordCompletion notes the end of a query that is not safe, unless it surely never ran. One of an ownership before this one is not of this
-// session's order any more.
+// recordCompletion records the end of a Keyed or NonIdempotent query, unless it certainly did not run. A query of an earlier ownership
+// is left out, since its sequence number does not belong to the current order.
 func (o *Owner) recordCompletion(q *query, end Outcome) {
 	if q.effect == Idempotent || end == NotRun || q.epoch != q.session.epoch {
 		return
@@ -43,18 +44,19 @@
 	q.session.completed = q.session.completed.Note(e)
 }
 
-// handOverState is what a hand takes along. This co-ordinator knows the agreed time by what it last saw agreed, which is behind, so
-// windows end early at the target, never late.
+// handOverState returns the state that a hand-over takes along. This co-ordinator estimates the agreed time from the last agreed state
+// that it saw, which lags, so windows end early at the target, never late.
 func (o *Owner) handOverState(s *sessionEntry) []byte {
 	return s.completed.Save(s.seq, o.agreedSince(0)-o.now, o.limits.StateMost)
 }
 
-// restoreState takes over what a hand took along. Its windows end by agreed time, of which too little may be known here: until the adoption they
-// are kept by the time since the hand. The adoption is stamped after it was proposed from here, which bounds the agreed time from above.
+// restoreState loads the state that a hand-over took along. Its windows end by agreed time, which this co-ordinator may not know
+// exactly. Until the adoption, window ends are kept relative to the time of the hand-over. The adoption gets its agreed time after this
+// co-ordinator proposed it, so the time of the proposal gives an upper bound for the agreed time.
 func (o *Owner) restoreState(s *sessionEntry, r session.Record) {
-	got, err := completed.Load(r.State, r.Seq, r.Since)
+	entries, err := completed.Load(r.State, r.Seq, r.Since)
 	if s.unreadable = err != nil; s.unreadable {
-		o.log("session %s is declined: %v", session.ID(s.id), err)
+		o.log("session %s declined: %v", session.ID(s.id), err)
 	}
-	s.completed = append(s.completed[:0], got...)
+	s.completed = append(s.completed[:0], entries...)
 }
--- a/internal/fleet/sessionowner/completions_test.go
+++ b/internal/fleet/sessionowner/completions_test.go
@@ -116,9 +116,9 @@
 func TestHandOverStateLimitKeepsNewest(t *testing.T) {
 	a := newClaimedRig(t)
 	b := a.newRigFor("b", Options{}, 3, 1)
-	few := limits
-	few.Revision, few.StateMost = 2, 24
-	a.apply(session.KindLimits, session.LimitsBody{Limits: few})
+	reduced := limits
+	reduced.Revision, reduced.StateMost = 2, 24
+	a.apply(session.KindLimits, session.LimitsBody{Limits: reduced})
 	a.step(a.applied(), QueryEnded{Token: 1, Responded: true})
 	for n, name := range []string{"one", "two", "three"} {
 		a.step(a.newQueryWithID(uint64(n+2), NonIdempotent, name))
@@ -167,10 +167,10 @@
 	a.applyProposed()
 	b.step(b.applied())
 	b.applyActs("b", b.acts...)
-	seen := b.applied()
+	firstState := b.applied()
 	b.now += 7 * sec
 	b.step() // and again
-	b.step(seen, b.newQueryWithID(3, Keyed, "k"))
+	b.step(firstState, b.newQueryWithID(3, Keyed, "k"))
 	b.want(len(b.acts) == 2 && b.owner.Phase(id(1)) == Active && b.failed(3, Duplicate), "the window's end")
 }
 
--- a/internal/fleet/sessionowner/edge_cases_test.go
+++ b/internal/fleet/sessionowner/edge_cases_test.go
@@ -83,7 +83,7 @@
 	r.want(r.owner.Phase(id(1)) == Quiescing, "waits for the unsafe one")
 	r.step(QueryEnded{Token: 2, Outcome: Done})
 	r.want(len(r.acts) == 1 && r.acts[0].Seq == 2 && r.acts[0].Fence != late.Fence, "the hand of this offer")
-	now := r.acts[0]
+	hand := r.acts[0]
 	r.advance(2 * ActRetryInterval)
 	r.want(len(r.acts) == 3, "repeated")
 	r.applyProposed()
@@ -93,7 +93,7 @@
 	r.offer(1, "a")
 	rec, _ = r.book.Get(id(1))
 	r.applyActs("c", session.Act{Kind: session.Hand, ID: id(1), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 7})
-	r.applyActs("a", late, now)
+	r.applyActs("a", late, hand)
 	r.step(r.applied())
 	r.want(r.owner.Phase(id(1)) == Adopting, "comes back")
 	r.applyProposed()
@@ -226,18 +226,18 @@
 func TestTenThousandClientsGetOneResponseEach(t *testing.T) {
 	for _, one := range []bool{true, false} {
 		r := newRig(t, Options{MaxQueries: 4000, MaxSessions: 3000})
-		words := map[uint64]int{}
+		responses := map[uint64]int{}
 		count := func(out []Output) {
 			for _, o := range out {
 				switch o := o.(type) {
 				case Reject:
-					words[o.Token]++
+					responses[o.Token]++
 					if o.RetryAfter <= 0 {
 						t.Fatalf("%+v", o)
 					}
 				case Run:
 					r.owner.MayAnswer(r.now, o.Token)
-					words[o.Token]++
+					responses[o.Token]++
 				}
 			}
 		}
@@ -260,8 +260,8 @@
 		}
 		count(r.advance(sec))
 		for i := range uint64(10_000) {
-			if words[i+1] != 1 {
-				t.Fatalf("query %d got %d words", i+1, words[i+1])
+			if responses[i+1] != 1 {
+				t.Fatalf("query %d got %d words", i+1, responses[i+1])
 			}
 		}
 		if s := r.owner.Stats(); s.Waiting != 0 || len(r.owner.clients) > s.Sessions {
--- a/internal/fleet/sessionowner/owner.go
+++ b/internal/fleet/sessionowner/owner.go
@@ -10,7 +10,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-// Owner is one co-ordinator's. Not for use by several goroutines at once.
+// Owner decides about the sessions and queries of one co-ordinator. It must not be used by several goroutines at once.
 type Owner struct {
 	name    string
 	options Options
@@ -19,34 +19,34 @@
 	out      []Output
 	draining bool
 
-	leaseUntil time.Duration // of the lease, 0 for none
-	active     bool          // the lease was sure when it was last looked at
+	leaseUntil time.Duration // end of the lease, 0 for none
+	active     bool          // the lease was valid when it was last checked
 
 	state      AgreedState
 	index      uint64
 	logEpoch   uint64
-	agreedTime time.Duration // and when that was first seen by the own clock
-	agreedAt   time.Duration
+	agreedTime time.Duration // latest agreed time
+	agreedAt   time.Duration // own time at which agreedTime was first seen
 	limits     session.Limits
 
 	sessions      map[session.ID]*sessionEntry
 	queries       map[uint64]*query
-	runningUnsafe []*query // that run
+	runningUnsafe []*query // running queries that are NonIdempotent
 	clients       map[uint64]clientUsage
 	timers        timerHeap
-	phaseCounts   [Gone + 1]int // sessions in each
-	idle          sessionList   // pinned, nothing open or waiting, by their last use
-	actQueue      sessionList   // with something to be proposed or looked at, by when that is due
+	phaseCounts   [Gone + 1]int // number of sessions in each phase
+	idle          sessionList   // active sessions without open or waiting queries, longest unused first
+	actQueue      sessionList   // sessions that have an act to propose or an agreed change to wait for, by due time
 	waiting       int
 	arrivals      uint64
 
 	slots              map[string]*slot
-	slotList           []*slot           // the same, as they came
-	requestedTransfers []pendingProposal // transfers that wait for a proposal from here
-	pendingOffers      []pendingProposal // offered or handed here, without capacity
-	offersDueAt        time.Duration     // at offers, if there are any
+	slotList           []*slot           // the values of slots, in order of creation
+	requestedTransfers []pendingProposal // transfers of slots from here that wait for a Freed act
+	pendingOffers      []pendingProposal // sessions offered or handed here for which there is no capacity
+	offersDueAt        time.Duration     // next check of pendingOffers, 0 for none
 	sweepAt            time.Duration
-	hasSlots           bool // a slot is held at each of Options.Replicas
+	hasSlots           bool // whether a slot is held at each of Options.Replicas
 
 	freeSessions []*sessionEntry
 	freeQueries  []*query
@@ -57,21 +57,21 @@
 // account is what a client has here.
 type clientUsage struct{ sessions, waits int32 }
 
-// pendingProposal is a number of an agreed thing for which something is proposed, and when that is due again.
+// pendingProposal is the fence of an offer, hand-over or transfer about which an act is proposed, and when the act is next due.
 type pendingProposal struct {
 	fence uint64
 	dueAt time.Duration
 }
 
-// Stats counts what happened here. Held is of now.
+// Stats holds the counters of an Owner. Sessions, Waiting and Open are current values, the others totals.
 type Stats struct {
 	Sessions, Waiting, Open                                                     int
 	Arrived, Ran, Rejected, Cancelled, Failed, Allowed, Withheld                uint64
 	Claimed, Adopted, Offered, Frozen, Handed, RolledBack, Resumed, Ended, Lost uint64
-	Duplicates                                                                  uint64 // of the Failed
+	Duplicates                                                                  uint64 // included in Failed
 }
 
-// New makes an owner of the co-ordinator of that name.
+// New returns an Owner for the co-ordinator of that name.
 func New(name string, o Options) *Owner {
 	return &Owner{
 		name: name, options: o.withDefaults(), sessions: map[session.ID]*sessionEntry{}, queries: map[uint64]*query{},
@@ -79,14 +79,14 @@
 	}
 }
 
-// Stats gives the counts.
+// Stats returns the counters.
 func (o *Owner) Stats() Stats {
 	s := o.stats
 	s.Sessions, s.Waiting, s.Open = len(o.sessions), o.waiting, len(o.queries)-o.waiting
 	return s
 }
 
-// Phase of a session here.
+// Phase returns the phase of a session at this co-ordinator.
 func (o *Owner) Phase(id session.ID) Phase {
 	if s := o.sessions[id]; s != nil {
 		return s.phase
@@ -94,7 +94,7 @@
 	return Unknown
 }
 
-// Idle yields the sessions of which nothing is open or waits, the longest unused first, and since when.
+// Idle yields the sessions without open or waiting queries, longest unused first, with the time of their last use.
 func (o *Owner) Idle(yield func(id session.ID, since time.Duration) bool) {
 	for s := o.idle.head; s != nil; s = s.next {
 		if !yield(s.id, s.lastUsed) {
@@ -103,16 +103,16 @@
 	}
 }
 
-// UnsafeQuery is a session with an open unsafe query, and how long that may be so still.
+// UnsafeQuery is a session with an open NonIdempotent query, and how long the query may still be open.
 type UnsafeQuery struct {
 	ID       session.ID
 	TimeLeft time.Duration
 }
 
-// Unsafe appends the sessions here with an open unsafe query that may be open for longest, most of them: neither can it be ended, nor its
-// session handed before.
+// Unsafe appends up to limit of the sessions with an open NonIdempotent query, those whose query may stay open longest first. Until
+// such a query ends it can't be cancelled, nor its session be handed over.
 func (o *Owner) Unsafe(to []UnsafeQuery, limit int) []UnsafeQuery {
-	first := len(to)
+	start := len(to)
 	for _, q := range o.runningUnsafe {
 		due := q.deadline
 		if q.awaitingReplicas {
@@ -122,15 +122,15 @@
 			to = append(to, UnsafeQuery{q.session.id, due - o.now})
 		}
 	}
-	slices.SortFunc(to[first:], func(a, b UnsafeQuery) int {
+	slices.SortFunc(to[start:], func(a, b UnsafeQuery) int {
 		return cmp.Or(cmp.Compare(b.TimeLeft, a.TimeLeft), bytes.Compare(a.ID[:], b.ID[:]))
 	})
-	return to[:min(len(to), first+limit)]
+	return to[:min(len(to), start+limit)]
 }
 
-// Step takes events at the own monotonic time now and returns what is to be done, in order. A time before the last one counts as
-// the last one. The lease is looked at before anything else, so that after a stall nothing is done upon one that is over, and then
-// what is over by its time. The result holds until the next call.
+// Step handles events at the own monotonic time now and returns the outputs to carry out, in order. A time earlier than that of a
+// previous call is replaced by the previous one. The lease is checked first, so that nothing is done on an expired lease after a
+// stall, and timed-out queries next. The result is valid until the next call.
 func (o *Owner) Step(now time.Duration, in []Input) []Output {
 	clear(o.out)
 	o.out = o.out[:0]
@@ -181,7 +181,7 @@
 
 func (o *Owner) log(format string, a ...any) { o.out = append(o.out, Log{fmt.Sprintf(format, a...)}) }
 
-// mayAct says that this co-ordinator may act now.
+// mayAct reports whether this co-ordinator may act now: it holds a valid lease and has seen an agreed state.
 func (o *Owner) mayAct() bool { return o.now < o.leaseUntil && o.state != nil }
 
 func (o *Owner) handleLease(l Lease) {
@@ -189,12 +189,12 @@
 		o.leaseUntil = 0
 	}
 	o.expireLease()
-	if !o.active && o.mayAct() { // what was agreed meanwhile is not known of each
+	if !o.active && o.mayAct() { // sessions may have changed while there was no lease
 		o.active, o.sweepAt = true, o.now
 	}
 }
 
-// expireLease ends what can't wait for another lease, in the order of arrival, once the one there was is over.
+// expireLease answers all waiting and running queries, in order of arrival, once the lease has expired.
 func (o *Owner) expireLease() {
 	if !o.active || o.mayAct() {
 		return
@@ -209,10 +209,10 @@
 			o.abort(q, NoLease, "")
 		}
 	}
-	o.log("the lease is over: %d queries that waited or ran were answered", len(all))
+	o.log("lease expired: answered %d waiting or running queries", len(all))
 }
 
-// startDraining stops the taking of sessions and hurries those that are offered.
+// startDraining stops taking new sessions and speeds up the hand-over of offered ones.
 func (o *Owner) startDraining() {
 	if o.draining {
 		return
@@ -231,8 +231,9 @@
 	}
 }
 
-// MayAnswer is asked right before a served answer is given: it says whether this co-ordinator may, at that very moment.
-// If so, that is the query's response; if not, its QueryEnded brings another one. now is the own monotonic time.
+// MayAnswer reports whether a served answer may be given to the client at this moment, and must be called right before that.
+// If it may, the answer is the query's response; otherwise the QueryEnded of the query produces another response. now is the own
+// monotonic time.
 func (o *Owner) MayAnswer(now time.Duration, token uint64) bool {
 	q := o.queries[token]
 	if q == nil || !q.running || q.detached || q.responded {
@@ -252,7 +253,7 @@
 	return true
 }
 
-// isOwner says that the agreed state has the session as this co-ordinator's to act for, in that epoch.
+// isOwner reports whether the agreed state names this co-ordinator as the owner of the session in that epoch.
 func (o *Owner) isOwner(s *sessionEntry, epoch uint64) bool {
 	r, ok := o.state.Get(s.id)
 	return ok && r.Owner == o.name && r.Epoch == epoch
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -2,7 +2,7 @@
 
 import "birchcart/internal/fleet/session"
 
-// newSession makes a session known.
+// newSession adds an entry for a session.
 func (o *Owner) newSession(id session.ID) *sessionEntry {
 	var s *sessionEntry
 	if n := len(o.freeSessions); n > 0 {
@@ -16,19 +16,19 @@
 	return s
 }
 
-// setPhase counts the phases.
+// setPhase changes the phase of a session and the counts by phase.
 func (o *Owner) setPhase(s *sessionEntry, p Phase) {
 	o.phaseCounts[s.phase]--
 	o.phaseCounts[p]++
 	s.phase = p
 }
 
-// ownedSessions is how many sessions are here, as this co-ordinator knows.
+// ownedSessions returns the number of sessions that this co-ordinator believes it owns.
 func (o *Owner) ownedSessions() int {
 	return o.phaseCounts[Active] + o.phaseCounts[Quiescing] + o.phaseCounts[Frozen] + o.phaseCounts[Adopting] + o.phaseCounts[Ending]
 }
 
-// startSession starts a session that is Gone by what is agreed of it: free, or here.
+// startSession moves a session out of Gone. By the agreed state, the session has no owner or belongs to this co-ordinator.
 func (o *Owner) startSession(s *sessionEntry, r session.Record, ok bool) {
 	s.epoch, s.lastUsed = r.Epoch, o.now
 	switch {
@@ -37,12 +37,12 @@
 		o.enterPhase(s, Claiming)
 	case r.Phase == session.Handed:
 		o.startAdopting(s, r)
-	default: // of a process before, or of a claim given up: what it began is not known here
+	default: // owned through a previous process or an abandoned claim: which queries started is not known
 		o.enterPhase(s, Ending)
 	}
 }
 
-// startAdopting takes over what a hand carried.
+// startAdopting loads the state of a session that was handed here and proposes to adopt it.
 func (o *Owner) startAdopting(s *sessionEntry, r session.Record) {
 	s.epoch, s.adoptProposed = r.Epoch, false
 	o.restoreState(s, r)
@@ -52,7 +52,7 @@
 	o.enterPhase(s, Adopting)
 }
 
-// enterPhase brings a session into a phase in which something is proposed or waited for.
+// enterPhase moves a session to a phase in which an act is proposed or an agreed change is waited for.
 func (o *Owner) enterPhase(s *sessionEntry, p Phase) {
 	o.unlink(s)
 	o.setPhase(s, p)
@@ -63,7 +63,7 @@
 	}
 }
 
-// unlink takes a session out of the ring that it is in, and out of a slot's queue.
+// unlink removes a session from the list that it is in, and from a slot's queue.
 func (o *Owner) unlink(s *sessionEntry) {
 	o.setIdle(s, false)
 	if s.inActQueue {
@@ -75,7 +75,7 @@
 	}
 }
 
-// setIdle puts a session among the idle ones, or takes it out.
+// setIdle adds a session to the list of idle ones, or removes it.
 func (o *Owner) setIdle(s *sessionEntry, idle bool) {
 	if s.idle == idle {
 		return
@@ -88,7 +88,8 @@
 	o.idle.remove(s)
 }
 
-// continueSession goes on with a session after something of it ended.
+// continueSession does what is due for a session after one of its queries ended: it starts waiting queries, freezes the session or
+// drops it.
 func (o *Owner) continueSession(s *sessionEntry) {
 	switch s.phase {
 	case Active:
@@ -108,7 +109,7 @@
 	}
 }
 
-// remove knows a session no more.
+// dropSession removes a session's entry.
 func (o *Owner) dropSession(s *sessionEntry) {
 	o.unlink(s)
 	delete(o.sessions, s.id)
@@ -121,9 +122,9 @@
 	}
 }
 
-// refresh brings a session to what is agreed of it.
+// refresh updates a session to its agreed record.
 func (o *Owner) refresh(s *sessionEntry, r session.Record, ok bool) {
-	mine := ok && r.Owner == o.name
+	owned := ok && r.Owner == o.name
 	switch s.phase {
 	case Gone:
 		return
@@ -131,10 +132,10 @@
 		switch {
 		case !ok:
 			s.epoch = r.Epoch
-		case mine && r.Phase != session.Handed:
+		case owned && r.Phase != session.Handed:
 			o.stats.Claimed++
 			o.startServing(s, r)
-		case mine:
+		case owned:
 			o.startAdopting(s, r)
 		default:
 			o.loseSession(s, r.Owner)
@@ -144,16 +145,16 @@
 		case !ok:
 			o.stats.Ended++
 			o.loseSession(s, "")
-		case !mine:
+		case !owned:
 			o.loseSession(s, r.Owner)
 		case r.Epoch != s.epoch:
 			o.startSession(s, r, ok)
 		}
 	case Adopting:
 		switch {
-		case !mine:
+		case !owned:
 			o.loseSession(s, r.Owner)
-		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed: // a process before did, and what it began is not known
+		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed: // a previous process adopted it, and which queries that one started is not known
 			o.startSession(s, r, ok)
 		case r.Phase != session.Handed && r.Epoch == s.epoch:
 			o.stats.Adopted++
@@ -163,19 +164,19 @@
 			o.startSession(s, r, ok)
 		}
 	default:
-		o.refreshOwned(s, r, mine)
+		o.refreshOwned(s, r, owned)
 	}
 }
 
-// refreshOwned is look at one that was this co-ordinator's when it was last looked at.
-func (o *Owner) refreshOwned(s *sessionEntry, r session.Record, mine bool) {
+// refreshOwned is refresh for a session that belonged to this co-ordinator at the last refresh.
+func (o *Owner) refreshOwned(s *sessionEntry, r session.Record, owned bool) {
 	switch {
-	case !mine:
+	case !owned:
 		if s.phase == Frozen && r.Owner != "" {
 			o.stats.Handed++
 		}
 		o.loseSession(s, r.Owner)
-	case r.Epoch != s.epoch: // handed and back, or of another life
+	case r.Epoch != s.epoch: // handed away and back, or ended and claimed again
 		o.abortRunning(s, OwnershipLost, "")
 		o.startSession(s, r, true)
 	case r.Phase == session.Pinned && s.phase != Active:
@@ -183,7 +184,7 @@
 		o.serve(s)
 	case r.Phase == session.Offered && s.phase == Active:
 		o.quiesce(s, r)
-	case r.Phase == session.Offered && s.fence != r.Fence: // that offer is over, and there is another
+	case r.Phase == session.Offered && s.fence != r.Fence: // the earlier offer was replaced by a new one
 		s.fence = r.Fence
 		if s.phase == Frozen && o.mayAct() {
 			o.propose(s)
@@ -191,13 +192,13 @@
 	}
 }
 
-// startServing begins to serve a session that was claimed or adopted.
+// startServing starts to serve a session that was claimed or adopted.
 func (o *Owner) startServing(s *sessionEntry, r session.Record) {
 	s.epoch, s.seq, s.lane, s.lastUsed = r.Epoch, r.Seq, r.Lane, o.now
-	o.serve(s) // if it is offered, that is looked at next
+	o.serve(s) // refreshHandOvers follows, and handles an offer that was made already
 }
 
-// serve lets a session be served, at first or again.
+// serve makes a session active, for the first time or after a withdrawn offer.
 func (o *Owner) serve(s *sessionEntry) {
 	o.unlink(s)
 	o.setPhase(s, Active)
@@ -209,7 +210,7 @@
 	o.continueSession(s)
 }
 
-// quiesce begins nothing more of a session that is offered.
+// quiesce stops starting queries of a session that is offered.
 func (o *Owner) quiesce(s *sessionEntry, r session.Record) {
 	o.stats.Offered++
 	s.fence = r.Fence
@@ -228,7 +229,7 @@
 	}
 }
 
-// cancelNow lets what may be cancelled be so at once.
+// cancelNow makes the queries that may be cancelled due at once.
 func (o *Owner) cancelNow(s *sessionEntry) {
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if !q.detached && !q.responded && !q.answerAllowed {
@@ -237,7 +238,7 @@
 	}
 }
 
-// loseSession ends what is here of a session that is another's now, or free.
+// loseSession ends the local state of a session that has another owner now, or none.
 func (o *Owner) loseSession(s *sessionEntry, owner string) {
 	if s.phase != Claiming && s.phase != Ending {
 		o.stats.Lost++
@@ -249,7 +250,7 @@
 		reason = NotOwner
 	}
 	waiting := s.waitingQueries.head != nil
-	if owner == "" && waiting && o.mayAct() && !o.draining { // free again: claimed for those that wait
+	if owner == "" && waiting && o.mayAct() && !o.draining { // no owner again: claim it for the waiting queries
 		r, ok := o.state.Get(s.id)
 		o.abortRunning(s, reason, "")
 		o.startSession(s, r, ok)
@@ -260,7 +261,7 @@
 	o.continueSession(s)
 }
 
-// abortRunning gives its response to each that runs. None of them may have its answer any more.
+// abortRunning gives each running query its response. None of them may be answered after that.
 func (o *Owner) abortRunning(s *sessionEntry, reason Reason, owner string) {
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if !q.detached {
--- a/internal/fleet/sessionowner/proposals.go
+++ b/internal/fleet/sessionowner/proposals.go
@@ -4,7 +4,7 @@
 
 func (o *Owner) emitAct(a session.Act) { o.out = append(o.out, Propose{a}) }
 
-// propose puts the act of a session's phase out.
+// propose emits the act that belongs to the session's phase.
 func (o *Owner) propose(s *sessionEntry) {
 	switch s.phase {
 	case Claiming:
@@ -36,7 +36,7 @@
 	}
 }
 
-// repeatActs proposes again what is due.
+// repeatActs proposes the acts that are due again.
 func (o *Owner) repeatActs() {
 	for n := 0; n < MaxActsPerStep && o.actQueue.head != nil && o.actQueue.head.actDueAt <= o.now; n++ {
 		s := o.actQueue.head
@@ -54,7 +54,7 @@
 	}
 }
 
-// endIdleSessions ends the sessions that had no query for long.
+// endIdleSessions ends the sessions that had no query for the idle limit.
 func (o *Owner) endIdleSessions() {
 	for n := 0; n < MaxActsPerStep && o.limits.IdleFor > 0; n++ {
 		s := o.idle.head
@@ -65,8 +65,8 @@
 	}
 }
 
-// reconcile looks at all, if as many sessions are not known as are agreed to be here: it forgets those that are not, and ends
-// those that nobody here knows.
+// reconcile compares all sessions with the agreed state if their number differs from the number agreed to be here. It drops the
+// sessions that are not agreed to be here, and ends those that are agreed but not known.
 func (o *Owner) reconcile() {
 	if o.sweepAt > o.now {
 		return
@@ -84,7 +84,7 @@
 		s = next
 	}
 	for _, q := range o.byArrival() {
-		if s := q.session; s != nil { // else an earlier refresh has answered it
+		if s := q.session; s != nil { // nil if an earlier refresh has answered the query
 			r, ok := o.state.Get(s.id)
 			o.refresh(s, r, ok)
 		}
--- a/internal/fleet/sessionowner/queries.go
+++ b/internal/fleet/sessionowner/queries.go
@@ -73,8 +73,8 @@
 // waitOrReject lets a query wait that could not begin, for its part of its client's time, if there is capacity for that.
 func (o *Owner) waitOrReject(q *query) {
 	s := q.session
-	mine := o.clients[q.client]
-	if int(s.waitingCount) > o.options.MaxWaiting || o.waiting+int(mine.waits) >= o.options.MaxQueries {
+	usage := o.clients[q.client]
+	if int(s.waitingCount) > o.options.MaxWaiting || o.waiting+int(usage.waits) >= o.options.MaxQueries {
 		o.dequeue(q, false)
 		o.checkResponse(q)
 		o.reject(q.token, Overloaded, RetryAfterOverload, "")
@@ -82,8 +82,8 @@
 		o.releaseUnused(s)
 		return
 	}
-	mine.waits++
-	o.clients[q.client] = mine
+	usage.waits++
+	o.clients[q.client] = usage
 	o.waiting++
 	o.timers.schedule(q, o.now+(q.deadline-o.now)/MaxWaitDivisor)
 }
@@ -165,8 +165,8 @@
 		if q.effect != Idempotent && s.runningCount > 0 || s.exclusiveCount > 0 || s.runningCount > 0 && int(s.runningCount) >= o.limits.Slots {
 			return
 		}
-		if lacks := o.reserveSlots(q, woken); lacks != nil {
-			lacks.enqueue(s)
+		if fullSlot := o.reserveSlots(q, woken); fullSlot != nil {
+			fullSlot.enqueue(s)
 			return
 		}
 		woken = nil
--- a/internal/fleet/sessionowner/queue.go
+++ b/internal/fleet/sessionowner/queue.go
@@ -75,12 +75,12 @@
 func (h timerHeap) up(i int) {
 	q := h[i]
 	for i > 0 {
-		over := (i - 1) / 2
-		if !earlier(q, h[over]) {
+		parent := (i - 1) / 2
+		if !earlier(q, h[parent]) {
 			break
 		}
-		h.place(i, h[over])
-		i = over
+		h.place(i, h[parent])
+		i = parent
 	}
 	h.place(i, q)
 }
@@ -88,18 +88,18 @@
 func (h timerHeap) down(i int) {
 	q := h[i]
 	for {
-		c := 2*i + 1
-		if c >= len(h) {
+		child := 2*i + 1
+		if child >= len(h) {
 			break
 		}
-		if c+1 < len(h) && earlier(h[c+1], h[c]) {
-			c++
+		if child+1 < len(h) && earlier(h[child+1], h[child]) {
+			child++
 		}
-		if !earlier(h[c], q) {
+		if !earlier(h[child], q) {
 			break
 		}
-		h.place(i, h[c])
-		i = c
+		h.place(i, h[child])
+		i = child
 	}
 	h.place(i, q)
 }
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -74,17 +74,17 @@
 }
 
 // any draws one of those that fit, or nil.
-func (p *simulation) pickQuery(fit func(*modelQuery) bool) *modelQuery {
-	var some []*modelQuery
+func (p *simulation) any(matches func(*modelQuery) bool) *modelQuery {
+	var candidates []*modelQuery
 	for _, q := range p.queries {
-		if fit(q) {
-			some = append(some, q)
+		if matches(q) {
+			candidates = append(candidates, q)
 		}
 	}
-	if len(some) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return some[p.draw(len(some))]
+	return candidates[p.draw(len(candidates))]
 }
 
 func (p *simulation) arrive() {
@@ -138,21 +138,21 @@
 func (p *simulation) changeAgreedState() {
 	n := p.draw(sessionCount)
 	rec, owned := p.book.Get(id(n))
-	switch k := p.draw(9); {
-	case k == 0 && !owned:
+	switch choice := p.draw(9); {
+	case choice == 0 && !owned:
 		p.applyActs("b", session.Act{Kind: session.Claim, ID: id(n), Epoch: rec.Epoch})
-	case k < 4 && rec.Phase == session.Pinned:
+	case choice < 4 && rec.Phase == session.Pinned:
 		to := map[string]string{"a": "b", "b": "a"}[rec.Owner]
 		p.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
-	case k < 6 && rec.Phase == session.Offered && rec.Owner == "b":
+	case choice < 6 && rec.Phase == session.Offered && rec.Owner == "b":
 		p.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
-	case k == 4 && rec.Phase == session.Offered:
+	case choice == 4 && rec.Phase == session.Offered:
 		p.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
-	case k < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
+	case choice < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
 		p.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
-	case k == 7:
+	case choice == 7:
 		p.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
-	case k == 8:
+	case choice == 8:
 		to := []string{"a", "b"}[p.draw(2)]
 		p.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
 		for _, t := range p.book.Pool().Asked("b") {
@@ -163,29 +163,29 @@
 
 // move is one random event.
 func (p *simulation) randomEvent() {
-	switch k := p.draw(20); {
-	case k < 6:
+	switch choice := p.draw(20); {
+	case choice < 6:
 		p.arrive()
-	case k < 10:
-		p.endQuery(p.pickQuery(func(q *modelQuery) bool { return q.started && !q.ended }))
-	case k == 10:
-		if q := p.pickQuery(func(q *modelQuery) bool { return !q.ended && q.responses == 0 }); q != nil {
+	case choice < 10:
+		p.endQuery(p.any(func(q *modelQuery) bool { return q.started && !q.ended }))
+	case choice == 10:
+		if q := p.any(func(q *modelQuery) bool { return !q.ended && q.responses == 0 }); q != nil {
 			p.abandoned = append(p.abandoned, q)
 			p.inputs = append(p.inputs, ClientGone{q.Token})
 		}
-	case k < 13:
+	case choice < 13:
 		p.changeAgreedState()
-	case k < 15 && len(p.acts) > 0: // what was proposed, some of it, in some order, some again
+	case choice < 15 && len(p.acts) > 0: // what was proposed, some of it, in some order, some again
 		i := p.draw(len(p.acts))
 		p.applyActs("a", p.acts[i])
 		if p.draw(3) > 0 {
 			p.acts = slices.Delete(p.acts, i, i+1)
 		}
-	case k == 15 && len(p.pastActs) > 0:
+	case choice == 15 && len(p.pastActs) > 0:
 		p.applyActs("a", p.pastActs[p.draw(len(p.pastActs))])
-	case k < 18:
+	case choice < 18:
 		p.renewLease()
-	case k == 18:
+	case choice == 18:
 		p.deliverState()
 	case p.now >= p.leaseUntil: // the lease has ended, and what was out with it
 		for _, q := range p.queries {
@@ -223,14 +223,14 @@
 		}
 	}
 	for _, replica := range []string{"r1", "r2"} {
-		may := p.book.Pool().Held("a", replica)
+		allowed := p.book.Pool().Held("a", replica)
 		for _, t := range p.book.Pool().Asked("a") {
 			if t.Replica == replica {
-				may += t.N
+				allowed += t.N
 			}
 		}
-		if n := p.inUse(replica); n > may {
-			p.fail("S2: %d slots in use at %s, of %d", n, replica, may)
+		if n := p.inUse(replica); n > allowed {
+			p.fail("S2: %d slots in use at %s, of %d", n, replica, allowed)
 		}
 	}
 }
@@ -249,7 +249,7 @@
 func (p *simulation) checkOutput(o Output) {
 	p.t.Helper()
 	var q *modelQuery
-	back := func(token uint64, after time.Duration) {
+	checkRetry := func(token uint64, after time.Duration) {
 		q = p.queries[token-1]
 		q.responses++
 		if q.started && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && p.now+after >= q.startedAt+q.Window) {
@@ -260,9 +260,9 @@
 	case Run:
 		p.checkRun(p.queries[o.Token-1], o.Seq)
 	case Reject:
-		back(o.Token, o.RetryAfter)
+		checkRetry(o.Token, o.RetryAfter)
 	case Cancel:
-		back(o.Token, o.RetryAfter)
+		checkRetry(o.Token, o.RetryAfter)
 		if !q.started {
 			p.fail("%+v is recalled", *q)
 		}
@@ -301,7 +301,7 @@
 	rec, _ := p.localCopy.Get(q.Session)
 	q.started, q.atReplica, q.startedAt, q.epoch, q.seq = true, true, p.now, rec.Epoch, seq
 	p.checkOwnership(q.sessionNumber, rec.Epoch, "begins")
-	beside := 0
+	openCount := 0
 	for _, o := range p.queries {
 		switch {
 		case o.barsRepeat(q) && o.epoch == q.epoch && (o.Effect == NonIdempotent || q.Effect == NonIdempotent || q.Deadline > o.startedAt+o.Window):
@@ -310,7 +310,7 @@
 		case o.open(p.now) && (o.Effect != Idempotent || q.Effect != Idempotent):
 			p.fail("S3: %+v begins beside %+v", *q, *o)
 		case o.open(p.now):
-			beside++
+			openCount++
 		case !o.started && o.responses == 0 && o.Token < q.Token && !slices.Contains(p.abandoned, o):
 			p.fail("S3: %+v begins before %+v", *q, *o)
 		}
@@ -320,8 +320,8 @@
 	if !known {
 		last = rec.Seq
 	}
-	if p.lastSeq[epoch] = seq; seq != last+1 || beside >= limits.Slots || q.responses > 0 || p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor {
-		p.fail("S3: %+v begins, %d was the last, beside %d", *q, last, beside)
+	if p.lastSeq[epoch] = seq; seq != last+1 || openCount >= limits.Slots || q.responses > 0 || p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor {
+		p.fail("S3: %+v begins, %d was the last, beside %d", *q, last, openCount)
 	}
 }
 
@@ -371,7 +371,7 @@
 	}
 	var sum Stats
 	for seed := range uint64(seeds) {
-		var twice [2]uint64
+		var hashes [2]uint64
 		for i, procs := range []int{1, 4} {
 			before := runtime.GOMAXPROCS(procs)
 			r := rand.New(rand.NewPCG(seed, 1))
@@ -380,12 +380,12 @@
 			runtime.GOMAXPROCS(before)
 			h := fnv.New64()
 			h.Write(p.history)
-			twice[i] = h.Sum64()
+			hashes[i] = h.Sum64()
 			s := p.owner.Stats()
 			sum.Ran, sum.Cancelled, sum.Failed, sum.Withheld = sum.Ran+s.Ran, sum.Cancelled+s.Cancelled, sum.Failed+s.Failed, sum.Withheld+s.Withheld
 			sum.Handed, sum.Adopted, sum.RolledBack, sum.Resumed = sum.Handed+s.Handed, sum.Adopted+s.Adopted, sum.RolledBack+s.RolledBack, sum.Resumed+s.Resumed
 		}
-		if twice[0] != twice[1] {
+		if hashes[0] != hashes[1] {
 			t.Fatalf("seed %d: two histories of the same news", seed)
 		}
 	}
--- a/internal/fleet/sessionowner/slots.go
+++ b/internal/fleet/sessionowner/slots.go
@@ -121,11 +121,11 @@
 	old := o.requestedTransfers
 	o.requestedTransfers = nil
 	for _, t := range p.Asked(o.name) {
-		w := pendingProposal{fence: t.Fence}
-		if i := slices.IndexFunc(old, func(o pendingProposal) bool { return o.fence == t.Fence }); i >= 0 {
-			w = old[i]
+		proposal := pendingProposal{fence: t.Fence}
+		if i := slices.IndexFunc(old, func(previous pendingProposal) bool { return previous.fence == t.Fence }); i >= 0 {
+			proposal = old[i]
 		}
-		o.requestedTransfers = append(o.requestedTransfers, w)
+		o.requestedTransfers = append(o.requestedTransfers, proposal)
 	}
 	for _, l := range o.slotList {
 		l.quota = p.Held(o.name, l.name)
@@ -152,16 +152,16 @@
 }
 
 // proposeFreed says that a transfer leaves no more in use here than may be, once that is so.
-func (o *Owner) proposeFreed(w *pendingProposal) {
-	t, ok := o.state.Pool().Transfer(w.fence)
+func (o *Owner) proposeFreed(proposal *pendingProposal) {
+	t, ok := o.state.Pool().Transfer(proposal.fence)
 	if !ok || !o.mayAct() {
 		return
 	}
 	if l := o.slots[t.Replica]; l != nil && l.used > l.quota {
 		return
 	}
-	w.dueAt = o.now + ActRetryInterval
-	o.emitAct(session.Act{Kind: session.Freed, Fence: w.fence})
+	proposal.dueAt = o.now + ActRetryInterval
+	o.emitAct(session.Act{Kind: session.Freed, Fence: proposal.fence})
 }
 
 // trimSlots forgets the replicas of which nothing is held, in use or waited for.
