--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -8,7 +8,8 @@
 	"birchcart/internal/fleet/session"
 )
 
-// evidence is kept at the places where something goes out, from the plain facts and not from what was decided upon.
+// invariantChecks checks each output when it is emitted, against the basic state and not against the conditions that led to the
+// output. It keeps the first violation.
 type invariantChecks struct{ violation error }
 
 func (e *invariantChecks) fail(format string, a ...any) {
@@ -17,56 +18,56 @@
 	}
 }
 
-// began looks at a query that begins.
+// checkStart checks a query that starts.
 func (e *invariantChecks) checkStart(owner *Owner, q *query) {
 	s := q.session
 	if owner.now >= owner.leaseUntil {
-		e.fail("S1: query %d of %v began at %v, the lease until %v", q.token, session.ID(s.id), owner.now, owner.leaseUntil)
+		e.fail("S1: query %d of session %v started at %v, the lease ended at %v", q.token, session.ID(s.id), owner.now, owner.leaseUntil)
 	}
 	if r, ok := owner.state.Get(s.id); !ok || r.Owner != owner.name || r.Epoch != q.epoch || r.Phase > session.Offered {
-		e.fail("S1: query %d of %v began at %v in epoch %d, agreed is %s of %s in %d", q.token, session.ID(s.id), owner.now, q.epoch, r.Phase, r.Owner, r.Epoch)
+		e.fail("S1: query %d of session %v started at %v in epoch %d, the agreed state is %s, owner %s, epoch %d", q.token, session.ID(s.id), owner.now, q.epoch, r.Phase, r.Owner, r.Epoch)
 	}
 	if s.phase != Active {
-		e.fail("S3: query %d of %v began while it was %s", q.token, session.ID(s.id), s.phase)
+		e.fail("S3: query %d of session %v started while the session was %s", q.token, session.ID(s.id), s.phase)
 	}
 	for other := s.openQueries.head; other != nil; other = other.next {
 		switch {
 		case other == q || other.detached:
 		case other.effect != Idempotent || q.effect != Idempotent:
-			e.fail("S3: query %d (%d) of %v began beside %d (%d)", q.token, q.effect, session.ID(s.id), other.token, other.effect)
+			e.fail("S3: query %d (effect %d) of session %v started while query %d (effect %d) was open", q.token, q.effect, session.ID(s.id), other.token, other.effect)
 		case other.arrival > q.arrival || other.epoch == q.epoch && other.seq >= q.seq:
-			e.fail("S3: query %d of %v began as %d behind %d as %d", q.token, session.ID(s.id), q.seq, other.token, other.seq)
+			e.fail("S3: query %d of session %v started with sequence number %d after query %d with %d", q.token, session.ID(s.id), q.seq, other.token, other.seq)
 		}
 	}
 	for _, r := range s.completed {
 		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.Until() < q.deadline) {
-			e.fail("S3: query %d of %v begins, as %d it ran before: %+v", q.token, session.ID(s.id), r.Seq, r)
+			e.fail("S3: query %d of session %v started, it ran before with sequence number %d: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
 	if owner.now >= q.deadline {
-		e.fail("S4: query %d began at %v, its time was over at %v", q.token, owner.now, q.deadline)
+		e.fail("S4: query %d started at %v, its deadline was %v", q.token, owner.now, q.deadline)
 	}
 	for _, name := range q.replicas {
 		if l := owner.slots[name]; l.used > l.quota {
-			e.fail("S2: query %d has slot %d of %d at %s", q.token, l.used, l.quota, name)
+			e.fail("S2: query %d uses slot %d of %d at %s", q.token, l.used, l.quota, name)
 		}
 	}
 }
 
-// answered looks at a served answer that is allowed.
+// checkAnswer checks a served answer that is allowed.
 func (e *invariantChecks) checkAnswer(owner *Owner, now time.Duration, q *query) {
 	if q.responded {
-		e.fail("S4: query %d has its response and is answered", q.token)
+		e.fail("S4: query %d is answered after another response", q.token)
 	}
 	if now >= owner.leaseUntil || now >= q.deadline || q.detached {
-		e.fail("S1: query %d is answered at %v, the lease until %v, its time until %v", q.token, now, owner.leaseUntil, q.deadline)
+		e.fail("S1: query %d is answered at %v, the lease ends at %v, its deadline is %v", q.token, now, owner.leaseUntil, q.deadline)
 	}
 	if r, _ := owner.state.Get(q.session.id); r.Owner != owner.name || r.Epoch != q.epoch {
-		e.fail("S1: query %d of epoch %d is answered in %d of %s", q.token, q.epoch, r.Epoch, r.Owner)
+		e.fail("S1: query %d of epoch %d is answered in epoch %d of owner %s", q.token, q.epoch, r.Epoch, r.Owner)
 	}
 }
 
-// responded looks at a Reject, Cancel or Fail of a query that was known.
+// checkResponse checks a Reject, Cancel or Fail of a query that has an entry.
 func (e *invariantChecks) checkResponse(q *query) {
 	if q.responded || q.answerAllowed {
 		e.fail("S4: query %d gets a second response", q.token)
@@ -78,9 +79,9 @@
 	switch {
 	case end == NotRun || q.effect == Idempotent:
 	case q.effect == NonIdempotent:
-		e.fail("S5: query %d is unsafe, may have run, and its client is asked to retry", q.token)
+		e.fail("S5: query %d is not idempotent and may have run, and its client is asked to retry", q.token)
 	case owner.now+after >= q.startedAt+q.window:
-		e.fail("S5: query %d is keyed for %v from %v, its client comes again at %v", q.token, q.window, q.startedAt, owner.now+after)
+		e.fail("S5: query %d is keyed for %v from %v, its client retries at %v", q.token, q.window, q.startedAt, owner.now+after)
 	}
 }
 
@@ -88,15 +89,21 @@
 func (e *invariantChecks) checkHandOver(s *sessionEntry) {
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if !q.detached {
-			e.fail("S3: session %v is handed while query %d is open", session.ID(s.id), q.token)
+			e.fail("S3: session %v is handed over while query %d is open", session.ID(s.id), q.token)
 		}
 	}
 }
 
-// Check names what does not hold, or ever did not, at this co-ordinator: S1 it acts for a session that is its own by what is agreed, with a sure
-// lease; S2 no more slots are in use than it may, but for those that a shift took from under running queries; S3 queries of a session begin in order,
-// one that is not safe alone, none while it is not pinned, and nothing is open when it is handed; S4 each query gets one response, one that waits
-// within its share, none begins behind its time; S5 only what is harmless is asked to retry. And what is bounded is within its bound.
+// Check returns an error if an invariant does not hold at this co-ordinator, or was violated at any earlier time:
+//
+//   - S1: it acts only for sessions that it owns by the agreed state, and with a valid lease.
+//   - S2: no more slots are in use than its quota, except slots that a shift withdrew while queries were using them.
+//   - S3: queries of a session start in order, a Keyed or NonIdempotent one runs alone, none starts while the session is not Active,
+//     and none is open when the session is handed over.
+//   - S4: each query gets one response; a waiting one gets it within its share of the time; none starts after its deadline.
+//   - S5: a client is asked to retry only if a repeat is safe.
+//
+// It also checks that the counts are right and within their limits.
 func (o *Owner) Check() error {
 	if o.invariants.violation != nil {
 		return o.invariants.violation
@@ -109,13 +116,13 @@
 	for token, q := range o.queries {
 		switch {
 		case !q.running && (q.heapIndex < 0 || q.timerAt > q.deadline):
-			return fmt.Errorf("S4: query %d waits without an end", token)
+			return fmt.Errorf("S4: query %d waits without a timer before its deadline", token)
 		case !q.running:
 			waits++
 			continue
-		case q.heapIndex < 0 && q.effect != Idempotent && o.now >= q.deadline: // its QueryEnded is waited for
+		case q.heapIndex < 0 && q.effect != Idempotent && o.now >= q.deadline: // waits for its QueryEnded
 		case !q.detached && (q.heapIndex < 0 || q.timerAt > q.deadline && !q.awaitingReplicas):
-			return fmt.Errorf("S4: query %d runs without an end", token)
+			return fmt.Errorf("S4: query %d runs without a timer before its deadline", token)
 		}
 		for _, name := range q.replicas {
 			used[name]++
@@ -123,15 +130,15 @@
 	}
 	for _, l := range o.slotList {
 		if l.used != used[l.name] {
-			return fmt.Errorf("S2: %d slots at %s are counted, %d are in use", l.used, l.name, used[l.name])
+			return fmt.Errorf("S2: %d slots are counted at %s, %d are in use", l.used, l.name, used[l.name])
 		}
 		delete(used, l.name)
 	}
 	if len(used) > 0 {
-		return fmt.Errorf("S2: slots are in use and not counted: %v", used)
+		return fmt.Errorf("S2: slots are in use but not counted: %v", used)
 	}
 	if waits != o.waiting || len(o.queries) > o.options.MaxQueries || len(o.sessions) > o.options.MaxSessions {
-		return fmt.Errorf("bounds: %d wait (%d counted), %d queries, %d sessions", waits, o.waiting, len(o.queries), len(o.sessions))
+		return fmt.Errorf("bounds: %d queries wait (%d counted), %d queries, %d sessions", waits, o.waiting, len(o.queries), len(o.sessions))
 	}
 	var phases [Gone + 1]int
 	for _, s := range o.sessions {
@@ -142,11 +149,11 @@
 	}
 	for i, q := range o.runningUnsafe {
 		if q.unsafeIndex != i || o.queries[q.token] != q || !q.running || q.effect != NonIdempotent {
-			return fmt.Errorf("unsafe: query %d stands at %d as open", q.token, i)
+			return fmt.Errorf("unsafe: query %d is wrongly listed as running at index %d", q.token, i)
 		}
 	}
 	if phases != o.phaseCounts {
-		return fmt.Errorf("bounds: sessions by phase are %v, counted %v", phases, o.phaseCounts)
+		return fmt.Errorf("bounds: sessions by phase are %v, the counts are %v", phases, o.phaseCounts)
 	}
 	return nil
 }
@@ -157,7 +164,7 @@
 	for q := s.waitingQueries.head; q != nil; q = q.next {
 		waiting++
 		if q.next != nil && q.arrival > q.next.arrival {
-			return fmt.Errorf("S3: queries %d and %d of %v wait out of order", q.token, q.next.token, id)
+			return fmt.Errorf("S3: queries %d and %d of session %v wait out of order", q.token, q.next.token, id)
 		}
 	}
 	for q := s.openQueries.head; q != nil; q = q.next {
@@ -172,21 +179,21 @@
 	}
 	switch {
 	case waiting != int(s.waitingCount) || running != int(s.runningCount) || exclusive != int(s.exclusiveCount) || detached != int(s.detachedCount):
-		return fmt.Errorf("S3: session %v counts %d, %d, %d, %d, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
+		return fmt.Errorf("S3: session %v counts %d waiting, %d running, %d exclusive, %d detached queries, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
 	case s.phase == Frozen && running > 0:
 		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, running)
 	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
-		return fmt.Errorf("bounds: session %v, at %d, remembers %+v", id, s.seq, s.completed)
+		return fmt.Errorf("bounds: session %v with sequence number %d has an invalid record of completed queries: %+v", id, s.seq, s.completed)
 	case waiting > owner.options.MaxWaiting:
-		return fmt.Errorf("bounds: %d queries of session %v wait", waiting, id)
+		return fmt.Errorf("bounds: %d queries of session %v wait, more than allowed", waiting, id)
 	case s.idle && (s.phase != Active || waiting+running > 0):
-		return fmt.Errorf("session %v is idle, %s, with %d queries", id, s.phase, waiting+running)
+		return fmt.Errorf("session %v is listed as idle in phase %s with %d queries", id, s.phase, waiting+running)
 	case s.inActQueue != (s.phase != Active && s.phase != Gone):
-		return fmt.Errorf("session %v is %s, and looked after: %t", id, s.phase, s.inActQueue)
+		return fmt.Errorf("session %v is %s, and in the act queue: %t", id, s.phase, s.inActQueue)
 	case s.phase == Active && !s.idle && waiting+running == 0:
-		return fmt.Errorf("session %v is pinned and unused, and not among the idle ones", id)
+		return fmt.Errorf("session %v is pinned without queries, and not listed as idle", id)
 	case s.phase == Gone && waiting+running+detached == 0:
-		return fmt.Errorf("session %v is gone and still known", id)
+		return fmt.Errorf("session %v is gone without queries, and still has an entry", id)
 	}
 	return nil
 }
--- a/internal/fleet/sessionowner/owner.go
+++ b/internal/fleet/sessionowner/owner.go
@@ -54,7 +54,7 @@
 	invariants   invariantChecks
 }
 
-// account is what a client has here.
+// clientUsage counts the sessions and waiting queries of a client.
 type clientUsage struct{ sessions, waits int32 }
 
 // pendingProposal is the fence of an offer, hand-over or transfer about which an act is proposed, and when the act is next due.
--- a/internal/fleet/sessionowner/queries.go
+++ b/internal/fleet/sessionowner/queries.go
@@ -7,10 +7,10 @@
 	"birchcart/internal/fleet/session"
 )
 
-// handleArrival begins a query, lets it wait or rejects it, at once.
+// handleArrival starts a query, queues it or rejects it.
 func (o *Owner) handleArrival(a *Arrived) {
 	if o.queries[a.Token] != nil {
-		o.log("query %d came twice: the second counts for nothing", a.Token)
+		o.log("query %d arrived twice: ignored the second arrival", a.Token)
 		return
 	}
 	o.stats.Arrived++
@@ -38,7 +38,7 @@
 	s.waitingQueries.add(q)
 	s.waitingCount++
 	o.startWaiting(s, nil)
-	if o.queries[a.Token] != q { // it has its response
+	if o.queries[a.Token] != q { // it has had its response
 		o.continueSession(s)
 		return
 	}
@@ -47,14 +47,14 @@
 	}
 }
 
-// admitToSession finds or opens the session of a query that arrived. Where the query may not come into it, it is answered and
-// the result is nil.
+// admitToSession finds or opens the session of a query that arrived. If the query is not admitted to the session, it gets its response
+// and the result is nil.
 func (o *Owner) admitToSession(a *Arrived) *sessionEntry {
 	r, ok := o.state.Get(a.Session)
 	s := o.sessions[a.Session]
 	if s != nil {
 		o.refresh(s, r, ok)
-		s = o.sessions[a.Session] // it may be known no more
+		s = o.sessions[a.Session] // refresh may have dropped it
 	}
 	if s != nil && a.Effect != Idempotent && (s.phase == Active || s.phase == Quiescing || s.phase == Frozen) && s.alreadyRan(a.ID, a.Effect, a.Deadline) {
 		o.failDuplicate(a.Token)
@@ -70,7 +70,7 @@
 	return o.openSession(s, a, r, ok)
 }
 
-// waitOrReject lets a query wait that could not begin, for its part of its client's time, if there is capacity for that.
+// waitOrReject lets a query that could not start wait, for its share of the client's time, if there is capacity for that.
 func (o *Owner) waitOrReject(q *query) {
 	s := q.session
 	usage := o.clients[q.client]
@@ -88,7 +88,7 @@
 	o.timers.schedule(q, o.now+(q.deadline-o.now)/MaxWaitDivisor)
 }
 
-// openSession makes a session known that is free, or agreed to be here and of before.
+// openSession opens a session that has no owner, or that is agreed to be here but has no active entry.
 func (o *Owner) openSession(s *sessionEntry, a *Arrived, r session.Record, ok bool) *sessionEntry {
 	switch {
 	case o.draining && !ok:
@@ -109,7 +109,7 @@
 	return s
 }
 
-// releaseUnused lets go of a claim that was opened for a query which then found no capacity.
+// releaseUnused lets an active session continue after one of its queries found no capacity.
 func (o *Owner) releaseUnused(s *sessionEntry) {
 	if s.phase == Active {
 		o.continueSession(s)
@@ -131,7 +131,7 @@
 	return q
 }
 
-// maxFreeEntries queries and sessions are kept for their next use.
+// maxFreeEntries limits the query objects, and the session objects, that are kept for reuse.
 const maxFreeEntries = 4096
 
 func (o *Owner) dropQuery(q *query) {
@@ -142,12 +142,12 @@
 	}
 }
 
-// startWaiting runs what may run of those that wait, in their order. woken is the slot whose turn it is, nil for none. What is
-// agreed, and the lease, were looked at by the caller.
+// startWaiting starts the waiting queries that may run, in order. If the session was woken because a slot became free, woken is that
+// slot, else nil. The caller has checked the agreed state and the lease.
 func (o *Owner) startWaiting(s *sessionEntry, woken *slot) {
 	for s.phase == Active && s.blockedAt == nil && s.waitingQueries.head != nil {
 		q := s.waitingQueries.head
-		if q.heapIndex >= 0 && q.timerAt <= o.now { // its share is over, and it was not its turn to be answered yet
+		if q.heapIndex >= 0 && q.timerAt <= o.now { // its time to wait is over, and expireQueries has not reached it yet
 			o.rejectWaiting(q, WaitTimeout, RetryAfterWait, "")
 			continue
 		}
@@ -189,24 +189,24 @@
 	}
 }
 
-// mayOutliveLease says that a part of the query could still run at a replica when others may act for its session: they may from the end
-// of the lease and Grace on, the frames carry the client's time, and this process may be gone by then, or cut off, so that
-// nobody takes its parts back. Of a safe one only the answer would count, and it is not given.
+// mayOutliveLease reports whether a part of the query could still run at a replica when another co-ordinator may act for the session,
+// which it may once the lease and Grace have passed. Frames carry the client's deadline, and this process may have crashed or be cut
+// off by then, so that nothing cancels the parts. For an Idempotent query only the answer would matter, and it is not given.
 func (o *Owner) mayOutliveLease(q *query) bool {
 	return q.effect != Idempotent && q.deadline > o.leaseUntil+o.limits.Grace
 }
 
-// startIfOwned is begin after a look at what is agreed.
+// startIfOwned calls startWaiting if the lease is valid and the agreed state still names this co-ordinator as the owner.
 func (o *Owner) startIfOwned(s *sessionEntry, woken *slot) {
 	if s.phase == Active && s.waitingQueries.head != nil && o.mayAct() && o.isOwner(s, s.epoch) {
 		o.startWaiting(s, woken)
-		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 { // none of them could begin
+		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 { // all of them were rejected
 			o.setIdle(s, true)
 		}
 	}
 }
 
-// dequeue takes a query out of those that wait; counted says that its waiting was counted.
+// dequeue removes a query from the waiting ones. counted says whether the query was included in the counts of waiting queries.
 func (o *Owner) dequeue(q *query, counted bool) {
 	s := q.session
 	if s.waitingQueries.head == q && s.blockedAt != nil {
@@ -232,7 +232,7 @@
 	o.clients[client] = c
 }
 
-// handleEnd is the end of one that ran.
+// handleEnd handles the end of a query.
 func (o *Owner) handleEnd(e *QueryEnded) {
 	q := o.queries[e.Token]
 	if q == nil {
@@ -255,7 +255,7 @@
 	}
 	o.recordCompletion(q, e.Outcome)
 	s.lastUsed = o.now
-	if e.BusyUntil > o.now { // what is out of it is waited for
+	if e.BusyUntil > o.now { // its parts may still run at replicas
 		q.responded, q.awaitingReplicas = true, true
 		o.timers.schedule(q, e.BusyUntil)
 		return
@@ -263,7 +263,7 @@
 	o.closeQuery(q)
 }
 
-// closeQuery is the very end of one that ran.
+// closeQuery removes a query that was running, once none of its parts is left at a replica.
 func (o *Owner) closeQuery(q *query) {
 	s := q.session
 	if q.effect == NonIdempotent {
@@ -284,7 +284,7 @@
 	o.continueSession(s)
 }
 
-// uncountRunning takes one that ran off what its session has open.
+// uncountRunning removes a query from its session's counts of running queries.
 func (o *Owner) uncountRunning(q *query) {
 	q.session.runningCount--
 	if q.effect != Idempotent {
@@ -292,7 +292,7 @@
 	}
 }
 
-// detach lets a query count for its session no more, though something of it may be out at a replica still.
+// detach stops counting a query as running in its session, although a part of it may still run at a replica.
 func (o *Owner) detach(q *query) {
 	o.timers.remove(q)
 	q.detached = true
@@ -301,7 +301,7 @@
 	o.continueSession(q.session)
 }
 
-// handleClientGone is for a client that has gone.
+// handleClientGone handles the disconnection of a query's client.
 func (o *Owner) handleClientGone(token uint64) {
 	q := o.queries[token]
 	switch {
@@ -316,7 +316,7 @@
 	}
 }
 
-// expireQueries ends what is over by its time: waiting, running, and being let run before a hand-over.
+// expireQueries handles the queries that are due: waiting ones, running ones, and those that were allowed CancelDelay before a hand-over.
 func (o *Owner) expireQueries() {
 	for len(o.timers) > 0 && o.timers[0].timerAt <= o.now {
 		q := o.timers[0]
@@ -329,7 +329,7 @@
 			o.abort(q, DeadlineExceeded, "")
 			if q.effect == Idempotent {
 				o.detach(q)
-			} else { // what comes behind it waits until it is surely over at its replicas: S3
+			} else { // S3: later queries wait until it has certainly ended at its replicas
 				o.timers.remove(q)
 			}
 		default:
@@ -341,7 +341,7 @@
 	}
 }
 
-// ownerOf names the co-ordinator where a session will be, as far as that is agreed; "" for this one.
+// ownerOf returns the co-ordinator that owns a session or to which it is offered, by the agreed state; "" if that is this one or none.
 func (o *Owner) ownerOf(s *sessionEntry) string {
 	if o.state == nil {
 		return ""
@@ -357,7 +357,7 @@
 	return ""
 }
 
-// byArrival gives all that have something to come, in the order of their arrival.
+// byArrival returns all queries that have a timer, in order of arrival.
 func (o *Owner) byArrival() []*query {
 	all := slices.Clone([]*query(o.timers))
 	slices.SortFunc(all, func(a, b *query) int {
@@ -369,7 +369,7 @@
 	return all
 }
 
-// jitter gives a time to come back, up to twice base, by the token.
+// jitter returns a delay between base and twice base that depends on the token only.
 func jitter(base time.Duration, token uint64) time.Duration {
 	return base + base/256*time.Duration(token*0x9e3779b97f4a7c15>>56)
 }
--- a/internal/fleet/sessionowner/queue.go
+++ b/internal/fleet/sessionowner/queue.go
@@ -6,34 +6,34 @@
 	"birchcart/internal/fleet/completed"
 )
 
-// query is one that waits or runs.
+// query is a waiting or running query.
 type query struct {
 	token       uint64
-	arrival     uint64 // of its arrival here
+	arrival     uint64 // order of arrival at this owner
 	client      uint64
 	id          completed.ID
 	session     *sessionEntry
 	replicas    []string
 	deadline    time.Duration
-	window      time.Duration // Keyed: how long; from its beginning, when that has its time
-	timerAt     time.Duration // in the heap: when something is to be done
-	heapIndex   int32         // there, -1: not in it
-	unsafeIndex int           // Unsafe, and it runs: in Keeper.unsafe
-	epoch       uint64        // under which it began
-	seq         uint64
+	window      time.Duration // Keyed: how long after startedAt repeats are dropped
+	timerAt     time.Duration // when it is due in the timer heap
+	heapIndex   int32         // index in the timer heap, -1 if absent
+	unsafeIndex int           // index in Owner.runningUnsafe, for a running NonIdempotent query
+	epoch       uint64        // ownership epoch in which it started
+	seq         uint64        // sequence number in its session
 
 	effect           Effect
-	running          bool // else it waits
-	detached         bool // it counts for its session no more
-	responded        bool // its client has its response, or has gone
-	awaitingReplicas bool // it has ended, and what is out of it is waited for
-	answerAllowed    bool // its served answer was allowed: that was its response
+	running          bool // false while it waits
+	detached         bool // no longer counted as running in its session
+	responded        bool // its client has had its response, or has disconnected
+	awaitingReplicas bool // it has ended, and its parts may still run at replicas
+	answerAllowed    bool // MayAnswer allowed its served answer, which is its response
 
-	prev, next *query // of the session's that wait, or of those that run
+	prev, next *query // in the session's waitingQueries or openQueries
 	startedAt  time.Duration
 }
 
-// queryList of queries in the order in which they came into it.
+// queryList is a linked list of queries in the order in which they were added.
 type queryList struct{ head, tail *query }
 
 func (l *queryList) add(q *query) {
@@ -60,7 +60,7 @@
 	q.prev, q.next = nil, nil
 }
 
-// timerHeap of the queries by when something is to be done about them, and then by their arrival.
+// timerHeap is a heap of queries by due time, then by arrival.
 type timerHeap []*query
 
 func earlier(a, b *query) bool {
@@ -104,7 +104,7 @@
 	h.place(i, q)
 }
 
-// schedule puts a query in, or moves it to another time.
+// schedule adds a query, or changes its due time.
 func (h *timerHeap) schedule(q *query, at time.Duration) {
 	q.timerAt = at
 	if q.heapIndex < 0 {
@@ -133,39 +133,39 @@
 	}
 }
 
-// sessionEntry is what is kept of a session.
+// sessionEntry is the local state of a session.
 type sessionEntry struct {
 	id              [16]byte
-	epoch           uint64 // of the ownership; claiming: of an ownership of before that has to end first
-	seq             uint64 // queries begun
-	fence           uint64 // frozen: of the offer
-	client          uint64 // who opened it here
+	epoch           uint64 // of the ownership; claiming: of the latest ended ownership, which the claim must name
+	seq             uint64 // sequence number of the query that started last
+	fence           uint64 // quiescing and frozen: fence of the offer
+	client          uint64 // the client that opened it here
 	lastUsed        time.Duration
-	actDueAt        time.Duration    // acting: when its act is due again
-	completed       completed.Record // its latest queries that must not run twice; adopting: their windows by the time since the hand
-	adoptProposedAt time.Duration    // adopting: own time of the first proposal to adopt it, and the agreed one of the hand
+	actDueAt        time.Duration    // in actQueue: when its act is due again
+	completed       completed.Record // latest queries that must not run twice; adopting: with window ends relative to the hand-over
+	adoptProposedAt time.Duration    // adopting: own time of the first Adopt proposal, plus the agreed time of the hand-over
 	waitingQueries  queryList
-	openQueries     queryList // until their Ended, so beyond over
+	openQueries     queryList // started queries until their QueryEnded or BusyUntil, detached ones included
 
 	waitingCount   uint16
-	runningCount   uint16 // open and not over
-	exclusiveCount uint16 // of these, Keyed or Unsafe
-	detachedCount  uint16 // open and over
+	runningCount   uint16 // open and not detached
+	exclusiveCount uint16 // of the running ones, Keyed or NonIdempotent
+	detachedCount  uint16 // open and detached
 	phase          Phase
 	lane           uint8
 
-	idle             bool // in the list of idle ones, else in acting, or in none
-	inActQueue       bool // in the list of those acting
-	countedForClient bool // against its client
+	idle             bool // in Owner.idle
+	inActQueue       bool // in Owner.actQueue
+	countedForClient bool // counted in the usage of its client
 	adoptProposed    bool // this process has proposed to adopt it
-	unreadable       bool // adopting: what the hand carried is of no form that is known here
+	unreadable       bool // adopting: the state of the hand-over could not be decoded
 
-	prev, next         *sessionEntry // of idle ones or those acting
-	blockedAt          *slot         // where its first waiting query lacks a slot
-	prevSlot, nextSlot *sessionEntry // of those that lack one there
+	prev, next         *sessionEntry // in Owner.idle or Owner.actQueue
+	blockedAt          *slot         // the slot that its first waiting query needs and that is in use
+	prevSlot, nextSlot *sessionEntry // in the queue of blockedAt
 }
 
-// sessionList of sessions, in the order in which they came into it.
+// sessionList is a linked list of sessions in the order in which they were added.
 type sessionList struct {
 	head, tail *sessionEntry
 	n          int
--- a/internal/fleet/sessionowner/responses.go
+++ b/internal/fleet/sessionowner/responses.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// What a client is answered. S5: each response is harmless by its query's class.
+// The functions of this file give clients their responses. By S5, a client is asked to retry only if a repeat is safe for the
+// query's class.
 
-// reject rejects a query that is not known, or no more.
+// reject emits a Reject, for a query that has no entry or whose entry is about to be removed.
 func (o *Owner) reject(token uint64, reason Reason, after time.Duration, owner string) {
 	o.stats.Rejected++
 	o.out = append(o.out, Reject{token, reason, jitter(after, token), owner})
 }
 
-// rejectWaiting rejects one that waits: it has not run.
+// rejectWaiting rejects a waiting query, which has not run.
 func (o *Owner) rejectWaiting(q *query, reason Reason, after time.Duration, owner string) {
 	o.checkResponse(q)
 	o.reject(q.token, reason, after, owner)
-	o.dequeue(q, q.heapIndex >= 0) // one that has only come is not counted yet
+	o.dequeue(q, q.heapIndex >= 0) // a query that has just arrived is not counted yet
 	o.dropQuery(q)
 }
 
-// rejectAndContinue is rejectWaiting, and its session goes on.
+// rejectAndContinue calls rejectWaiting and lets the session continue.
 func (o *Owner) rejectAndContinue(q *query, reason Reason, after time.Duration, owner string) {
 	s := q.session
 	o.rejectWaiting(q, reason, after, owner)
@@ -35,8 +36,8 @@
 	}
 }
 
-// mayRetry says that one that runs may be asked to retry after that time, spread: it is safe, or keyed and its repeat comes
-// well within the window.
+// mayRetry reports whether the client of a running query may be asked to retry after that time plus jitter: the query is Idempotent,
+// or it is Keyed and the repeat comes well within the window.
 func (o *Owner) mayRetry(q *query, after time.Duration) bool {
 	switch q.effect {
 	case Idempotent:
@@ -47,7 +48,7 @@
 	return false
 }
 
-// abort gives one that runs its response, if it has none.
+// abort gives a running query its response, if it has none.
 func (o *Owner) abort(q *query, reason Reason, owner string) {
 	if q.responded || q.answerAllowed {
 		return
@@ -65,8 +66,8 @@
 	o.out = append(o.out, Cancel{q.token, reason, after, owner})
 }
 
-// RejectInstead is the response to a query whose answer MayAnswer did not allow, for a caller that can't wait for its QueryEnded: a Reject
-// or a Fail. It counts as given. nil if the query has its response, or is not known.
+// RejectInstead returns the response to a query whose answer MayAnswer did not allow, for a caller that can't wait until its
+// QueryEnded: a Reject or a Fail, which counts as given. It returns nil if the query has had its response or is not known.
 func (o *Owner) RejectInstead(now time.Duration, token uint64) Output {
 	o.now = max(o.now, now)
 	q := o.queries[token]
@@ -76,7 +77,7 @@
 	return o.responseAtEnd(q, Done)
 }
 
-// responseAtEnd is for one that ended without a response.
+// responseAtEnd returns the response to a query that ended without one.
 func (o *Owner) responseAtEnd(q *query, end Outcome) Output {
 	o.checkResponse(q)
 	q.responded = true
@@ -96,5 +97,5 @@
 	return Reject{q.token, reason, after, o.ownerOf(q.session)}
 }
 
-// responded notes that a query gets its one response.
+// checkResponse checks that a query gets only one response.
 func (o *Owner) checkResponse(q *query) { o.invariants.checkResponse(q) }
--- a/internal/fleet/sessionowner/slots.go
+++ b/internal/fleet/sessionowner/slots.go
@@ -6,16 +6,16 @@
 	"birchcart/internal/fleet/session"
 )
 
-// slot is a replica and what is in use there. S2 rests on it: used goes up only below held.
+// slot counts the slots of this co-ordinator at one replica. S2 depends on it: used grows only while it is below quota.
 type slot struct {
 	name        string
 	used, quota int
-	head, tail  *sessionEntry // whose first waiting query lacks one here, in their order
-	blocked     int
-	retries     int // of these, how many may try once more
+	head, tail  *sessionEntry // queue of sessions whose first waiting query needs a slot here
+	blocked     int           // length of the queue
+	retries     int           // how many sessions of the queue may still try again in this round
 }
 
-// enqueue lets a session wait for its turn.
+// enqueue appends a session to the queue.
 func (l *slot) enqueue(s *sessionEntry) {
 	s.blockedAt = l
 	s.prevSlot, s.nextSlot = l.tail, nil
@@ -53,8 +53,8 @@
 	return l
 }
 
-// reserveSlots takes a slot at each replica that the query needs, or none and says where one lacks. Where others wait for one it is
-// their turn, unless woken says that it is this one's.
+// reserveSlots takes a slot at each replica that the query needs and returns nil, or takes none and returns the first slot that is not
+// available. A slot for which other sessions are queued is not available, unless woken says that it is this session's turn.
 func (o *Owner) reserveSlots(q *query, woken *slot) *slot {
 	for i, name := range q.replicas {
 		l := o.slotOf(name)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// releaseSlots ends the use of a query's slots, and wakes who waits for them.
+// releaseSlots frees the slots of a query and wakes the sessions that are queued for them.
 func (o *Owner) releaseSlots(q *query) {
 	for _, name := range q.replicas {
 		o.slots[name].used--
@@ -79,7 +79,7 @@
 		l.retries = l.blocked
 	}
 	for {
-		var first *slot // whose turn came first, of those where one is free
+		var first *slot // of those with a free slot, the one whose first queued query arrived first
 		for _, name := range q.replicas {
 			if l := o.slots[name]; l.mayRetry() && (first == nil || l.head.waitingQueries.head.arrival < first.head.waitingQueries.head.arrival) {
 				first = l
@@ -90,17 +90,17 @@
 		}
 		o.wakeFirst(first)
 	}
-	for i := range o.requestedTransfers { // what is left may do now
+	for i := range o.requestedTransfers { // fewer slots are in use now, so a transfer may be possible
 		if o.requestedTransfers[i].dueAt == 0 {
 			o.proposeFreed(&o.requestedTransfers[i])
 		}
 	}
 }
 
-// mayRetry says that one that waits for a slot here may try again.
+// mayRetry reports whether a session in the queue may try again.
 func (l *slot) mayRetry() bool { return l.retries > 0 && l.head != nil && l.used < l.quota }
 
-// wakeFirst lets the first try again that waits for a slot.
+// wakeFirst lets the first session in the queue try again.
 func (o *Owner) wakeFirst(l *slot) {
 	l.retries--
 	s := l.head
@@ -111,7 +111,7 @@
 	}
 }
 
-// refreshSlots takes over how many slots may be used now, and what is asked for.
+// refreshSlots takes the number of slots that may be used, and the requested transfers, from the agreed state.
 func (o *Owner) refreshSlots() {
 	p := o.state.Pool()
 	o.hasSlots = true
@@ -142,7 +142,7 @@
 	}
 }
 
-// repeatFreed says again what was said of the slots, as long as it is asked for.
+// repeatFreed repeats the Freed acts that are due, as long as their transfers are requested.
 func (o *Owner) repeatFreed() {
 	for i := range o.requestedTransfers {
 		if o.requestedTransfers[i].dueAt <= o.now {
@@ -151,7 +151,7 @@
 	}
 }
 
-// proposeFreed says that a transfer leaves no more in use here than may be, once that is so.
+// proposeFreed proposes that the slots of a transfer are freed, once no more slots are in use here than the remaining quota.
 func (o *Owner) proposeFreed(proposal *pendingProposal) {
 	t, ok := o.state.Pool().Transfer(proposal.fence)
 	if !ok || !o.mayAct() {
@@ -164,7 +164,7 @@
 	o.emitAct(session.Act{Kind: session.Freed, Fence: proposal.fence})
 }
 
-// trimSlots forgets the replicas of which nothing is held, in use or waited for.
+// trimSlots removes the replicas at which no slot is held, in use or queued for.
 func (o *Owner) trimSlots() {
 	o.slotList = slices.DeleteFunc(o.slotList, func(l *slot) bool {
 		if l.used > 0 || l.quota > 0 || l.head != nil {
