--- a/internal/fleet/sessionowner/bench_test.go
+++ b/internal/fleet/sessionowner/bench_test.go
@@ -9,7 +9,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-// newRigWithIdleSessions is an owner with that many idle sessions, and their ids.
+// newRigWithIdleSessions returns an owner with n idle sessions, and their ids.
 func newRigWithIdleSessions(t tb, n int) (*rig, []session.ID) {
 	r := newRig(t, Options{MaxSessions: 2*n + 10})
 	ids := make([]session.ID, n)
@@ -35,7 +35,7 @@
 	return r, ids
 }
 
-// One pinned query at an owner with 100,000 sessions: arrived, run, allowed, ended.
+// BenchmarkQuery measures one query, from arrival to end, at an owner with 100,000 sessions.
 func BenchmarkQuery(b *testing.B) {
 	r, ids := newRigWithIdleSessions(b, 100_000)
 	q := Arrived{Effect: Idempotent, Deadline: r.now + time.Hour, Replicas: []string{"r1", "r2"}}
@@ -53,7 +53,7 @@
 	}
 }
 
-// A Step upon events of the agreed state, while 1,000 of 100,000 sessions are claimed.
+// BenchmarkApplied measures a Step with a new agreed state while 1,000 claims are pending at an owner with 100,000 sessions.
 func BenchmarkApplied(b *testing.B) {
 	r, _ := newRigWithIdleSessions(b, 100_000)
 	for i := range 1000 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A query costs two allocations at most, and an idle session under 400 bytes.
+// A query needs at most two allocations, and an idle session takes less than 400 bytes.
 func TestAllocationsAndMemoryPerSession(t *testing.T) {
 	if testing.Short() {
 		t.Skip("100,000 sessions")
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -12,84 +12,87 @@
 // output. It keeps the first violation.
 type invariantChecks struct{ violation error }
 
-func (e *invariantChecks) fail(format string, a ...any) {
-	if e.violation == nil {
-		e.violation = fmt.Errorf(format, a...)
+func (c *invariantChecks) fail(format string, a ...any) {
+	if c.violation == nil {
+		c.violation = fmt.Errorf(format, a...)
 	}
 }
 
 // checkStart checks a query that starts.
-func (e *invariantChecks) checkStart(owner *Owner, q *query) {
+func (c *invariantChecks) checkStart(owner *Owner, q *query) {
 	s := q.session
 	if owner.now >= owner.leaseUntil {
-		e.fail("S1: query %d of session %v started at %v, the lease ended at %v", q.token, session.ID(s.id), owner.now, owner.leaseUntil)
+		c.fail("S1: query %d of session %v started at %v, the lease ended at %v", q.token, session.ID(s.id), owner.now, owner.leaseUntil)
 	}
 	if r, ok := owner.state.Get(s.id); !ok || r.Owner != owner.name || r.Epoch != q.epoch || r.Phase > session.Offered {
-		e.fail("S1: query %d of session %v started at %v in epoch %d, the agreed state is %s, owner %s, epoch %d", q.token, session.ID(s.id), owner.now, q.epoch, r.Phase, r.Owner, r.Epoch)
+		c.fail("S1: query %d of session %v started at %v in epoch %d, the agreed state is %s, owner %s, epoch %d",
+			q.token, session.ID(s.id), owner.now, q.epoch, r.Phase, r.Owner, r.Epoch)
 	}
 	if s.phase != Active {
-		e.fail("S3: query %d of session %v started while the session was %s", q.token, session.ID(s.id), s.phase)
+		c.fail("S3: query %d of session %v started while the session was %s", q.token, session.ID(s.id), s.phase)
 	}
 	for other := s.openQueries.head; other != nil; other = other.next {
 		switch {
 		case other == q || other.detached:
 		case other.effect != Idempotent || q.effect != Idempotent:
-			e.fail("S3: query %d (effect %d) of session %v started while query %d (effect %d) was open", q.token, q.effect, session.ID(s.id), other.token, other.effect)
+			c.fail("S3: query %d (effect %d) of session %v started while query %d (effect %d) was open",
+				q.token, q.effect, session.ID(s.id), other.token, other.effect)
 		case other.arrival > q.arrival || other.epoch == q.epoch && other.seq >= q.seq:
-			e.fail("S3: query %d of session %v started with sequence number %d after query %d with %d", q.token, session.ID(s.id), q.seq, other.token, other.seq)
+			c.fail("S3: query %d of session %v started with sequence number %d after query %d with %d",
+				q.token, session.ID(s.id), q.seq, other.token, other.seq)
 		}
 	}
 	for _, r := range s.completed {
 		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.Until() < q.deadline) {
-			e.fail("S3: query %d of session %v started, it ran before with sequence number %d: %+v", q.token, session.ID(s.id), r.Seq, r)
+			c.fail("S3: query %d of session %v started, it ran before with sequence number %d: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
 	if owner.now >= q.deadline {
-		e.fail("S4: query %d started at %v, its deadline was %v", q.token, owner.now, q.deadline)
+		c.fail("S4: query %d started at %v, its deadline was %v", q.token, owner.now, q.deadline)
 	}
 	for _, name := range q.replicas {
 		if l := owner.slots[name]; l.used > l.quota {
-			e.fail("S2: query %d uses slot %d of %d at %s", q.token, l.used, l.quota, name)
+			c.fail("S2: query %d uses slot %d of %d at %s", q.token, l.used, l.quota, name)
 		}
 	}
 }
 
 // checkAnswer checks a served answer that is allowed.
-func (e *invariantChecks) checkAnswer(owner *Owner, now time.Duration, q *query) {
+func (c *invariantChecks) checkAnswer(owner *Owner, now time.Duration, q *query) {
 	if q.responded {
-		e.fail("S4: query %d is answered after another response", q.token)
+		c.fail("S4: query %d is answered after another response", q.token)
 	}
 	if now >= owner.leaseUntil || now >= q.deadline || q.detached {
-		e.fail("S1: query %d is answered at %v, the lease ends at %v, its deadline is %v", q.token, now, owner.leaseUntil, q.deadline)
+		c.fail("S1: query %d is answered at %v, the lease ends at %v, its deadline is %v", q.token, now, owner.leaseUntil, q.deadline)
 	}
 	if r, _ := owner.state.Get(q.session.id); r.Owner != owner.name || r.Epoch != q.epoch {
-		e.fail("S1: query %d of epoch %d is answered in epoch %d of owner %s", q.token, q.epoch, r.Epoch, r.Owner)
+		c.fail("S1: query %d of epoch %d is answered in epoch %d of owner %s", q.token, q.epoch, r.Epoch, r.Owner)
 	}
 }
 
 // checkResponse checks a Reject, Cancel or Fail of a query that has an entry.
-func (e *invariantChecks) checkResponse(q *query) {
+func (c *invariantChecks) checkResponse(q *query) {
 	if q.responded || q.answerAllowed {
-		e.fail("S4: query %d gets a second response", q.token)
+		c.fail("S4: query %d gets a second response", q.token)
 	}
 }
 
-// checkRetry looks at one that ran and whose client is asked to retry.
-func (e *invariantChecks) checkRetry(owner *Owner, q *query, after time.Duration, end Outcome) {
+// checkRetry checks a query that ran and whose client is asked to retry.
+func (c *invariantChecks) checkRetry(owner *Owner, q *query, after time.Duration, end Outcome) {
 	switch {
 	case end == NotRun || q.effect == Idempotent:
 	case q.effect == NonIdempotent:
-		e.fail("S5: query %d is not idempotent and may have run, and its client is asked to retry", q.token)
+		c.fail("S5: query %d is not idempotent and may have run, and its client is asked to retry", q.token)
 	case owner.now+after >= q.startedAt+q.window:
-		e.fail("S5: query %d is keyed for %v from %v, its client retries at %v", q.token, q.window, q.startedAt, owner.now+after)
+		c.fail("S5: query %d is keyed for %v from %v, its client retries at %v", q.token, q.window, q.startedAt, owner.now+after)
 	}
 }
 
-// checkHandOver looks at a session that is to be handed.
-func (e *invariantChecks) checkHandOver(s *sessionEntry) {
+// checkHandOver checks a session whose hand-over is proposed.
+func (c *invariantChecks) checkHandOver(s *sessionEntry) {
 	for q := s.openQueries.head; q != nil; q = q.next {
 		if !q.detached {
-			e.fail("S3: session %v is handed over while query %d is open", session.ID(s.id), q.token)
+			c.fail("S3: session %v is handed over while query %d is open", session.ID(s.id), q.token)
 		}
 	}
 }
@@ -179,7 +182,8 @@
 	}
 	switch {
 	case waiting != int(s.waitingCount) || running != int(s.runningCount) || exclusive != int(s.exclusiveCount) || detached != int(s.detachedCount):
-		return fmt.Errorf("S3: session %v counts %d waiting, %d running, %d exclusive, %d detached queries, it has %d, %d, %d, %d", id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
+		return fmt.Errorf("S3: session %v counts %d waiting, %d running, %d exclusive, %d detached queries, it has %d, %d, %d, %d",
+			id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
 	case s.phase == Frozen && running > 0:
 		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, running)
 	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -154,7 +154,8 @@
 		switch {
 		case !owned:
 			o.loseSession(s, r.Owner)
-		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed: // a previous process adopted it, and which queries that one started is not known
+		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed:
+			// A previous process adopted it, and which queries that process started is not known.
 			o.startSession(s, r, ok)
 		case r.Phase != session.Handed && r.Epoch == s.epoch:
 			o.stats.Adopted++
--- a/internal/fleet/sessionowner/queue.go
+++ b/internal/fleet/sessionowner/queue.go
@@ -171,28 +171,28 @@
 	n          int
 }
 
-func (r *sessionList) add(s *sessionEntry) {
-	s.prev, s.next = r.tail, nil
-	if r.tail == nil {
-		r.head = s
+func (l *sessionList) add(s *sessionEntry) {
+	s.prev, s.next = l.tail, nil
+	if l.tail == nil {
+		l.head = s
 	} else {
-		r.tail.next = s
+		l.tail.next = s
 	}
-	r.tail = s
-	r.n++
+	l.tail = s
+	l.n++
 }
 
-func (r *sessionList) remove(s *sessionEntry) {
+func (l *sessionList) remove(s *sessionEntry) {
 	if s.prev == nil {
-		r.head = s.next
+		l.head = s.next
 	} else {
 		s.prev.next = s.next
 	}
 	if s.next == nil {
-		r.tail = s.prev
+		l.tail = s.prev
 	} else {
 		s.next.prev = s.prev
 	}
 	s.prev, s.next = nil, nil
-	r.n--
+	l.n--
 }
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -13,14 +13,14 @@
 	sec = time.Second
 )
 
-// tb is what is used of a test; *rapid.T is one too.
+// tb is the subset of testing.TB that these tests use; *rapid.T implements it too.
 type tb interface {
 	Helper()
 	Fatal(a ...any)
 	Fatalf(format string, a ...any)
 }
 
-// world is one book, its log's index and numbers, and a clock for all.
+// sharedState is the agreed state with its log index and last fence number, and the clock that all owners of a test share.
 type sharedState struct {
 	t            tb
 	book         *session.Book
@@ -28,13 +28,13 @@
 	index, fence uint64
 }
 
-// rig is an owner beside the book.
+// rig is an Owner under test with the agreed state.
 type rig struct {
 	*sharedState
 	name  string
 	owner *Owner
 	acts  []session.Act // proposed and not yet applied
-	out   []Output      // of the last step
+	out   []Output      // outputs of the last step
 }
 
 var limits = session.Limits{
@@ -42,7 +42,7 @@
 	Lease: 6 * sec, Grace: sec, SessionsMost: 100_000, StateMost: 1024, Slots: 3,
 }
 
-// newRig is owner "a" with 3 and 1 slots at r1 and r2, and a lease for long.
+// newRig returns the owner "a" with 3 slots at r1, 1 slot at r2, and a long lease.
 func newRig(t tb, o Options) *rig {
 	w := &sharedState{t: t, book: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
@@ -72,7 +72,7 @@
 	return r.out
 }
 
-// pass moves the time on, step by step.
+// advance moves the clock forward in steps of 50 ms and collects the outputs.
 func (r *rig) advance(d time.Duration) (all []Output) {
 	r.t.Helper()
 	for end := r.now + d; r.now < end; {
@@ -83,32 +83,32 @@
 	return all
 }
 
-func (r *sharedState) apply(kind string, body any) {
-	r.t.Helper()
+func (w *sharedState) apply(kind string, body any) {
+	w.t.Helper()
 	raw, err := json.Marshal(body)
 	if err != nil {
-		r.t.Fatal(err)
+		w.t.Fatal(err)
 	}
-	r.index++
-	r.book.Tick(r.now)
-	_ = r.book.Apply(r.now, func() uint64 { r.fence++; return r.fence }, kind, raw) // or it is refused
-	if err := r.book.Check(); err != nil {
-		r.t.Fatal(err)
+	w.index++
+	w.book.Tick(w.now)
+	_ = w.book.Apply(w.now, func() uint64 { w.fence++; return w.fence }, kind, raw) // an error means that the change was refused, which some tests intend
+	if err := w.book.Check(); err != nil {
+		w.t.Fatal(err)
 	}
 }
 
-func (r *sharedState) plan(p session.PlanBody) { r.t.Helper(); r.apply(session.KindPlan, p) }
+func (w *sharedState) plan(p session.PlanBody) { w.t.Helper(); w.apply(session.KindPlan, p) }
 
-func (r *sharedState) applyActs(co string, acts ...session.Act) {
-	r.t.Helper()
-	r.apply(session.KindActs, session.ActsBody{From: co, Acts: acts})
+func (w *sharedState) applyActs(co string, acts ...session.Act) {
+	w.t.Helper()
+	w.apply(session.KindActs, session.ActsBody{From: co, Acts: acts})
 }
 
-func (r *sharedState) applied() Applied {
-	return Applied{State: r.book, Index: r.index, AgreedTime: r.now}
+func (w *sharedState) applied() Applied {
+	return Applied{State: w.book, Index: w.index, AgreedTime: w.now}
 }
 
-// agree applies what was proposed and shows the outcome.
+// applyProposed applies the proposed acts to the agreed state and delivers the result to the owner.
 func (r *rig) applyProposed() []Output {
 	r.t.Helper()
 	if len(r.acts) > 0 {
@@ -120,21 +120,21 @@
 
 func id(n int) session.ID { return session.IDOf(n, []byte("key")) }
 
-// q is a safe query of session 1 with 4 s of time.
+// newQuery returns a query of session 1 with the given effect and a deadline in 4 s.
 func (r *rig) newQuery(token uint64, e Effect) Arrived {
 	return Arrived{Token: token, Session: id(1), Effect: e, Deadline: r.now + 4*sec, Window: 10 * sec, Replicas: []string{"r1"}}
 }
 
-func (r *sharedState) offer(n int, to string) {
-	r.t.Helper()
-	rec, _ := r.book.Get(id(n))
-	r.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
-	if rec, _ = r.book.Get(id(n)); rec.Phase != session.Offered {
-		r.t.Fatalf("not offered: %+v", rec)
+func (w *sharedState) offer(n int, to string) {
+	w.t.Helper()
+	rec, _ := w.book.Get(id(n))
+	w.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
+	if rec, _ = w.book.Get(id(n)); rec.Phase != session.Offered {
+		w.t.Fatalf("not offered: %+v", rec)
 	}
 }
 
-// word finds the one output of type T about a token.
+// findOutput returns the first output of type T of the last step that matches.
 func findOutput[T Output](r *rig, match func(T) bool) (T, bool) {
 	for _, o := range r.out {
 		if w, ok := o.(T); ok && match(w) {
@@ -168,11 +168,11 @@
 func (r *rig) want(ok bool, what string) {
 	r.t.Helper()
 	if !ok {
-		r.t.Fatalf("%s; at %v came %+v", what, r.now, r.out)
+		r.t.Fatalf("%s; outputs at %v: %+v", what, r.now, r.out)
 	}
 }
 
-// claimed opens session 1 with a first safe query, token 1.
+// newClaimedRig returns a rig that has claimed session 1 and runs an Idempotent query with token 1 there.
 func newClaimedRig(t tb) *rig {
 	t.Helper()
 	r := newRig(t, Options{})
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -15,11 +15,11 @@
 	"birchcart/internal/fleet/session"
 )
 
-// asked is a query as its client and the replicas see it.
+// modelQuery is a query as its client and the replicas see it.
 type modelQuery struct {
 	Arrived
 	arrivedAt, startedAt, busyUntil time.Duration
-	sessionNumber                   int // its session
+	sessionNumber                   int // number of its session
 	epoch, seq                      uint64
 	started, ended, atReplica       bool
 	outcome                         Outcome
@@ -30,17 +30,17 @@
 	return q.started && q.atReplica && (q.Effect != Idempotent || now < q.Deadline)
 }
 
-// play is an owner under random events, beside a model that knows nothing of it: what clients got, what runs, what is truly
-// agreed. The owner's copy of that is as old as its last Applied.
+// simulation drives an owner with random events and checks it against an independent model: the responses that clients got, the
+// queries that run, and the current agreed state. The owner's copy of that state is as old as its last Applied.
 type simulation struct {
 	*rig
 	draw       func(n int) int
 	localCopy  *session.Book
-	leaseUntil time.Duration // sure until then
+	leaseUntil time.Duration // end of the lease
 	queries    []*modelQuery
 	inputs     []Input
-	abandoned  []*modelQuery // by their clients, in the events
-	pastActs   []session.Act // ever proposed, the newest 64
+	abandoned  []*modelQuery // queries whose clients disconnect in the current inputs
+	pastActs   []session.Act // the latest 64 proposed acts
 	lastSeq    map[string]uint64
 	history    []byte
 }
@@ -51,32 +51,32 @@
 	w := &sharedState{t: t, book: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
 	w.plan(session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r1", N: 4}, {To: "a", Replica: "r2", N: 2}, {To: "b", Replica: "r1", N: 4}}})
-	p := &simulation{rig: &rig{sharedState: w, name: "a", owner: New("a", Options{Replicas: []string{"r1"}, MaxWaiting: 6})}, draw: draw, lastSeq: map[string]uint64{}}
-	p.renewLease()
-	p.stepAndCheck()
-	return p
+	sim := &simulation{rig: &rig{sharedState: w, name: "a", owner: New("a", Options{Replicas: []string{"r1"}, MaxWaiting: 6})}, draw: draw, lastSeq: map[string]uint64{}}
+	sim.renewLease()
+	sim.stepAndCheck()
+	return sim
 }
 
-func (p *simulation) fail(format string, a ...any) {
-	p.t.Helper()
-	p.t.Fatalf("at %v: %s", p.now, fmt.Sprintf(format, a...))
+func (sim *simulation) fail(format string, a ...any) {
+	sim.t.Helper()
+	sim.t.Fatalf("at %v: %s", sim.now, fmt.Sprintf(format, a...))
 }
 
-func (p *simulation) deliverState() {
-	p.localCopy = p.book.Clone()
-	p.inputs = append(p.inputs, Applied{State: p.localCopy, Index: p.index, AgreedTime: p.now})
+func (sim *simulation) deliverState() {
+	sim.localCopy = sim.book.Clone()
+	sim.inputs = append(sim.inputs, Applied{State: sim.localCopy, Index: sim.index, AgreedTime: sim.now})
 }
 
-func (p *simulation) renewLease() {
-	p.deliverState()
-	p.leaseUntil = p.now + 2*sec
-	p.inputs = append(p.inputs, Lease{p.leaseUntil, true})
+func (sim *simulation) renewLease() {
+	sim.deliverState()
+	sim.leaseUntil = sim.now + 2*sec
+	sim.inputs = append(sim.inputs, Lease{sim.leaseUntil, true})
 }
 
-// any draws one of those that fit, or nil.
-func (p *simulation) any(matches func(*modelQuery) bool) *modelQuery {
+// any returns a random query that matches, or nil.
+func (sim *simulation) any(matches func(*modelQuery) bool) *modelQuery {
 	var candidates []*modelQuery
-	for _, q := range p.queries {
+	for _, q := range sim.queries {
 		if matches(q) {
 			candidates = append(candidates, q)
 		}
@@ -84,159 +84,159 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	return candidates[p.draw(len(candidates))]
+	return candidates[sim.draw(len(candidates))]
 }
 
-func (p *simulation) arrive() {
-	n := p.draw(sessionCount)
-	effect := []Effect{Idempotent, Idempotent, Idempotent, Keyed, NonIdempotent}[p.draw(5)]
-	need := [][]string{nil, {"r1"}, {"r1"}, {"r1", "r2"}, {"r2", "r2"}}[p.draw(5)]
-	q := &modelQuery{sessionNumber: n, arrivedAt: p.now, Arrived: Arrived{Token: uint64(len(p.queries) + 1), Session: id(n), Client: uint64(p.draw(2)), Effect: effect,
-		Deadline: p.now + time.Duration(p.draw(6)+1)*sec/2, Window: time.Duration(p.draw(4)) * sec, Replicas: need}}
-	q.ID = []completed.ID{{}, completed.IDOf("a"), completed.IDOf("b"), completed.IDOf("c")}[p.draw(4)]
-	p.queries = append(p.queries, q)
-	p.inputs = append(p.inputs, &q.Arrived)
+func (sim *simulation) arrive() {
+	n := sim.draw(sessionCount)
+	effect := []Effect{Idempotent, Idempotent, Idempotent, Keyed, NonIdempotent}[sim.draw(5)]
+	need := [][]string{nil, {"r1"}, {"r1"}, {"r1", "r2"}, {"r2", "r2"}}[sim.draw(5)]
+	q := &modelQuery{sessionNumber: n, arrivedAt: sim.now, Arrived: Arrived{Token: uint64(len(sim.queries) + 1), Session: id(n), Client: uint64(sim.draw(2)), Effect: effect,
+		Deadline: sim.now + time.Duration(sim.draw(6)+1)*sec/2, Window: time.Duration(sim.draw(4)) * sec, Replicas: need}}
+	q.ID = []completed.ID{{}, completed.IDOf("a"), completed.IDOf("b"), completed.IDOf("c")}[sim.draw(4)]
+	sim.queries = append(sim.queries, q)
+	sim.inputs = append(sim.inputs, &q.Arrived)
 }
 
-// end ends one that runs, some after its answer was allowed.
-func (p *simulation) endQuery(q *modelQuery) {
+// endQuery ends a running query, in some cases after its answer was allowed.
+func (sim *simulation) endQuery(q *modelQuery) {
 	if q == nil {
 		return
 	}
-	q.outcome = Outcome(p.draw(3))
-	if q.outcome == Done && p.draw(4) > 0 {
-		p.answer(q)
+	q.outcome = Outcome(sim.draw(3))
+	if q.outcome == Done && sim.draw(4) > 0 {
+		sim.answer(q)
 	}
 	q.ended, q.atReplica = true, false
 	e := QueryEnded{Token: q.Token, Outcome: q.outcome}
-	if p.draw(4) == 0 {
-		q.atReplica, q.busyUntil = true, p.now+sec/4
+	if sim.draw(4) == 0 {
+		q.atReplica, q.busyUntil = true, sim.now+sec/4
 		e.BusyUntil = q.busyUntil
 	}
-	p.inputs = append(p.inputs, e)
+	sim.inputs = append(sim.inputs, e)
 }
 
-// answer is S1 for what is given, by the state as it truly is.
-func (p *simulation) answer(q *modelQuery) {
-	if q.responses > 0 || !p.owner.MayAnswer(p.now, q.Token) {
+// answer gives the query's answer if the owner allows it, and checks S1 by the current agreed state.
+func (sim *simulation) answer(q *modelQuery) {
+	if q.responses > 0 || !sim.owner.MayAnswer(sim.now, q.Token) {
 		return
 	}
-	p.checkOwnership(q.sessionNumber, q.epoch, "answers")
-	if q.responses++; p.now >= q.Deadline {
-		p.fail("%d is answered late", q.Token)
+	sim.checkOwnership(q.sessionNumber, q.epoch, "answers")
+	if q.responses++; sim.now >= q.Deadline {
+		sim.fail("query %d is answered after its deadline", q.Token)
 	}
 }
 
-func (p *simulation) checkOwnership(n int, epoch uint64, what string) {
-	rec, ok := p.book.Get(id(n))
-	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || p.now >= p.leaseUntil {
-		p.fail("S1: %s for %d in epoch %d, the lease until %v, agreed is %+v", what, n, epoch, p.leaseUntil, rec)
+func (sim *simulation) checkOwnership(n int, epoch uint64, what string) {
+	rec, ok := sim.book.Get(id(n))
+	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || sim.now >= sim.leaseUntil {
+		sim.fail("S1: %s for session %d in epoch %d, the lease ends at %v, the agreed state is %+v", what, n, epoch, sim.leaseUntil, rec)
 	}
 }
 
-// others is a move of the rest of the fleet.
-func (p *simulation) changeAgreedState() {
-	n := p.draw(sessionCount)
-	rec, owned := p.book.Get(id(n))
-	switch choice := p.draw(9); {
+// changeAgreedState makes a random change to the agreed state, by another co-ordinator or the planner.
+func (sim *simulation) changeAgreedState() {
+	n := sim.draw(sessionCount)
+	rec, owned := sim.book.Get(id(n))
+	switch choice := sim.draw(9); {
 	case choice == 0 && !owned:
-		p.applyActs("b", session.Act{Kind: session.Claim, ID: id(n), Epoch: rec.Epoch})
+		sim.applyActs("b", session.Act{Kind: session.Claim, ID: id(n), Epoch: rec.Epoch})
 	case choice < 4 && rec.Phase == session.Pinned:
 		to := map[string]string{"a": "b", "b": "a"}[rec.Owner]
-		p.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
+		sim.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
 	case choice < 6 && rec.Phase == session.Offered && rec.Owner == "b":
-		p.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(p.draw(3))})
+		sim.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(sim.draw(3))})
 	case choice == 4 && rec.Phase == session.Offered:
-		p.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
+		sim.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
 	case choice < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
-		p.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
+		sim.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
 	case choice == 7:
-		p.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
+		sim.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
 	case choice == 8:
-		to := []string{"a", "b"}[p.draw(2)]
-		p.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
-		for _, t := range p.book.Pool().Asked("b") {
-			p.applyActs("b", session.Act{Kind: session.Freed, Fence: t.Fence})
+		to := []string{"a", "b"}[sim.draw(2)]
+		sim.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
+		for _, t := range sim.book.Pool().Asked("b") {
+			sim.applyActs("b", session.Act{Kind: session.Freed, Fence: t.Fence})
 		}
 	}
 }
 
-// move is one random event.
-func (p *simulation) randomEvent() {
-	switch choice := p.draw(20); {
+// randomEvent makes one random event.
+func (sim *simulation) randomEvent() {
+	switch choice := sim.draw(20); {
 	case choice < 6:
-		p.arrive()
+		sim.arrive()
 	case choice < 10:
-		p.endQuery(p.any(func(q *modelQuery) bool { return q.started && !q.ended }))
+		sim.endQuery(sim.any(func(q *modelQuery) bool { return q.started && !q.ended }))
 	case choice == 10:
-		if q := p.any(func(q *modelQuery) bool { return !q.ended && q.responses == 0 }); q != nil {
-			p.abandoned = append(p.abandoned, q)
-			p.inputs = append(p.inputs, ClientGone{q.Token})
+		if q := sim.any(func(q *modelQuery) bool { return !q.ended && q.responses == 0 }); q != nil {
+			sim.abandoned = append(sim.abandoned, q)
+			sim.inputs = append(sim.inputs, ClientGone{q.Token})
 		}
 	case choice < 13:
-		p.changeAgreedState()
-	case choice < 15 && len(p.acts) > 0: // what was proposed, some of it, in some order, some again
-		i := p.draw(len(p.acts))
-		p.applyActs("a", p.acts[i])
-		if p.draw(3) > 0 {
-			p.acts = slices.Delete(p.acts, i, i+1)
+		sim.changeAgreedState()
+	case choice < 15 && len(sim.acts) > 0: // applies a random one of the proposed acts, and may keep it to apply it again
+		i := sim.draw(len(sim.acts))
+		sim.applyActs("a", sim.acts[i])
+		if sim.draw(3) > 0 {
+			sim.acts = slices.Delete(sim.acts, i, i+1)
 		}
-	case choice == 15 && len(p.pastActs) > 0:
-		p.applyActs("a", p.pastActs[p.draw(len(p.pastActs))])
+	case choice == 15 && len(sim.pastActs) > 0:
+		sim.applyActs("a", sim.pastActs[sim.draw(len(sim.pastActs))])
 	case choice < 18:
-		p.renewLease()
+		sim.renewLease()
 	case choice == 18:
-		p.deliverState()
-	case p.now >= p.leaseUntil: // the lease has ended, and what was out with it
-		for _, q := range p.queries {
+		sim.deliverState()
+	case sim.now >= sim.leaseUntil: // the lease has ended, and with it the queries at replicas
+		for _, q := range sim.queries {
 			if q.started && q.atReplica {
 				q.atReplica, q.busyUntil = false, 0
 				if !q.ended {
 					q.ended, q.outcome = true, MayHaveRun
-					p.inputs = append(p.inputs, QueryEnded{Token: q.Token, Outcome: MayHaveRun})
+					sim.inputs = append(sim.inputs, QueryEnded{Token: q.Token, Outcome: MayHaveRun})
 				}
 			}
 		}
-		p.apply(session.KindRelease, session.ReleaseBody{Name: "a", Silent: 8 * sec})
+		sim.apply(session.KindRelease, session.ReleaseBody{Name: "a", Silent: 8 * sec})
 	}
 }
 
-// turn gives the events to the owner and looks at what comes out.
-func (p *simulation) stepAndCheck() {
-	p.t.Helper()
-	for _, q := range p.queries {
-		q.atReplica = q.atReplica && (!q.ended || q.busyUntil > p.now)
+// stepAndCheck passes the inputs to the owner and checks its outputs.
+func (sim *simulation) stepAndCheck() {
+	sim.t.Helper()
+	for _, q := range sim.queries {
+		q.atReplica = q.atReplica && (!q.ended || q.busyUntil > sim.now)
 	}
-	p.step(p.inputs...)
-	p.inputs = nil
-	for _, o := range p.out {
-		p.history = fmt.Appendf(p.history, "%v %T %+v\n", p.now, o, o)
-		p.checkOutput(o)
+	sim.step(sim.inputs...)
+	sim.inputs = nil
+	for _, o := range sim.out {
+		sim.history = fmt.Appendf(sim.history, "%v %T %+v\n", sim.now, o, o)
+		sim.checkOutput(o)
 	}
-	for _, q := range p.abandoned {
+	for _, q := range sim.abandoned {
 		q.responses = max(q.responses, 1)
 	}
-	p.abandoned = nil
-	for _, q := range p.queries {
-		if q.responses > 1 || q.responses == 0 && (p.now >= q.Deadline || !q.started && p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor) {
-			p.fail("S4: %d words for %+v", q.responses, *q)
+	sim.abandoned = nil
+	for _, q := range sim.queries {
+		if q.responses > 1 || q.responses == 0 && (sim.now >= q.Deadline || !q.started && sim.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor) {
+			sim.fail("S4: %d responses for %+v", q.responses, *q)
 		}
 	}
 	for _, replica := range []string{"r1", "r2"} {
-		allowed := p.book.Pool().Held("a", replica)
-		for _, t := range p.book.Pool().Asked("a") {
+		allowed := sim.book.Pool().Held("a", replica)
+		for _, t := range sim.book.Pool().Asked("a") {
 			if t.Replica == replica {
 				allowed += t.N
 			}
 		}
-		if n := p.inUse(replica); n > allowed {
-			p.fail("S2: %d slots in use at %s, of %d", n, replica, allowed)
+		if n := sim.inUse(replica); n > allowed {
+			sim.fail("S2: %d slots in use at %s, %d are allowed", n, replica, allowed)
 		}
 	}
 }
 
-func (p *simulation) inUse(replica string) (n int) {
-	for _, q := range p.queries {
+func (sim *simulation) inUse(replica string) (n int) {
+	for _, q := range sim.queries {
 		for _, need := range q.Replicas {
 			if q.started && q.atReplica && need == replica {
 				n++
@@ -246,116 +246,117 @@
 	return n
 }
 
-func (p *simulation) checkOutput(o Output) {
-	p.t.Helper()
+func (sim *simulation) checkOutput(o Output) {
+	sim.t.Helper()
 	var q *modelQuery
 	checkRetry := func(token uint64, after time.Duration) {
-		q = p.queries[token-1]
+		q = sim.queries[token-1]
 		q.responses++
-		if q.started && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && p.now+after >= q.startedAt+q.Window) {
-			p.fail("S5: %+v may have run and comes again after %v", *q, after)
+		if q.started && (!q.ended || q.outcome != NotRun) && (q.Effect == NonIdempotent || q.Effect == Keyed && sim.now+after >= q.startedAt+q.Window) {
+			sim.fail("S5: %+v may have run, and its client retries after %v", *q, after)
 		}
 	}
 	switch o := o.(type) {
 	case Run:
-		p.checkRun(p.queries[o.Token-1], o.Seq)
+		sim.checkRun(sim.queries[o.Token-1], o.Seq)
 	case Reject:
 		checkRetry(o.Token, o.RetryAfter)
 	case Cancel:
 		checkRetry(o.Token, o.RetryAfter)
 		if !q.started {
-			p.fail("%+v is recalled", *q)
+			sim.fail("%+v is cancelled and never ran", *q)
 		}
 	case Fail:
-		q = p.queries[o.Token-1]
+		q = sim.queries[o.Token-1]
 		if o.Reason == Duplicate {
-			if q.responses++; q.started || !slices.ContainsFunc(p.queries, func(b *modelQuery) bool { return b.barsRepeat(q) }) {
-				p.fail("S5: %+v failed as one that is repeated", *q)
+			if q.responses++; q.started || !slices.ContainsFunc(sim.queries, func(b *modelQuery) bool { return b.barsRepeat(q) }) {
+				sim.fail("S5: %+v failed as a duplicate", *q)
 			}
 			return
 		}
 		if q.responses++; !q.started || q.Effect == Idempotent || q.outcome == NotRun && o.Reason == NoAnswer {
-			p.fail("S5: %+v failed", *q)
+			sim.fail("S5: %+v failed and may be retried safely", *q)
 		}
 	case Propose:
-		if len(p.pastActs) == 64 {
-			p.pastActs = p.pastActs[1:]
+		if len(sim.pastActs) == 64 {
+			sim.pastActs = sim.pastActs[1:]
 		}
-		p.pastActs = append(p.pastActs, o.Act)
-		for _, q := range p.queries {
-			if o.Kind == session.Hand && q.Session == o.ID && q.open(p.now) {
-				p.fail("S3: handed while %+v is open", *q)
+		sim.pastActs = append(sim.pastActs, o.Act)
+		for _, q := range sim.queries {
+			if o.Kind == session.Hand && q.Session == o.ID && q.open(sim.now) {
+				sim.fail("S3: session handed over while %+v is open", *q)
 			}
 		}
 	}
 }
 
-// before says that one that ran, or may have, is called the same, and that a repeat of it could act again.
-func (b *modelQuery) barsRepeat(q *modelQuery) bool {
-	return b != q && b.sessionNumber == q.sessionNumber && b.ID == q.ID && q.ID != completed.ID{} && b.Effect != Idempotent && q.Effect != Idempotent && b.started && b.ended && b.outcome != NotRun
+// barsRepeat reports whether the query ran or may have run, and q has the same client id and must not run after it.
+func (first *modelQuery) barsRepeat(q *modelQuery) bool {
+	return first != q && first.sessionNumber == q.sessionNumber && first.ID == q.ID && q.ID != completed.ID{} && first.Effect != Idempotent && q.Effect != Idempotent && first.started && first.ended && first.outcome != NotRun
 }
 
-// run is S1 and S3 for one that begins.
-func (p *simulation) checkRun(q *modelQuery, seq uint64) {
-	p.t.Helper()
-	rec, _ := p.localCopy.Get(q.Session)
-	q.started, q.atReplica, q.startedAt, q.epoch, q.seq = true, true, p.now, rec.Epoch, seq
-	p.checkOwnership(q.sessionNumber, rec.Epoch, "begins")
+// checkRun checks S1 and S3 for a query that starts.
+func (sim *simulation) checkRun(q *modelQuery, seq uint64) {
+	sim.t.Helper()
+	rec, _ := sim.localCopy.Get(q.Session)
+	q.started, q.atReplica, q.startedAt, q.epoch, q.seq = true, true, sim.now, rec.Epoch, seq
+	sim.checkOwnership(q.sessionNumber, rec.Epoch, "begins")
 	openCount := 0
-	for _, o := range p.queries {
+	for _, o := range sim.queries {
 		switch {
 		case o.barsRepeat(q) && o.epoch == q.epoch && (o.Effect == NonIdempotent || q.Effect == NonIdempotent || q.Deadline > o.startedAt+o.Window):
-			p.fail("S3: %+v begins, %+v ran before it", *q, *o)
+			sim.fail("S3: %+v starts, its duplicate %+v ran before", *q, *o)
 		case o.sessionNumber != q.sessionNumber || o == q:
-		case o.open(p.now) && (o.Effect != Idempotent || q.Effect != Idempotent):
-			p.fail("S3: %+v begins beside %+v", *q, *o)
-		case o.open(p.now):
+		case o.open(sim.now) && (o.Effect != Idempotent || q.Effect != Idempotent):
+			sim.fail("S3: %+v starts beside %+v", *q, *o)
+		case o.open(sim.now):
 			openCount++
-		case !o.started && o.responses == 0 && o.Token < q.Token && !slices.Contains(p.abandoned, o):
-			p.fail("S3: %+v begins before %+v", *q, *o)
+		case !o.started && o.responses == 0 && o.Token < q.Token && !slices.Contains(sim.abandoned, o):
+			sim.fail("S3: %+v starts before %+v, which arrived earlier", *q, *o)
 		}
 	}
 	epoch := fmt.Sprint(q.sessionNumber, rec.Epoch)
-	last, known := p.lastSeq[epoch]
+	last, known := sim.lastSeq[epoch]
 	if !known {
 		last = rec.Seq
 	}
-	if p.lastSeq[epoch] = seq; seq != last+1 || openCount >= limits.Slots || q.responses > 0 || p.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor {
-		p.fail("S3: %+v begins, %d was the last, beside %d", *q, last, openCount)
+	if sim.lastSeq[epoch] = seq; seq != last+1 || openCount >= limits.Slots || q.responses > 0 || sim.now >= q.arrivedAt+(q.Deadline-q.arrivedAt)/MaxWaitDivisor {
+		sim.fail("S3: %+v starts too late, again, out of sequence after %d, or beside %d open queries", *q, last, openCount)
 	}
 }
 
-// settle heals all, and nothing is left. By the sixty-fifth second a sweep has found what is agreed to be here and known to nobody.
-func (p *simulation) drain() {
+// drain ends all queries and applies all acts until nothing is left. After 65 s, a reconciliation must have found every session that
+// was agreed to be here and not known.
+func (sim *simulation) drain() {
 	for i := range 100 {
-		for _, q := range p.queries {
+		for _, q := range sim.queries {
 			if q.started && !q.ended {
-				p.endQuery(q)
+				sim.endQuery(q)
 			}
 		}
-		if i == 65 && p.owner.Stats().Sessions+p.book.Owned("a") != p.book.Owned("a")*2 {
-			p.fail("%+v, %d are agreed to be here", p.owner.Stats(), p.book.Owned("a"))
+		if i == 65 && sim.owner.Stats().Sessions+sim.book.Owned("a") != sim.book.Owned("a")*2 {
+			sim.fail("after 65 s: %+v, %d sessions are agreed to be here", sim.owner.Stats(), sim.book.Owned("a"))
 		}
-		p.applyActs("a", append(p.acts, session.Act{Kind: session.Freed})...)
-		p.acts = nil
-		p.renewLease()
-		p.stepAndCheck()
-		p.now += sec
+		sim.applyActs("a", append(sim.acts, session.Act{Kind: session.Freed})...)
+		sim.acts = nil
+		sim.renewLease()
+		sim.stepAndCheck()
+		sim.now += sec
 	}
-	if s := p.owner.Stats(); s.Sessions+s.Waiting+s.Open+p.book.Owned("a")+len(p.owner.clients)+len(p.owner.timers) > 0 {
-		p.fail("%+v, %d are agreed to be here", s, p.book.Owned("a"))
+	if s := sim.owner.Stats(); s.Sessions+s.Waiting+s.Open+sim.book.Owned("a")+len(sim.owner.clients)+len(sim.owner.timers) > 0 {
+		sim.fail("after draining: %+v, %d sessions are agreed to be here", s, sim.book.Owned("a"))
 	}
 }
 
-func (p *simulation) runSteps(steps int) {
+func (sim *simulation) runSteps(steps int) {
 	for range steps {
-		p.now += []time.Duration{0, ms, 20 * ms, 60 * ms, 150 * ms, 400 * ms, 0, 3 * sec}[p.draw(8)*p.draw(8)/7]
-		for range p.draw(4) {
-			p.randomEvent()
+		sim.now += []time.Duration{0, ms, 20 * ms, 60 * ms, 150 * ms, 400 * ms, 0, 3 * sec}[sim.draw(8)*sim.draw(8)/7]
+		for range sim.draw(4) {
+			sim.randomEvent()
 		}
-		p.stepAndCheck()
+		sim.stepAndCheck()
 	}
-	p.drain()
+	sim.drain()
 }
 
 func TestRandomEventsKeepInvariants(t *testing.T) {
@@ -375,22 +376,22 @@
 		for i, procs := range []int{1, 4} {
 			before := runtime.GOMAXPROCS(procs)
 			r := rand.New(rand.NewPCG(seed, 1))
-			p := newSimulation(t, r.IntN)
-			p.runSteps(300)
+			sim := newSimulation(t, r.IntN)
+			sim.runSteps(300)
 			runtime.GOMAXPROCS(before)
 			h := fnv.New64()
-			h.Write(p.history)
+			h.Write(sim.history)
 			hashes[i] = h.Sum64()
-			s := p.owner.Stats()
+			s := sim.owner.Stats()
 			sum.Ran, sum.Cancelled, sum.Failed, sum.Withheld = sum.Ran+s.Ran, sum.Cancelled+s.Cancelled, sum.Failed+s.Failed, sum.Withheld+s.Withheld
 			sum.Handed, sum.Adopted, sum.RolledBack, sum.Resumed = sum.Handed+s.Handed, sum.Adopted+s.Adopted, sum.RolledBack+s.RolledBack, sum.Resumed+s.Resumed
 		}
 		if hashes[0] != hashes[1] {
-			t.Fatalf("seed %d: two histories of the same news", seed)
+			t.Fatalf("seed %d: two histories of the same inputs", seed)
 		}
 	}
 	if sum.Ran*sum.Cancelled*sum.Failed*sum.Withheld*sum.Handed*sum.Adopted*sum.RolledBack*sum.Resumed == 0 {
-		t.Errorf("not all was played: %+v", sum)
+		t.Errorf("some events did not occur: %+v", sum)
 	}
 	t.Logf("%+v", sum)
 }
