--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -9,7 +9,7 @@
 
 // The functions of this file maintain the record of completed queries that must not run twice, which a hand-over takes along.
 
-// windowSlackDivisor is the fraction of a keyed query's window by which the window is shortened to allow for clock drift: 1 % for
+// windowSlackDivisor shortens a keyed query's window by 1/windowSlackDivisor of its length to allow for clock drift: 1 % for
 // each of the two clocks that may measure it. Twice the slack gains nothing; with half of it, a clock that is 1 % slow lets a repeat
 // take effect again.
 const windowSlackDivisor = 50
--- a/internal/fleet/sessionowner/edge_cases_test.go
+++ b/internal/fleet/sessionowner/edge_cases_test.go
@@ -136,20 +136,20 @@
 	a := newClaimedRig(t)
 	b := a.newRigFor("b", Options{}, 3, 3)
 	a.step(QueryEnded{Token: 1, Responded: true}, a.newQuery(2, NonIdempotent))
-	again := a.newQuery(9, NonIdempotent)
-	elsewhere := func(r *rig, owner string) {
+	retry := a.newQuery(9, NonIdempotent)
+	expectNotOwner := func(r *rig, owner string) {
 		t.Helper()
-		r.step(again)
+		r.step(retry)
 		w, ok := findOutput(r, func(o Reject) bool { return o.Token == 9 })
 		r.want(ok && w.Reason == NotOwner && w.Owner == owner && w.RetryAfter < 2*RetryAfterMoved, "not rejected at once with the owner's name")
 	}
-	elsewhere(b, "a")
+	expectNotOwner(b, "a")
 	a.offer(1, "b")
 	a.step(a.applied())
 	b.step(b.applied())
-	elsewhere(b, "a")
+	expectNotOwner(b, "a")
 	a.now += 3 * sec
-	a.step(again)
+	a.step(retry)
 	a.want(len(a.out) == 0, "the retry at the old owner does not wait")
 	a.now += sec - ms
 	a.step()
@@ -161,9 +161,9 @@
 	a.step(QueryEnded{Token: 2, Outcome: Done})
 	a.want(len(a.out) == 1 && a.owner.Phase(id(1)) == Frozen, "the late answer is given, or the session is not frozen")
 	a.applyProposed()
-	again.Deadline = a.now + 4*sec
-	elsewhere(a, "b")
-	b.step(b.applied(), again)
+	retry.Deadline = a.now + 4*sec
+	expectNotOwner(a, "b")
+	b.step(b.applied(), retry)
 	b.want(!b.ran(9) && b.owner.Phase(id(1)) == Adopting, "does not wait for the adoption")
 	b.applyProposed()
 	b.want(b.out[0] == Run{9, 3}, "does not run at the new owner with sequence number 3")
@@ -171,8 +171,8 @@
 	a.want(len(a.out) == 0 && a.owner.Stats().Sessions+a.owner.Stats().Open == 0, "the old owner still has state of the session")
 }
 
-// For a hand-over, Idempotent and Keyed queries are cancelled after CancelDelay. Keyed ones late in their window and NonIdempotent
-// ones are not cancelled.
+// For a hand-over, Idempotent and Keyed queries are cancelled after CancelDelay, or at once at a draining owner. Keyed ones late in
+// their window and NonIdempotent ones are not cancelled.
 func TestQueriesCancelledForHandOver(t *testing.T) {
 	for effect, window := range map[Effect]time.Duration{Idempotent: 0, Keyed: 10 * sec, Keyed + 10: ms, NonIdempotent: 0} {
 		for _, draining := range []int{0, 1, 2} { // 0: not draining, 1: draining before the offer is seen, 2: after that
--- a/internal/fleet/sessionowner/proposals.go
+++ b/internal/fleet/sessionowner/proposals.go
@@ -84,7 +84,7 @@
 		s = next
 	}
 	for _, q := range o.byArrival() {
-		if s := q.session; s != nil { // nil if an earlier refresh has answered the query
+		if s := q.session; s != nil { // nil if an earlier refresh has answered and removed the query
 			r, ok := o.state.Get(s.id)
 			o.refresh(s, r, ok)
 		}
--- a/internal/fleet/sessionowner/queries.go
+++ b/internal/fleet/sessionowner/queries.go
@@ -28,7 +28,7 @@
 	}
 	if len(o.queries) >= o.options.MaxQueries {
 		o.reject(a.Token, Overloaded, RetryAfterOverload, "")
-		o.releaseUnused(s)
+		o.continueIfActive(s)
 		return
 	}
 	q := o.newQuery(a, s)
@@ -70,7 +70,8 @@
 	return o.openSession(s, a, r, ok)
 }
 
-// waitOrReject lets a query that could not start wait, for its share of the client's time, if there is capacity for that.
+// waitOrReject lets a query that could not start wait for at most its share of the client's time, or rejects it if there is no
+// capacity.
 func (o *Owner) waitOrReject(q *query) {
 	s := q.session
 	usage := o.clients[q.client]
@@ -79,7 +80,7 @@
 		o.checkResponse(q)
 		o.reject(q.token, Overloaded, RetryAfterOverload, "")
 		o.dropQuery(q)
-		o.releaseUnused(s)
+		o.continueIfActive(s)
 		return
 	}
 	usage.waits++
@@ -109,8 +110,8 @@
 	return s
 }
 
-// releaseUnused lets an active session continue after one of its queries found no capacity.
-func (o *Owner) releaseUnused(s *sessionEntry) {
+// continueIfActive lets an active session continue, or become idle, after one of its queries found no capacity.
+func (o *Owner) continueIfActive(s *sessionEntry) {
 	if s.phase == Active {
 		o.continueSession(s)
 	}
@@ -200,7 +201,7 @@
 func (o *Owner) startIfOwned(s *sessionEntry, woken *slot) {
 	if s.phase == Active && s.waitingQueries.head != nil && o.mayAct() && o.isOwner(s, s.epoch) {
 		o.startWaiting(s, woken)
-		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 { // all of them were rejected
+		if s.phase == Active && s.waitingQueries.head == nil && s.runningCount == 0 { // all of them were rejected or failed
 			o.setIdle(s, true)
 		}
 	}
@@ -316,7 +317,8 @@
 	}
 }
 
-// expireQueries handles the queries that are due: waiting ones, running ones, and those that were allowed CancelDelay before a hand-over.
+// expireQueries handles the queries whose timer is due: waiting ones, running ones, and those that were left running for CancelDelay
+// before a hand-over.
 func (o *Owner) expireQueries() {
 	for len(o.timers) > 0 && o.timers[0].timerAt <= o.now {
 		q := o.timers[0]
--- a/internal/fleet/sessionowner/queue.go
+++ b/internal/fleet/sessionowner/queue.go
@@ -161,7 +161,7 @@
 	unreadable       bool // adopting: the state of the hand-over could not be decoded
 
 	prev, next         *sessionEntry // in Owner.idle or Owner.actQueue
-	blockedAt          *slot         // the slot that its first waiting query needs and that is in use
+	blockedAt          *slot         // the slot that its first waiting query needs and that is not available
 	prevSlot, nextSlot *sessionEntry // in the queue of blockedAt
 }
 
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -91,7 +91,8 @@
 	}
 	w.index++
 	w.book.Tick(w.now)
-	_ = w.book.Apply(w.now, func() uint64 { w.fence++; return w.fence }, kind, raw) // an error means that the change was refused, which some tests intend
+	// An error means that the change was refused, which some tests intend.
+	_ = w.book.Apply(w.now, func() uint64 { w.fence++; return w.fence }, kind, raw)
 	if err := w.book.Check(); err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -121,7 +121,7 @@
 	if q.responses > 0 || !sim.owner.MayAnswer(sim.now, q.Token) {
 		return
 	}
-	sim.checkOwnership(q.sessionNumber, q.epoch, "answers")
+	sim.checkOwnership(q.sessionNumber, q.epoch, "answers a query")
 	if q.responses++; sim.now >= q.Deadline {
 		sim.fail("query %d is answered after its deadline", q.Token)
 	}
@@ -300,7 +300,7 @@
 	sim.t.Helper()
 	rec, _ := sim.localCopy.Get(q.Session)
 	q.started, q.atReplica, q.startedAt, q.epoch, q.seq = true, true, sim.now, rec.Epoch, seq
-	sim.checkOwnership(q.sessionNumber, rec.Epoch, "begins")
+	sim.checkOwnership(q.sessionNumber, rec.Epoch, "starts a query")
 	openCount := 0
 	for _, o := range sim.queries {
 		switch {
--- a/internal/fleet/sessionowner/slots.go
+++ b/internal/fleet/sessionowner/slots.go
@@ -90,7 +90,7 @@
 		}
 		o.wakeFirst(first)
 	}
-	for i := range o.requestedTransfers { // fewer slots are in use now, so a transfer may be possible
+	for i := range o.requestedTransfers { // fewer slots are in use now, so a transfer may be complete
 		if o.requestedTransfers[i].dueAt == 0 {
 			o.proposeFreed(&o.requestedTransfers[i])
 		}
@@ -151,7 +151,7 @@
 	}
 }
 
-// proposeFreed proposes that the slots of a transfer are freed, once no more slots are in use here than the remaining quota.
+// proposeFreed proposes the Freed act of a transfer, once no more slots are in use here than the quota that the transfer leaves.
 func (o *Owner) proposeFreed(proposal *pendingProposal) {
 	t, ok := o.state.Pool().Transfer(proposal.fence)
 	if !ok || !o.mayAct() {
--- a/internal/fleet/sessionowner/types.go
+++ b/internal/fleet/sessionowner/types.go
@@ -76,8 +76,7 @@
 type (
 	// Arrived says that a query of a pinned class has arrived.
 	//
-	// Token is chosen by the caller, who doesn't use it again before the query's QueryEnded or, if the query did not Run, its
-	// response. ID is the hash of the client's own id for the query, by which a repeat of a Keyed or NonIdempotent query is
+	// The caller chooses Token, and must not reuse it before the query's QueryEnded or, if the query did not Run, its response. ID is the hash of the client's own id for the query, by which a repeat of a Keyed or NonIdempotent query is
 	// recognised; it is zero if the client gave none. Deadline, by the own clock, is when the client's time is over. Window is how
 	// long after the start of a Keyed query its repeats are dropped. Replicas names the replicas at each of which the query needs a
 	// slot; the owner keeps the slice and does not change it. Client identifies the client against whose share of the limits the
@@ -108,9 +107,9 @@
 	// same poll.
 	Applied struct {
 		State      AgreedState
-		Index      uint64 // index in the log; a state with a lower index than an earlier one is ignored
+		Index      uint64 // index in the log; a state is ignored if an earlier one of the same LogEpoch had a higher index
 		AgreedTime time.Duration
-		LogEpoch   uint64 // epoch of the log; a state of a lower epoch is ignored too
+		LogEpoch   uint64 // epoch of the log; a state is ignored if an earlier one had a higher epoch
 	}
 	// Lease is the lease of this co-ordinator, valid until Until by the own clock. Clock drift has already been subtracted.
 	Lease struct {
@@ -174,14 +173,14 @@
 
 // Times and limits of an owner.
 const (
-	// MaxWaitDivisor limits the time that a query waits here, for whatever reason, to this fraction of its remaining time. The rest
-	// is for reaching the owner, waiting there once more, and running. With twice the share, a rejected query has only half of its
+	// MaxWaitDivisor limits the time that a query waits here, for whatever reason, to 1/MaxWaitDivisor of its remaining time. The
+	// rest is for reaching the owner, waiting there once more, and running. With twice the share, a rejected query has only half of its
 	// time left; with half of it, a claim would have to be agreed within an eighth.
 	MaxWaitDivisor = 4
-	// KeyedRetryDivisor is the fraction of its window within which the client of a keyed query that may have run is asked to
-	// retry. The rest of the window is for the retry to arrive, wait and run. With twice the share, the repeat may come after the
-	// window and take effect again; with half of it, a keyed query can no longer be cancelled sooner, and then blocks a
-	// hand-over until it ends.
+	// KeyedRetryDivisor sets when the client of a keyed query that may have run is asked to retry: only in the first
+	// 1/KeyedRetryDivisor of the window. The rest of the window is for the retry to arrive, wait and run. With twice the share, the repeat may come after the
+	// window and take effect again; with half of it, it becomes impossible sooner to cancel a keyed
+	// query, which then blocks a hand-over until it ends.
 	KeyedRetryDivisor = 2
 	// CancelDelay is how long open queries that could be cancelled for a hand-over may go on, so that most of them end by
 	// themselves. Twice the delay stops the session for that much longer; with half of it, more queries that had nearly finished
