--- a/internal/fleet/sessionowner/applied.go
+++ b/internal/fleet/sessionowner/applied.go
@@ -35,7 +35,7 @@
 	o.offersDueAt = 0
 	old := o.pendingOffers
 	o.pendingOffers = nil
-	o.state.Flights(func(r session.Record) bool {
+	o.state.Moves(func(r session.Record) bool {
 		s := o.sessions[r.ID]
 		here := r.Owner == o.name
 		switch {
@@ -45,10 +45,10 @@
 			}
 			return true
 		case here && s == nil && len(o.sessions) >= o.options.MaxSessions:
-			if r.Phase != session.Handed {
+			if r.Phase != session.HandedOver {
 				return true
 			}
-		case here && (r.Phase == session.Handed || o.mayAct()):
+		case here && (r.Phase == session.HandedOver || o.mayAct()):
 			if s == nil {
 				s = o.newSession(r.ID)
 			}
--- a/internal/fleet/sessionowner/check.go
+++ b/internal/fleet/sessionowner/check.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, r := range s.completed {
-		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.Until() < q.deadline) {
+		if q.effect != Idempotent && r.ID == q.id && (q.effect == NonIdempotent || !r.Keyed || r.WindowEnd() < q.deadline) {
 			c.fail("S3: query %d of session %v started, it ran before with sequence number %d: %+v", q.token, session.ID(s.id), r.Seq, r)
 		}
 	}
@@ -186,7 +186,7 @@
 			id, s.waitingCount, s.runningCount, s.exclusiveCount, s.detachedCount, waiting, running, exclusive, detached)
 	case s.phase == Frozen && running > 0:
 		return fmt.Errorf("S3: session %v is frozen with %d queries open", id, running)
-	case len(s.completed) > completed.Most || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
+	case len(s.completed) > completed.MaxEntries || len(s.completed) > 0 && s.phase == Active && s.completed[len(s.completed)-1].Seq > uint32(s.seq):
 		return fmt.Errorf("bounds: session %v with sequence number %d has an invalid record of completed queries: %+v", id, s.seq, s.completed)
 	case waiting > owner.options.MaxWaiting:
 		return fmt.Errorf("bounds: %d queries of session %v wait, more than allowed", waiting, id)
--- a/internal/fleet/sessionowner/completions.go
+++ b/internal/fleet/sessionowner/completions.go
@@ -18,7 +18,7 @@
 // at an earlier owner. That holds if either of the two is NonIdempotent, or if both are Keyed and the repeat could take effect again.
 func (s *sessionEntry) alreadyRan(id completed.ID, effect Effect, due time.Duration) bool {
 	e, ok := s.completed.Find(id)
-	return ok && (effect == NonIdempotent || e.Bars(due))
+	return ok && (effect == NonIdempotent || e.BlocksRepeat(due))
 }
 
 // failDuplicate fails a repeat of a query that must not run twice. Nothing of the repeat runs.
@@ -34,20 +34,20 @@
 	if q.effect == Idempotent || end == NotRun || q.epoch != q.session.epoch {
 		return
 	}
-	e := completed.Entry{ID: q.id, How: completed.MayHaveRun, Seq: uint32(q.seq)}
+	e := completed.Entry{ID: q.id, Outcome: completed.MayHaveRun, Seq: uint32(q.seq)}
 	if end == Done {
-		e.How = completed.Served
+		e.Outcome = completed.Served
 	}
 	if q.effect == Keyed {
-		e = e.Keys(q.startedAt + q.window - q.window/windowSlackDivisor)
+		e = e.WithWindowEnd(q.startedAt + q.window - q.window/windowSlackDivisor)
 	}
-	q.session.completed = q.session.completed.Note(e)
+	q.session.completed = q.session.completed.Add(e)
 }
 
 // handOverState returns the state that a hand-over takes along. This co-ordinator estimates the agreed time from the last agreed state
 // that it saw, which lags, so windows end early at the target, never late.
 func (o *Owner) handOverState(s *sessionEntry) []byte {
-	return s.completed.Save(s.seq, o.agreedSince(0)-o.now, o.limits.StateMost)
+	return s.completed.Save(s.seq, o.agreedSince(0)-o.now, o.limits.MaxStateBytes)
 }
 
 // restoreState loads the state that a hand-over took along. Its windows end by agreed time, which this co-ordinator may not know
--- a/internal/fleet/sessionowner/completions_test.go
+++ b/internal/fleet/sessionowner/completions_test.go
@@ -117,7 +117,7 @@
 	a := newClaimedRig(t)
 	b := a.newRigFor("b", Options{}, 3, 1)
 	reduced := limits
-	reduced.Revision, reduced.StateMost = 2, 24
+	reduced.Revision, reduced.MaxStateBytes = 2, 24
 	a.apply(session.KindLimits, session.LimitsBody{Limits: reduced})
 	a.step(a.applied(), QueryEnded{Token: 1, Responded: true})
 	for n, name := range []string{"one", "two", "three"} {
--- a/internal/fleet/sessionowner/owner_test.go
+++ b/internal/fleet/sessionowner/owner_test.go
@@ -33,7 +33,7 @@
 	r.want(!r.ran(2) && r.owner.Phase(id(1)) == Quiescing, "query started while quiescing")
 	r.want(r.owner.MayAnswer(r.now, 1), "answer of an open query not allowed")
 	r.step(QueryEnded{Token: 1, Outcome: Done})
-	r.want(r.owner.Phase(id(1)) == Frozen && len(r.acts) == 1 && r.acts[0].Kind == session.Hand && r.acts[0].Seq == 1 && r.acts[0].State == nil, "wrong hand-over")
+	r.want(r.owner.Phase(id(1)) == Frozen && len(r.acts) == 1 && r.acts[0].Kind == session.HandOver && r.acts[0].Seq == 1 && r.acts[0].State == nil, "wrong hand-over")
 	r.acts = nil // the proposal is lost
 	r.advance(ActRetryInterval)
 	r.want(len(r.acts) == 1, "hand-over not repeated")
@@ -79,7 +79,7 @@
 	r.step(r.newQuery(2, NonIdempotent))
 	r.offer(1, "b")
 	rec, _ := r.book.Get(id(1))
-	r.applyActs("a", session.Act{Kind: session.Hand, ID: id(1), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 1})
+	r.applyActs("a", session.Act{Kind: session.HandOver, ID: id(1), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 1})
 	r.want(!r.owner.MayAnswer(r.now, 1), "answer allowed for another owner's session")
 	r.step(QueryEnded{Token: 1, Responded: true})
 	r.want(len(r.out) == 0, "started a query of another owner's session, or gave a second response")
@@ -88,7 +88,7 @@
 	r = newClaimedRig(t)
 	r.offer(1, "b")
 	rec, _ = r.book.Get(id(1))
-	r.applyActs("a", session.Act{Kind: session.Hand, ID: id(1), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 1})
+	r.applyActs("a", session.Act{Kind: session.HandOver, ID: id(1), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 1})
 	r.step(Applied{State: session.New(), Index: 1}, r.newQuery(3, Idempotent))
 	r.want(r.cancelled(1, NotOwner) && r.rejected(3, NotOwner), "open query not cancelled, or an older state took effect")
 	w, known := r.owner.RejectInstead(r.now, 1), r.owner.Phase(id(1))
@@ -135,7 +135,7 @@
 	}
 	for _, n := range []int{1, 2} {
 		rec, _ := r.book.Get(id(n))
-		r.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 5})
+		r.applyActs("b", session.Act{Kind: session.HandOver, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: 5})
 	}
 	r.acts = nil
 	r.step(r.applied())
@@ -182,5 +182,5 @@
 	b.Step(r.now, []Input{r.applied()})
 	r.applyActs("b", session.Act{Kind: session.Adopt, ID: id(1), Epoch: rec.Epoch})
 	b.Step(r.now, []Input{r.applied(), Lease{r.now + 5*sec, true}})
-	r.want(rec.Owner == "b" && rec.Phase == session.Handed && b.Phase(id(1)) == Ending, "takes the adoption of the previous process for its own: "+b.Phase(id(1)).String())
+	r.want(rec.Owner == "b" && rec.Phase == session.HandedOver && b.Phase(id(1)) == Ending, "takes the adoption of the previous process for its own: "+b.Phase(id(1)).String())
 }
--- a/internal/fleet/sessionowner/phases.go
+++ b/internal/fleet/sessionowner/phases.go
@@ -35,7 +35,7 @@
 	case !ok:
 		s.completed = s.completed[:0]
 		o.enterPhase(s, Claiming)
-	case r.Phase == session.Handed:
+	case r.Phase == session.HandedOver:
 		o.startAdopting(s, r)
 	default: // owned through a previous process or an abandoned claim: which queries started is not known
 		o.enterPhase(s, Ending)
@@ -132,7 +132,7 @@
 		switch {
 		case !ok:
 			s.epoch = r.Epoch
-		case owned && r.Phase != session.Handed:
+		case owned && r.Phase != session.HandedOver:
 			o.stats.Claimed++
 			o.startServing(s, r)
 		case owned:
@@ -154,12 +154,12 @@
 		switch {
 		case !owned:
 			o.loseSession(s, r.Owner)
-		case r.Phase != session.Handed && r.Epoch == s.epoch && !s.adoptProposed:
+		case r.Phase != session.HandedOver && r.Epoch == s.epoch && !s.adoptProposed:
 			// A previous process adopted it, and which queries that process started is not known.
 			o.startSession(s, r, ok)
-		case r.Phase != session.Handed && r.Epoch == s.epoch:
+		case r.Phase != session.HandedOver && r.Epoch == s.epoch:
 			o.stats.Adopted++
-			s.completed.Shift(s.adoptProposedAt - r.Since)
+			s.completed.ShiftWindows(s.adoptProposedAt - r.Since)
 			o.startServing(s, r)
 		case r.Epoch != s.epoch:
 			o.startSession(s, r, ok)
--- a/internal/fleet/sessionowner/proposals.go
+++ b/internal/fleet/sessionowner/proposals.go
@@ -13,7 +13,7 @@
 		}
 	case Frozen:
 		o.invariants.checkHandOver(s)
-		o.emitAct(session.Act{Kind: session.Hand, ID: s.id, Epoch: s.epoch, Fence: s.fence, Seq: s.seq, State: o.handOverState(s), Lane: s.lane})
+		o.emitAct(session.Act{Kind: session.HandOver, ID: s.id, Epoch: s.epoch, Fence: s.fence, Seq: s.seq, State: o.handOverState(s), Lane: s.lane})
 	case Adopting:
 		r, _ := o.state.Get(s.id)
 		switch {
@@ -29,10 +29,10 @@
 		}
 	case Ending:
 		reason := "its co-ordinator began anew"
-		if o.limits.IdleFor > 0 && o.now-s.lastUsed >= o.limits.IdleFor {
+		if o.limits.IdleTimeout > 0 && o.now-s.lastUsed >= o.limits.IdleTimeout {
 			reason = "idle"
 		}
-		o.emitAct(session.Act{Kind: session.End, ID: s.id, Epoch: s.epoch, Seq: s.seq, Why: reason})
+		o.emitAct(session.Act{Kind: session.End, ID: s.id, Epoch: s.epoch, Seq: s.seq, Reason: reason})
 	}
 }
 
@@ -56,9 +56,9 @@
 
 // endIdleSessions ends the sessions that had no query for the idle limit.
 func (o *Owner) endIdleSessions() {
-	for n := 0; n < MaxActsPerStep && o.limits.IdleFor > 0; n++ {
+	for n := 0; n < MaxActsPerStep && o.limits.IdleTimeout > 0; n++ {
 		s := o.idle.head
-		if s == nil || o.now-s.lastUsed < o.limits.IdleFor {
+		if s == nil || o.now-s.lastUsed < o.limits.IdleTimeout {
 			return
 		}
 		o.enterPhase(s, Ending)
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -23,7 +23,7 @@
 // sharedState is the agreed state with its log index and last fence number, and the clock that all owners of a test share.
 type sharedState struct {
 	t            tb
-	book         *session.Book
+	book         *session.State
 	now          time.Duration
 	index, fence uint64
 }
@@ -38,8 +38,8 @@
 }
 
 var limits = session.Limits{
-	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, OfferFor: 10 * sec, IdleFor: 60 * sec,
-	Lease: 6 * sec, Grace: sec, SessionsMost: 100_000, StateMost: 1024, Slots: 3,
+	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, StepTimeout: 10 * sec, IdleTimeout: 60 * sec,
+	Lease: 6 * sec, Grace: sec, MaxSessions: 100_000, MaxStateBytes: 1024, Slots: 3,
 }
 
 // newRig returns the owner "a" with 3 slots at r1, 1 slot at r2, and a long lease.
--- a/internal/fleet/sessionowner/simulation_test.go
+++ b/internal/fleet/sessionowner/simulation_test.go
@@ -35,7 +35,7 @@
 type simulation struct {
 	*rig
 	draw       func(n int) int
-	localCopy  *session.Book
+	localCopy  *session.State
 	leaseUntil time.Duration // end of the lease
 	queries    []*modelQuery
 	inputs     []Input
@@ -129,7 +129,7 @@
 
 func (sim *simulation) checkOwnership(n int, epoch uint64, what string) {
 	rec, ok := sim.book.Get(id(n))
-	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.Handed || sim.now >= sim.leaseUntil {
+	if !ok || rec.Owner != "a" || rec.Epoch != epoch || rec.Phase == session.HandedOver || sim.now >= sim.leaseUntil {
 		sim.fail("S1: %s for session %d in epoch %d, the lease ends at %v, the agreed state is %+v", what, n, epoch, sim.leaseUntil, rec)
 	}
 }
@@ -145,17 +145,17 @@
 		to := map[string]string{"a": "b", "b": "a"}[rec.Owner]
 		sim.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
 	case choice < 6 && rec.Phase == session.Offered && rec.Owner == "b":
-		sim.applyActs("b", session.Act{Kind: session.Hand, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(sim.draw(3))})
+		sim.applyActs("b", session.Act{Kind: session.HandOver, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence, Seq: rec.Seq + uint64(sim.draw(3))})
 	case choice == 4 && rec.Phase == session.Offered:
 		sim.plan(session.PlanBody{Withdrawals: []session.Withdrawal{{ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence}}})
-	case choice < 7 && rec.Owner == "b" && rec.Phase == session.Handed:
+	case choice < 7 && rec.Owner == "b" && rec.Phase == session.HandedOver:
 		sim.applyActs("b", session.Act{Kind: session.Adopt, ID: id(n), Epoch: rec.Epoch})
 	case choice == 7:
 		sim.applyActs("b", session.Act{Kind: session.Decline, ID: id(n), Epoch: rec.Epoch, Fence: rec.Fence})
 	case choice == 8:
 		to := []string{"a", "b"}[sim.draw(2)]
 		sim.plan(session.PlanBody{Shifts: []session.Shift{{From: map[string]string{"a": "b", "b": "a"}[to], To: to, Replica: "r1", N: 1}}})
-		for _, t := range sim.book.Pool().Asked("b") {
+		for _, t := range sim.book.Pool().PendingReleases("b") {
 			sim.applyActs("b", session.Act{Kind: session.Freed, Fence: t.Fence})
 		}
 	}
@@ -224,9 +224,9 @@
 	}
 	for _, replica := range []string{"r1", "r2"} {
 		allowed := sim.book.Pool().Held("a", replica)
-		for _, t := range sim.book.Pool().Asked("a") {
+		for _, t := range sim.book.Pool().PendingReleases("a") {
 			if t.Replica == replica {
-				allowed += t.N
+				allowed += t.Slots
 			}
 		}
 		if n := sim.inUse(replica); n > allowed {
@@ -283,7 +283,7 @@
 		}
 		sim.pastActs = append(sim.pastActs, o.Act)
 		for _, q := range sim.queries {
-			if o.Kind == session.Hand && q.Session == o.ID && q.open(sim.now) {
+			if o.Kind == session.HandOver && q.Session == o.ID && q.open(sim.now) {
 				sim.fail("S3: session handed over while %+v is open", *q)
 			}
 		}
--- a/internal/fleet/sessionowner/slots.go
+++ b/internal/fleet/sessionowner/slots.go
@@ -120,7 +120,7 @@
 	}
 	old := o.requestedTransfers
 	o.requestedTransfers = nil
-	for _, t := range p.Asked(o.name) {
+	for _, t := range p.PendingReleases(o.name) {
 		proposal := pendingProposal{fence: t.Fence}
 		if i := slices.IndexFunc(old, func(previous pendingProposal) bool { return previous.fence == t.Fence }); i >= 0 {
 			proposal = old[i]
--- a/internal/fleet/sessionowner/types.go
+++ b/internal/fleet/sessionowner/types.go
@@ -58,12 +58,12 @@
 // String returns the name of the reason.
 func (r Reason) String() string { return reasons[r] }
 
-// AgreedState is the part of the agreed session state that an Owner reads; *session.Book implements it. The Owner reads it during
+// AgreedState is the part of the agreed session state that an Owner reads; *session.State implements it. The Owner reads it during
 // Step and MayAnswer. Between these calls the state may stay or advance but never go back. The Owner copies what it keeps.
 type AgreedState interface {
 	Get(id session.ID) (session.Record, bool)
-	// Flights yields the sessions that are offered or handed, and ByOwner those that a co-ordinator owns, each in a fixed order.
-	Flights(yield func(session.Record) bool)
+	// Moves yields the sessions that are offered or handed, and ByOwner those that a co-ordinator owns, each in a fixed order.
+	Moves(yield func(session.Record) bool)
 	ByOwner(co string, yield func(session.Record) bool)
 	Owned(co string) int
 	Pool() *pool.Pool
