--- a/internal/fleet/maintenance/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -34,7 +34,7 @@
 func decodeAndApply[B any](body []byte, apply func(B) error) error {
 	var b B
 	if err := statemachine.Strict(body, &b); err != nil {
-		return fmt.Errorf("maintenance: body can not be read: %w", err)
+		return fmt.Errorf("maintenance: cannot decode the command body: %w", err)
 	}
 	return apply(b)
 }
@@ -44,11 +44,11 @@
 		return err
 	}
 	if b.Revision < s.revision || b.Revision < 1 {
-		return fmt.Errorf("limits of revision %d, %d is in force", b.Revision, s.revision)
+		return fmt.Errorf("limits of revision %d rejected: revision %d is in force", b.Revision, s.revision)
 	}
 	if b.Revision == s.revision {
 		if b.Limits != s.limits {
-			return fmt.Errorf("other limits of the same revision %d", b.Revision)
+			return fmt.Errorf("revision %d is in force with different limits", b.Revision)
 		}
 		return nil
 	}
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// valid says what makes limits unfit.
+// validate reports the first limit that is out of range.
 func (l Limits) validate() error {
 	for _, d := range []struct {
 		name string
 		d    time.Duration
 	}{{"load_age", l.MaxLoadAge}, {"list_age", l.MaxInventoryAge}, {"lease", l.Lease}} {
 		if d.d <= 0 {
-			return fmt.Errorf("limits: %s is %v, it has to be over 0", d.name, d.d)
+			return fmt.Errorf("limits: %s is %v, must be positive", d.name, d.d)
 		}
 	}
 	for _, d := range []struct {
@@ -76,33 +76,34 @@
 		d    time.Duration
 	}{{"warm_up", l.WarmUp}, {"grace", l.Grace}, {"settle", l.SettleTime}, {"calm", l.FailurePause}} {
 		if d.d < 0 || d.d > MaxGrantTime {
-			return fmt.Errorf("limits: %s is %v, it has to be within 0 and %v", d.name, d.d, MaxGrantTime)
+			return fmt.Errorf("limits: %s is %v, must be between 0 and %v", d.name, d.d, MaxGrantTime)
 		}
 	}
 	switch {
 	case l.Cells < 1 || l.Cells > 100_000 || l.Shards < 1:
-		return fmt.Errorf("limits: a ring of %d cells and %d shards", l.Cells, l.Shards)
+		return fmt.Errorf("limits: invalid ring of %d cells and %d shards", l.Cells, l.Shards)
 	case l.Reach < 1 || l.Reach > l.Cells:
-		return fmt.Errorf("limits: reach of %d in %d cells", l.Reach, l.Cells)
+		return fmt.Errorf("limits: reach is %d, must be between 1 and the %d cells of the ring", l.Reach, l.Cells)
 	case l.MinHolders < 1:
-		return fmt.Errorf("limits: holders_least is %d", l.MinHolders)
+		return fmt.Errorf("limits: holders_least is %d, must be at least 1", l.MinHolders)
 	case l.MaxOutPerZone < 0 || l.MaxOut < 0 || l.MinVoters < 0 || l.MaxPassedOver < 1:
-		return fmt.Errorf("limits: out_by_zone %d, out_most %d, voters_least %d, passed_most %d",
+		return fmt.Errorf("limits: value out of range: out_by_zone %d, out_most %d, voters_least %d, passed_most %d",
 			l.MaxOutPerZone, l.MaxOut, l.MinVoters, l.MaxPassedOver)
 	case !(l.Headroom >= 0) || math.IsInf(l.Headroom, 0):
-		return fmt.Errorf("limits: headroom of %v", l.Headroom)
+		return fmt.Errorf("limits: headroom is %v, must be finite and not negative", l.Headroom)
 	}
 	return nil
 }
 
-// applyGrant lets a machine go, if all rules allow it as the state is now, whatever the leader believed.
+// applyGrant grants a machine if every rule allows it in the current state. The leader's own evaluation is not trusted, since its
+// copy of the state may differ.
 func (s *State) applyGrant(b GrantBody, fence func() uint64) error {
 	e := s.latest[key{b.Request, b.Machine}]
 	if e == nil || e.Phase != Pending {
-		return fmt.Errorf("W4: request %s does not ask for %s now", b.Request, b.Machine)
+		return fmt.Errorf("W4: request %s has no pending item for %s", b.Request, b.Machine)
 	}
 	if b.Until <= s.now || b.Until > s.now+MaxGrantTime {
-		return fmt.Errorf("W7: until %s, it is %s and %v is the most", formatTime(b.Until), formatTime(s.now), MaxGrantTime)
+		return fmt.Errorf("W7: until is %s, must be after %s and at most %v later", formatTime(b.Until), formatTime(s.now), MaxGrantTime)
 	}
 	holdersLeft, spareCapacity, err := s.evaluateGrant(s.now, e)
 	if err != nil {
@@ -123,20 +124,20 @@
 	return nil
 }
 
-// grantedMachine finds the grant that a word is about: still granted, with that number.
+// grantedMachine returns the machine whose live grant has the given fence and is still in phase Granted.
 func (s *State) grantedMachine(name string, fence uint64) (*machine, error) {
 	m := s.machines[name]
 	if m == nil || m.live == nil || m.live.Fence != fence {
-		return nil, fmt.Errorf("W4: %s has no live grant of number %d", name, fence)
+		return nil, fmt.Errorf("W4: %s has no live grant with fence %d", name, fence)
 	}
 	if m.live.Phase != Granted {
-		return nil, fmt.Errorf("W4: %s of number %d is %s, not granted", name, fence, m.live.Phase)
+		return nil, fmt.Errorf("W4: grant of %s with fence %d is %s, not granted", name, fence, m.live.Phase)
 	}
 	return m, nil
 }
 
-// applyAcknowledge: every co-ordinator of the inventory, gone or not, is accounted for, since one that only the leader has lost
-// may still reach the machine.
+// applyAcknowledge requires every co-ordinator of the inventory, gone or not, to have acknowledged the drain or to have been
+// silent for its lease and grace: a co-ordinator that is unreachable for the leader may still reach the machine.
 func (s *State) applyAcknowledge(b AcknowledgeBody) error {
 	m, err := s.grantedMachine(b.Machine, b.Fence)
 	if err != nil {
@@ -147,20 +148,20 @@
 		accountedFor[name] = true
 	}
 	minSilence := s.limits.Lease + s.limits.Grace
-	for _, q := range b.Silent {
-		if !accountedFor[q.Name] && q.Duration < minSilence {
-			return fmt.Errorf("told: %s is silent for %v, its lease and grace are %v", q.Name, q.Duration, minSilence)
+	for _, silent := range b.Silent {
+		if !accountedFor[silent.Name] && silent.Duration < minSilence {
+			return fmt.Errorf("told: co-ordinator %s has been silent for %v, less than its lease and grace of %v", silent.Name, silent.Duration, minSilence)
 		}
-		accountedFor[q.Name] = true
+		accountedFor[silent.Name] = true
 	}
 	for _, c := range s.list {
 		if c.Kind == Coordinator && !accountedFor[c.Name] {
-			return fmt.Errorf("told: nothing is said of co-ordinator %s", c.Name)
+			return fmt.Errorf("told: co-ordinator %s has neither acknowledged the drain nor been reported silent", c.Name)
 		}
 	}
 	m.live.Phase, m.live.AcknowledgedAt, m.live.StartedAt = Acknowledged, s.now, m.Started
 	s.sumsValid = false
-	s.advanceItem(m) // it may be down already: work is requested on broken machines too
+	s.advanceItem(m) // the machine may already be down: repairs are requested for broken machines too
 	return nil
 }
 
@@ -176,10 +177,11 @@
 	return nil
 }
 
-// endItem closes an item. A grant's machine settles. The caller tidies the open ones.
+// endItem ends an item. If it ends the machine's live grant in a phase other than Done, the machine stays out of use for
+// SettleTime. The caller removes ended items from s.open with dropClosed.
 func (s *State) endItem(e *entry, p Phase, reason string) {
 	e.Phase, e.EndedAt, e.Reason = p, s.now, reason
-	m := s.machines[e.Machine] // it stays while an item is open
+	m := s.machines[e.Machine] // never nil: a machine with an open item is not dropped
 	m.removePending(e)
 	if m.live == e {
 		m.live = nil
@@ -206,7 +208,7 @@
 	}
 }
 
-// dropClosed takes ended items out of the open ones.
+// dropClosed removes ended items from s.open.
 func (s *State) dropClosed() {
 	keep := s.open[:0]
 	for _, e := range s.open {
--- a/internal/fleet/maintenance/check.go
+++ b/internal/fleet/maintenance/check.go
@@ -5,8 +5,9 @@
 	"sort"
 )
 
-// Check names the first of W1 to W7 that does not hold, with the evidence. W1, W3 and W6 are read from what each grant
-// wrote down of its moment: later failures may leave less, and are no fault of the plan.
+// Check returns an error for the first of the rules W1 to W7 that the state violates. W1, W3 and W6 are checked against the
+// evidence stored with each grant, not against the current inventory: later failures may leave fewer holders or less capacity
+// without any grant being at fault.
 func (s *State) Check() error {
 	for _, check := range []func() error{s.checkGrantEvidence, s.checkOutCounts, s.checkFences, s.checkPassedOver, s.checkTimes} {
 		if err := check(); err != nil {
@@ -16,19 +17,19 @@
 	return nil
 }
 
-// checkGrantEvidence is W1, W3 and W6, by the evidence of each grant.
+// checkGrantEvidence checks W1, W3 and W6 against the evidence stored with each grant.
 func (s *State) checkGrantEvidence() error {
 	for _, list := range [][]*entry{s.open, s.ended} {
 		for _, e := range list {
 			switch {
 			case e.Fence == 0:
 			case e.HoldersLeft < e.MinHolders:
-				return fmt.Errorf("W1: the grant %d of %s left %d holders to a shard, %d were wanted",
+				return fmt.Errorf("W1: grant %d of %s left a shard with %d holders, the minimum was %d",
 					e.Fence, e.Machine, e.HoldersLeft, e.MinHolders)
 			case e.SpareCapacity < 0:
-				return fmt.Errorf("W3: the grant %d of %s left %.2f under the load with headroom", e.Fence, e.Machine, -e.SpareCapacity)
+				return fmt.Errorf("W3: grant %d of %s left capacity %.2f below the load with headroom", e.Fence, e.Machine, -e.SpareCapacity)
 			case e.GrantedAt > s.pauseFrom && e.GrantedAt < s.pauseUntil:
-				return fmt.Errorf("W6: the grant %d of %s at %v is in the pause from %v to %v: %s",
+				return fmt.Errorf("W6: grant %d of %s at %v falls within the pause from %v to %v: %s",
 					e.Fence, e.Machine, e.GrantedAt, s.pauseFrom, s.pauseUntil, s.pauseReason)
 			}
 		}
@@ -36,7 +37,8 @@
 	return nil
 }
 
-// checkOutCounts is W2, for what was granted by the limits in force: lowered limits end no grant.
+// checkOutCounts checks W2 over the grants made under the limits in force. Grants of earlier revisions are left out, because
+// lowered limits do not end a grant.
 func (s *State) checkOutCounts() error {
 	zones, voters, total := map[string]int{}, 0, 0
 	for _, e := range s.open {
@@ -49,25 +51,26 @@
 			voters++
 		}
 		if zones[e.Zone] > s.limits.MaxOutPerZone {
-			return fmt.Errorf("W2: %d are out in zone %q, %d are allowed", zones[e.Zone], e.Zone, s.limits.MaxOutPerZone)
+			return fmt.Errorf("W2: %d machines are out in zone %q, %d are allowed", zones[e.Zone], e.Zone, s.limits.MaxOutPerZone)
 		}
 		if voters > 1 {
-			return fmt.Errorf("W2: %d voters are out at once, the last is %s", voters, e.Machine)
+			return fmt.Errorf("W2: %d voters are out at once, the last one is %s", voters, e.Machine)
 		}
 	}
 	if total > s.limits.MaxOut {
-		return fmt.Errorf("W2: %d are out in all, %d are allowed", total, s.limits.MaxOut)
+		return fmt.Errorf("W2: %d machines are out in total, %d are allowed", total, s.limits.MaxOut)
 	}
 	return nil
 }
 
-// checkFences is W4: one live grant for a machine, each number once, and numbers that grow with time.
+// checkFences checks W4: a machine has at most one live grant, each fence is used once, and fences increase with the time of the
+// grant.
 func (s *State) checkFences() error {
 	live := map[string]uint64{}
 	var grants []*entry
 	for _, e := range s.open {
 		if !e.Phase.open() {
-			return fmt.Errorf("W4: %s of request %s is %s and still among the open", e.Machine, e.Request, e.Phase)
+			return fmt.Errorf("W4: %s of request %s is %s but still listed as open", e.Machine, e.Request, e.Phase)
 		}
 		if !e.Phase.live() {
 			continue
@@ -82,7 +85,7 @@
 			continue
 		}
 		if m := s.machines[e.Machine]; m == nil || m.live != e {
-			return fmt.Errorf("W4: the live grant %d of %s is not that of its machine", e.Fence, e.Machine)
+			return fmt.Errorf("W4: live grant %d of %s is not the one recorded for its machine", e.Fence, e.Machine)
 		}
 	}
 	for _, list := range [][]*entry{s.open, s.ended} {
@@ -91,31 +94,31 @@
 				grants = append(grants, e)
 			}
 			if e.Phase.live() != (e.Fence > 0 && e.Phase.open()) {
-				return fmt.Errorf("W4: %s is %s with number %d", e.Machine, e.Phase, e.Fence)
+				return fmt.Errorf("W4: %s is %s with fence %d", e.Machine, e.Phase, e.Fence)
 			}
 		}
 	}
 	sort.Slice(grants, func(i, j int) bool { return grants[i].Fence < grants[j].Fence })
 	for i, e := range grants {
 		if e.Fence > s.fence {
-			return fmt.Errorf("W4: number %d of %s is over the highest given, %d", e.Fence, e.Machine, s.fence)
+			return fmt.Errorf("W4: fence %d of %s is above the highest fence issued, %d", e.Fence, e.Machine, s.fence)
 		}
 		if i == 0 {
 			continue
 		}
 		previous := grants[i-1]
 		if previous.Fence == e.Fence {
-			return fmt.Errorf("W4: number %d is of %s and of %s", e.Fence, previous.Machine, e.Machine)
+			return fmt.Errorf("W4: fence %d is used for both %s and %s", e.Fence, previous.Machine, e.Machine)
 		}
 		if previous.GrantedAt > e.GrantedAt {
-			return fmt.Errorf("W4: number %d of %s at %v is later than %d of %s at %v",
+			return fmt.Errorf("W4: fence %d of %s was granted at %v, after fence %d of %s at %v",
 				previous.Fence, previous.Machine, previous.GrantedAt, e.Fence, e.Machine, e.GrantedAt)
 		}
 	}
 	return nil
 }
 
-// checkPassedOver is W5: nothing took what a request had reserved.
+// checkPassedOver checks W5: no grant took resources that a passed-over request had reserved.
 func (s *State) checkPassedOver() error {
 	for _, e := range s.open {
 		if e.PassedOver > s.limits.MaxPassedOver {
@@ -126,11 +129,11 @@
 	return nil
 }
 
-// checkTimes is W7: nothing that was granted outlives its time.
+// checkTimes checks W7: no grant stays live past its deadline, and ended items are ordered by end time.
 func (s *State) checkTimes() error {
 	for _, e := range s.open {
 		if (e.Phase == Granted || e.Phase == Acknowledged || e.Phase == Out) && e.Until <= s.now {
-			return fmt.Errorf("W7: %s is %s past its time, %s, at %s", e.Machine, e.Phase, formatTime(e.Until), formatTime(s.now))
+			return fmt.Errorf("W7: %s is still %s past its deadline %s, at %s", e.Machine, e.Phase, formatTime(e.Until), formatTime(s.now))
 		}
 	}
 	for i, e := range s.ended {
--- a/internal/fleet/maintenance/compat_test.go
+++ b/internal/fleet/maintenance/compat_test.go
@@ -8,9 +8,9 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// TestStateOfEarlierVersion holds what is stored to the form of the version before the package was renamed (takeout, at 7c55f5a):
-// its saved state loads and is saved to the same bytes, and the same commands give the same digest, so that co-ordinators of
-// both versions agree on one state.
+// TestStateOfEarlierVersion checks compatibility with the version before the package was renamed (takeout, at 7c55f5a): its saved
+// state loads and is saved to the same bytes, and the same commands give the same digest. Otherwise co-ordinators of the two
+// versions would disagree on the state.
 func TestStateOfEarlierVersion(t *testing.T) {
 	old, err := os.ReadFile("testdata/state-of-7c55f5a.json")
 	if err != nil {
--- a/internal/fleet/maintenance/fairness.go
+++ b/internal/fleet/maintenance/fairness.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// W5. A request that waits while later ones of others are granted is passed over. Passed over MaxPassedOver times, it
-// reserves its turn: of all who wait so, the first (urgent before routine, then by asking) is the head, and no grant
-// takes what the head needs: a shard, the last place in its zone, the last place in all, capacity, the voters' one.
-// What shares none of these goes on.
+// Rule W5 keeps requests from starving. A pending item is passed over when a later item of another request is granted. Once
+// passed over MaxPassedOver times, it reserves its turn: the first of the reserved items (urgent before routine, then in
+// request order) is the head, and no grant may take what the head needs: one of its shards, the last slot in its zone, the last
+// slot in total, capacity, or the single voter slot. Grants that take none of these proceed.
 //
-// An urgent request does not pass the head: with a steady stream of urgent ones a routine one would wait for ever. It
-// gives up little, since the head only holds what it needs itself, and the head can not hold it for ever: it gives up
-// its turn as long as it can not go by anything that is granted or ended, as with its machine gone, or too few holders
-// of its shard left for good. Machines of one request do not count as passing each other, nor do they yield to each other:
-// there is an end to them, and the planner is free to order them in waves. Since heads are ordered, no two wait for
-// each other.
+// Urgent requests do not bypass the head, because a steady stream of them would starve a routine request. The cost to them is
+// small: the head reserves only what it needs itself, and not indefinitely. It loses its reservation while nothing that is
+// granted or ends could make it grantable, for example when its machine is gone or too few holders of one of its shards remain.
+// Machines of one request neither pass over nor yield to each other: their number is finite, and the planner may order
+// them in waves. Reserved items are totally ordered, so no two of them wait for each other.
 
-// isWaiting: e could be granted as far as its own times go.
+// isWaiting reports whether e is pending and now lies between its earliest and latest times.
 func (s *State) isWaiting(now time.Duration, e *entry) bool {
 	return e.Phase == Pending && now >= e.req.Earliest && (e.req.Latest == 0 || now <= e.req.Latest)
 }
 
 func (s *State) hasReservedTurn(e *entry) bool { return e.PassedOver >= s.limits.MaxPassedOver }
 
-// before: by rank, urgent first, then in the order of asking.
+// precedes orders items by priority, urgent first, then by request order.
 func precedes(a, b *entry) bool {
 	if a.req.Priority != b.req.Priority {
 		return a.req.Priority > b.req.Priority
@@ -32,7 +31,7 @@
 	return a.seq < b.seq
 }
 
-// reservedHead is the reserved item that e has to leave room for; nil if there is none.
+// reservedHead returns the reserved item that e must not block, or nil if there is none.
 func (s *State) reservedHead(now time.Duration, e *entry) *entry {
 	var head *entry
 	for _, o := range s.inventorySums(now).reserved {
@@ -47,17 +46,18 @@
 	return head
 }
 
-// canEverBeGranted: the end of what is in the plan now could let it go. While that is not so it holds no turn.
+// canEverBeGranted reports whether e could be granted once all current maintenance has ended. An item for which this is false
+// holds no reservation.
 func (s *State) canEverBeGranted(now time.Duration, e *entry) bool {
 	m, l := s.machines[e.Machine], &s.limits
 	if m == nil || m.Status == Gone || m.inMaintenance(now) || l.MaxOut < 1 || l.MaxOutPerZone < 1 {
 		return false
 	}
-	t, removed := s.inventorySums(now), 1
+	sums, removed := s.inventorySums(now), 1
 	if s.isFlapping(m, now) {
 		removed = 0
 	}
-	if m.Voter && t.votersPresent-removed < l.MinVoters {
+	if m.Voter && sums.votersPresent-removed < l.MinVoters {
 		return false
 	}
 	if m.Kind != Replica {
@@ -66,24 +66,24 @@
 	if m.Cell < 0 || m.Cell >= l.Cells {
 		return false
 	}
-	left, _, ok := l.fewestHolders(t.present, m.Cell, removed)
+	left, _, ok := l.fewestHolders(sums.present, m.Cell, removed)
 	return !ok || left >= l.MinHolders
 }
 
-// checkReservation says what of the head's e would take.
+// checkReservation returns an error if granting e would take a resource that the reserved item head needs.
 func (s *State) checkReservation(now time.Duration, e, head *entry) error {
-	m, o, t, l := s.machines[e.Machine], s.machines[head.Machine], s.inventorySums(now), &s.limits
+	m, other, sums, l := s.machines[e.Machine], s.machines[head.Machine], s.inventorySums(now), &s.limits
 	resource := ""
 	switch {
-	case m.Kind == Replica && o.Kind == Replica && l.shareShard(m.Cell, o.Cell):
+	case m.Kind == Replica && other.Kind == Replica && l.shareShard(m.Cell, other.Cell):
 		resource = "a shard"
-	case t.out+2 > l.MaxOut:
-		resource = "the last place"
-	case m.Zone == o.Zone && t.zones[m.Zone]+2 > l.MaxOutPerZone:
-		resource = "the last place in its zone"
-	case m.Voter && o.Voter:
-		resource = "the voters' one place"
-	case m.Kind == Replica && o.Kind == Replica && s.capacityTooSmall(t, m, o, now):
+	case sums.out+2 > l.MaxOut:
+		resource = "the last slot"
+	case m.Zone == other.Zone && sums.zones[m.Zone]+2 > l.MaxOutPerZone:
+		resource = "the last slot in its zone"
+	case m.Voter && other.Voter:
+		resource = "the voter slot"
+	case m.Kind == Replica && other.Kind == Replica && s.capacityTooSmall(sums, m, other, now):
 		resource = "capacity"
 	default:
 		return nil
@@ -91,10 +91,10 @@
 	return fmt.Errorf("W5: %s, passed over %d times, has reserved %s", head.Machine, head.PassedOver, resource)
 }
 
-// capacityTooSmall: with both out, the capacity left does not cover the load.
-func (s *State) capacityTooSmall(t *inventorySums, m, o *machine, now time.Duration) bool {
-	left := t.readySize
-	for _, x := range []*machine{m, o} {
+// capacityTooSmall reports whether the capacity left with both machines out would not cover the load with headroom.
+func (s *State) capacityTooSmall(sums *inventorySums, m, other *machine, now time.Duration) bool {
+	left := sums.readySize
+	for _, x := range []*machine{m, other} {
 		if s.isReady(x, now) {
 			left -= x.size()
 		}
@@ -102,7 +102,7 @@
 	return left < s.requiredCapacity()
 }
 
-// shareShard: two cells hold a shard in common.
+// shareShard reports whether two cells hold a shard in common.
 func (l *Limits) shareShard(a, b int) bool {
 	d := a - b
 	if d < 0 {
@@ -111,8 +111,8 @@
 	return min(d, l.Cells-d) < l.Reach
 }
 
-// countPassedOver counts the grant of e against all that wait before it, before it is made. Past MaxPassedOver only a grant that
-// takes what the head has reserved counts, which Check finds.
+// countPassedOver increments PassedOver of the waiting items that a grant of e passes over; it runs before e is granted. The
+// count stops at MaxPassedOver unless the grant takes what the head has reserved, which Check then reports.
 func (s *State) countPassedOver(e *entry) {
 	head := s.reservedHead(s.now, e)
 	for _, o := range s.open {
--- a/internal/fleet/maintenance/false_input_test.go
+++ b/internal/fleet/maintenance/false_input_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// A leader that lies in each of its words: told as soon as it likes, by everybody; machines out and back that never went, or
-// never came back; a load of nothing. Whatever it says, at no moment more are out of the plan's making than W2 allows, no shard
-// is left by grants with fewer holders than W1 wants, no number comes twice, and each place is free again by its time (W7).
+// A leader that reports falsely at random cannot violate the rules: acknowledgements at any time, machines reported out or back
+// that never were, no load. At every step at most as many machines hold a grant as W2 allows, no grant leaves a shard with fewer
+// holders than W1 requires, no fence is used twice, and each slot is free again by its deadline (W7).
 func TestFalseReportsNeverExceedLimits(t *testing.T) {
-	// Long: one loop that draws a false report of each kind against one fleet, and judges all of them by one count.
+	// Long: one loop draws every kind of false report against one fleet and checks them all with the same counts.
 	rapid.Check(t, func(r *rapid.T) {
 		l := testLimits
 		l.MaxPassedOver, l.FailurePause, l.MaxOut, l.MinVoters = 100, sec, 2, 1
@@ -26,8 +26,8 @@
 			reported[fmt.Sprint("c", i)] = coordinator(i)
 		}
 		fences := map[uint64]bool{}
-		lastFreeAt := map[string]time.Duration{} // by when each that was ever granted has its place no more
-		for range rapid.IntRange(8, 40).Draw(r, "words") {
+		lastFreeAt := map[string]time.Duration{} // by machine: latest time at which the slot of its grant is free again
+		for range rapid.IntRange(8, 40).Draw(r, "steps") {
 			name := rapid.SampledFrom(names).Draw(r, "name")
 			m := reported[name]
 			it, live := p.state.ActiveItem(name)
@@ -37,7 +37,7 @@
 				if p.apply("grant", GrantBody{request, name, p.now + 100*sec}) == nil {
 					now, _ := p.state.ActiveItem(name)
 					if fences[now.Fence] {
-						r.Fatalf("number %d comes twice", now.Fence)
+						r.Fatalf("fence %d is used twice", now.Fence)
 					}
 					fences[now.Fence] = true
 					lastFreeAt[name] = p.now + 100*sec
@@ -46,7 +46,7 @@
 			case 2:
 				if live {
 					if p.apply("told", AcknowledgeBody{name, it.Fence, []string{"c0", "c1", "c2"}, nil}) == nil && it.Phase != Granted {
-						r.Fatalf("%s was told as %s", name, it.Phase)
+						r.Fatalf("%s was acknowledged in phase %s", name, it.Phase)
 					}
 				}
 			case 3:
@@ -70,23 +70,24 @@
 					voters++
 				}
 				if until := lastFreeAt[it.Machine] + it.MaxOutage; p.now > until {
-					r.Fatalf("%s is %s at %v, %v after the last moment of its grant", it.Machine, it.Phase, p.now, p.now-until)
+					r.Fatalf("%s is %s at %v, %v after the deadline of its grant", it.Machine, it.Phase, p.now, p.now-until)
 				}
 			}
 			if all > l.MaxOut || voters > 1 {
-				r.Fatalf("%d are out, %d voters", all, voters)
+				r.Fatalf("%d machines are out, %d of them voters", all, voters)
 			}
 			for z, n := range zones {
 				if n > l.MaxOutPerZone {
-					r.Fatalf("%d are out in %s", n, z)
+					r.Fatalf("%d machines are out in %s", n, z)
 				}
 			}
 		}
 	})
 }
 
-// free: after a grant each shard that its machine holds has the holders that W1 wants, of those said to be up, less those
-// that hold a grant. A shard is held by the Reach cells from it on: counted here by other means than the rules'.
+// checkHoldersAfterGrant checks that after a grant each shard of its machine keeps the holders that W1 requires, among the machines
+// reported up that hold no grant. A shard is held by the Reach cells starting at its own; the holders are counted independently
+// of the code under test.
 func checkHoldersAfterGrant(r *rapid.T, p *fixture, l Limits, reported map[string]Machine, name string) {
 	if reported[name].Kind != Replica {
 		return
@@ -101,15 +102,15 @@
 	}
 	for k := range l.Reach {
 		if s := (reported[name].Cell - k + l.Cells) % l.Cells; holders[s] < l.MinHolders {
-			r.Fatalf("the grant of %s left %d holders at %d", name, holders[s], s)
+			r.Fatalf("the grant of %s left %d holders of shard %d", name, holders[s], s)
 		}
 	}
 }
 
-// A machine that is falsely said to be out keeps its place: it is free again only when the machine is back by a newer start
-// and warm, or by its time and then as a failure. One that was not told ends its grant and pauses the plan.
+// A machine that is falsely reported out keeps its slot. The slot is free only when the machine has restarted and is warm, or at
+// its deadline, which counts as a failure. An outage before the acknowledgement ends the grant and pauses maintenance.
 func TestFalseOutReportKeepsSlotTaken(t *testing.T) {
-	p := newFixture(t, testLimits, requestFor("a", "r1"), requestFor("b", "r5")) // of one zone, with places for two
+	p := newFixture(t, testLimits, requestFor("a", "r1"), requestFor("b", "r5")) // both in one zone, which has two slots
 	l := testLimits
 	l.MaxOutPerZone = 1
 	p.mustApply("limits", LimitsBody{2, l})
@@ -120,18 +121,18 @@
 	p.observe(replica(1).withStatus(Gone))
 	p.wantPhase("r1", Out)
 	p.mustRefuseGrant("W2", "b", "r5")
-	p.observe(replica(1)) // up, by the start that it was told with
+	p.observe(replica(1)) // up, with the same start as at the acknowledgement
 	p.wantPhase("r1", Out)
 	p.mustRefuseGrant("W2", "b", "r5")
 	p.advance(301 * sec)
 	if it := p.wantPhase("r1", Expired); it.Reason == "" {
-		t.Error("it ended without words")
+		t.Error("it ended without a reason")
 	}
-	p.mustRefuseGrant("W6", "b", "r5") // and it counts as a failure
+	p.mustRefuseGrant("W6", "b", "r5") // the expiry counts as a failure
 
 	p = newFixture(t, testLimits, requestFor("a", "r1"), requestFor("b", "r5"))
 	p.grant("a", "r1")
 	p.observe(replica(1).withStatus(Gone))
-	p.wantPhase("r1", Pending) // requested again, as its grant lapsed
+	p.wantPhase("r1", Pending) // retried, since its grant expired
 	p.mustRefuseGrant("W6", "b", "r5")
 }
--- a/internal/fleet/maintenance/flapping.go
+++ b/internal/fleet/maintenance/flapping.go
@@ -7,37 +7,40 @@
 	"time"
 )
 
-// Flapping machines (W6). One machine in a crash loop would keep the plan paused without end, and with it its own
-// repair. So a machine's failures outside the plan are counted, and the FlapThreshold-th within MaxPauseFactor times FailurePause, which
-// still pauses, makes it flapping: nothing relies on it any more. It counts as not up and not warm (W1, W3) and as no
-// voter that is up (W2), until it has been up without a failure for MaxPauseFactor times FailurePause. Its further failures take
-// nothing away that is counted on, so they neither pause nor lengthen a pause; those of others do. It may be granted
-// as a broken one may: its going takes nothing from W1 and W3, but a place of W2.
+// Flapping machines (W6). A single machine in a crash loop could pause maintenance indefinitely, including its own repair. So
+// the unplanned failures of each machine are recorded. The failure that makes FlapThreshold of them within MaxPauseFactor times
+// FailurePause still pauses maintenance, and it marks the machine as flapping. A flapping machine is not relied on: it counts as
+// neither up nor warm (W1, W3) and as no voter that is up (W2) until it has been up without a failure for MaxPauseFactor times
+// FailurePause. Its further failures reduce nothing that the rules count on, so they neither start nor extend a pause; failures
+// of other machines do. It may be granted like a broken machine: its outage affects neither W1 nor W3, but takes a slot of W2.
 //
-// A machine that fails less often, one in four times FailurePause at most, pauses the plan for FailurePause each time: a quarter of the
-// time. More than MaxOut that flap at once are no single machines but a fleet in trouble: their failures pause again.
-// That one is not back by its time is no failure that is counted here: it is away, and did not come and go.
+// A machine that fails less often, at most once in four times FailurePause, pauses maintenance for FailurePause each time: a
+// quarter of the time. If more than MaxOut machines flap at once, the cause is taken to be the fleet and not single machines,
+// and their failures pause again. A machine that is not back by its deadline has no failure recorded here: it is away, and did
+// not restart.
 
-// flapHistory is what is remembered of a machine's failures. Failures are at most FlapThreshold; the oldest goes first.
+// flapHistory holds the last failures of a machine, at most FlapThreshold, oldest first.
 type flapHistory struct {
-	Failures []time.Duration `json:"fails,omitempty"` // agreed times
+	Failures []time.Duration `json:"fails,omitempty"` // agreed times, ascending
 	Flapping bool            `json:"flaps,omitempty"`
-	UpAt     time.Duration   `json:"up_at,omitempty"` // since when it is up, if it is; 0: since before it was known
+	UpAt     time.Duration   `json:"up_at,omitempty"` // start of the current uptime; 0: up since before it was known
 }
 
-// flapWindow is the span in which failures are counted, and for how long one that flaps has to be calm.
+// flapWindow is the time span within which failures are counted, and the time a flapping machine must be up without a failure
+// before it is relied on again.
 func (l *Limits) flapWindow() time.Duration { return MaxPauseFactor * l.FailurePause }
 
-// isFlapping says whether the machine is not relied on at that time. News that is lost meanwhile is no failure, and no rise either.
+// isFlapping reports whether the machine is not relied on at time now. A status of Unknown counts neither as a failure nor as a
+// restart.
 func (s *State) isFlapping(m *machine, now time.Duration) bool {
 	return m.Flapping && (m.Last != Up || now < m.UpAt+s.limits.flapWindow())
 }
 
-// recordFailure counts a machine's failure of the time at, and says whether it pauses the plan.
+// recordFailure records a failure of the machine at time at and reports whether it pauses maintenance.
 func (s *State) recordFailure(m *machine, at time.Duration) bool {
 	pauses := s.wouldPause(m)
 	if n := len(m.Failures); n > 0 {
-		at = max(at, m.Failures[n-1]) // it may have been known as gone only after it had started anew
+		at = max(at, m.Failures[n-1]) // keeps the times ascending: the machine may be reported gone only after its restart
 	}
 	m.Failures = append(m.Failures, at)
 	if n := len(m.Failures); n > FlapThreshold {
@@ -49,12 +52,12 @@
 	return pauses
 }
 
-// wouldPause says whether a failure of the machine would pause the plan now.
+// wouldPause reports whether a failure of the machine would pause maintenance now.
 func (s *State) wouldPause(m *machine) bool {
 	return m == nil || !s.isFlapping(m, s.now) || len(s.Flapping(s.now)) > s.limits.MaxOut
 }
 
-// Flapping are the names of the machines that are not relied on since they fail again and again, sorted.
+// Flapping returns the sorted names of the machines that are not relied on because of repeated failures.
 func (s *State) Flapping(now time.Duration) (names []string) {
 	for _, m := range s.list {
 		if s.isFlapping(m, max(now, s.now)) {
@@ -64,13 +67,13 @@
 	return names
 }
 
-// valid says what of a saved one can not be.
+// validate reports whether a saved history is inconsistent.
 func (f *flapHistory) validate() error {
 	switch {
 	case len(f.Failures) > FlapThreshold || !slices.IsSorted(f.Failures):
-		return fmt.Errorf("%d failures are remembered, %d in their order may be", len(f.Failures), FlapThreshold)
+		return fmt.Errorf("%d failures are stored, at most %d in ascending order are allowed", len(f.Failures), FlapThreshold)
 	case f.Flapping && len(f.Failures) < FlapThreshold:
-		return errors.New("it flaps after too few failures")
+		return errors.New("flapping with fewer failures than the threshold")
 	}
 	return nil
 }
--- a/internal/fleet/maintenance/observe.go
+++ b/internal/fleet/maintenance/observe.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Tick ends what is over by its time (W7). Time that goes back is taken for no time passed.
+// Tick ends the items whose deadline has passed (W7). A time that is not after the current one is ignored.
 func (s *State) Tick(now time.Duration) {
 	if now <= s.now {
 		return
@@ -50,14 +50,15 @@
 	}
 }
 
-// pauseAfterFailure pauses new grants (W6): for FailurePause, and twice as long as the last time if it comes within a pause, or within
-// as long again after one, up to MaxPauseFactor times FailurePause. Without the time after it, machines that fail every little more
-// than FailurePause would start and stop the plan each time. What one flapping machine does is left out, see flapping.go.
+// pauseAfterFailure pauses new grants (W6) for FailurePause. The pause is twice as long as the last one if the failure comes
+// within that pause or within the same time span after it, up to MaxPauseFactor times FailurePause. Without the span after the
+// pause, machines that fail at intervals slightly longer than FailurePause would stop and start maintenance each time. Failures of
+// a flapping machine are excluded, see flapping.go.
 func (s *State) pauseAfterFailure(reason string) {
-	calm := s.limits.FailurePause
-	span := calm
+	pause := s.limits.FailurePause
+	span := pause
 	if s.pauseSpan > 0 && s.now < s.pauseUntil+s.pauseSpan {
-		span = min(max(2*s.pauseSpan, calm), MaxPauseFactor*calm)
+		span = min(max(2*s.pauseSpan, pause), MaxPauseFactor*pause)
 	}
 	if s.now >= s.pauseUntil {
 		s.pauseFrom = s.now
@@ -66,7 +67,7 @@
 	s.pauseUntil = max(s.pauseUntil, s.now+span)
 }
 
-// applyObserve applies what the leader observed: the complete inventory, or what changed against the agreed one.
+// applyObserve applies the inventory that the leader observed: a complete one, or the changes to the agreed one.
 func (s *State) applyObserve(b ObserveBody) error {
 	observedAt := s.now
 	if b.ObservedAt > 0 {
@@ -86,7 +87,7 @@
 	if b.LoadKnown {
 		s.load, s.loadAt = b.Load, observedAt
 	}
-	if failure != "" { // one pause for all that one observation shows: a lost zone has one cause
+	if failure != "" { // one pause per observation: the failures of a lost zone have one cause
 		s.pauseAfterFailure(failure)
 	}
 	s.sumsValid = false
@@ -98,16 +99,16 @@
 	return nil
 }
 
-// validateObservation rejects an observation that cannot be applied, and returns the names of the machines that it reports.
+// validateObservation rejects an observation that cannot be applied and returns the names of the machines that it reports.
 func (s *State) validateObservation(b ObserveBody, observedAt time.Duration) (reported map[string]bool, err error) {
 	if observedAt < s.observedAt {
-		return nil, fmt.Errorf("seen at %s, before what is known, of %s", formatTime(observedAt), formatTime(s.observedAt))
+		return nil, fmt.Errorf("observed at %s, before the last observation at %s", formatTime(observedAt), formatTime(s.observedAt))
 	}
 	if b.Load < 0 || math.IsNaN(b.Load) {
-		return nil, fmt.Errorf("a load of %v", b.Load)
+		return nil, fmt.Errorf("load is %v, must be a number and not negative", b.Load)
 	}
 	if b.Digest != "" && (!b.Complete || len(b.Machines) > 0 || b.Digest != s.InventoryDigest()) {
-		return nil, fmt.Errorf("complete inventory of sum %s with %d machines; the agreed inventory's is %s", truncate(b.Digest), len(b.Machines), s.InventoryDigest())
+		return nil, fmt.Errorf("complete inventory with digest %s and %d machines; the agreed inventory has digest %s", truncate(b.Digest), len(b.Machines), s.InventoryDigest())
 	}
 	reported = make(map[string]bool, len(b.Machines))
 	unknown := 0
@@ -116,7 +117,7 @@
 			return nil, err
 		}
 		if reported[m.Name] {
-			return nil, fmt.Errorf("machine %s is there twice", m.Name)
+			return nil, fmt.Errorf("machine %s is listed twice", m.Name)
 		}
 		reported[m.Name] = true
 		if s.machines[m.Name] == nil {
@@ -131,8 +132,8 @@
 	return reported, nil
 }
 
-// applyMachines updates the machines that are known and adds the others. It returns the first failure outside the plan, if any
-// wouldPause it, and whether a machine was added.
+// applyMachines updates the known machines and adds the others. It returns the first unplanned failure that pauses maintenance,
+// or "", and whether a machine was added.
 func (s *State) applyMachines(machines []Machine) (failure string, added bool) {
 	for _, next := range machines {
 		if m := s.machines[next.Name]; m != nil {
@@ -145,7 +146,8 @@
 	return failure, added
 }
 
-// markMissingGone marks each machine that a complete inventory leaves out as gone, and returns the first failure as above.
+// markMissingGone marks each machine that is missing from a complete inventory as gone. It returns the first failure as
+// applyMachines does.
 func (s *State) markMissingGone(reported map[string]bool) (failure string) {
 	for _, m := range s.list {
 		if reported[m.Name] || m.Status == Gone {
@@ -159,7 +161,7 @@
 	return failure
 }
 
-// retryClosed takes the items that have ended out of the open ones, and asks anew for those that may be retried.
+// retryClosed removes ended items from s.open and creates new items for those that may be retried.
 func (s *State) retryClosed() {
 	var closed []*entry
 	for _, e := range s.open {
@@ -178,18 +180,18 @@
 func (m Machine) validate() error {
 	switch {
 	case m.Name == "" || len(m.Name) > MaxNameLength || len(m.Zone) > MaxNameLength:
-		return fmt.Errorf("machine %q in zone %q: names have 1 to %d bytes", truncate(m.Name), truncate(m.Zone), MaxNameLength)
+		return fmt.Errorf("machine %q in zone %q: names must have 1 to %d bytes", truncate(m.Name), truncate(m.Zone), MaxNameLength)
 	case m.Kind != Replica && m.Kind != Coordinator:
-		return fmt.Errorf("machine %s: kind %q is not known", m.Name, m.Kind)
+		return fmt.Errorf("machine %s: unknown kind %q", m.Name, m.Kind)
 	case m.Status != Up && m.Status != Terminating && m.Status != Gone && m.Status != Unknown:
-		return fmt.Errorf("machine %s: status %q is not known", m.Name, m.Status)
+		return fmt.Errorf("machine %s: unknown status %q", m.Name, m.Status)
 	case !(m.Size >= 0) || math.IsInf(m.Size, 0) || m.Started < 0:
-		return fmt.Errorf("machine %s: size %v, started %v", m.Name, m.Size, m.Started)
+		return fmt.Errorf("machine %s: size %v or start time %v is out of range", m.Name, m.Size, m.Started)
 	}
 	return nil
 }
 
-// countRetained counts the machines that can not be dropped to make room.
+// countRetained counts the machines that cannot be dropped to make room for others.
 func (s *State) countRetained() int {
 	busy, n := s.machinesWithOpenItems(), 0
 	for _, m := range s.list {
@@ -200,14 +202,15 @@
 	return n
 }
 
-// observeMachine takes one machine's news and says, if it is a failure outside the plan that pauses it, which.
+// observeMachine updates a machine with its observed state. If that shows an unplanned failure that pauses maintenance, it
+// returns a description of the failure, otherwise "".
 func (s *State) observeMachine(m *machine, next Machine) string {
 	old, wasUp := m.Machine, m.Last == Up
 	if m.Flapping && !s.isFlapping(m, s.now) {
-		m.flapHistory = flapHistory{} // it has been calm for long enough, whatever comes now
+		m.flapHistory = flapHistory{} // up without a failure for long enough, whatever this observation shows
 	}
 	if next.Status == Unknown || next.Started == 0 && next.Status != Up {
-		next.Started = old.Started // nothing is known of a newer one
+		next.Started = old.Started // no newer start is known
 	}
 	if next == old {
 		return ""
@@ -246,8 +249,8 @@
 
 func (m Machine) down() bool { return m.Status == Terminating || m.Status == Gone }
 
-// unplannedChange says, of a machine that went down or started anew, what of it was outside the plan, and ends or sets back
-// its grant.
+// unplannedChange handles a machine that went down or restarted. It returns a description of the change if the change was
+// unplanned, otherwise "". A live grant of the machine ends or returns to an earlier phase.
 func (s *State) unplannedChange(m *machine, next Machine) string {
 	change := fmt.Sprintf("%s is %s", next.Name, next.Status)
 	if next.Status == Up {
@@ -275,7 +278,7 @@
 	return ""
 }
 
-// advanceItem moves a live item on by what is seen of its machine.
+// advanceItem moves the machine's live item to its next phase as the observed status requires.
 func (s *State) advanceItem(m *machine) {
 	e := m.live
 	if e == nil {
@@ -291,7 +294,7 @@
 	s.sumsValid = false
 }
 
-// dropLongGone drops machines that are gone for GoneRetention and that nothing is open for.
+// dropLongGone drops the machines that have been gone for GoneRetention and have no open item.
 func (s *State) dropLongGone() {
 	var expired []*machine
 	for _, m := range s.list {
--- a/internal/fleet/maintenance/phases_test.go
+++ b/internal/fleet/maintenance/phases_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each way through the phases, by what is seen of the machine.
+// A planned restart passes through all phases, as the observed status of the machine changes.
 func TestPhasesFollowMachineStatus(t *testing.T) {
 	p := newFixture(t, testLimits, requestFor("a", "r0"))
 	up := replica(0)
@@ -14,7 +14,7 @@
 	}
 	p.advance(10*sec, up.withStatus(Gone))
 	p.wantPhase("r0", Out)
-	p.advance(10*sec, up) // the same start: it has not been anywhere
+	p.advance(10*sec, up) // up with the same start: it has not restarted
 	p.wantPhase("r0", Out)
 	p.advance(10*sec, up.startedAt(p.now))
 	p.wantPhase("r0", Returned)
@@ -24,8 +24,8 @@
 	p.wantPhase("r0", Returned)
 	p.advance(1)
 	p.wantPhase("r0", Done)
-	if paused, why := p.state.Paused(p.now); paused {
-		t.Fatalf("planned work pauses: %s", why)
+	if paused, reason := p.state.Paused(p.now); paused {
+		t.Fatalf("planned maintenance pauses grants: %s", reason)
 	}
 }
 
@@ -48,8 +48,8 @@
 	p.wantPhase("r0", Out)
 	p.advance(sec)
 	p.wantPhase("r0", Expired)
-	if paused, why := p.state.Paused(p.now); !paused || why != "W6: paused until 1970-01-01T00:22:40Z, for 1m0s more: r0 is not back by its time" {
-		t.Fatal(why)
+	if paused, reason := p.state.Paused(p.now); !paused || reason != "W6: paused until 1970-01-01T00:22:40Z, for 1m0s more: r0 is not back by its time" {
+		t.Fatal(reason)
 	}
 }
 
@@ -89,7 +89,7 @@
 	p.wantPhase("r0", Expired)
 }
 
-// A machine that is down is requested, to be mended.
+// A machine that is already gone can be granted, for its repair.
 func TestGoneMachineCanBeGranted(t *testing.T) {
 	p := newFixture(t, testLimits, requestFor("a", "r0"))
 	p.observe(replica(0).withStatus(Gone))
@@ -104,9 +104,9 @@
 func TestAcknowledgementNeedsEachCoordinator(t *testing.T) {
 	p := newFixture(t, testLimits, requestFor("a", "r0"))
 	p.grant("a", "r0")
-	p.observe(coordinator(2).withStatus(Gone)) // lost by the members, it may still reach r0
-	p.mustReject("nothing is said of co-ordinator c2", "told", AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, nil})
-	p.mustReject("c2 is silent for 6.999999999s", "told",
+	p.observe(coordinator(2).withStatus(Gone)) // gone by gossip, but it may still reach r0
+	p.mustReject("co-ordinator c2 has neither acknowledged the drain nor been reported silent", "told", AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, nil})
+	p.mustReject("c2 has been silent for 6.999999999s", "told",
 		AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, []Silent{{"c2", 7*sec - 1}}})
 	p.acknowledge("r0")
 }
@@ -116,15 +116,15 @@
 	p.grant("a", "r0")
 	p.grant("b", "r3")
 	p.acknowledge("r3")
-	p.setRequests() // all taken out of the file
+	p.setRequests() // the file has no requests any more
 	p.wantPhase("r0", Withdrawn)
 	p.wantPhase("r6", Withdrawn)
 	if it := p.wantPhase("r3", Acknowledged); !it.Cancelled {
-		t.Fatal("not marked")
+		t.Fatal("the item is not marked as cancelled")
 	}
 	p.observe(replica(3).withStatus(Gone))
 	raw, _ := p.state.Save()
-	if err := p.state.Load(raw); err != nil { // the request of r3 is known by its item alone
+	if err := p.state.Load(raw); err != nil { // the request of r3 is saved with its item only
 		t.Fatal(err)
 	}
 	p.advance(sec, replica(3).startedAt(p.now))
@@ -132,14 +132,14 @@
 	p.wantPhase("r3", Done)
 	p.setRequests(requestFor("a", "r0"), requestFor("b", "r3", "r6"))
 	p.wantPhase("r0", Pending)
-	p.wantPhase("r3", Done) // its work is done
+	p.wantPhase("r3", Done) // its maintenance is done and is not repeated
 
-	p.mustReject("revision 1, 3 is in force", "asks", RequestsBody{Revision: 1})
-	p.mustReject("other requests of the same revision", "asks", RequestsBody{Revision: 3})
+	p.mustReject("revision 1 rejected: revision 3 is in force", "asks", RequestsBody{Revision: 1})
+	p.mustReject("revision 3 is in force with different requests", "asks", RequestsBody{Revision: 3})
 	p.mustApply("asks", p.requests)
 	p.requests.Revision++
 	p.requests.Requests[0].Reason = "other"
-	p.mustReject("says something else", "asks", p.requests)
+	p.mustReject("differs from the one in revision 3", "asks", p.requests)
 }
 
 func TestRetriesStopAfterMaxAttempts(t *testing.T) {
@@ -171,7 +171,8 @@
 	p.mustRefuseGrant("paused by the operators", "b", "r3")
 }
 
-// A swap whose machines come back under new names ends; a name that comes later is matched.
+// A request by rule does not match machines started after it was first seen, so a replacement in which machines return under new
+// names ends. A request by name matches a machine that is added later.
 func TestNewMachineMatchesRequestByName(t *testing.T) {
 	p := newFixture(t, testLimits, Request{ID: "all", Kind: Replica, Reason: "swap", MaxOutage: 300 * sec}, requestFor("n", "r8"))
 	if n := len(p.state.Open()); n != 8 {
@@ -187,7 +188,7 @@
 	p := newFixture(t, testLimits, requestFor("a", "r0"))
 	p.mustApply("observe", ObserveBody{Complete: true, Machines: []Machine{replica(1)}, Load: 1, LoadKnown: true})
 	p.advance(GoneRetention)
-	if n := len(p.state.Machines()); n != 2 { // r1, and r0, which is requested
+	if n := len(p.state.Machines()); n != 2 { // r1, and r0, which has an open item
 		t.Fatalf("%d machines", n)
 	}
 }
--- a/internal/fleet/maintenance/renew.go
+++ b/internal/fleet/maintenance/renew.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Renew ends what a raft group that is set up anew can't vouch for. Its copy may be behind: what is granted in it may have
-// been told, gone and come back since, its drains lifted, and other machines may have been granted. So each live item
-// lapses: told is said only of what this raft group's own co-ordinators have laid. Tools that hold a grant of before may
-// still act on it, so its machine counts as out until the grant's end and SettleTime after it, and so does for SettleTime one that
-// is out already; that one counts as failed. One that was not told is requested again. Until until, when all that was
-// grantedMachine by others has ended too, nothing is granted.
+// Renew expires every live item after the raft group was set up anew from this copy of the state. The copy may be behind: a
+// machine granted in it may since have been acknowledged, gone out and returned, its drain may have been removed, and other
+// machines may have been granted. An acknowledgement is valid only for drains that the co-ordinators of the new raft group apply,
+// so it cannot be carried over. Tools that hold an earlier grant may still act on it, so its machine counts as out until the
+// grant's deadline plus SettleTime. A machine that is out or has returned counts as out for SettleTime, and one that is out counts
+// as failed. Items that were not acknowledged are retried. Nothing is granted before until, when the grants made by the previous
+// group have ended as well.
 func (s *State) Renew(until time.Duration) {
 	const reason = "the raft group was set up anew"
 	failure := ""
--- a/internal/fleet/maintenance/renew_test.go
+++ b/internal/fleet/maintenance/renew_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// What is live when a raft group is set up anew lapses: what was not out may still go until its time, what was out failed, and
-// nothing is granted before what the old council may have granted is over. Only what was not told is requested again.
+// Renew expires all live items of a raft group that was set up anew. Machines that were not out yet may still go out and count
+// until their deadline, the machine that was out counts as failed, and nothing is granted until the grants that the old group may
+// have made have ended. Only the item that was not acknowledged is retried.
 func TestRenewExpiresLiveItems(t *testing.T) {
 	l := testLimits
 	l.MaxOut, l.MaxOutPerZone, l.MinHolders = 3, 3, 1
@@ -29,14 +30,14 @@
 	}
 	for _, m := range []string{"r0", "r3", "r6"} {
 		if it, live := p.state.ActiveItem(m); live {
-			t.Errorf("%+v lives", it)
+			t.Errorf("%+v is still live", it)
 		}
 		want := p.now + l.SettleTime
 		if until[m] > 0 {
 			want = until[m] + l.SettleTime
 		}
 		if got := p.state.machines[m].Settle; got != want {
-			t.Errorf("%s counts until %v, not %v", m, got, want)
+			t.Errorf("%s counts as out until %v, want %v", m, got, want)
 		}
 	}
 	requested, reason := "", ""
@@ -48,7 +49,7 @@
 		}
 	}
 	if requested != "r6" || !strings.Contains(reason, "anew: counts as failed") {
-		t.Errorf("asked again: %s; r3: %s", requested, reason)
+		t.Errorf("retried: %s; r3: %s", requested, reason)
 	}
 	for _, at := range []time.Duration{p.now, p.now + 500*sec - 1} {
 		if err := p.state.checkPaused(at); err == nil {
@@ -57,8 +58,8 @@
 	}
 	p.now += 500*sec + 1
 	p.observe(replica(3).startedAt(p.now - 100*sec))
-	if paused, why := p.state.Paused(p.now); paused {
-		t.Error(why)
+	if paused, reason := p.state.Paused(p.now); paused {
+		t.Error(reason)
 	}
 	raw, err := p.state.Save()
 	if n := New(); err != nil || n.Load(raw) != nil {
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// applyRequests puts what the operators ask for in force: items for what is new, an end, as far as it may be, to what is
-// no longer requested.
+// applyRequests puts the operators' requests in force. It adds items for new requests and withdraws the items of removed requests
+// unless they were already acknowledged.
 func (s *State) applyRequests(b RequestsBody) error {
 	if b.Revision < s.requested.Revision || b.Revision < 1 {
-		return fmt.Errorf("asks of revision %d, %d is in force", b.Revision, s.requested.Revision)
+		return fmt.Errorf("asks of revision %d rejected: revision %d is in force", b.Revision, s.requested.Revision)
 	}
 	if b.Revision == s.requested.Revision {
 		if !sameJSON(b, s.requested) {
-			return fmt.Errorf("other requests of the same revision %d", b.Revision)
+			return fmt.Errorf("revision %d is in force with different requests", b.Revision)
 		}
 		return nil
 	}
@@ -30,12 +30,12 @@
 			return err
 		}
 		if byID[r.ID] != nil {
-			return fmt.Errorf("request %s is there twice", r.ID)
+			return fmt.Errorf("request %s is listed twice", r.ID)
 		}
 		next[i] = &request{Request: r, FirstSeenAt: s.now}
 		if old := s.byID[r.ID]; old != nil {
 			if !sameJSON(old.Request, r) {
-				return fmt.Errorf("request %s says something else than in revision %d", r.ID, s.requested.Revision)
+				return fmt.Errorf("request %s differs from the one in revision %d", r.ID, s.requested.Revision)
 			}
 			next[i] = old
 		}
@@ -71,31 +71,31 @@
 func (r Request) validate() error {
 	switch {
 	case r.ID == "" || len(r.ID) > MaxNameLength || len(r.Reason) > MaxNameLength:
-		return fmt.Errorf("request %q: an id has 1 to %d bytes, a reason at most as many", truncate(r.ID), MaxNameLength)
+		return fmt.Errorf("request %q: an id must have 1 to %d bytes, a reason at most as many", truncate(r.ID), MaxNameLength)
 	case len(r.Names) == 0 && r.Kind == "" && r.Zone == "" && r.Prefix == "":
-		return fmt.Errorf("request %s names nothing", r.ID)
+		return fmt.Errorf("request %s selects no machines", r.ID)
 	case len(r.Names) > 0 && (r.Kind != "" || r.Zone != "" || r.Prefix != ""):
-		return fmt.Errorf("request %s has names and a rule", r.ID)
+		return fmt.Errorf("request %s has both names and a selector", r.ID)
 	case r.Kind != "" && r.Kind != Replica && r.Kind != Coordinator:
-		return fmt.Errorf("request %s: kind %q is not known", r.ID, r.Kind)
+		return fmt.Errorf("request %s: unknown kind %q", r.ID, r.Kind)
 	case r.MaxOutage <= 0 || r.MaxOutage > MaxOutage:
-		return fmt.Errorf("request %s: out for %v, it has to be over 0 and at most %v", r.ID, r.MaxOutage, MaxOutage)
+		return fmt.Errorf("request %s: outage of %v, must be positive and at most %v", r.ID, r.MaxOutage, MaxOutage)
 	case r.Earliest < 0 || r.Latest < 0 || r.Latest > 0 && r.Latest < r.Earliest:
-		return fmt.Errorf("request %s: from %s to %s", r.ID, formatTime(r.Earliest), formatTime(r.Latest))
+		return fmt.Errorf("request %s: invalid time window from %s to %s", r.ID, formatTime(r.Earliest), formatTime(r.Latest))
 	case r.Priority != Routine && r.Priority != Urgent:
-		return fmt.Errorf("request %s: priority %d is not known", r.ID, r.Priority)
+		return fmt.Errorf("request %s: unknown priority %d", r.ID, r.Priority)
 	}
 	return nil
 }
 
-// matches says whether a request without names takes a machine in. It takes those that had been started when it was
-// first seen: a swap in which machines come back under new names would never end otherwise.
+// matches reports whether a request without names selects a machine. Only machines started before the request was first seen
+// match: otherwise a replacement in which machines return under new names would never end.
 func (r *request) matches(m *machine) bool {
 	return (r.Kind == "" || r.Kind == m.Kind) && (r.Zone == "" || r.Zone == m.Zone) &&
 		strings.HasPrefix(m.Name, r.Prefix) && m.Started <= r.FirstSeenAt
 }
 
-// addMatchingItems makes the items that are missing, requests in the order of the file, machines by name.
+// addMatchingItems adds the missing items: requests in the order of the file, machines sorted by name.
 func (s *State) addMatchingItems() {
 	for _, r := range s.requests {
 		if len(r.Names) == 0 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// addItem makes the item of a machine in a request, unless there is one. One that the operators withdrew, and now ask for
-// once more, is made anew; so is one whose grant ended before it was acknowledged, if it is to be retried.
+// addItem adds the item of a machine in a request unless there is one already. A new item is made if the operators withdrew the
+// request and now make it again, and for a retry of a grant that ended before it was acknowledged.
 func (s *State) addItem(r *request, m *machine, isRetry bool) {
 	k := key{r.ID, m.Name}
 	old := s.latest[k]
@@ -137,7 +137,7 @@
 	m.pending = append(m.pending, e)
 }
 
-// retry asks anew for the machine of a grant that ended before it was acknowledged, at the end of the order.
+// retry adds a new item, at the end of the order, for a grant that ended before it was acknowledged.
 func (s *State) retry(e *entry) {
 	r, m := s.byID[e.Request], s.machines[e.Machine]
 	if r != nil && m != nil && e.AcknowledgedAt == 0 && e.Attempt+1 < MaxAttempts && (e.Phase == Expired || e.Phase == Withdrawn) {
@@ -145,7 +145,8 @@
 	}
 }
 
-// dropEnded makes room for an item: the oldest ended one whose request is no longer requested, or that was retried.
+// dropEnded makes room for an item: it drops the oldest ended item whose request was removed or that was retried. It returns
+// false if there is none.
 func (s *State) dropEnded() bool {
 	for i, e := range s.ended {
 		k := key{e.Request, e.Machine}
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	replicaCount = 12 // replicas, and a quarter as many co-ordinators
+	replicaCount = 12 // there are a quarter as many co-ordinators
 	second       = time.Second
 )
 
-// play runs seeded commands, sensible and senseless ones, through a state machine. On the way it loads snapshots of itself and
-// repeats commands; the invariants are looked at after each.
+// runRandomCommands applies seeded random commands, valid and invalid ones, to a state machine. Some steps repeat an earlier command
+// or continue on a loaded snapshot. The invariants are checked after each command.
 func runRandomCommands(t testing.TB, seed uint64, steps int) (digest uint64, grants int) {
-	// Long: one loop that draws among all kinds of commands, so that a seed stands for one order of them.
+	// Long: one loop draws all kinds of commands, so that a seed determines their order.
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	s := maintenance.New()
 	machine := statemachine.New(map[string]statemachine.Part{"takeout": s})
@@ -45,60 +45,60 @@
 		log = append(log, raw)
 		return apply(raw)
 	}
-	lim := maintenance.Limits{Cells: replicaCount / 2, Reach: 2, Shards: replicaCount / 2, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 4,
+	limits := maintenance.Limits{Cells: replicaCount / 2, Reach: 2, Shards: replicaCount / 2, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 4,
 		Headroom: .2, MaxLoadAge: 30 * second, MaxInventoryAge: 30 * second, WarmUp: 10 * second, Lease: 2 * second, Grace: second,
 		SettleTime: 5 * second, FailurePause: 8 * second, MaxPassedOver: 3, MinVoters: 2}
-	must(t, do("limits", maintenance.LimitsBody{Revision: 1, Limits: lim}))
-	world := map[string]maintenance.Machine{}
-	var names, said []string
+	must(t, do("limits", maintenance.LimitsBody{Revision: 1, Limits: limits}))
+	inventory := map[string]maintenance.Machine{}
+	var names, coordinators []string
 	for i := range replicaCount {
 		n := fmt.Sprintf("r%02d", i)
 		names = append(names, n)
-		world[n] = maintenance.Machine{Name: n, Kind: maintenance.Replica, Zone: fmt.Sprint("z", i%3), Cell: i % lim.Cells,
+		inventory[n] = maintenance.Machine{Name: n, Kind: maintenance.Replica, Zone: fmt.Sprint("z", i%3), Cell: i % limits.Cells,
 			Status: maintenance.Up}
 	}
 	for i := range replicaCount / 4 {
 		n := fmt.Sprintf("c%02d", i)
-		names, said = append(names, n), append(said, n)
-		world[n] = maintenance.Machine{Name: n, Kind: maintenance.Coordinator, Zone: fmt.Sprint("z", i), Status: maintenance.Up,
+		names, coordinators = append(names, n), append(coordinators, n)
+		inventory[n] = maintenance.Machine{Name: n, Kind: maintenance.Coordinator, Zone: fmt.Sprint("z", i), Status: maintenance.Up,
 			Voter: true}
 	}
 	observe := func() {
 		b := maintenance.ObserveBody{Complete: rnd.IntN(3) > 0, Load: 2, LoadKnown: rnd.IntN(20) > 0}
 		for _, n := range names {
-			b.Machines = append(b.Machines, world[n])
+			b.Machines = append(b.Machines, inventory[n])
 		}
 		_ = do("observe", b)
 	}
 	observe()
-	asks := maintenance.RequestsBody{}
+	requests := maintenance.RequestsBody{}
 	for range steps {
 		now += time.Duration(rnd.Int64N(int64(2 * second)))
 		name := names[rnd.IntN(len(names))]
-		m := world[name]
+		m := inventory[name]
 		it, live := s.ActiveItem(name)
 		switch k := rnd.IntN(40); {
 		case k == 0:
-			asks.Revision++
-			asks.Requests = append([]maintenance.Request{{ID: fmt.Sprint("q", asks.Revision), Reason: "work",
+			requests.Revision++
+			requests.Requests = append([]maintenance.Request{{ID: fmt.Sprint("q", requests.Revision), Reason: "work",
 				Prefix: []string{"r", "c", "r0", "c0"}[rnd.IntN(4)], MaxOutage: 20 * second,
-				Priority: maintenance.Priority(rnd.IntN(2))}}, asks.Requests...)
-			asks.Requests = asks.Requests[:min(len(asks.Requests), 1+rnd.IntN(4))]
-			must(t, do("asks", asks))
-		case k == 1 && rnd.IntN(3) == 0: // outside the plan
+				Priority: maintenance.Priority(rnd.IntN(2))}}, requests.Requests...)
+			requests.Requests = requests.Requests[:min(len(requests.Requests), 1+rnd.IntN(4))]
+			must(t, do("asks", requests))
+		case k == 1 && rnd.IntN(3) == 0: // an unplanned failure
 			m.Status, m.Started = maintenance.Gone, now
-			world[name] = m
+			inventory[name] = m
 			observe()
-		case k < 12: // what is told goes and comes
+		case k < 12: // acknowledged machines go out and return
 			if live && (it.Phase == maintenance.Acknowledged || it.Phase == maintenance.Out) || m.Status != maintenance.Up {
 				m.Status = []maintenance.Status{maintenance.Gone, maintenance.Up, maintenance.Up, maintenance.Unknown}[rnd.IntN(4)]
 				m.Started = now
-				world[name] = m
+				inventory[name] = m
 			}
 			observe()
 		case k < 22:
 			if live && it.Phase == maintenance.Granted {
-				_ = do("told", maintenance.AcknowledgeBody{Machine: name, Fence: it.Fence, Acknowledged: said}) // refused if its time ended
+				_ = do("told", maintenance.AcknowledgeBody{Machine: name, Fence: it.Fence, Acknowledged: coordinators}) // rejected if the grant has expired
 			}
 		case k == 22:
 			_ = do("withdraw", maintenance.WithdrawBody{Machine: name, Fence: it.Fence, Reason: "test"})
@@ -111,7 +111,7 @@
 			other := statemachine.New(map[string]statemachine.Part{"takeout": s})
 			must(t, other.Load(raw))
 			if other.Digest() != machine.Digest() {
-				t.Fatalf("seed %d: a loaded snapshot is another state", seed)
+				t.Fatalf("seed %d: a loaded snapshot has a different digest", seed)
 			}
 			machine = other
 		default:
@@ -120,14 +120,14 @@
 				continue
 			}
 			o := open[rnd.IntN(len(open))]
-			must(t, do("tick", maintenance.TickBody{})) // ends what is over, which MayGrant does not
+			must(t, do("tick", maintenance.TickBody{})) // ends items past their deadline, which MayGrant does not
 			_, checkErr := s.MayGrant(now, o.Machine)
 			err := do("grant", maintenance.GrantBody{Request: o.Request, Machine: o.Machine, Until: now + 10*second})
 			if err == nil {
 				grants++
 			}
 			if err == nil && checkErr != nil {
-				t.Fatalf("seed %d: granted %s, and MayGo: %v", seed, o.Machine, checkErr)
+				t.Fatalf("seed %d: granted %s, but MayGrant returned %v", seed, o.Machine, checkErr)
 			}
 		}
 	}
@@ -150,16 +150,16 @@
 		parallel, _ := runRandomCommands(t, seed, 400)
 		runtime.GOMAXPROCS(previous)
 		if single != parallel {
-			t.Fatalf("seed %d: %x and %x", seed, single, parallel)
+			t.Fatalf("seed %d: digests %x and %x differ", seed, single, parallel)
 		}
 		grants += n
 	}
 	if grants < 500 {
-		t.Fatalf("%d grants only: the play tries too little", grants)
+		t.Fatalf("only %d grants: the random commands cover too little", grants)
 	}
 }
 
-// BenchmarkGrant is a grant at 200 replicas and 300 co-ordinators, with MayGrant asked of all replicas before it.
+// BenchmarkGrant measures a grant with 200 replicas and 300 co-ordinators, after MayGrant was called for every replica.
 func BenchmarkGrant(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
--- a/internal/fleet/maintenance/site_test.go
+++ b/internal/fleet/maintenance/site_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// site plays commands against a state, and after each looks at its invariants and that a refusal changed nothing.
+// fixture applies commands to a state. After each command it checks the invariants, and that a rejected command changed
+// nothing.
 type fixture struct {
 	t         *testing.T
 	state     *State
@@ -32,7 +33,7 @@
 	return Machine{Name: fmt.Sprintf("c%d", i), Kind: Coordinator, Zone: fmt.Sprintf("z%d", i), Status: Up, Voter: true}
 }
 
-// start makes eight replicas, one a cell, and three co-ordinators, all asked for by request "all" if no other is given.
+// newFixture returns a fixture with eight replicas, one per cell, three co-ordinators and the given requests.
 func newFixture(t *testing.T, l Limits, rs ...Request) *fixture {
 	p := &fixture{t: t, state: New(), now: 1000 * sec}
 	p.mustApply("limits", LimitsBody{1, l})
@@ -69,7 +70,7 @@
 	next := p.lastFence
 	err = p.state.Apply(p.now, func() uint64 { next++; return next }, kind, raw)
 	if after, _ := p.state.Save(); err != nil && !bytes.Equal(before, after) {
-		p.t.Fatalf("%s was refused (%v) and changed\n%s\nto\n%s", kind, err, before, after)
+		p.t.Fatalf("%s was rejected (%v) but changed the state from\n%s\nto\n%s", kind, err, before, after)
 	}
 	if err == nil {
 		p.lastFence = next
@@ -87,7 +88,7 @@
 	}
 }
 
-// refused wants the words.
+// mustReject checks that the command is rejected with an error that contains want.
 func (p *fixture) mustReject(want, kind string, body any) {
 	p.t.Helper()
 	if err := p.apply(kind, body); err == nil || !strings.Contains(err.Error(), want) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// wait lets time pass with a fresh look at the end, so that only what the test means is old.
+// advance moves time on and reports a fresh load and the given machines, so that no observation is out of date.
 func (p *fixture) advance(d time.Duration, ms ...Machine) {
 	p.t.Helper()
 	p.now += d
@@ -113,12 +114,12 @@
 	p.mustApply("grant", p.grantBody(request, machine))
 }
 
-// no: neither MayGrant nor the command lets the machine go, for the same reason.
+// mustRefuseGrant checks that both MayGrant and the grant command refuse the machine with an error that contains want.
 func (p *fixture) mustRefuseGrant(want, request, machine string) {
 	p.t.Helper()
 	p.mustReject(want, "grant", p.grantBody(request, machine))
 	if _, err := p.state.MayGrant(p.now, machine); err == nil || !strings.Contains(err.Error(), want) {
-		p.t.Fatalf("MayGo %s: %v, want %q", machine, err, want)
+		p.t.Fatalf("MayGrant %s: %v, want %q", machine, err, want)
 	}
 }
 
@@ -128,7 +129,7 @@
 	p.mustApply("told", AcknowledgeBody{machine, it.Fence, []string{"c0", "c1"}, []Silent{{"c2", 7 * sec}}})
 }
 
-// phase wants the latest item of a machine.
+// wantPhase checks the phase of the latest item of a machine and returns the item.
 func (p *fixture) wantPhase(machine string, want Phase) Item {
 	p.t.Helper()
 	var last Item
--- a/internal/fleet/maintenance/snapshot.go
+++ b/internal/fleet/maintenance/snapshot.go
@@ -10,8 +10,9 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Version of what Save gives. Another one is refused. 2 has the machines' failures: a copy that took them for none, from
-// a state of version 1, would grant and pause otherwise than one that applied the same log.
+// Version is the format version of the bytes that Save returns; Load rejects any other. Version 2 added the failure history of
+// machines. A copy loaded from version 1 without that history would grant and pause differently from one that applied the same
+// log.
 const Version = 2
 
 type savedState struct {
@@ -38,10 +39,10 @@
 
 type savedItem struct {
 	Item
-	Cancelled *request `json:"off,omitempty"` // the request, if it is no longer requested and the item is open
+	Cancelled *request `json:"off,omitempty"` // the request of an open item, if the operators have removed it
 }
 
-// Save implements statemachine.Part: the same bytes for the same state.
+// Save implements statemachine.Part. Equal states give equal bytes.
 func (s *State) Save() ([]byte, error) {
 	v := savedState{V: Version, Now: s.now, Limits: s.limits, Revision: s.revision, NeedsInventory: s.needsInventory, Requests: s.requested,
 		Fence: s.fence, Load: s.load, LoadKnown: s.loadKnown, LoadAt: s.loadAt, ObservedAt: s.observedAt, Observed: s.observed,
@@ -64,20 +65,20 @@
 	return json.Marshal(v)
 }
 
-// Load implements statemachine.Part: all of raw is taken, or nothing and the reason is told.
+// Load implements statemachine.Part. If it returns an error, the state is unchanged.
 func (s *State) Load(raw []byte) error {
 	var head struct {
 		V int `json:"v"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return fmt.Errorf("maintenance: saved state can not be read: %w", err)
+		return fmt.Errorf("maintenance: cannot decode saved state: %w", err)
 	}
 	if head.V != Version {
-		return fmt.Errorf("maintenance: saved state of version %d, this program reads %d: %w", head.V, Version, statemachine.ErrUnknown)
+		return fmt.Errorf("maintenance: saved state has version %d, this program reads version %d: %w", head.V, Version, statemachine.ErrUnknown)
 	}
 	var v savedState
 	if err := statemachine.Strict(raw, &v); err != nil {
-		return fmt.Errorf("maintenance: saved state can not be read: %w", err)
+		return fmt.Errorf("maintenance: cannot decode saved state: %w", err)
 	}
 	n := New()
 	if err := n.restore(v); err != nil {
@@ -89,7 +90,7 @@
 
 func (s *State) restore(v savedState) error {
 	if len(v.RequestedAt) != len(v.Requests.Requests) || len(v.Machines) > MaxMachines || len(v.Items) > MaxItems {
-		return errors.New("its lists do not fit")
+		return errors.New("list lengths are inconsistent or over their limits")
 	}
 	s.now, s.limits, s.revision, s.needsInventory, s.requested = v.Now, v.Limits, v.Revision, v.NeedsInventory, v.Requests
 	s.fence, s.load, s.loadKnown, s.loadAt = v.Fence, v.Load, v.LoadKnown, v.LoadAt
@@ -124,7 +125,7 @@
 func (s *State) restoreItem(it savedItem) error {
 	e := &entry{Item: it.Item, seq: s.seq, req: s.byID[it.Request]}
 	s.seq++
-	s.latest[key{it.Request, it.Machine}] = e // the latest comes last
+	s.latest[key{it.Request, it.Machine}] = e // items are saved in request order, so the latest one wins
 	if !e.Phase.open() {
 		s.ended = append(s.ended, e)
 		return nil
@@ -134,7 +135,7 @@
 	}
 	m := s.machines[it.Machine]
 	if m == nil || e.req == nil {
-		return fmt.Errorf("open item of %s in request %s: one of both is not there", it.Machine, it.Request)
+		return fmt.Errorf("open item of %s in request %s: the machine or the request is missing", it.Machine, it.Request)
 	}
 	s.open = append(s.open, e)
 	if e.Phase.live() {
--- a/internal/fleet/maintenance/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -8,102 +8,105 @@
 	"time"
 )
 
-// The most that is kept, and what goes first.
+// Limits on what the state keeps, and what is dropped first when they are reached.
 const (
-	// MaxMachines lines of the inventory. The one gone for longest goes first, if it has no open item; if there is none
-	// such, the observation is refused.
+	// MaxMachines is the maximum size of the inventory. The machine that has been gone for longest and has no open item is
+	// dropped first; if there is none, the observation is rejected.
 	MaxMachines = 10_000
-	// MaxRequests at once; a file with more is refused.
+	// MaxRequests is the maximum number of requests in a file; a larger file is rejected.
 	MaxRequests = 1_000
-	// MaxItems, open and ended. The first to go is the oldest ended one of a request that is no longer requested; an ended
-	// one of a standing request stays, or its machine would be requested again. If none can go, new ones wait.
+	// MaxItems is the maximum number of items, open and ended. The oldest ended item of a removed request is dropped first. Ended
+	// items of current requests are kept, as their machines would be requested again otherwise. If no item can be dropped, no
+	// item is added.
 	MaxItems = 20_000
-	// MaxNameLength bytes in a name, id or reason.
+	// MaxNameLength is the maximum length in bytes of a name, an id or a reason.
 	MaxNameLength = 253
-	// MaxAttempts times a machine is requested again after its grant ended before it was acknowledged (the leader died, a
-	// co-ordinator refused): no fault of the site's. Each is a new grant with a new number. Twice as many: a machine whose
-	// drain is always refused takes a place in the plan so much longer. Half: a few dead leaders in a row lose a request.
+	// MaxAttempts is how often a machine is granted for one request if its grants end before they are acknowledged, because the
+	// leader failed or a co-ordinator refused. Each attempt is a new grant with a new fence. With twice as many, a
+	// machine whose drain is always refused occupies a maintenance slot twice as long; with half as many, a few leader
+	// failures in a row lose a request.
 	MaxAttempts = 4
-	// GoneRetention is how long a machine that is gone, with no open item, stays in the inventory. Shorter: a machine back
-	// after a long repair is taken for a new one, with no harm but its history; longer: co-ordinators gone for good make
-	// the leader account for their silence for so long.
+	// GoneRetention is how long a machine that is gone and has no open item stays in the inventory. If it is shorter, a machine
+	// that returns after a long repair is taken for a new one and loses only its history; if it is longer, the leader has to
+	// account for the silence of permanently removed co-ordinators for that much longer.
 	GoneRetention = time.Hour
-	// MaxGrantTime is the longest from a grant until its machine has to be gone: a leader that errs in its clock can not
-	// hold a place in the plan for more. Half: sites whose tools need a day to come round lose their grants.
+	// MaxGrantTime is the maximum time from a grant until its machine must be out. It bounds how long a leader with a wrong clock
+	// can hold a maintenance slot. With half of it, sites whose tools need a day to act would lose their grants.
 	MaxGrantTime = 24 * time.Hour
-	// MaxOutage is the longest that a machine may be out by one request. One that is away for longer is taken out of the
-	// inventory and asked for once it is back; twice as long would hold its place in the plan for two months.
+	// MaxOutage is the maximum time that a machine may be out for one request. A machine that is away for longer is to be removed
+	// from the inventory and requested again once it is back; twice as long would hold its slot for two months.
 	MaxOutage = 30 * 24 * time.Hour
-	// MaxPauseFactor times Limits.FailurePause is the longest pause after failures, and the span in which a machine's are counted.
+	// MaxPauseFactor times Limits.FailurePause is the longest pause after failures, and the window in which the failures of a
+	// machine are counted.
 	MaxPauseFactor = 8
-	// FlapThreshold unplanned failures of one machine within MaxPauseFactor times FailurePause make it flapping, see flapping.go. One more: a
-	// crash loop pauses the plan once more, for up to MaxPauseFactor times FailurePause; one less: a machine that fails, is restarted
-	// by hand and fails again is not relied on for as long.
+	// FlapThreshold is the number of unplanned failures within MaxPauseFactor times FailurePause that marks a machine as flapping,
+	// see flapping.go. With one more, a crash loop pauses maintenance once more, for up to MaxPauseFactor times FailurePause;
+	// with one less, a machine that fails, is restarted by hand and fails again is not relied on for that time.
 	FlapThreshold = 3
 )
 
-// machine is a line of the inventory with what the rules remember of it.
+// machine is a line of the inventory with the additional state that the rules need.
 type machine struct {
 	Machine
-	Last   Status        `json:"last"`              // its last status but Unknown
-	GoneAt time.Duration `json:"gone_at,omitempty"` // since when it is gone
-	Settle time.Duration `json:"settle,omitempty"`  // until then an ended grant of its counts
+	Last   Status        `json:"last"`              // last status other than Unknown
+	GoneAt time.Duration `json:"gone_at,omitempty"` // when it was first seen gone
+	Settle time.Duration `json:"settle,omitempty"`  // an ended grant of this machine counts as out until then
 	flapHistory
 	live    *entry   // granted, acknowledged, out or returned
-	pending []*entry // that wait, in the order of asking
+	pending []*entry // pending items, in request order
 }
 
-// entry is an item with its place in the order of asking.
+// entry is an item with its position in the request order.
 type entry struct {
 	Item
 	seq int
-	req *request // what asked for it; its words outlive its withdrawal
+	req *request // kept after the request is removed
 }
 
 type key struct{ request, machine string }
 
-// request is one that is requested, with the agreed time at which it was first seen.
+// request is an operator's request with the agreed time at which it was first seen.
 type request struct {
 	Request
 	FirstSeenAt time.Duration `json:"at"`
 }
 
-// State is the agreed order of work. It is not for use by two goroutines at once, not even to read.
+// State is the agreed maintenance state. It is not safe for concurrent use, not even for reads: reading updates cached sums.
 type State struct {
 	now time.Duration
 
 	limits         Limits
-	revision       int  // of the limits; 0: none yet
-	needsInventory bool // the limits changed, and no complete inventory has come since
+	revision       int  // revision of the limits; 0: no limits yet
+	needsInventory bool // the limits changed after the last complete inventory
 
 	requested RequestsBody
 	requests  []*request
 	byID      map[string]*request
 
 	machines map[string]*machine
-	list     []*machine // by name
+	list     []*machine // sorted by name
 	cells    map[int][]*machine
 
-	open   []*entry       // in the order of asking
-	ended  []*entry       // by the time of their end, then in the order of asking
-	latest map[key]*entry // the latest of a machine in a request
+	open   []*entry       // in request order
+	ended  []*entry       // by end time, then in request order
+	latest map[key]*entry // latest item of a machine in a request
 	seq    int
-	fence  uint64 // the highest of a grant
+	fence  uint64 // highest fence issued
 
 	load       float64
 	loadKnown  bool
-	loadAt     time.Duration // of the last observation whose load was known
-	observedAt time.Duration // of the last observation
-	observed   bool          // there was one
+	loadAt     time.Duration // time of the last observation that included a load
+	observedAt time.Duration // time of the last observation
+	observed   bool          // whether there was an observation
 
-	pauseFrom, pauseUntil, pauseSpan time.Duration // W6
+	pauseFrom, pauseUntil, pauseSpan time.Duration // last pause of new grants (W6) and its length
 	pauseReason                      string
 
-	sums      inventorySums // of the inventory, while fresh
+	sums      inventorySums // cached totals of the inventory
 	sumsValid bool
 }
 
-// New makes the empty state: no limits, so nothing may go.
+// New returns an empty state. It has no limits, so it allows no grant.
 func New() *State {
 	s := &State{}
 	s.clear()
@@ -123,7 +126,7 @@
 
 func (p Phase) open() bool { return p == Pending || p.live() }
 
-// Items are all that are remembered, in the order of asking, then by name. The slice is the caller's.
+// Items returns a copy of all items, open and ended, in request order.
 func (s *State) Items() []Item {
 	all := make([]*entry, 0, len(s.open)+len(s.ended))
 	all = append(append(all, s.open...), s.ended...)
@@ -135,7 +138,7 @@
 	return out
 }
 
-// Open are the items that are not ended, in the order of asking. The slice is the caller's.
+// Open returns a copy of the items that have not ended, in request order.
 func (s *State) Open() []Item {
 	out := make([]Item, len(s.open))
 	for i, e := range s.open {
@@ -144,7 +147,7 @@
 	return out
 }
 
-// ActiveItem is the live one of a machine: granted, acknowledged, out or returned.
+// ActiveItem returns the live item of a machine: granted, acknowledged, out or returned.
 func (s *State) ActiveItem(name string) (Item, bool) {
 	if m := s.machines[name]; m != nil && m.live != nil {
 		return m.live.Item, true
@@ -152,7 +155,7 @@
 	return Item{}, false
 }
 
-// Machines is the inventory by name. The slice is the caller's.
+// Machines returns a copy of the inventory, sorted by name.
 func (s *State) Machines() []Machine {
 	out := make([]Machine, len(s.list))
 	for i, m := range s.list {
@@ -161,7 +164,7 @@
 	return out
 }
 
-// Machine is one line of the inventory.
+// Machine returns the inventory line of a machine.
 func (s *State) Machine(name string) (Machine, bool) {
 	if m := s.machines[name]; m != nil {
 		return m.Machine, true
@@ -169,42 +172,42 @@
 	return Machine{}, false
 }
 
-// InventoryDigest is one of the complete inventory, equal for equal ones.
+// InventoryDigest returns a digest of the complete inventory. Equal inventories have equal digests.
 func (s *State) InventoryDigest() string {
 	h := sha256.New()
 	e := json.NewEncoder(h)
 	for _, m := range s.list {
 		if e.Encode(m.Machine) != nil {
-			return "" // a size that is no number, which valid refuses
+			return "" // a size that is not a number, which validate rejects
 		}
 	}
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Limits in force and their revision; 0 while there are none.
+// Limits returns the limits in force and their revision, which is 0 while there are none.
 func (s *State) Limits() (Limits, int) { return s.limits, s.revision }
 
-// Requests is what the operators ask for, as it was last accepted.
+// Requests returns the operators' requests as last accepted.
 func (s *State) Requests() RequestsBody {
 	a := s.requested
 	a.Requests = append([]Request(nil), a.Requests...)
 	return a
 }
 
-// ObservedLoad is the load last seen, in mean replicas kept busy, when it was seen, and whether the last observation knew
-// it.
+// ObservedLoad returns the last known load, in mean replicas kept busy, the time when it was observed, and whether the last
+// observation included a load.
 func (s *State) ObservedLoad() (load float64, at time.Duration, known bool) {
 	return s.load, s.loadAt, s.loadKnown
 }
 
-// ObservedAt is the agreed time of the last observation; false before the first.
+// ObservedAt returns the agreed time of the last observation; false means that there was none.
 func (s *State) ObservedAt() (time.Duration, bool) { return s.observedAt, s.observed }
 
-// NeedsCompleteInventory says that nothing is granted until a complete inventory was observed: there was none yet, or the limits
-// changed.
+// NeedsCompleteInventory reports whether grants have to wait for a complete inventory: nothing was observed yet, or the limits
+// changed since.
 func (s *State) NeedsCompleteInventory() bool { return s.needsInventory || !s.observed }
 
-// Paused says whether nothing at all may be granted now, and why.
+// Paused reports whether no machine may be granted now, and why.
 func (s *State) Paused(now time.Duration) (bool, string) {
 	if err := s.checkPaused(max(now, s.now)); err != nil {
 		return true, err.Error()
@@ -212,7 +215,7 @@
 	return false, ""
 }
 
-// add puts a machine into the inventory; nil if there is no room.
+// add adds a machine to the inventory. It returns nil if the inventory is full.
 func (s *State) add(m Machine) *machine {
 	if len(s.list) >= MaxMachines && !s.dropGone() {
 		return nil
@@ -231,12 +234,12 @@
 	return n
 }
 
-// listIndex gives a name's place in the list.
+// listIndex returns the position of a name in the sorted list, or where it would be inserted.
 func (s *State) listIndex(name string) int {
 	return sort.Search(len(s.list), func(i int) bool { return s.list[i].Name >= name })
 }
 
-// addToCell notes a replica with its cell, in the order of names.
+// addToCell adds a replica to the list of its cell, sorted by name.
 func (s *State) addToCell(m *machine) {
 	if m.Kind != Replica {
 		return
@@ -267,7 +270,7 @@
 	s.sumsValid = false
 }
 
-// dropGone makes room in the inventory for one: the longest gone that nothing is open for.
+// dropGone makes room for a machine: it drops the one that has been gone for longest, among those with nothing open.
 func (s *State) dropGone() bool {
 	busy := s.machinesWithOpenItems()
 	var oldest *machine
@@ -283,7 +286,7 @@
 	return true
 }
 
-// machinesWithOpenItems are the machines with an open item.
+// machinesWithOpenItems returns the set of machines that have an open item.
 func (s *State) machinesWithOpenItems() map[string]bool {
 	b := make(map[string]bool, len(s.open))
 	for _, e := range s.open {
