--- a/internal/fleet/maintenance/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -95,8 +95,7 @@
 	return nil
 }
 
-// applyGrant grants a machine if every rule allows it in the current state. The leader's own evaluation is not trusted, since its
-// copy of the state may differ.
+// applyGrant grants a machine if every rule allows it in the current state, regardless of what the leader concluded.
 func (s *State) applyGrant(b GrantBody, fence func() uint64) error {
 	e := s.latest[key{b.Request, b.Machine}]
 	if e == nil || e.Phase != Pending {
@@ -112,7 +111,8 @@
 	s.countPassedOver(e)
 	m := s.machines[e.Machine]
 	e.Phase, e.Fence, e.GrantedAt, e.Until, e.Reason = Granted, fence(), s.now, b.Until, ""
-	e.HoldersLeft, e.SpareCapacity, e.Revision, e.StartedAt, e.Zone, e.Voter = holdersLeft, spareCapacity, s.revision, m.Started, m.Zone, m.Voter
+	e.HoldersLeft, e.SpareCapacity, e.Revision, e.StartedAt, e.Zone, e.Voter =
+		holdersLeft, spareCapacity, s.revision, m.Started, m.Zone, m.Voter
 	if m.Kind == Replica {
 		e.MinHolders = s.limits.MinHolders
 	}
@@ -150,7 +150,8 @@
 	minSilence := s.limits.Lease + s.limits.Grace
 	for _, silent := range b.Silent {
 		if !accountedFor[silent.Name] && silent.Duration < minSilence {
-			return fmt.Errorf("told: co-ordinator %s has been silent for %v, less than its lease and grace of %v", silent.Name, silent.Duration, minSilence)
+			return fmt.Errorf("told: co-ordinator %s has been silent for %v, less than its lease and grace of %v",
+				silent.Name, silent.Duration, minSilence)
 		}
 		accountedFor[silent.Name] = true
 	}
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// endItem ends an item. If it ends the machine's live grant in a phase other than Done, the machine stays out of use for
+// endItem ends an item. If that ends the machine's live grant in a phase other than Done, the machine still counts as out for
 // SettleTime. The caller removes ended items from s.open with dropClosed.
 func (s *State) endItem(e *entry, p Phase, reason string) {
 	e.Phase, e.EndedAt, e.Reason = p, s.now, reason
--- a/internal/fleet/maintenance/fairness.go
+++ b/internal/fleet/maintenance/fairness.go
@@ -21,6 +21,7 @@
 	return e.Phase == Pending && now >= e.req.Earliest && (e.req.Latest == 0 || now <= e.req.Latest)
 }
 
+// hasReservedTurn reports whether e was passed over often enough to reserve its turn.
 func (s *State) hasReservedTurn(e *entry) bool { return e.PassedOver >= s.limits.MaxPassedOver }
 
 // precedes orders items by priority, urgent first, then by request order.
@@ -31,7 +32,7 @@
 	return a.seq < b.seq
 }
 
-// reservedHead returns the reserved item that e must not block, or nil if there is none.
+// reservedHead returns the reserved item whose resources e must leave free, or nil if there is none.
 func (s *State) reservedHead(now time.Duration, e *entry) *entry {
 	var head *entry
 	for _, o := range s.inventorySums(now).reserved {
--- a/internal/fleet/maintenance/false_input_test.go
+++ b/internal/fleet/maintenance/false_input_test.go
@@ -16,7 +16,8 @@
 	rapid.Check(t, func(r *rapid.T) {
 		l := testLimits
 		l.MaxPassedOver, l.FailurePause, l.MaxOut, l.MinVoters = 100, sec, 2, 1
-		p := newFixture(t, l, Request{ID: "all", Prefix: "", Kind: Replica, Reason: "swap", MaxOutage: 60 * sec}, Request{ID: "host", Kind: Coordinator, Reason: "swap", MaxOutage: 60 * sec})
+		p := newFixture(t, l, Request{ID: "all", Prefix: "", Kind: Replica, Reason: "swap", MaxOutage: 60 * sec},
+			Request{ID: "host", Kind: Coordinator, Reason: "swap", MaxOutage: 60 * sec})
 		names := []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6", "r7", "c0", "c1", "c2"}
 		reported := map[string]Machine{}
 		for i := range 8 {
--- a/internal/fleet/maintenance/flapping_test.go
+++ b/internal/fleet/maintenance/flapping_test.go
@@ -186,7 +186,8 @@
 		crashes []Machine
 		holds   bool
 	}{{[]Machine{replica(1)}, true}, {[]Machine{replica(0), replica(2)}, false}} {
-		p := newFixture(t, Limits{}.modified(testLimits, func(l *Limits) { l.MaxPassedOver, l.MaxOut = 1, 1 }), requestFor("a", "r1"), requestFor("b", "r4", "r5"))
+		p := newFixture(t, Limits{}.modified(testLimits, func(l *Limits) { l.MaxPassedOver, l.MaxOut = 1, 1 }),
+			requestFor("a", "r1"), requestFor("b", "r4", "r5"))
 		p.grant("b", "r4")
 		p.mustApply("withdraw", WithdrawBody{"r4", 1, "test"})
 		p.crash(3, 10*sec, c.crashes...)
--- a/internal/fleet/maintenance/observe.go
+++ b/internal/fleet/maintenance/observe.go
@@ -108,7 +108,8 @@
 		return nil, fmt.Errorf("load is %v, must be a number and not negative", b.Load)
 	}
 	if b.Digest != "" && (!b.Complete || len(b.Machines) > 0 || b.Digest != s.InventoryDigest()) {
-		return nil, fmt.Errorf("complete inventory with digest %s and %d machines; the agreed inventory has digest %s", truncate(b.Digest), len(b.Machines), s.InventoryDigest())
+		return nil, fmt.Errorf("complete inventory with digest %s and %d machines; the agreed inventory has digest %s",
+			truncate(b.Digest), len(b.Machines), s.InventoryDigest())
 	}
 	reported = make(map[string]bool, len(b.Machines))
 	unknown := 0
--- a/internal/fleet/maintenance/phases_test.go
+++ b/internal/fleet/maintenance/phases_test.go
@@ -105,7 +105,8 @@
 	p := newFixture(t, testLimits, requestFor("a", "r0"))
 	p.grant("a", "r0")
 	p.observe(coordinator(2).withStatus(Gone)) // gone by gossip, but it may still reach r0
-	p.mustReject("co-ordinator c2 has neither acknowledged the drain nor been reported silent", "told", AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, nil})
+	p.mustReject("co-ordinator c2 has neither acknowledged the drain nor been reported silent", "told",
+		AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, nil})
 	p.mustReject("c2 has been silent for 6.999999999s", "told",
 		AcknowledgeBody{"r0", 1, []string{"c0", "c1"}, []Silent{{"c2", 7*sec - 1}}})
 	p.acknowledge("r0")
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -98,7 +98,8 @@
 			observe()
 		case k < 22:
 			if live && it.Phase == maintenance.Granted {
-				_ = do("told", maintenance.AcknowledgeBody{Machine: name, Fence: it.Fence, Acknowledged: coordinators}) // rejected if the grant has expired
+				// Rejected if the grant has expired.
+				_ = do("told", maintenance.AcknowledgeBody{Machine: name, Fence: it.Fence, Acknowledged: coordinators})
 			}
 		case k == 22:
 			_ = do("withdraw", maintenance.WithdrawBody{Machine: name, Fence: it.Fence, Reason: "test"})
--- a/internal/fleet/maintenance/site_test.go
+++ b/internal/fleet/maintenance/site_test.go
@@ -22,8 +22,8 @@
 const sec = time.Second
 
 var testLimits = Limits{Cells: 8, Reach: 3, Shards: 8, MinHolders: 2, MaxOutPerZone: 2, MaxOut: 3, Headroom: 0.25,
-	MaxLoadAge: 30 * sec, MaxInventoryAge: 20 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec, SettleTime: 10 * sec, FailurePause: 60 * sec,
-	MaxPassedOver: 2, MinVoters: 2}
+	MaxLoadAge: 30 * sec, MaxInventoryAge: 20 * sec, WarmUp: 40 * sec, Lease: 5 * sec, Grace: 2 * sec, SettleTime: 10 * sec,
+	FailurePause: 60 * sec, MaxPassedOver: 2, MinVoters: 2}
 
 func replica(i int) Machine {
 	return Machine{Name: fmt.Sprintf("r%d", i), Kind: Replica, Zone: fmt.Sprintf("z%d", i%4), Cell: i, Status: Up}
--- a/internal/fleet/maintenance/snapshot.go
+++ b/internal/fleet/maintenance/snapshot.go
@@ -15,6 +15,7 @@
 // log.
 const Version = 2
 
+// savedState is the stored form of State.
 type savedState struct {
 	V              int             `json:"v"`
 	Now            time.Duration   `json:"now"`
@@ -37,6 +38,7 @@
 	PauseReason    string          `json:"pause_why,omitempty"`
 }
 
+// savedItem is the stored form of an item.
 type savedItem struct {
 	Item
 	Cancelled *request `json:"off,omitempty"` // the request of an open item, if the operators have removed it
--- a/internal/fleet/maintenance/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -22,9 +22,9 @@
 	// MaxNameLength is the maximum length in bytes of a name, an id or a reason.
 	MaxNameLength = 253
 	// MaxAttempts is how often a machine is granted for one request if its grants end before they are acknowledged, because the
-	// leader failed or a co-ordinator refused. Each attempt is a new grant with a new fence. With twice as many, a
-	// machine whose drain is always refused occupies a maintenance slot twice as long; with half as many, a few leader
-	// failures in a row lose a request.
+	// leader failed or a co-ordinator refused, neither of which is the fault of the site. Each attempt is a new grant with a new
+	// fence. With twice as many, a machine whose drain is always refused occupies a maintenance slot twice as long; with half as
+	// many, a few leader failures in a row lose a request.
 	MaxAttempts = 4
 	// GoneRetention is how long a machine that is gone and has no open item stays in the inventory. If it is shorter, a machine
 	// that returns after a long repair is taken for a new one and loses only its history; if it is longer, the leader has to
@@ -63,6 +63,7 @@
 	req *request // kept after the request is removed
 }
 
+// key identifies a machine in a request.
 type key struct{ request, machine string }
 
 // request is an operator's request with the agreed time at which it was first seen.
@@ -122,8 +123,10 @@
 	}
 }
 
+// live reports whether the phase belongs to a grant that has not ended.
 func (p Phase) live() bool { return p == Granted || p == Acknowledged || p == Out || p == Returned }
 
+// open reports whether an item in the phase has not ended.
 func (p Phase) open() bool { return p == Pending || p.live() }
 
 // Items returns a copy of all items, open and ended, in request order.
--- a/internal/fleet/maintenance/types.go
+++ b/internal/fleet/maintenance/types.go
@@ -108,7 +108,8 @@
 	Rejected     Phase = "refused"   // can never be granted as requested; Reason says why
 )
 
-// Item is one machine of one request. Items are ordered by request, then by machine name.
+// Item is one machine of one request. Items are kept in request order: in the order in which they were requested, then by machine
+// name.
 type Item struct {
 	Request        string        `json:"request"`
 	Machine        string        `json:"machine"`
