--- a/internal/fleet/fleetsim/pinned/leader.go
+++ b/internal/fleet/fleetsim/pinned/leader.go
@@ -139,20 +139,20 @@
 	w := c.w
 	book := c.reading()
 	now := l.time(c)
-	v := migrate.View{Book: book, Slots: book.Pool(), Away: w.s.Away}
+	v := migrate.View{Book: book, Slots: book.Pool(), Outage: w.s.Away}
 	for _, r := range w.replicas {
 		v.Replicas = append(v.Replicas, r.name)
 	}
 	for i, o := range w.cos {
 		rank, ok := w.order[i]
 		if !ok {
-			rank = migrate.Stays
+			rank = migrate.RankNone
 		}
 		deadline, leaving := w.leaving[i]
 		owned := book.Owned(o.name)
 		v.Coordinators = append(v.Coordinators, migrate.Coordinator{Name: o.name, Zone: fmt.Sprint("z", i%3), Rank: rank, Leaving: leaving, Deadline: deadline,
-			Live: (o.up || w.Now-o.downAt < 2*time.Second) && c.silence(l, o.name) < limits.Lease,
-			Room: migrate.Room{Sessions: w.roomOf(), Told: owned, Open: 0, Queries: 1 << 16, Memory: 1 << 32}})
+			Live:     (o.up || w.Now-o.downAt < 2*time.Second) && c.silence(l, o.name) < limits.Lease,
+			Capacity: migrate.Capacity{MaxSessions: w.roomOf(), OwnedAtReport: owned, OpenQueries: 0, MaxQueries: 1 << 16, FreeMemory: 1 << 32}})
 	}
 	plan := l.planner.Step(now, v)
 	if w.s.Shared {
--- a/internal/fleet/migrate/baseline/baseline.go
+++ b/internal/fleet/migrate/baseline/baseline.go
@@ -22,7 +22,7 @@
 		return h * 0xff51afd7ed558ccd
 	}
 	return func(id session.ID, _ *migrate.Coordinator, a, b *migrate.Receiver) int {
-		return cmp.Or(cmp.Compare(draw(id, a), draw(id, b)), cmp.Compare(a.At, b.At))
+		return cmp.Or(cmp.Compare(draw(id, a), draw(id, b)), cmp.Compare(a.Index, b.Index))
 	}
 }
 
@@ -33,5 +33,5 @@
 
 // Emptiest takes the least full one, whenever it goes itself.
 func Emptiest(_ session.ID, _ *migrate.Coordinator, a, b *migrate.Receiver) int {
-	return cmp.Or(migrate.Fuller(a, b), cmp.Compare(a.At, b.At))
+	return cmp.Or(migrate.CompareLoad(a, b), cmp.Compare(a.Index, b.Index))
 }
--- a/internal/fleet/migrate/cmd/sessionplots/main.go
+++ b/internal/fleet/migrate/cmd/sessionplots/main.go
@@ -30,12 +30,12 @@
 }
 
 // way of choosing a receiver.
-type way struct {
+type strategy struct {
 	name   string
 	prefer migrate.Prefer
 }
 
-var ways = []way{
+var strategies = []strategy{
 	{"planner", nil},
 	{"emptiest, no look ahead", baseline.Emptiest},
 	{"random", baseline.Random(1)},
@@ -43,16 +43,16 @@
 }
 
 // site is one drawing: so many sessions, laid out so.
-type site struct {
+type scenario struct {
 	name, title string
-	set         func(*swap.Settings)
+	configure   func(*swap.Settings)
 	large       bool
 }
 
-var sites = []site{
+var scenarios = []scenario{
 	{"even-2000", "2,000 sessions, even, one out at a time", func(*swap.Settings) {}, false},
 	{"uneven-2000", "2,000 sessions, uneven, one out at a time", func(s *swap.Settings) { s.Uneven = true }, false},
-	{"tenth-2000", "2,000 sessions, uneven, a tenth out at a time", func(s *swap.Settings) { s.Uneven, s.Wave = true, s.Coordinators/10 }, false},
+	{"tenth-2000", "2,000 sessions, uneven, a tenth out at a time", func(s *swap.Settings) { s.Uneven, s.WaveSize = true, s.Coordinators/10 }, false},
 	{"uneven-100000", "100,000 sessions, uneven, one out at a time", func(s *swap.Settings) {
 		s.Uneven, s.Sessions, s.InFlight, s.PerMinute = true, 100_000, 1000, 20_000
 	}, true},
@@ -69,62 +69,62 @@
 func run() error {
 	fmt.Println("| site | co-ordinators | way | moves a session | lower bound | took | stay in their zone |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- |")
-	for _, s := range sites {
+	for _, s := range scenarios {
 		if flags.Only != "" && s.name != flags.Only || flags.Only == "" && s.large && !flags.Large {
 			continue
 		}
-		results, err := play(s)
+		results, err := runScenario(s)
 		if err != nil {
 			return err
 		}
 		for i, n := range flags.Sizes {
-			for k, w := range ways {
-				r := results[i*len(ways)+k]
-				fmt.Printf("| %s | %d | %s | %.3f | %.3f | %v | %.0f %% |\n", s.title, n, w.name, r.Each, bound(r), r.Took, 100*zone(r))
+			for k, w := range strategies {
+				r := results[i*len(strategies)+k]
+				fmt.Printf("| %s | %d | %s | %.3f | %.3f | %v | %.0f %% |\n", s.title, n, w.name, r.MovesPerSession, lowerBound(r), r.Duration, 100*zoneShare(r))
 			}
 		}
-		if err := draw(s, "moves", "moves a session", results, func(r swap.Result) float64 { return r.Each }); err != nil {
+		if err := draw(s, "moves", "moves a session", results, func(r swap.Result) float64 { return r.MovesPerSession }); err != nil {
 			return err
 		}
-		if err := draw(s, "time", "minutes", results, func(r swap.Result) float64 { return r.Took.Minutes() }); err != nil {
+		if err := draw(s, "time", "minutes", results, func(r swap.Result) float64 { return r.Duration.Minutes() }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func bound(r swap.Result) float64 { return float64(r.Bound) / float64(r.Sessions) }
+func lowerBound(r swap.Result) float64 { return float64(r.Bound) / float64(r.Sessions) }
 
-func zone(r swap.Result) float64 { return float64(r.InZone) / float64(r.Sessions) }
+func zoneShare(r swap.Result) float64 { return float64(r.SameZone) / float64(r.Sessions) }
 
 // play gives the results by size, then by way.
-func play(s site) ([]swap.Result, error) {
-	results, errs := make([]swap.Result, len(flags.Sizes)*len(ways)), make([]error, len(flags.Sizes)*len(ways))
+func runScenario(s scenario) ([]swap.Result, error) {
+	results, errs := make([]swap.Result, len(flags.Sizes)*len(strategies)), make([]error, len(flags.Sizes)*len(strategies))
 	var all sync.WaitGroup
 	places := make(chan struct{}, max(1, flags.Procs))
 	for i := range results {
-		set := swap.Settings{Coordinators: flags.Sizes[i/len(ways)], Sessions: 2000, Room: 2, Wave: 1, Zones: 3, Away: 30 * time.Second,
-			InFlight: 200, PerMinute: 6000, Idle: 60, Prefer: ways[i%len(ways)].prefer}
-		s.set(&set)
+		set := swap.Settings{Coordinators: flags.Sizes[i/len(strategies)], Sessions: 2000, CapacityFactor: 2, WaveSize: 1, Zones: 3, Outage: 30 * time.Second,
+			InFlight: 200, PerMinute: 6000, IdlePercent: 60, Prefer: strategies[i%len(strategies)].prefer}
+		s.configure(&set)
 		all.Go(func() {
 			places <- struct{}{}
-			results[i], errs[i] = swap.Play(set)
+			results[i], errs[i] = swap.Run(set)
 			<-places
 		})
 	}
 	all.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return nil, fmt.Errorf("%s, %d co-ordinators, %s: %w", s.title, flags.Sizes[i/len(ways)], ways[i%len(ways)].name, err)
+			return nil, fmt.Errorf("%s, %d co-ordinators, %s: %w", s.title, flags.Sizes[i/len(strategies)], strategies[i%len(strategies)].name, err)
 		}
 	}
 	return results, nil
 }
 
 // sizes are the ticks of the axis: those that were played.
-type sizes []int
+type sizeTicks []int
 
-func (s sizes) Ticks(_, _ float64) []plot.Tick {
+func (s sizeTicks) Ticks(_, _ float64) []plot.Tick {
 	out := make([]plot.Tick, len(s))
 	for i, n := range s {
 		out[i] = plot.Tick{Value: float64(n), Label: strconv.Itoa(n)}
@@ -132,10 +132,10 @@
 	return out
 }
 
-func draw(s site, what, axis string, results []swap.Result, value func(swap.Result) float64) error {
+func draw(s scenario, what, axis string, results []swap.Result, value func(swap.Result) float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = s.title, "co-ordinators", axis
-	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, sizes(flags.Sizes)
+	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, sizeTicks(flags.Sizes)
 	p.Legend.Top, p.Legend.Left = true, true
 	if what == "moves" {
 		p.Y.Min, p.Y.Max = 0.9, 2.6
@@ -158,13 +158,13 @@
 		p.Legend.Add(name, l, marks)
 		return nil
 	}
-	for k, w := range ways {
-		if err := line(k, w.name, func(row int) float64 { return value(results[row*len(ways)+k]) }); err != nil {
+	for k, w := range strategies {
+		if err := line(k, w.name, func(row int) float64 { return value(results[row*len(strategies)+k]) }); err != nil {
 			return err
 		}
 	}
 	if what == "moves" {
-		if err := line(len(ways), "lower bound", func(row int) float64 { return bound(results[row*len(ways)]) }); err != nil {
+		if err := line(len(strategies), "lower bound", func(row int) float64 { return lowerBound(results[row*len(strategies)]) }); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/migrate/forecast_test.go
+++ b/internal/fleet/migrate/forecast_test.go
@@ -12,37 +12,37 @@
 )
 
 // owned is a book of numbers only.
-type owned struct {
+type countBook struct {
 	Book
-	n      map[string]int
+	owned  map[string]int
 	limits session.Limits
 }
 
-func (o *owned) Owned(co string) int           { return o.n[co] }
-func (o *owned) Limits() (session.Limits, int) { return o.limits, 1 }
+func (o *countBook) Owned(co string) int           { return o.owned[co] }
+func (o *countBook) Limits() (session.Limits, int) { return o.limits, 1 }
 
 // order is n co-ordinators that go one wave after the other, each with so many sessions and room for most.
-func order(n, each, most, wave int) View {
-	o := &owned{n: map[string]int{}, limits: session.Limits{InFlight: 100, PerMinute: 6000}}
-	v := View{Book: o, Away: time.Minute}
+func rollingView(n, each, most, wave int) View {
+	o := &countBook{owned: map[string]int{}, limits: session.Limits{InFlight: 100, PerMinute: 6000}}
+	v := View{Book: o, Outage: time.Minute}
 	for i := range n {
 		name := fmt.Sprintf("c%03d", i)
-		o.n[name] = each
+		o.owned[name] = each
 		v.Coordinators = append(v.Coordinators, Coordinator{Name: name, Zone: fmt.Sprintf("z%d", i%3), Live: true, Rank: i / wave,
-			Room: Room{Sessions: most, Told: each, Queries: 1 << 20, Memory: 1 << 40}})
+			Capacity: Capacity{MaxSessions: most, OwnedAtReport: each, MaxQueries: 1 << 20, FreeMemory: 1 << 40}})
 	}
 	return v
 }
 
 func TestForecast(t *testing.T) {
 	const s = time.Second
-	slow := order(10, 200, 300, 1)
-	slow.Book.(*owned).limits, slow.Deadline = session.Limits{InFlight: 4, PerMinute: 60}, 1200*s
-	one := order(10, 200, 300, 1)
+	slow := rollingView(10, 200, 300, 1)
+	slow.Book.(*countBook).limits, slow.Deadline = session.Limits{InFlight: 4, PerMinute: 60}, 1200*s
+	one := rollingView(10, 200, 300, 1)
 	one.Coordinators[3].Leaving, one.Coordinators[3].Deadline = true, 1001*s
-	spare := order(10, 200, 300, 1)
-	spare.Coordinators[9].Rank = Stays
-	full := order(4, 100, 100, 1)
+	spare := rollingView(10, 200, 300, 1)
+	spare.Coordinators[9].Rank = RankNone
+	full := rollingView(4, 100, 100, 1)
 	for _, c := range []struct {
 		name         string
 		v            View
@@ -51,8 +51,8 @@
 		kept         int
 		gives        string
 	}{
-		{"nobody is back: the first wave moves twice", order(10, 200, 300, 1), 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0, ""},
-		{"two at once", order(10, 200, 300, 2), 2400, 2400, 1000*s + 5*time.Minute + 48*s, 0, ""},
+		{"nobody is back: the first wave moves twice", rollingView(10, 200, 300, 1), 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0, ""},
+		{"two at once", rollingView(10, 200, 300, 2), 2400, 2400, 1000*s + 5*time.Minute + 48*s, 0, ""},
 		{"one that stays has room for half of them", spare, 1900, 1900, 1000*s + 9*time.Minute + 38*s, 0, ""},
 		{"no room anywhere", full, 300, 500, 1000*s + 4*time.Minute + 6*s, 100, "room for 100 more sessions at the others while c000 is away"},
 		{"too slow", slow, 2200, 2200, 1000*s + 10*time.Minute + 2200*s, 0, "or more out at once: 10 waves of 1m0s are longer than what is left"},
@@ -60,43 +60,43 @@
 			"a deadline of 1970-01-01T00:16:44Z or later for c003"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := Foresee(1000*s, c.v, 2*s)
-			if f.Moves != c.moves || f.Bound != c.bound || f.Ends != c.ends || f.Kept != c.kept || f.Meets != (c.gives == "") {
-				t.Errorf("%+v, ends %v", f, f.Ends)
+			f := NewForecast(1000*s, c.v, 2*s)
+			if f.Moves != c.moves || f.Bound != c.bound || f.End != c.ends || f.Unplaced != c.kept || f.MeetsDeadlines != (c.gives == "") {
+				t.Errorf("%+v, ends %v", f, f.End)
 			}
-			if !strings.Contains(strings.Join(f.Gives, "; "), c.gives) {
-				t.Errorf("gives %q", f.Gives)
+			if !strings.Contains(strings.Join(f.RequiredChanges, "; "), c.gives) {
+				t.Errorf("gives %q", f.RequiredChanges)
 			}
 		})
 	}
 	slow.Deadline = 1000*s + 20*time.Minute // half of it for moves
-	f := Foresee(1000*s, slow, 2*s)
+	f := NewForecast(1000*s, slow, 2*s)
 	want := "8 in flight instead of 4 and 220 a minute instead of 60, or a deadline of 1970-01-01T01:03:20Z or later for the swap"
-	if len(f.Gives) != 1 || f.Gives[0] != want {
-		t.Errorf("%q", f.Gives)
+	if len(f.RequiredChanges) != 1 || f.RequiredChanges[0] != want {
+		t.Errorf("%q", f.RequiredChanges)
 	}
-	slow.Book.(*owned).limits = session.Limits{InFlight: 8, PerMinute: 220}
-	if f := Foresee(1000*s, slow, 2*s); !f.Meets {
-		t.Errorf("what was to give does not do: %v", f.Gives)
+	slow.Book.(*countBook).limits = session.Limits{InFlight: 8, PerMinute: 220}
+	if f := NewForecast(1000*s, slow, 2*s); !f.MeetsDeadlines {
+		t.Errorf("what was to give does not do: %v", f.RequiredChanges)
 	}
 }
 
 // No way of placing sessions, tried at random wave by wave, makes fewer moves than the bound, and the forecast's is none that
 // is below it.
-func TestNoPlanGoesBelowTheBound(t *testing.T) {
+func TestNoPlacementNeedsFewerMovesThanBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "n")
-		v := order(n, 0, 0, 1)
-		have := v.Book.(*owned).n
+		v := rollingView(n, 0, 0, 1)
+		have := v.Book.(*countBook).owned
 		for i := range v.Coordinators {
 			c := &v.Coordinators[i]
-			c.Rank = rapid.IntRange(Stays, n-1).Draw(t, "rank")
-			c.Room.Sessions = rapid.IntRange(0, 12).Draw(t, "room")
-			have[c.Name] = rapid.IntRange(0, c.Room.Sessions).Draw(t, "sessions")
-			c.Room.Told = have[c.Name]
+			c.Rank = rapid.IntRange(RankNone, n-1).Draw(t, "rank")
+			c.Capacity.MaxSessions = rapid.IntRange(0, 12).Draw(t, "room")
+			have[c.Name] = rapid.IntRange(0, c.Capacity.MaxSessions).Draw(t, "sessions")
+			c.Capacity.OwnedAtReport = have[c.Name]
 		}
-		f := Foresee(0, v, 0)
-		if f.Kept == 0 && f.Moves < f.Bound {
+		f := NewForecast(0, v, 0)
+		if f.Unplaced == 0 && f.Moves < f.Bound {
 			t.Fatalf("forecast of %d moves, bound %d", f.Moves, f.Bound)
 		}
 		at := make([]int, n) // sessions by place
@@ -104,12 +104,12 @@
 			at[i] = have[v.Coordinators[i].Name]
 		}
 		moves := 0
-		for _, w := range turns(v.Coordinators) {
-			for _, from := range w.who {
+		for _, w := range remainingWaves(v.Coordinators) {
+			for _, from := range w.members {
 				for ; at[from] > 0; at[from]-- {
 					var to []int
 					for i := range at {
-						if v.Coordinators[i].Rank != v.Coordinators[from].Rank && at[i] < v.Coordinators[i].Room.Sessions {
+						if v.Coordinators[i].Rank != v.Coordinators[from].Rank && at[i] < v.Coordinators[i].Capacity.MaxSessions {
 							to = append(to, i)
 						}
 					}
--- a/internal/fleet/migrate/migrate.go
+++ b/internal/fleet/migrate/migrate.go
@@ -11,8 +11,8 @@
 	"birchcart/internal/fleet/session"
 )
 
-// Stays is the rank of a co-ordinator that does not go out in this order of work, or has gone and is back.
-const Stays = -1
+// RankNone is the rank of a co-ordinator that does not go out in this order of work, or has gone and is back.
+const RankNone = -1
 
 // SessionBytes is what one more session is taken to need at its owner: its state at most, and as much again. Twice as
 // much: a receiver with little memory left is full at half its sessions; half: it declines the last ones.
@@ -39,13 +39,13 @@
 	Transfers() []pool.Transfer
 }
 
-// Room is what a co-ordinator last told of itself. Where it told nothing, nothing is known, and nothing goes there.
-type Room struct {
-	Sessions int   // it may own at most
-	Told     int   // it owned when it told of Open and Memory
-	Open     int   // open queries of sessions
-	Queries  int   // that may be open at most
-	Memory   int64 // bytes left for sessions
+// Capacity is what a co-ordinator last told of itself. Where it told nothing, nothing is known, and nothing goes there.
+type Capacity struct {
+	MaxSessions   int   // it may own at most
+	OwnedAtReport int   // it owned when it told of Open and Memory
+	OpenQueries   int   // open queries of sessions
+	MaxQueries    int   // that may be open at most
+	FreeMemory    int64 // bytes left for sessions
 }
 
 // Unsafe is a session with an open query that can neither be ended nor begun again elsewhere.
@@ -61,36 +61,36 @@
 	Rank       int           // its turn in the order of work, from 0; those that go together have the same; Stays: none
 	Leaving    bool          // its going out was granted: its sessions are to be off by Deadline
 	Deadline   time.Duration // 0: none
-	Room       Room
-	Idle       []session.ID // of its sessions, some without an open query by its last word, IdleMost are looked at
-	Unsafe     []Unsafe     // of its sessions, by its last word; UnsafeMost are looked at
+	Capacity   Capacity
+	Idle       []session.ID // of its sessions, some without an open query by its last word, MaxExamined are looked at
+	Unsafe     []Unsafe     // of its sessions, by its last word; MaxUnsafe are looked at
 }
 
 // View is all that a step sees. Slices are read only.
 type View struct {
-	Book         Book
-	Slots        Slots         // nil: none
-	Coordinators []Coordinator // by name
-	Replicas     []string      // sorted; at each a co-ordinator with sessions needs slots
-	PerSlot      int           // sessions that share one slot at a replica, at most; 0: slots are not looked at
-	Paused       bool          // by the operators: open offers are withdrawn, none is made
-	Away         time.Duration // that a machine is out for, as the operators say
-	Deadline     time.Duration // of the whole swap; 0: none
+	Book            Book
+	Slots           Slots         // nil: none
+	Coordinators    []Coordinator // by name
+	Replicas        []string      // sorted; at each a co-ordinator with sessions needs slots
+	SessionsPerSlot int           // sessions that share one slot at a replica, at most; 0: slots are not looked at
+	Paused          bool          // by the operators: open offers are withdrawn, none is made
+	Outage          time.Duration // that a machine is out for, as the operators say
+	Deadline        time.Duration // of the whole swap; 0: none
 }
 
 // room is how many more sessions a co-ordinator can take, with inbound ones on their way to it, each bringing open queries.
 // Slots are looked at apart.
-func (c *Coordinator) room(owned, inbound int, open float64) int {
-	r := &c.Room
-	n := r.Sessions - owned - inbound
-	since := float64(max(0, owned-r.Told) + inbound) // it has not told of these
+func (c *Coordinator) spareSessions(owned, inbound int, open float64) int {
+	r := &c.Capacity
+	n := r.MaxSessions - owned - inbound
+	since := float64(max(0, owned-r.OwnedAtReport) + inbound) // it has not told of these
 	if open > 0 {
-		n = min(n, int((float64(r.Queries-r.Open)-float64(since*open))/open))
-	} else if r.Queries <= r.Open {
+		n = min(n, int((float64(r.MaxQueries-r.OpenQueries)-float64(since*open))/open))
+	} else if r.MaxQueries <= r.OpenQueries {
 		return 0
 	}
-	return max(0, min(n, int(r.Memory/SessionBytes)-int(since)))
+	return max(0, min(n, int(r.FreeMemory/SessionBytes)-int(since)))
 }
 
 // capacity is how many sessions it can own in all, once it is empty and back.
-func (c *Coordinator) capacity() int { return max(0, c.Room.Sessions) }
+func (c *Coordinator) maxSessions() int { return max(0, c.Capacity.MaxSessions) }
--- a/internal/fleet/migrate/offer.go
+++ b/internal/fleet/migrate/offer.go
@@ -9,46 +9,46 @@
 	"birchcart/internal/fleet/session"
 )
 
-// waitSlots is why a session is kept that goes once slots have come.
-const waitSlots = "slots are on their way to where it goes"
+// reasonAwaitingSlots is why a session is kept that goes once slots have come.
+const reasonAwaitingSlots = "slots are on their way to where it goes"
 
 // offer makes offers: by lane, in it idle sessions first, in each those of the one whose deadline is the first.
-func (p *Planner) offer(now time.Duration, v *View, plan *Plan) {
-	var sources []*place
-	for i := range p.site.places {
-		if s := &p.site.places[i]; s.c.Leaving && s.c.Live {
+func (p *Planner) planOffers(now time.Duration, v *View, plan *Plan) {
+	var sources []*candidate
+	for i := range p.site.candidates {
+		if s := &p.site.candidates[i]; s.c.Leaving && s.c.Live {
 			sources = append(sources, s)
 			if s.owned > 0 {
-				p.site.open[s.c.Name] = float64(s.c.Room.Open) / float64(max(s.owned, s.c.Room.Told))
+				p.site.openPerSession[s.c.Name] = float64(s.c.Capacity.OpenQueries) / float64(max(s.owned, s.c.Capacity.OwnedAtReport))
 			}
 		}
 	}
-	slices.SortStableFunc(sources, func(a, b *place) int { return cmp.Compare(a.deadline(), b.deadline()) })
-	p.read(now, v, sources)
-	r := &round{p: p, now: now, v: v, plan: plan, why: map[reason]int{}, done: map[session.ID]bool{}}
+	slices.SortStableFunc(sources, func(a, b *candidate) int { return cmp.Compare(a.deadline(), b.deadline()) })
+	p.rescan(now, v, sources)
+	r := &offerRound{p: p, now: now, v: v, plan: plan, deferredIndex: map[deferReason]int{}, considered: map[session.ID]bool{}}
 	r.budget()
 	p.site.sources = sources
 	for _, s := range sources {
-		if s.owned > r.left {
-			s.keeps = 1 // what stays for now goes on there
+		if s.owned > r.remaining {
+			s.reservedSlots = 1 // what stays for now goes on there
 		}
 	}
-	if r.left <= 0 {
-		r.none(sources)
+	if r.remaining <= 0 {
+		r.deferAll(sources)
 		return
 	}
-	lanes := r.idle(sources)
+	lanes := r.readIdle(sources)
 	for _, lane := range lanes {
 		for _, s := range sources {
-			r.some(s, p.queues[s.c.Name].idle, lane, true)
+			r.offerLane(s, p.queues[s.c.Name].idle, lane, true)
 		}
 		for _, s := range sources {
-			r.some(s, p.queues[s.c.Name].all, lane, false)
+			r.offerLane(s, p.queues[s.c.Name].sessions, lane, false)
 		}
 	}
 }
 
-func (s *place) deadline() time.Duration {
+func (s *candidate) deadline() time.Duration {
 	if s.c.Deadline == 0 {
 		return 1<<63 - 1
 	}
@@ -56,37 +56,37 @@
 }
 
 // reason of a session's being kept, by source.
-type reason struct{ from, why string }
+type deferReason struct{ from, reason string }
 
 // round is the making of the offers of one step.
-type round struct {
-	p      *Planner
-	now    time.Duration
-	v      *View
-	plan   *Plan
-	left   int    // offers that may still be made
-	full   string // what would keep the next one once left is 0
-	why    map[reason]int
-	done   map[session.ID]bool
-	unsafe map[session.ID]time.Duration
+type offerRound struct {
+	p             *Planner
+	now           time.Duration
+	v             *View
+	plan          *Plan
+	remaining     int    // offers that may still be made
+	limitReason   string // what would keep the next one once left is 0
+	deferredIndex map[deferReason]int
+	considered    map[session.ID]bool
+	unsafe        map[session.ID]time.Duration
 }
 
 // budget is what the limits leave. What was planned and is not seen yet counts as both in flight and begun.
-func (r *round) budget() {
+func (r *offerRound) budget() {
 	l, _ := r.v.Book.Limits()
 	unseen := 0
-	for i := range r.p.flights {
-		if r.p.flights[i].phase == session.Free {
+	for i := range r.p.moves {
+		if r.p.moves[i].phase == session.Free {
 			unseen++
 		}
 	}
 	flying, minute := l.InFlight-r.v.Book.Moving()-unseen, l.PerMinute-r.v.Book.RecentOffers()-unseen
-	r.left, r.full = OffersMost, "so many are offered in a step"
-	if flying < r.left {
-		r.left, r.full = flying, fmt.Sprintf("%d are in flight", l.InFlight)
+	r.remaining, r.limitReason = MaxOffers, "so many are offered in a step"
+	if flying < r.remaining {
+		r.remaining, r.limitReason = flying, fmt.Sprintf("%d are in flight", l.InFlight)
 	}
-	if minute < r.left {
-		r.left, r.full = minute, fmt.Sprintf("%d were offered within a minute", l.PerMinute)
+	if minute < r.remaining {
+		r.remaining, r.limitReason = minute, fmt.Sprintf("%d were offered within a minute", l.PerMinute)
 		if minute <= 0 && r.now >= r.v.Book.Now()+time.Second {
 			r.plan.Tick = true
 		}
@@ -94,34 +94,34 @@
 }
 
 // none says that all sessions wait for the limits.
-func (r *round) none(sources []*place) {
+func (r *offerRound) deferAll(sources []*candidate) {
 	for _, s := range sources {
 		if s.owned > 0 {
-			r.plan.Kept = append(r.plan.Kept, Kept{From: s.c.Name, Sessions: s.owned, Why: r.full})
+			r.plan.Deferred = append(r.plan.Deferred, Deferred{From: s.c.Name, Sessions: s.owned, Reason: r.limitReason})
 		}
 	}
 }
 
 // idle reads the sources' last words, and gives the lanes there are, in order.
-func (r *round) idle(sources []*place) []uint8 {
+func (r *offerRound) readIdle(sources []*candidate) []uint8 {
 	var has [256]bool
 	r.unsafe = map[session.ID]time.Duration{}
 	for _, s := range sources {
 		q := r.p.queues[s.c.Name]
 		q.idle = q.idle[:0]
-		if q.at < 0 { // not read yet, so that nothing is known of what goes first
+		if q.readAt < 0 { // not read yet, so that nothing is known of what goes first
 			continue
 		}
-		for _, id := range s.c.Idle[:min(len(s.c.Idle), IdleMost)] {
+		for _, id := range s.c.Idle[:min(len(s.c.Idle), MaxExamined)] {
 			if rec, ok := r.v.Book.Get(id); ok {
 				q.idle = append(q.idle, entry{id, rec.Lane})
 				has[rec.Lane] = true
 			}
 		}
-		for _, e := range q.all {
+		for _, e := range q.sessions {
 			has[e.lane] = true
 		}
-		for _, u := range s.c.Unsafe[:min(len(s.c.Unsafe), UnsafeMost)] {
+		for _, u := range s.c.Unsafe[:min(len(s.c.Unsafe), MaxUnsafe)] {
 			r.unsafe[u.ID] = u.Due
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // some offers the sessions of one lane out of a list.
-func (r *round) some(s *place, list []entry, lane uint8, idle bool) {
+func (r *offerRound) offerLane(s *candidate, list []entry, lane uint8, idle bool) {
 	at := 0
 	if !idle { // in order of lanes
 		at, _ = slices.BinarySearchFunc(list, lane, func(e entry, l uint8) int { return cmp.Compare(e.lane, l) })
@@ -148,22 +148,22 @@
 			}
 			break
 		}
-		if looked >= IdleMost {
-			r.keep(s, e.id, "so many are looked at in a step")
+		if looked >= MaxExamined {
+			r.deferSession(s, e.id, "so many are looked at in a step")
 			break
 		}
-		if r.left <= 0 {
-			r.keep(s, e.id, r.full)
+		if r.remaining <= 0 {
+			r.deferSession(s, e.id, r.limitReason)
 			break
 		}
-		if !r.done[e.id] && r.one(s, e.id) {
+		if !r.considered[e.id] && r.offerSession(s, e.id) {
 			looked++
 		}
 	}
 }
 
 // one offers a session, or keeps it and says why; false: it is no more the source's, or on its way.
-func (r *round) one(s *place, id session.ID) bool {
+func (r *offerRound) offerSession(s *candidate, id session.ID) bool {
 	p := r.p
 	rec, ok := r.v.Book.Get(id)
 	if !ok || rec.Phase != session.Pinned || rec.Owner != s.c.Name {
@@ -172,57 +172,57 @@
 	if _, flying := p.index[id]; flying {
 		return false
 	}
-	r.done[id] = true
-	if why := p.rested(r.now, id); why != "" {
-		r.keep(s, id, why)
+	r.considered[id] = true
+	if why := p.backoffReason(r.now, id); why != "" {
+		r.deferSession(s, id, why)
 		return true
 	}
 	limits, _ := r.v.Book.Limits()
 	if due := r.unsafe[id]; due > r.now+limits.StepTimeout {
-		r.keep(s, id, "an unsafe query of it may be open until "+clock(due))
+		r.deferSession(s, id, "an unsafe query of it may be open until "+formatTime(due))
 		return true
 	}
 	to, wait, why := p.pick(r.now, r.v, s, id)
 	if to == nil {
-		r.keep(s, id, why)
+		r.deferSession(s, id, why)
 		return true
 	}
-	to.here++
+	to.plannedInbound++
 	if wait {
-		r.keep(s, id, waitSlots)
-		r.left-- // its place, while what comes after it could take the room
+		r.deferSession(s, id, reasonAwaitingSlots)
+		r.remaining-- // its place, while what comes after it could take the room
 		return true
 	}
-	r.left--
+	r.remaining--
 	r.plan.Body.Offers = append(r.plan.Body.Offers, session.Offer{ID: id, Epoch: rec.Epoch, From: s.c.Name, To: to.c.Name})
-	p.index[id] = len(p.flights)
-	p.flights = append(p.flights, flight{id: id, from: s.c.Name, to: to.c.Name, epoch: rec.Epoch, since: rec.Since, at: r.now})
+	p.index[id] = len(p.moves)
+	p.moves = append(p.moves, move{id: id, from: s.c.Name, to: to.c.Name, epoch: rec.Epoch, phaseSince: rec.Since, offeredAt: r.now})
 	return true
 }
 
 // keep counts a session that stays, by source and reason.
-func (r *round) keep(s *place, id session.ID, why string) {
-	k := reason{s.c.Name, why}
-	i, ok := r.why[k]
+func (r *offerRound) deferSession(s *candidate, id session.ID, why string) {
+	k := deferReason{s.c.Name, why}
+	i, ok := r.deferredIndex[k]
 	if !ok {
-		i = len(r.plan.Kept)
-		r.why[k] = i
-		r.plan.Kept = append(r.plan.Kept, Kept{From: s.c.Name, Why: why, Example: id})
+		i = len(r.plan.Deferred)
+		r.deferredIndex[k] = i
+		r.plan.Deferred = append(r.plan.Deferred, Deferred{From: s.c.Name, Reason: why, Example: id})
 	}
-	r.plan.Kept[i].Sessions++
+	r.plan.Deferred[i].Sessions++
 }
 
 // read takes the sessions of one that leaves out of the book, at most one such in a step.
-func (p *Planner) read(now time.Duration, v *View, sources []*place) {
+func (p *Planner) rescan(now time.Duration, v *View, sources []*candidate) {
 	var next *queue
-	var who *place
+	var who *candidate
 	for _, s := range sources {
 		q := p.queues[s.c.Name]
 		if q == nil {
-			q = &queue{at: -RescanEvery}
+			q = &queue{readAt: -RescanInterval}
 			p.queues[s.c.Name] = q
 		}
-		if s.owned > 0 && now >= q.at+RescanEvery && (next == nil || q.at < next.at) {
+		if s.owned > 0 && now >= q.readAt+RescanInterval && (next == nil || q.readAt < next.readAt) {
 			next, who = q, s
 		}
 	}
@@ -234,12 +234,12 @@
 	if next == nil {
 		return
 	}
-	next.at, next.all = now, next.all[:0]
+	next.readAt, next.sessions = now, next.sessions[:0]
 	v.Book.ByOwner(who.c.Name, func(r session.Record) bool {
 		if r.Phase == session.Pinned {
-			next.all = append(next.all, entry{r.ID, r.Lane})
+			next.sessions = append(next.sessions, entry{r.ID, r.Lane})
 		}
 		return true
 	})
-	slices.SortStableFunc(next.all, func(a, b entry) int { return cmp.Compare(a.lane, b.lane) })
+	slices.SortStableFunc(next.sessions, func(a, b entry) int { return cmp.Compare(a.lane, b.lane) })
 }
--- a/internal/fleet/migrate/order.go
+++ b/internal/fleet/migrate/order.go
@@ -24,7 +24,7 @@
 	for _, m := range s.Machines() { // by name
 		if m.Kind == maintenance.Coordinator {
 			at[m.Name] = len(out)
-			out = append(out, Coordinator{Name: m.Name, Zone: m.Zone, Live: m.Status == maintenance.Up, Rank: Stays})
+			out = append(out, Coordinator{Name: m.Name, Zone: m.Zone, Live: m.Status == maintenance.Up, Rank: RankNone})
 		}
 	}
 	for _, it := range s.Items() {
--- a/internal/fleet/migrate/order_test.go
+++ b/internal/fleet/migrate/order_test.go
@@ -11,7 +11,7 @@
 
 // Ranks follow the order of work: who is granted leaves until its grant's end, the others by waves, who is not asked for stays, and who
 // is done stays again.
-func TestRanksFromTheOrderOfWork(t *testing.T) {
+func TestFromStateRanksFollowWaves(t *testing.T) {
 	const sec = time.Second
 	s, now, fence := maintenance.New(), 1000*sec, uint64(0)
 	apply := func(kind string, body any) {
--- a/internal/fleet/migrate/swap/bench_test.go
+++ b/internal/fleet/migrate/swap/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkStep is one step of the planner at 100,000 sessions: of one that begins anew, so that it reads the book, and of one in
 // the middle of a swap, of which the worst is told beside the mean. Time is that of the CPU: a busy machine changes it little.
-func cpu() time.Duration {
+func threadCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(1, &u); err != nil { // of this thread
 		panic(err)
@@ -23,7 +23,7 @@
 func BenchmarkStep(b *testing.B) {
 	for _, c := range []struct{ n, wave, replicas int }{{300, 1, 0}, {300, 1, 200}, {300, 10, 200}, {10, 1, 200}} {
 		s := settings(c.n, 100_000)
-		s.Wave, s.Replicas, s.PerSlot, s.InFlight, s.PerMinute = c.wave, c.replicas, 8, 1000, 20_000
+		s.WaveSize, s.Replicas, s.SessionsPerSlot, s.InFlight, s.PerMinute = c.wave, c.replicas, 8, 1000, 20_000
 		name := fmt.Sprintf("%d_wave_%d_replicas_%d", c.n, c.wave, c.replicas)
 		b.Run("anew_"+name, func(b *testing.B) {
 			runtime.LockOSThread() // each runs in a goroutine of its own
@@ -31,14 +31,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			p.order()
-			p.Now += Tick
-			offers, begin := 0, cpu()
+			p.advanceWaves()
+			p.Now += TickInterval
+			offers, begin := 0, threadCPUTime()
 			for b.Loop() {
 				plan := migrate.New(migrate.Options{}).Step(p.Now, p.View)
 				offers = len(plan.Body.Offers)
 			}
-			b.ReportMetric(float64((cpu()-begin).Microseconds())/float64(b.N), "cpu-µs")
+			b.ReportMetric(float64((threadCPUTime()-begin).Microseconds())/float64(b.N), "cpu-µs")
 			b.ReportMetric(float64(offers), "offers")
 		})
 		b.Run("swap_"+name, func(b *testing.B) {
@@ -48,10 +48,10 @@
 				b.Fatal(err)
 			}
 			var worst, sum time.Duration
-			p.Around = func(step func()) {
-				begin := cpu()
+			p.WrapStep = func(step func()) {
+				begin := threadCPUTime()
 				step()
-				took := cpu() - begin
+				took := threadCPUTime() - begin
 				worst, sum = max(worst, took), sum+took
 			}
 			for b.Loop() {
--- a/internal/fleet/migrate/swap/hard_test.go
+++ b/internal/fleet/migrate/swap/hard_test.go
@@ -12,66 +12,66 @@
 )
 
 // lay is a site where nobody goes out yet.
-func lay(t *testing.T, s Settings) *Site {
+func newStayingSite(t *testing.T, s Settings) *Site {
 	t.Helper()
 	p, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range p.View.Coordinators {
-		p.View.Coordinators[i].Rank = migrate.Stays
+		p.View.Coordinators[i].Rank = migrate.RankNone
 	}
 	return p
 }
 
 // run plays until something is so, for some minutes at most.
-func (p *Site) run(t *testing.T, minutes int, until func() bool) {
+func (p *Site) runUntil(t *testing.T, minutes int, until func() bool) {
 	t.Helper()
 	for end := p.Now + time.Duration(minutes)*time.Minute; !until(); {
 		if err := p.Step(); err != nil {
 			t.Fatal(err)
 		}
 		if p.Now > end {
-			t.Fatalf("not after %d minutes: %+v, %v", minutes, p.Last.Kept, p.Last.Forecast)
+			t.Fatalf("not after %d minutes: %+v, %v", minutes, p.LastPlan.Deferred, p.LastPlan.Forecast)
 		}
 	}
 }
 
-func (p *Site) leave(i int, deadline time.Duration) *migrate.Coordinator {
+func (p *Site) startLeaving(i int, deadline time.Duration) *migrate.Coordinator {
 	c := &p.View.Coordinators[i]
 	c.Leaving, c.Deadline = true, deadline
 	return c
 }
 
-func (p *Site) empty(names ...string) func() bool {
+func (p *Site) ownNoSessions(names ...string) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(names, func(n string) bool { return p.Book.Owned(n) > 0 })
 	}
 }
 
-func small(n, each int, room float64) Settings {
+func smallSettings(n, each int, room float64) Settings {
 	s := settings(n, n*each)
-	s.Room, s.Zones = room, 1
+	s.CapacityFactor, s.Zones = room, 1
 	return s
 }
 
 func TestAllTargetsFull(t *testing.T) {
-	p := lay(t, small(3, 20, 1))
-	p.leave(0, p.Now+time.Hour)
+	p := newStayingSite(t, smallSettings(3, 20, 1))
+	p.startLeaving(0, p.Now+time.Hour)
 	for range 40 {
-		p.run(t, 1, func() bool { return p.Result.Steps > 0 })
-		if err := p.Step(); err != nil || len(p.Last.Body.Offers) > 0 {
-			t.Fatalf("offers %v, %v", p.Last.Body.Offers, err)
+		p.runUntil(t, 1, func() bool { return p.Result.Steps > 0 })
+		if err := p.Step(); err != nil || len(p.LastPlan.Body.Offers) > 0 {
+			t.Fatalf("offers %v, %v", p.LastPlan.Body.Offers, err)
 		}
 	}
-	if k := p.Last.Kept; len(k) != 1 || k[0].Sessions != 20 || k[0].Why != "no other has room" || p.Book.Owned("c000") != 20 {
+	if k := p.LastPlan.Deferred; len(k) != 1 || k[0].Sessions != 20 || k[0].Reason != "no other has room" || p.Book.Owned("c000") != 20 {
 		t.Errorf("kept %+v", k)
 	}
-	if f := p.Last.Forecast; f.Kept != 20 || f.Meets || !strings.Contains(fmt.Sprint(f.Gives), "room for 20 more sessions at the others while c000 is away") {
+	if f := p.LastPlan.Forecast; f.Unplaced != 20 || f.MeetsDeadlines || !strings.Contains(fmt.Sprint(f.RequiredChanges), "room for 20 more sessions at the others while c000 is away") {
 		t.Errorf("forecast %+v", f)
 	}
-	p.View.Coordinators[2].Room.Sessions = 25 // room for five: they go, the others stay
-	p.run(t, 2, func() bool { return p.Book.Owned("c000") == 15 })
+	p.View.Coordinators[2].Capacity.MaxSessions = 25 // room for five: they go, the others stay
+	p.runUntil(t, 2, func() bool { return p.Book.Owned("c000") == 15 })
 	for range 20 {
 		_ = p.Step()
 	}
@@ -81,22 +81,22 @@
 }
 
 // Two leave at once: neither gets the other's, and the one whose deadline is the first goes first in each lane.
-func TestTwoSwapsAtOnce(t *testing.T) {
-	s := small(5, 30, 3)
+func TestTwoCoordinatorsLeaveAtOnce(t *testing.T) {
+	s := smallSettings(5, 30, 3)
 	s.InFlight = 10
-	p := lay(t, s)
-	p.leave(0, p.Now+2*time.Hour)
-	p.leave(1, p.Now+time.Hour)
+	p := newStayingSite(t, s)
+	p.startLeaving(0, p.Now+2*time.Hour)
+	p.startLeaving(1, p.Now+time.Hour)
 	last := map[string]int{}
-	p.run(t, 5, func() bool {
-		for i, o := range p.Last.Body.Offers {
+	p.runUntil(t, 5, func() bool {
+		for i, o := range p.LastPlan.Body.Offers {
 			if o.To == "c000" || o.To == "c001" {
 				t.Fatalf("offer %+v", o)
 			}
 			r, _ := p.Book.Get(o.ID)
-			last[fmt.Sprint(r.Lane, o.From)] = p.Result.Steps*OffersEach + i
+			last[fmt.Sprint(r.Lane, o.From)] = p.Result.Steps*maxOffersPerPlan + i
 		}
-		return p.empty("c000", "c001")() && p.Book.Moving() == 0
+		return p.ownNoSessions("c000", "c001")() && p.Book.Moving() == 0
 	})
 	for lane := range 3 {
 		if last[fmt.Sprint(lane, "c001")] > last[fmt.Sprint(lane, "c000")] {
@@ -108,34 +108,34 @@
 	}
 }
 
-// OffersEach is more than one plan of these tests has.
-const OffersEach = 1000
+// maxOffersPerPlan is more than one plan of these tests has.
+const maxOffersPerPlan = 1000
 
 // A target dies: what it had adopted is free with its release, what was handed to it comes back and goes elsewhere, what was offered
 // to it is withdrawn, and it gets nothing more.
 func TestTargetDies(t *testing.T) {
-	s := small(3, 30, 3)
+	s := smallSettings(3, 30, 3)
 	s.InFlight = 8
-	p := lay(t, s)
-	p.leave(0, 0)
+	p := newStayingSite(t, s)
+	p.startLeaving(0, 0)
 	dead := &p.View.Coordinators[2]
-	p.run(t, 1, func() bool { return p.Book.Owned("c002") > 34 && len(p.hands()) == 8 })
-	dead.Live, p.Last = false, migrate.Plan{}
+	p.runUntil(t, 1, func() bool { return p.Book.Owned("c002") > 34 && len(p.pendingHandOvers()) == 8 })
+	dead.Live, p.LastPlan = false, migrate.Plan{}
 	owned := p.Book.Owned("c002")
-	if err := p.apply(session.KindActs, session.ActsBody{From: "c000", Acts: p.hands()[:4]}); err != nil {
+	if err := p.apply(session.KindActs, session.ActsBody{From: "c000", Acts: p.pendingHandOvers()[:4]}); err != nil {
 		t.Fatal(err)
 	}
 	p.Now += time.Minute
 	if err := p.apply(session.KindRelease, session.ReleaseBody{Name: "c002", Silent: 59 * time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	p.run(t, 5, func() bool {
-		for _, o := range p.Last.Body.Offers {
+	p.runUntil(t, 5, func() bool {
+		for _, o := range p.LastPlan.Body.Offers {
 			if o.To == "c002" {
 				t.Fatalf("%+v is offered to a dead one", o)
 			}
 		}
-		return p.empty("c000")()
+		return p.ownNoSessions("c000")()
 	})
 	if n := p.Book.Len(); n != 90-owned || p.Book.Owned("c001") != n {
 		t.Errorf("%d sessions are left, %d at c001, the dead one owned %d", n, p.Book.Owned("c001"), owned)
@@ -143,7 +143,7 @@
 }
 
 // hands of all that is offered.
-func (p *Site) hands() (acts []session.Act) {
+func (p *Site) pendingHandOvers() (acts []session.Act) {
 	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
 			acts = append(acts, session.Act{Kind: session.HandOver, ID: r.ID, Epoch: r.Epoch, Fence: r.Fence})
@@ -154,15 +154,15 @@
 }
 
 // A deadline that can not be met is told before the first move, with what would have to give; with that given it is met.
-func TestDeadlineThatCanNotBeMet(t *testing.T) {
-	s := small(4, 500, 2)
+func TestForecastNamesChangesThatMeetTheDeadline(t *testing.T) {
+	s := smallSettings(4, 500, 2)
 	s.InFlight, s.PerMinute = 2, 60
-	p := lay(t, s)
-	c := p.leave(0, p.Now+2*time.Minute)
-	p.run(t, 1, func() bool { return p.Result.Steps > 0 })
-	f := p.Last.Forecast
+	p := newStayingSite(t, s)
+	c := p.startLeaving(0, p.Now+2*time.Minute)
+	p.runUntil(t, 1, func() bool { return p.Result.Steps > 0 })
+	f := p.LastPlan.Forecast
 	want := "9 in flight instead of 2 and 252 a minute instead of 60, or a deadline of 1970-01-01T01:08:21Z or later for c000"
-	if f.Meets || len(f.Gives) != 1 || f.Gives[0] != want {
+	if f.MeetsDeadlines || len(f.RequiredChanges) != 1 || f.RequiredChanges[0] != want {
 		t.Fatalf("%+v", f)
 	}
 	l, _ := p.Book.Limits()
@@ -170,7 +170,7 @@
 	if err := p.apply(session.KindLimits, session.LimitsBody{Limits: l}); err != nil {
 		t.Fatal(err)
 	}
-	p.run(t, 3, p.empty("c000"))
+	p.runUntil(t, 3, p.ownNoSessions("c000"))
 	if p.Now > c.Deadline {
 		t.Errorf("%v too late", p.Now-c.Deadline)
 	}
@@ -180,9 +180,9 @@
 	p.Book.ByOwner("c001", func(r session.Record) bool { id = r.ID; return false })
 	p.View.Coordinators[1].Unsafe = []migrate.Unsafe{{ID: id, Due: p.Now + 2*time.Hour}}
 	p.Planner = migrate.New(migrate.Options{})
-	p.run(t, 10, func() bool { return p.Book.Owned("c001") == 1 })
-	if f := p.Last.Forecast; f.Meets || !slices.Contains(f.Unsure, id) || !strings.Contains(fmt.Sprint(f.Gives, p.Last.Kept), id.String()) {
-		t.Errorf("%+v, kept %+v", f, p.Last.Kept)
+	p.runUntil(t, 10, func() bool { return p.Book.Owned("c001") == 1 })
+	if f := p.LastPlan.Forecast; f.MeetsDeadlines || !slices.Contains(f.AtRisk, id) || !strings.Contains(fmt.Sprint(f.RequiredChanges, p.LastPlan.Deferred), id.String()) {
+		t.Errorf("%+v, kept %+v", f, p.LastPlan.Deferred)
 	}
 	if r, _ := p.Book.Get(id); r.Owner != "c001" || r.Epoch != 1 {
 		t.Errorf("it was moved: %+v", r)
@@ -191,21 +191,21 @@
 
 // 2,000 moves while the leader changes every few steps, one in four times with the plan of the old one applied after the new one has
 // planned: each session moves once, and the limits hold.
-func TestMovesGoOnWithNewLeaders(t *testing.T) {
-	s := small(4, 2000, 2)
+func TestLeaderChangesDoNotRepeatMoves(t *testing.T) {
+	s := smallSettings(4, 2000, 2)
 	s.InFlight, s.PerMinute = 50, 3000
-	p := lay(t, s)
-	p.leave(0, 0)
+	p := newStayingSite(t, s)
+	p.startLeaving(0, 0)
 	moved := map[session.ID]int{}
 	for p.Book.Owned("c000") > 0 || p.Book.Moving() > 0 {
-		p.Now += Tick
+		p.Now += TickInterval
 		p.Book.Moves(func(r session.Record) bool {
 			if r.Phase == session.HandedOver {
 				moved[r.ID]++
 			}
 			return true
 		})
-		if err := p.act(); err != nil {
+		if err := p.runCoordinators(); err != nil {
 			t.Fatal(err)
 		}
 		p.Result.Steps++
@@ -234,37 +234,37 @@
 			t.Fatalf("%v moved %d times: %+v", id, n, r)
 		}
 	}
-	t.Logf("2,000 moves in %v", time.Duration(p.Result.Steps)*Tick)
+	t.Logf("2,000 moves in %v", time.Duration(p.Result.Steps)*TickInterval)
 }
 
 // On the operators' word open offers are withdrawn, and what has moved stays where it is.
-func TestStoppedOnTheOperatorsWord(t *testing.T) {
+func TestPauseOrCancelWithdrawsOpenOffers(t *testing.T) {
 	for name, stop := range map[string]func(*Site, bool){
 		"paused":    func(p *Site, on bool) { p.View.Paused = on },
 		"withdrawn": func(p *Site, on bool) { p.View.Coordinators[0].Leaving = !on },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := small(3, 60, 3)
+			s := smallSettings(3, 60, 3)
 			s.InFlight = 10
-			p := lay(t, s)
-			p.leave(0, 0)
-			p.run(t, 1, func() bool { return p.Result.Moves >= 20 && len(p.hands()) > 0 })
+			p := newStayingSite(t, s)
+			p.startLeaving(0, 0)
+			p.runUntil(t, 1, func() bool { return p.Result.Moves >= 20 && len(p.pendingHandOvers()) > 0 })
 			stop(p, true)
-			p.Now += Tick
+			p.Now += TickInterval
 			plan := p.Planner.Step(p.Now, p.View) // before a co-ordinator acts
-			if len(plan.Body.Withdrawals) != len(p.hands()) || len(plan.Body.Offers) > 0 {
-				t.Fatalf("%d offers are open, %+v", len(p.hands()), plan.Body)
+			if len(plan.Body.Withdrawals) != len(p.pendingHandOvers()) || len(plan.Body.Offers) > 0 {
+				t.Fatalf("%d offers are open, %+v", len(p.pendingHandOvers()), plan.Body)
 			}
 			if err := p.apply(session.KindPlan, plan.Body); err != nil {
 				t.Fatal(err)
 			}
 			moves := 0
-			p.run(t, 1, func() bool { moves++; return moves > 20 })
+			p.runUntil(t, 1, func() bool { moves++; return moves > 20 })
 			if n := p.Book.Owned("c000"); n != 60-p.Result.Moves || p.Book.Moving() > 0 {
 				t.Errorf("%d stay, %d moved, %d in flight", n, p.Result.Moves, p.Book.Moving())
 			}
 			stop(p, false)
-			p.run(t, 2, p.empty("c000"))
+			p.runUntil(t, 2, p.ownNoSessions("c000"))
 		})
 	}
 }
--- a/internal/fleet/migrate/swap/swap_test.go
+++ b/internal/fleet/migrate/swap/swap_test.go
@@ -9,8 +9,8 @@
 )
 
 func settings(n, sessions int) Settings {
-	return Settings{Coordinators: n, Sessions: sessions, Room: 1.5, Wave: 1, Zones: 3, Away: 30 * time.Second,
-		InFlight: 200, PerMinute: 6000, Idle: 60}
+	return Settings{Coordinators: n, Sessions: sessions, CapacityFactor: 1.5, WaveSize: 1, Zones: 3, Outage: 30 * time.Second,
+		InFlight: 200, PerMinute: 6000, IdlePercent: 60}
 }
 
 // A whole swap stays at the bound: each session moves once, and the first wave's twice, since nobody was back yet.
@@ -21,34 +21,34 @@
 		each float64
 	}{
 		{"ten", func(*Settings) {}, 1.1},
-		{"with slots", func(s *Settings) { s.Replicas, s.PerSlot = 5, 8 }, 1.1},
-		{"two at once", func(s *Settings) { s.Wave = 2 }, 1.2},
+		{"with slots", func(s *Settings) { s.Replicas, s.SessionsPerSlot = 5, 8 }, 1.1},
+		{"two at once", func(s *Settings) { s.WaveSize = 2 }, 1.2},
 		{"a hundred", func(s *Settings) { s.Coordinators = 100 }, 1.01},
-		{"uneven", func(s *Settings) { s.Uneven, s.Room = true, 2 }, 1.06},
-		{"little room", func(s *Settings) { s.Room = 1.15 }, 1.1},
+		{"uneven", func(s *Settings) { s.Uneven, s.CapacityFactor = true, 2 }, 1.06},
+		{"little room", func(s *Settings) { s.CapacityFactor = 1.15 }, 1.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings(10, 2000)
 			if c.set(&s); s.Coordinators > 10 && testing.Short() {
 				t.Skip("6,000 steps")
 			}
-			r, err := Play(s)
-			if err != nil || r.Gone != 0 || r.Each > c.each+1e-9 || r.Moves != r.Bound || r.Forecast.Moves != r.Moves {
+			r, err := Run(s)
+			if err != nil || r.Lost != 0 || r.MovesPerSession > c.each+1e-9 || r.Moves != r.Bound || r.Forecast.Moves != r.Moves {
 				t.Errorf("%+v, %v", r, err)
 			}
-			if late := r.Took - (r.Forecast.Ends - time.Hour); late > time.Duration(r.Forecast.Waves)*6*time.Second {
-				t.Errorf("it took %v, %v longer than was foreseen", r.Took, late)
+			if late := r.Duration - (r.Forecast.End - time.Hour); late > time.Duration(r.Forecast.Waves)*6*time.Second {
+				t.Errorf("it took %v, %v longer than was foreseen", r.Duration, late)
 			}
 		})
 	}
 }
 
 // The ways that know less move sessions more often.
-func TestBaselinesMoveThemMoreOften(t *testing.T) {
+func TestBaselinesMoveSessionsMoreOften(t *testing.T) {
 	for name, p := range map[string]migrate.Prefer{"random": baseline.Random(1), "ring": baseline.Ring, "emptiest": baseline.Emptiest} {
 		s := settings(10, 2000)
-		s.Prefer, s.Uneven, s.Room = p, true, 2
-		if r, err := Play(s); err != nil || r.Each < 1.12 {
+		s.Prefer, s.Uneven, s.CapacityFactor = p, true, 2
+		if r, err := Run(s); err != nil || r.MovesPerSession < 1.12 {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		}
 	}
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -185,7 +185,7 @@
 
 // view is what the planner goes by.
 func (l *Input) plannerView() migrate.View {
-	v := migrate.View{Book: l.Sessions, Slots: l.Sessions.Pool(), Coordinators: slices.Clone(l.Coordinators), PerSlot: l.SessionsPerSlot, Paused: l.Paused,
+	v := migrate.View{Book: l.Sessions, Slots: l.Sessions.Pool(), Coordinators: slices.Clone(l.Coordinators), SessionsPerSlot: l.SessionsPerSlot, Paused: l.Paused,
 		Replicas: l.Sessions.Pool().Replicas()}
 	limits, _ := l.Sessions.Limits()
 	for i := range v.Coordinators {
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -96,7 +96,7 @@
 	sequence               uint64 // of the newest message of acts
 	controllerAt           time.Duration
 	controllerTerm         uint64
-	capacity               map[string]migrate.Room
+	capacity               map[string]migrate.Capacity
 	idle                   map[string][]session.ID
 	unsafe                 map[string][]migrate.Unsafe
 	coordinators           []migrate.Coordinator // as of planIndex, made anew at planUntil
@@ -117,7 +117,7 @@
 
 // New makes the part and has the exchange ask its gate. It comes before the exchange runs; Run runs the gate.
 func New(h Host, section *operator.Sessions) *Part {
-	p := &Part{host: h, controller: sessionctl.New(), section: section, capacity: map[string]migrate.Room{},
+	p := &Part{host: h, controller: sessionctl.New(), section: section, capacity: map[string]migrate.Capacity{},
 		idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}, sequence: uint64(h.StartTime.UnixNano())}
 	p.gate = sessiongate.New(sessiongate.Options{
 		Name: h.Name, StartTime: h.StartTime, Exchange: h.Exchange, Log: h.Log, Names: h.Names, Policy: h.Policy,
@@ -266,7 +266,7 @@
 	}
 	for i := range p.coordinators {
 		c := &p.coordinators[i]
-		c.Room, c.Idle, c.Unsafe = p.capacity[c.Name], p.idle[c.Name], p.unsafe[c.Name]
+		c.Capacity, c.Idle, c.Unsafe = p.capacity[c.Name], p.idle[c.Name], p.unsafe[c.Name]
 	}
 }
 
@@ -277,13 +277,13 @@
 func (p *Part) logForecast(now time.Duration) {
 	plan := p.controller.Plan()
 	text := plan.Forecast.String()
-	if len(plan.Kept) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.forecastLoggedAt+ForecastInterval {
+	if len(plan.Deferred) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.forecastLoggedAt+ForecastInterval {
 		return
 	}
 	p.loggedForecast, p.forecastLoggedAt = text, now
 	p.host.Log.WithField("forecast", text).Info("pinned sessions are to move")
-	for _, k := range plan.Kept {
-		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Why, "one_is": k.Example}).Info("sessions stay for now")
+	for _, k := range plan.Deferred {
+		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Reason, "one_is": k.Example}).Info("sessions stay for now")
 	}
 }
 
@@ -307,7 +307,7 @@
 	if load == nil {
 		return
 	}
-	p.capacity[poll.From] = migrate.Room{Sessions: p.section.Most, Told: load.Owned, Open: load.Open, Queries: load.Queries, Memory: 2 * load.Memory}
+	p.capacity[poll.From] = migrate.Capacity{MaxSessions: p.section.Most, OwnedAtReport: load.Owned, OpenQueries: load.Open, MaxQueries: load.Queries, FreeMemory: 2 * load.Memory}
 	p.idle[poll.From] = load.Idle
 	at, _ := p.host.Controller.Time()
 	var open []migrate.Unsafe
