--- a/internal/fleet/agreedstate/copy_test.go
+++ b/internal/fleet/agreedstate/copy_test.go
@@ -23,7 +23,7 @@
 
 // A copy without a seat goes on from words: entries in order, none twice, none after a gap, a snapshot only forwards. One
 // that can't be understood halts it.
-func TestCopyTakesWords(t *testing.T) {
+func TestCopyAppliesRepliesInOrder(t *testing.T) {
 	c := New()
 	entry := func(index uint64) peerproto.Entry {
 		return peerproto.Entry{Index: index, Raw: tick(t, time.Duration(index))}
@@ -60,7 +60,7 @@
 }
 
 // A copy takes the state of a newer era in place of its own, however far its own index is, and nothing more of an older one.
-func TestCopyTakesANewerEra(t *testing.T) {
+func TestCopyLoadsStateOfNewerEpoch(t *testing.T) {
 	c, behind := New(), New()
 	entry := func(index uint64) peerproto.Entry {
 		return peerproto.Entry{Index: index, Raw: tick(t, time.Duration(index))}
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 	}
-	snapshot, err := (&Restored{Copy: behind, Stopped: time.Now()}).Save()
+	snapshot, err := (&Restored{Copy: behind, StoppedBy: time.Now()}).Save()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // What programs without lanes have saved is read, and what is saved while there are none is read by them.
-func TestStatesOfProgramsWithoutLanes(t *testing.T) {
+func TestStateWithoutLanesIsCompatible(t *testing.T) {
 	older := statemachine.New(map[string]statemachine.Part{MaintenancePart: maintenance.New(), SessionsPart: session.New()})
 	if err := older.Apply(3, tick(t, 5)); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/agreedstate/restored.go
+++ b/internal/fleet/agreedstate/restored.go
@@ -9,7 +9,7 @@
 // Restored is a copy whose snapshot, the one that a restored raft group goes on from, begins a new epoch.
 type Restored struct {
 	*Copy
-	Stopped time.Time // when the voters of the raft group before had stopped at the latest
+	StoppedBy time.Time // when the voters of the raft group before had stopped at the latest
 }
 
 // Apply implements raftgroup's machine.
@@ -22,7 +22,7 @@
 func (r *Restored) Save() ([]byte, error) {
 	limits, _ := r.Maintenance.Limits()
 	now := time.Duration(time.Now().UnixNano())
-	until := max(now, time.Duration(r.Stopped.UnixNano())+drainctl.MaxGrantDuration(limits)+limits.SettleTime)
+	until := max(now, time.Duration(r.StoppedBy.UnixNano())+drainctl.MaxGrantDuration(limits)+limits.SettleTime)
 	if err := r.Machine.Renew(now, until); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/compress/compress.go
+++ b/internal/fleet/compress/compress.go
@@ -14,7 +14,7 @@
 const Window = 8 << 20
 
 // untold: frames of fewer bytes do not tell how many they hold.
-const untold = 256
+const maxUnstatedSize = 256
 
 var encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(Window), zstd.WithEncoderLevel(zstd.SpeedDefault))
@@ -38,7 +38,7 @@
 	}
 	size := head.FrameContentSize
 	if !head.HasFCS {
-		size = untold
+		size = maxUnstatedSize
 	}
 	if head.Skippable || !head.HasCheckSum || head.HasFCS && size > uint64(most) {
 		return nil, fmt.Errorf("pack: a frame of %d bytes (with a checksum: %v), %d at most", size, head.HasCheckSum, most)
--- a/internal/fleet/compress/compress_test.go
+++ b/internal/fleet/compress/compress_test.go
@@ -33,7 +33,7 @@
 }
 
 // A frame that says little and holds much makes no room for it.
-func TestPackOfALiar(t *testing.T) {
+func TestUnpackBoundsMemory(t *testing.T) {
 	packed, err := Pack(make([]byte, 64<<20))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/drains_test.go
+++ b/internal/fleet/drains_test.go
@@ -10,7 +10,7 @@
 )
 
 // The folder of the start counts until the end, whatever a file that is read again says.
-func TestDrainsStayInTheFolderOfTheStart(t *testing.T) {
+func TestDrainStoreKeepsStartDirAfterReload(t *testing.T) {
 	file := func(dir string) *operator.File { return &operator.File{Fleet: &operator.Fleet{Dir: dir}} }
 	n := &Node{dir: "a", file: file("a")}
 	drains := n.newDrainStore()
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -24,7 +24,7 @@
 }
 
 // What is agreed is what the files say, with the file's units made into times and the usual where it says nothing.
-func TestLimitsOfTheFiles(t *testing.T) {
+func TestLimitsFromFileAndSettings(t *testing.T) {
 	got := Limits(file(t, `[]`), &policy.Config{Cells: 6, Reach: 2, Shards: 12, WarmUp: 1.5})
 	want := maintenance.LimitsBody{Revision: 7, Limits: maintenance.Limits{
 		Cells: 6, Reach: 2, Shards: 12, MinHolders: 2, MaxOutPerZone: 1, MaxOut: 3, MaxLoadAge: 15 * time.Second, MaxInventoryAge: 15 * time.Second,
@@ -38,7 +38,7 @@
 
 // One request from many instances: its number says what it says, whatever the order of its names; anything else makes
 // another number. The agreed state takes all of them.
-func TestRequestsAreNumberedByWhatTheySay(t *testing.T) {
+func TestRequestIDDependsOnContent(t *testing.T) {
 	const base = `{"names":["r1","r2"],"reason":"disk","for_s":60}`
 	id := func(work string) string { return Requests(file(t, "["+work+"]")).Requests[0].ID }
 	if id(base) != id(`{"for_s":60.0,"reason":"disk","names":["r2","r1"],"priority":"routine"}`) {
@@ -69,13 +69,13 @@
 	if r := asks.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.MaxOutage != time.Minute {
 		t.Errorf("%+v", r)
 	}
-	if err := played(asks); err != nil {
+	if err := applyRequests(asks); err != nil {
 		t.Error(err)
 	}
 }
 
 // Work on a voter of a raft group of three is warned of; of five it is not, nor is work on others.
-func TestWorkThatNeedsAllVoters(t *testing.T) {
+func TestWarningsForWorkOnNeededVoters(t *testing.T) {
 	f := file(t, `[{"names":["a","r1"],"reason":"disk","for_s":60},{"kind":"co-ordinator","reason":"disk","for_s":60},
 		{"prefix":"r","reason":"disk","for_s":60},{"kind":"replica","reason":"disk","for_s":60},{"names":["x"],"reason":"disk","for_s":60},
 		{"zone":"z","reason":"disk","for_s":60}]`)
@@ -99,7 +99,7 @@
 	}
 }
 
-func played(asks maintenance.RequestsBody) error {
+func applyRequests(asks maintenance.RequestsBody) error {
 	body, err := json.Marshal(asks)
 	if err != nil {
 		return err
--- a/internal/fleet/grantsfile/grantsfile_test.go
+++ b/internal/fleet/grantsfile/grantsfile_test.go
@@ -16,7 +16,7 @@
 )
 
 // The file is whole whenever it is read, and the newest of what waits is written. What can't be written is told of once.
-func TestGrantsFileIsReplacedWhole(t *testing.T) {
+func TestGrantsFileIsReplacedAtomically(t *testing.T) {
 	dir := t.TempDir()
 	var said strings.Builder
 	log := logrus.New()
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestItemsOfTheFileAreBounded(t *testing.T) {
+func TestRecentItemsIsBounded(t *testing.T) {
 	var all []maintenance.Item
 	for i := range MaxItems + 100 {
 		all = append(all, maintenance.Item{Machine: fmt.Sprint(i), EndedAt: time.Duration(i%2) * time.Hour})
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -34,8 +34,8 @@
 	n.mailbox.Put(mailbox.Message{From: from, Raw: raw, At: n.now()})
 }
 
-// warnOfHeader says what of a section that was read again waits for the next start.
-func (n *Node) warnOfHeader(was, is *operator.Lanes) {
+// warnHeaderChange says what of a section that was read again waits for the next start.
+func (n *Node) warnHeaderChange(was, is *operator.Lanes) {
 	if was != nil && is != nil && was.Header != is.Header {
 		n.log.WithField("header", was.Header).Warn("marks are read from the header of the start; another one in the file counts at the next")
 	}
--- a/internal/fleet/logadapter/logadapter.go
+++ b/internal/fleet/logadapter/logadapter.go
@@ -22,26 +22,26 @@
 	// first line of the next window. A kind is a line's level and its text without numbers and what follows them in a
 	// word (terms, addresses, times). Twice as many: a broken link or a lost majority fills the log; half: the line that
 	// explains may be left out.
-	Window = 10 * time.Second
-	Most   = 20
+	Window   = 10 * time.Second
+	MaxLines = 20
 
 	// longest is the most of one line, in bytes, that is kept.
-	longest = 512
+	maxLineLength = 512
 )
 
 // Writer is an io.Writer of whole lines, as the libraries' loggers write them.
 type Writer struct {
-	to *logrus.Entry
+	entry *logrus.Entry
 
-	mu     sync.Mutex
-	opened time.Time // the window
-	lines  int
-	over   int
-	kinds  map[string]bool // that were written in the window: Most at the most
+	mu          sync.Mutex
+	windowStart time.Time // the window
+	lines       int
+	suppressed  int
+	kinds       map[string]bool // that were written in the window: Most at the most
 }
 
 // kind of a line.
-func kind(level logrus.Level, text string) string {
+func lineKind(level logrus.Level, text string) string {
 	var b strings.Builder
 	b.WriteString(level.String())
 	number := false
@@ -59,7 +59,7 @@
 }
 
 // New writes to an entry; a nil one drops everything.
-func New(to *logrus.Entry) *Writer { return &Writer{to: to} }
+func New(to *logrus.Entry) *Writer { return &Writer{entry: to} }
 
 // Write takes a line that says its level itself, as "[WARN] memberlist: ...".
 func (w *Writer) Write(line []byte) (int, error) {
@@ -85,35 +85,35 @@
 	case hclog.Error:
 		out = logrus.ErrorLevel
 	}
-	if w.to == nil || !w.to.Logger.IsLevelEnabled(out) {
+	if w.entry == nil || !w.entry.Logger.IsLevelEnabled(out) {
 		return len(line), nil
 	}
-	text := string(line[:min(len(line), longest)])
+	text := string(line[:min(len(line), maxLineLength)])
 	if i := strings.Index(text, "] "); i >= 0 && strings.HasPrefix(text, "[") {
 		text = text[i+2:]
 	}
 	text = strings.TrimSpace(text)
-	of := kind(out, text)
+	of := lineKind(out, text)
 	w.mu.Lock()
 	now := time.Now()
 	over := 0
-	if now.Sub(w.opened) >= Window {
-		w.opened, w.lines, over, w.over = now, 0, w.over, 0
+	if now.Sub(w.windowStart) >= Window {
+		w.windowStart, w.lines, over, w.suppressed = now, 0, w.suppressed, 0
 		w.kinds = map[string]bool{}
 	}
-	drop := w.kinds[of] || w.lines >= Most
+	drop := w.kinds[of] || w.lines >= MaxLines
 	if drop {
-		w.over++
+		w.suppressed++
 	} else {
 		w.lines++
 		w.kinds[of] = true
 	}
 	w.mu.Unlock()
 	if over > 0 {
-		w.to.Warnf("%d lines of the engine left out", over)
+		w.entry.Warnf("%d lines of the engine left out", over)
 	}
 	if !drop {
-		w.to.Log(out, text)
+		w.entry.Log(out, text)
 	}
 	return len(line), nil
 }
@@ -121,9 +121,9 @@
 // Hclog is a logger for libraries that want hclog's interface.
 func (w *Writer) Hclog(name string) hclog.Logger {
 	level := hclog.Info
-	if w.to == nil {
+	if w.entry == nil {
 		level = hclog.Off
-	} else if w.to.Logger.IsLevelEnabled(logrus.DebugLevel) {
+	} else if w.entry.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		level = hclog.Debug
 	}
 	return hclog.New(&hclog.LoggerOptions{Name: name, Level: level, Output: w, DisableTime: true})
@@ -136,5 +136,5 @@
 func (w *Writer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return fmt.Sprintf("%d lines, %d left out", w.lines, w.over)
+	return fmt.Sprintf("%d lines, %d left out", w.lines, w.suppressed)
 }
--- a/internal/fleet/logadapter/logadapter_test.go
+++ b/internal/fleet/logadapter/logadapter_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func TestBoundedAndAtItsLevel(t *testing.T) {
+func TestLinesAreLimitedAndKeepLevel(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&out)
@@ -16,7 +16,7 @@
 	w.Standard().Printf("[WARN] memberlist: first %s", "word")
 	w.Hclog("raft").Error("second", "peer", 3)
 	w.Standard().Printf("[DEBUG] not at this level")
-	for i := range 3 * Most {
+	for i := range 3 * MaxLines {
 		w.Hclog("raft").Warn("again " + strings.Repeat("x", i))
 	}
 	s := out.String()
@@ -25,8 +25,8 @@
 			t.Errorf("no %q in:\n%s", want, s)
 		}
 	}
-	if n := strings.Count(s, "\n"); n != Most {
-		t.Errorf("%d lines, want %d", n, Most)
+	if n := strings.Count(s, "\n"); n != MaxLines {
+		t.Errorf("%d lines, want %d", n, MaxLines)
 	}
 	if strings.Contains(s, "not at this level") {
 		t.Error("debug was written")
@@ -34,7 +34,7 @@
 }
 
 // What raft says at each vote of a lost majority is one line of each kind, whatever term and address it names.
-func TestOneOfAKind(t *testing.T) {
+func TestRepeatedLinesAreDropped(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&out)
@@ -52,7 +52,7 @@
 		t.Error(s)
 	}
 	w.mu.Lock()
-	w.opened = w.opened.Add(-Window)
+	w.windowStart = w.windowStart.Add(-Window)
 	w.mu.Unlock()
 	raft.Warn("Election timeout reached, restarting election")
 	if !strings.Contains(out.String(), "297 lines of the engine left out") {
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -74,12 +74,12 @@
 
 // handleMessages takes a message and all that came meanwhile, for one step.
 func (n *Node) handleMessages(m mailbox.Message) (wantsStep bool) {
-	n.mailbox.Taken(m)
+	n.mailbox.Release(m)
 	wantsStep = n.handleMessage(m)
 	for range len(n.mailbox.Messages) {
 		select {
 		case m := <-n.mailbox.Messages:
-			n.mailbox.Taken(m)
+			n.mailbox.Release(m)
 			wantsStep = n.handleMessage(m) || wantsStep
 		default: // some were dropped meanwhile
 		}
@@ -121,7 +121,7 @@
 		n.term = s.Term
 		n.log.WithField("term", s.Term).Info("leads the raft group")
 		n.controllerInputs = append(n.controllerInputs, drainctl.Elected{Term: s.Term, NodeName: n.name}, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
-		n.fedAt, n.replicasFedAt = 0, time.Time{} // list and members are told at once
+		n.controllerFedAt, n.replicasFedAt = 0, time.Time{} // list and members are told at once
 		clear(n.loads)
 	default:
 		n.stepDown()
--- a/internal/fleet/mailbox/mailbox.go
+++ b/internal/fleet/mailbox/mailbox.go
@@ -45,7 +45,7 @@
 		}
 		select {
 		case old := <-q.Messages:
-			q.Taken(old)
+			q.Release(old)
 			q.Dropped.Add(1)
 		default:
 		}
@@ -53,5 +53,5 @@
 	}
 }
 
-// Taken notes that a message was taken out of the queue.
-func (q *Queue) Taken(m Message) { q.size.Add(-int64(len(m.Raw))) }
+// Release notes that a message was taken out of the queue.
+func (q *Queue) Release(m Message) { q.size.Add(-int64(len(m.Raw))) }
--- a/internal/fleet/mailbox/mailbox_test.go
+++ b/internal/fleet/mailbox/mailbox_test.go
@@ -6,7 +6,7 @@
 )
 
 // Letters that nobody takes have a bound by number and by bytes; the newest stay, in order.
-func TestMailIsBounded(t *testing.T) {
+func TestQueueIsBoundedByCountAndBytes(t *testing.T) {
 	for _, size := range []int{10, 1 << 20, 3 << 20} {
 		m := New()
 		raw := make([]byte, size)
@@ -17,7 +17,7 @@
 		n, last, held := 0, "", m.size.Load()
 		for len(m.Messages) > 0 {
 			l := <-m.Messages
-			m.Taken(l)
+			m.Release(l)
 			n, last = n+1, l.From
 		}
 		if want := min(MaxMessages, MaxBytes/size); n != want || last != "new" || held != int64(n*size) || m.size.Load() != 0 {
@@ -27,7 +27,7 @@
 }
 
 // Of a full mail box the oldest letters go, and nobody waits.
-func TestMailDropsTheOldest(t *testing.T) {
+func TestFullQueueDropsOldest(t *testing.T) {
 	m := New()
 	for i := range MaxMessages + 10 {
 		m.Put(Message{From: fmt.Sprint(i)})
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -140,7 +140,7 @@
 	agreedRevision int                  // of the limits in force; a file of an older one changes no voters
 
 	ownLoad           inventory.LoadReport
-	fedAt             time.Duration // when the controller got members and replicas
+	controllerFedAt   time.Duration // when the controller got members and replicas
 	replicasFedAt     time.Time
 	proposalsInFlight int
 
@@ -274,7 +274,7 @@
 	was := n.file.Fleet.Lanes
 	n.file, n.inputsChanged = f, true
 	n.mu.Unlock()
-	n.warnOfHeader(was, f.Fleet.Lanes)
+	n.warnHeaderChange(was, f.Fleet.Lanes)
 	n.wakeUp()
 	return nil
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestMain(m *testing.M) {
-	if part := os.Getenv(restPart); part != "" {
-		playRest(part)
+	if part := os.Getenv(idlePartEnv); part != "" {
+		runIdleProcess(part)
 		return
 	}
 	goleak.VerifyTestMain(m)
@@ -33,7 +33,7 @@
 
 // One that has heard nothing for a while asks whom a voter names, though the file does not have that one as a voter any
 // more: it leads until another has its seat. It asks so once for each poll: two that name each other keep nobody busy.
-func TestALeaderThatIsToVoteNoMoreIsFound(t *testing.T) {
+func TestPollFollowsNamedLeaderOutsideVoterList(t *testing.T) {
 	n := &Node{name: "e"}
 	n.voterNames, n.unansweredPolls, n.leader = []string{"a", "b", "e"}, 9, "gone"
 	n.lastPoll = peerproto.Poll{Sequence: 7}
--- a/internal/fleet/pollserver_test.go
+++ b/internal/fleet/pollserver_test.go
@@ -16,7 +16,7 @@
 // A leader at rest asks the majority a few times a second however many poll, and steps no more often for them. A poll that says
 // something, lacks something or comes after a silence waits for VerifyEvery at the most, and what is agreed meanwhile ends
 // the wait of all.
-func TestPollsAtRestWaitForEachOther(t *testing.T) {
+func TestIdlePollsAreAnsweredInBatches(t *testing.T) {
 	// Long: one sequence of polls on one clock, each case judged against the one before.
 	n := &Node{state: agreedstate.New()}
 	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
--- a/internal/fleet/receive_test.go
+++ b/internal/fleet/receive_test.go
@@ -9,7 +9,7 @@
 )
 
 // Letters of lanes never reach the node's mail, with lanes here or without.
-func TestLettersOfLanesAreNoMail(t *testing.T) {
+func TestLaneMessagesBypassMailbox(t *testing.T) {
 	n := &Node{mailbox: mailbox.New()}
 	n.receive("b", []byte{loadshed.MessageKind, 1, 0})
 	n.receive("b", []byte{1, 'p'})
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -37,22 +37,22 @@
 // sixty to a process. Counted at the sockets and by the kernel, not by what a node says of itself.
 
 const (
-	restPart  = "BIRCHCART_REST_PART"
-	restProf  = "BIRCHCART_REST_PROFILE" // a directory: each process writes what its CPU did while joining and at rest
-	restSpan  = 20 * time.Second         // is measured
-	restJoin  = 30 * time.Second         // for each sixty, at the most
-	restLimit = 240 * time.Second        // until all are there, on a busy machine; some 10 s on a quiet one
+	idlePartEnv      = "BIRCHCART_REST_PART"
+	idleProfileEnv   = "BIRCHCART_REST_PROFILE" // a directory: each process writes what its CPU did while joining and at rest
+	idleMeasureTime  = 20 * time.Second         // is measured
+	idleJoinTimeout  = 30 * time.Second         // for each sixty, at the most
+	idleStartTimeout = 240 * time.Second        // until all are there, on a busy machine; some 10 s on a quiet one
 )
 
 // part of the fleet that one process plays.
-type restOf struct {
+type idleProcessConfig struct {
 	Dir      string
 	From, To int
 	Replicas int
 }
 
 // counted is what one node has caused so far, and its process if it is alone there.
-type restCount struct {
+type idleNodeStats struct {
 	Node           int
 	Bytes, Packets int64 // of the gossip and what goes by it
 	Streams        int64 // bytes that the process read and wrote, sockets' streams and files
@@ -61,30 +61,30 @@
 	Memory         int64
 }
 
-func restAt(i, port int) string {
+func idleAddress(i, port int) string {
 	pid := os.Getppid()
-	if os.Getenv(restPart) == "" {
+	if os.Getenv(idlePartEnv) == "" {
 		pid = os.Getpid()
 	}
 	return fmt.Sprintf("127.%d.%d.%d:%d", 100+pid%20, 1+(pid/20)%120*2+i/250, 1+i%250, port)
 }
 
-func restGrants(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
+func idleGrantsPath(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
 
 // unsent is a replica side and a discovery that do nothing: no query comes.
-type unsent struct{}
+type noTraffic struct{}
 
-func (unsent) Update([]exchange.Target)                    {}
-func (unsent) Send(uint64, []*exchange.Attempt)            {}
-func (unsent) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
-func (unsent) CancelUnsent(*exchange.Attempt) bool         { return false }
-func (unsent) CheckHealth(uint64)                          {}
-func (unsent) Watch()                                      {}
+func (noTraffic) Update([]exchange.Target)                    {}
+func (noTraffic) Send(uint64, []*exchange.Attempt)            {}
+func (noTraffic) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
+func (noTraffic) CancelUnsent(*exchange.Attempt) bool         { return false }
+func (noTraffic) CheckHealth(uint64)                          {}
+func (noTraffic) Watch()                                      {}
 
-// playRest is a process of the fleet: for each line on its input it writes what it counts.
-func playRest(raw string) {
+// runIdleProcess is a process of the fleet: for each line on its input it writes what it counts.
+func runIdleProcess(raw string) {
 	// Long: the body of a child process: its set-up, then its answers line by line.
-	var p restOf
+	var p idleProcessConfig
 	fail := func(err error) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -99,14 +99,14 @@
 		name := fmt.Sprintf("n%03d", i)
 		text, err := os.ReadFile(filepath.Join(p.Dir, "config"))
 		fail(err)
-		cfg, err := config.Parse(text, config.Source{Name: name, Listen: restAt(i, 9080)})
+		cfg, err := config.Parse(text, config.Source{Name: name, Listen: idleAddress(i, 9080)})
 		fail(err)
 		text, err = os.ReadFile(filepath.Join(p.Dir, fmt.Sprint("operator", i)))
 		fail(err)
 		op, err := operator.Read(text)
 		fail(err)
 		e := exchange.New(cfg, logrus.NewEntry(log))
-		e.Connect(unsent{}, unsent{})
+		e.Connect(noTraffic{}, noTraffic{})
 		n := New()
 		fail(n.Start(serve.Host{Config: cfg, Operator: op, Exchange: e, ListConfirmedAt: time.Now, Log: logrus.NewEntry(log).WithField("node", name), Shutdown: func() {}}))
 		go e.Run(context.Background())
@@ -118,13 +118,13 @@
 		e.UpdateReplicas(list)
 		nodes = append(nodes, n)
 	}
-	profile := restProfile(p.From, fail)
+	profile := idleProfiler(p.From, fail)
 	profile("join")
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		if in.Text() != "" {
 			profile(in.Text())
 		}
-		var all []restCount
+		var all []idleNodeStats
 		var use syscall.Rusage
 		fail(syscall.Getrusage(syscall.RUSAGE_SELF, &use))
 		var streams int64
@@ -136,7 +136,7 @@
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
 		for i, n := range nodes {
-			c := restCount{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: use.Maxrss << 10,
+			c := idleNodeStats{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: use.Maxrss << 10,
 				CPU: time.Duration(use.Utime.Nano() + use.Stime.Nano())}
 			for _, m := range n.member.Members() {
 				if m.State == member.Alive {
@@ -149,9 +149,9 @@
 	}
 }
 
-// restProfile gives what ends the profile of this process that is under way and begins the next; "end" begins none.
-func restProfile(from int, fail func(error)) func(part string) {
-	dir := os.Getenv(restProf)
+// idleProfiler gives what ends the profile of this process that is under way and begins the next; "end" begins none.
+func idleProfiler(from int, fail func(error)) func(part string) {
+	dir := os.Getenv(idleProfileEnv)
 	var f *os.File
 	return func(part string) {
 		if f != nil {
@@ -175,7 +175,7 @@
 	return v
 }
 
-type restProcess struct {
+type idleProcess struct {
 	in  io.Writer
 	out *bufio.Reader
 }
@@ -204,35 +204,35 @@
 	write("keys", []byte(base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{7}, 32))+"\n"))
 	voters, join := map[string]any{}, []string{}
 	for i := range 5 {
-		voters[fmt.Sprintf("n%03d", i)] = map[string]any{"address": restAt(i, 7300), "zone": standin.DataCentres[i%3]}
-		join = append(join, restAt(i, 7946))
+		voters[fmt.Sprintf("n%03d", i)] = map[string]any{"address": idleAddress(i, 7300), "zone": standin.DataCentres[i%3]}
+		join = append(join, idleAddress(i, 7946))
 	}
 	for i := range restNodes {
 		write(fmt.Sprint("operator", i), must(json.Marshal(map[string]any{"version": 1, "placement": map[string]any{"holders_least": 2},
 			"fleet": map[string]any{"revision": 1, "voters": voters, "council": map[string]any{"found": true},
-				"gossip": map[string]any{"bind": restAt(i, 7946), "join": join}, "keys_file": filepath.Join(dir, "keys"),
-				"dir": filepath.Join(dir, fmt.Sprint("disk", i)), "grants_file": restGrants(dir, i), "out_by_zone": 1, "out_most": 2,
+				"gossip": map[string]any{"bind": idleAddress(i, 7946), "join": join}, "keys_file": filepath.Join(dir, "keys"),
+				"dir": filepath.Join(dir, fmt.Sprint("disk", i)), "grants_file": idleGrantsPath(dir, i), "out_by_zone": 1, "out_most": 2,
 				"parts_per_replica": 10, "work": []any{}}})))
 	}
-	var all []restProcess
+	var all []idleProcess
 	start := func(from, to int) {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), restPart+"="+string(must(json.Marshal(restOf{dir, from, to, 900}))), fmt.Sprint("GOMAXPROCS=", min(1+to-from, runtime.NumCPU())))
+		cmd.Env = append(os.Environ(), idlePartEnv+"="+string(must(json.Marshal(idleProcessConfig{dir, from, to, 900}))), fmt.Sprint("GOMAXPROCS=", min(1+to-from, runtime.NumCPU())))
 		cmd.Stderr = os.Stderr
 		in, out := must(cmd.StdinPipe()), must(cmd.StdoutPipe())
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { in.Close(); cmd.Process.Kill(); cmd.Wait() })
-		all = append(all, restProcess{in, bufio.NewReaderSize(out, 1<<20)})
+		all = append(all, idleProcess{in, bufio.NewReaderSize(out, 1<<20)})
 	}
-	count := func(part string) (by []restCount) {
+	count := func(part string) (by []idleNodeStats) {
 		t.Helper()
 		for _, p := range all {
 			fmt.Fprintln(p.in, part)
 		}
 		for _, p := range all {
-			var some []restCount
+			var some []idleNodeStats
 			if line, err := p.out.ReadBytes('\n'); err != nil || json.Unmarshal(line, &some) != nil {
 				t.Fatalf("a process has ended: %v", err)
 			}
@@ -246,9 +246,9 @@
 	}
 	for from := 5; from < restNodes; from += 59 {
 		start(from, min(from+59, restNodes))
-		for began := time.Now(); time.Since(began) < restJoin; time.Sleep(time.Second) { // a fleet is not started in one second
+		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // a fleet is not started in one second
 			all := count("")
-			if slices.MinFunc(all, func(a, b restCount) int { return a.Up - b.Up }).Up == len(all) {
+			if slices.MinFunc(all, func(a, b idleNodeStats) int { return a.Up - b.Up }).Up == len(all) {
 				break
 			}
 		}
@@ -257,7 +257,7 @@
 		var index uint64
 		for i := range restNodes {
 			var g grantsfile.File
-			raw, err := os.ReadFile(restGrants(dir, i))
+			raw, err := os.ReadFile(idleGrantsPath(dir, i))
 			if err != nil || json.Unmarshal(raw, &g) != nil || g.CutOff || g.Leader == "" || leader != "" && g.Leader != leader {
 				continue
 			}
@@ -268,14 +268,14 @@
 	}
 	for said := time.Now(); ; {
 		n, leader := confirmedAt()
-		up := slices.MinFunc(count(""), func(a, b restCount) int { return a.Up - b.Up }).Up
+		up := slices.MinFunc(count(""), func(a, b idleNodeStats) int { return a.Up - b.Up }).Up
 		if n == restNodes && up == restNodes {
 			t.Logf("all %d are there after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
 			break
 		}
-		if time.Since(began) > restLimit {
+		if time.Since(began) > idleStartTimeout {
 			count("end")
-			t.Fatalf("%d of %d hold a lease, the least has %d up, after %v", n, restNodes, up, restLimit)
+			t.Fatalf("%d of %d hold a lease, the least has %d up, after %v", n, restNodes, up, idleStartTimeout)
 		}
 		if time.Since(said) > 20*time.Second {
 			said = time.Now()
@@ -286,7 +286,7 @@
 	time.Sleep(5 * time.Second) // what the last join set off
 	_, leader := confirmedAt()
 	before, at := count("rest"), time.Now()
-	time.Sleep(restSpan)
+	time.Sleep(idleMeasureTime)
 	after, span := count("end"), time.Since(at).Seconds()
 	left, still := confirmedAt()
 	figure := func(what string, from, to int) {
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -36,6 +36,6 @@
 		return fmt.Errorf("operators' file: $.fleet.dir: %s holds no raft group: %w", f.Fleet.Dir, err)
 	}
 	return raftgroup.Restore(raftgroup.Options{
-		Name: name, Dir: f.Fleet.Dir, Bind: bindOf(f.Fleet, own), Advertise: own.Address, Machine: &agreedstate.Restored{Copy: agreedstate.New(), Stopped: stopped}, Log: log,
+		Name: name, Dir: f.Fleet.Dir, Bind: bindAddress(f.Fleet, own), Advertise: own.Address, Machine: &agreedstate.Restored{Copy: agreedstate.New(), StoppedBy: stopped}, Log: log,
 	}, nil, 0)
 }
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -27,7 +27,7 @@
 )
 
 // name of 64 bytes that resembles no other.
-func unlike(rnd *rand.Rand) string {
+func randomName(rnd *rand.Rand) string {
 	const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-"
 	b := make([]byte, 64)
 	for i := range b {
@@ -37,7 +37,7 @@
 }
 
 // largest is a state at all of its bounds: machines, requests, items that ended after a whole life, remembered ids.
-func largest(t *testing.T) *agreedstate.Copy {
+func largestState(t *testing.T) *agreedstate.Copy {
 	// Long: one state filled to each of its bounds in turn.
 	rnd := rand.New(rand.NewPCG(1, 2))
 	c, now, index := agreedstate.New(), time.Hour, uint64(0)
@@ -65,16 +65,16 @@
 	for range 10 {
 		var ms []maintenance.Machine
 		for range maintenance.MaxMachines / 10 {
-			ms = append(ms, maintenance.Machine{Name: unlike(rnd), Kind: maintenance.Replica, Zone: unlike(rnd)[:16], Cell: rnd.IntN(5000), Size: rnd.Float64(),
+			ms = append(ms, maintenance.Machine{Name: randomName(rnd), Kind: maintenance.Replica, Zone: randomName(rnd)[:16], Cell: rnd.IntN(5000), Size: rnd.Float64(),
 				Status: maintenance.Up, Started: time.Duration(rnd.Int64N(int64(time.Hour)))})
 		}
 		do("observe", maintenance.ObserveBody{Machines: ms})
 	}
 	var requests maintenance.RequestsBody
 	for requests.Revision = 1; len(requests.Requests) < maintenance.MaxRequests; {
-		r := maintenance.Request{ID: unlike(rnd), Kind: maintenance.Replica, Reason: unlike(rnd), MaxOutage: time.Hour}
+		r := maintenance.Request{ID: randomName(rnd), Kind: maintenance.Replica, Reason: randomName(rnd), MaxOutage: time.Hour}
 		if len(requests.Requests) > 1 { // two take in all machines
-			r.Kind, r.Names = "", []string{unlike(rnd)}
+			r.Kind, r.Names = "", []string{randomName(rnd)}
 		}
 		requests.Requests = append(requests.Requests, r)
 	}
@@ -115,7 +115,7 @@
 		at := int64(time.Hour) + int64(i)*1e6
 		for k, v := range map[string]any{"phase": "lapsed", "fence": i + 1, "granted_at": at, "until": at + 1e12, "told_at": at + rnd.Int64N(1e9),
 			"out_at": at + 1e9 + rnd.Int64N(1e9), "ended_at": at + 2e9 + rnd.Int64N(1e9), "passed": 1, "left": 9, "why": "not back by its time: counts as failed",
-			"try": 3, "zone": unlike(rnd)[:16], "revision": 1, "wanted": 1, "room": rnd.Float64(), "start": rnd.Int64N(1e12), "for": 36e11} {
+			"try": 3, "zone": randomName(rnd)[:16], "revision": 1, "wanted": 1, "room": rnd.Float64(), "start": rnd.Int64N(1e12), "for": 36e11} {
 			it[k] = v
 		}
 	}
@@ -131,11 +131,11 @@
 
 // The largest state that the bounds of the maintenance order allow, with names of 64 bytes, gets to a follower in one message of
 // the gossip.
-func TestTheLargestStateGetsToAFollower(t *testing.T) {
+func TestLargestStateFitsOneMessage(t *testing.T) {
 	if testing.Short() {
 		t.Skip("with the race detector on a busy machine it takes a minute")
 	}
-	c := largest(t)
+	c := largestState(t)
 	raw, err := c.Machine.Save()
 	if err != nil {
 		t.Fatal(err)
@@ -188,7 +188,7 @@
 
 // A poll or a word that names another sender than the gossip does is left out: nobody polls in another's name by mistake, and
 // one who does it knowingly has to forge the gossip's message too, for which he needs its key.
-func TestNobodySpeaksForAnother(t *testing.T) {
+func TestMessageWithForeignSenderIsIgnored(t *testing.T) {
 	n := &Node{state: agreedstate.New()}
 	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
 	n.lastPoll.Sequence = 1
@@ -214,7 +214,7 @@
 }
 
 // What one side may make the other takes: the state machine's commands, the raft group's, an entry of a word, a word in the gossip.
-func TestSizesMeet(t *testing.T) {
+func TestSenderLimitsFitReceiverLimits(t *testing.T) {
 	const heads = 4 << 10 // of a message, around what it brings in base 64
 	for what, sizes := range map[string][2]int{
 		"commands into the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "the raft group's into a word": {raftgroup.MaxCommandSize, peerproto.MaxEntrySize},
@@ -228,9 +228,9 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	requests := maintenance.RequestsBody{Revision: 1}
 	request := func(names int) maintenance.Request {
-		r := maintenance.Request{ID: unlike(rnd), Reason: "disk", MaxOutage: time.Hour}
+		r := maintenance.Request{ID: randomName(rnd), Reason: "disk", MaxOutage: time.Hour}
 		for range names {
-			r.Names = append(r.Names, unlike(rnd))
+			r.Names = append(r.Names, randomName(rnd))
 		}
 		return r
 	}
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -11,21 +11,21 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// savedPart counts how often it is saved.
-type savedPart struct {
+// saveCounter counts how often it is saved.
+type saveCounter struct {
 	*session.State
 	saves int
 }
 
-func (p *savedPart) Save() ([]byte, error) {
+func (p *saveCounter) Save() ([]byte, error) {
 	p.saves++
 	return p.State.Save()
 }
 
 // What was agreed is saved once for all that need the whole of it, as after a new era all co-ordinators do at once: the state
 // is held meanwhile.
-func TestTheWholeIsSavedOnceForAll(t *testing.T) {
-	p := &savedPart{State: session.New()}
+func TestStateIsSavedOnceForAllFollowers(t *testing.T) {
+	p := &saveCounter{State: session.New()}
 	n := &Node{state: &agreedstate.Copy{Machine: statemachine.New(map[string]statemachine.Part{agreedstate.SessionsPart: p})}}
 	for i := range 3 {
 		w := peerproto.Reply{}
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -108,7 +108,7 @@
 	if !ok {
 		return nil
 	}
-	ln, err := net.Listen("tcp", bindOf(f, own))
+	ln, err := net.Listen("tcp", bindAddress(f, own))
 	if err != nil {
 		return fmt.Errorf("$.fleet.council.bind: %w", err)
 	}
@@ -128,7 +128,7 @@
 func (n *Node) openVoter(f *operator.Fleet, found bool) error {
 	own := f.Voters[n.name]
 	o := raftgroup.Options{
-		Name: n.name, Dir: f.Dir, Bind: bindOf(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.state.Machine, Log: n.log,
+		Name: n.name, Dir: f.Dir, Bind: bindAddress(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.state.Machine, Log: n.log,
 	}
 	for _, name := range n.voterNames {
 		o.Voters = append(o.Voters, raftgroup.Voter{Name: name, Addr: f.Voters[name].Address})
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func bindOf(f *operator.Fleet, own operator.Voter) string {
+func bindAddress(f *operator.Fleet, own operator.Voter) string {
 	if f.Council.Bind != "" {
 		return f.Council.Bind
 	}
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -21,11 +21,11 @@
 
 // writtenGrants is what the grants file was last made of.
 type writtenGrants struct {
-	ever   bool
-	cut    bool
-	leader string
-	items  []maintenance.Item
-	grants []view.Grant
+	initialized bool
+	cutOff      bool
+	leader      string
+	items       []maintenance.Item
+	grants      []view.Grant
 }
 
 // stepResult is what the pure parts want, and what was agreed when they were asked.
@@ -40,7 +40,7 @@
 // step gives all events to the pure parts and carries out what they want.
 func (n *Node) step() {
 	now, wall := n.now(), time.Duration(time.Now().UnixNano())
-	n.takeInputs()
+	n.collectInputs()
 	n.feedController(now)
 	var r stepResult
 	n.state.WithLock(func() { r = n.stepLocked(now, wall) })
@@ -119,8 +119,8 @@
 	}
 }
 
-// takeInputs takes the list and the file that came since the last step.
-func (n *Node) takeInputs() {
+// collectInputs takes the list and the file that came since the last step.
+func (n *Node) collectInputs() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.inputsChanged {
@@ -163,10 +163,10 @@
 // feedController gives the leader the list and the members.
 func (n *Node) feedController(now time.Duration) {
 	n.sampleLoad(now)
-	if n.term == 0 || n.fedAt > 0 && now < n.fedAt+FeedInterval {
+	if n.term == 0 || n.controllerFedAt > 0 && now < n.controllerFedAt+FeedInterval {
 		return
 	}
-	n.fedAt = now
+	n.controllerFedAt = now
 	n.loads[n.name] = n.ownLoad
 	maps.DeleteFunc(n.loads, func(_ string, l inventory.LoadReport) bool { return now-l.At > LoadRetention })
 	n.controllerInputs = append(n.controllerInputs, drainctl.Membership{Members: inventory.Coordinators(n.member.Members(), n.loads, n.voters, now)})
@@ -224,8 +224,8 @@
 func (n *Node) writeGrants(now time.Duration, f grantsfile.File) {
 	w := &n.written
 	cut := n.view.CutOff(now)
-	same := w.ever && cut == w.cut && n.leader == w.leader && slices.Equal(n.grants, w.grants)
-	if f.Items != nil || !w.ever {
+	same := w.initialized && cut == w.cutOff && n.leader == w.leader && slices.Equal(n.grants, w.grants)
+	if f.Items != nil || !w.initialized {
 		items := grantsfile.RecentItems(f.Items, f.Now)
 		same = same && slices.Equal(items, w.items)
 		w.items = items
@@ -233,7 +233,7 @@
 	if same {
 		return
 	}
-	w.ever, w.cut, w.leader, w.grants = true, cut, n.leader, n.grants
+	w.initialized, w.cutOff, w.leader, w.grants = true, cut, n.leader, n.grants
 	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cut, w.items
 	reasons := map[string]string{}
 	for _, r := range n.fileReport.Requests.Requests {
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -17,14 +17,14 @@
 // limitedLog bounds what is logged of others' messages.
 type limitedLog struct {
 	loggedAt        time.Duration
-	ever            bool
+	logged          bool
 	suppressed      int
 	differsRevision int // revision for which it was logged that the file differs
 }
 
 // info logs a line, unless one was logged just now.
 func (l *limitedLog) info(n *Node, now time.Duration, text string) {
-	if l.ever && now < l.loggedAt+LogInterval {
+	if l.logged && now < l.loggedAt+LogInterval {
 		l.suppressed++
 		return
 	}
@@ -33,7 +33,7 @@
 		e = e.WithField("left_out", l.suppressed)
 	}
 	e.Info(text)
-	l.loggedAt, l.ever, l.suppressed = now, true, 0
+	l.loggedAt, l.logged, l.suppressed = now, true, 0
 }
 
 // warnIfFileDiffers says once that the own file differs from what was agreed under the same revision. The state is locked.
--- a/internal/fleet/voters.go
+++ b/internal/fleet/voters.go
@@ -28,7 +28,7 @@
 	case n.term != 0 && n.raftGroup != nil && !n.checkingVoters:
 		n.checkingVoters = true
 		go func(group *raftgroup.Group) {
-			l := voters.Result{Asker: from}
+			l := voters.Result{Requester: from}
 			if l.Err = group.Verify(); l.Err == nil { // else another may lead, and have changed them
 				l.Voters, l.Err = group.Voters()
 			}
@@ -136,8 +136,8 @@
 	for _, v := range l.Voters {
 		names = append(names, v.Name)
 	}
-	if l.Asker != "" {
-		if err := n.member.Send(l.Asker, voters.Message{Answer: true, Voters: names}.Encode()); err != nil {
+	if l.Requester != "" {
+		if err := n.member.Send(l.Requester, voters.Message{Answer: true, Voters: names}.Encode()); err != nil {
 			n.log.WithError(err).Debug("who votes was not told")
 		}
 		return
--- a/internal/fleet/voters/voters.go
+++ b/internal/fleet/voters/voters.go
@@ -47,10 +47,10 @@
 
 // Result is what came of a look at the raft group's voters, by the leader after it changed one if that was due.
 type Result struct {
-	Voters []raftgroup.Voter
-	Asker  string // who is to be answered; "": nobody
-	Change string // in words; "": none
-	Err    error
+	Voters    []raftgroup.Voter
+	Requester string // who is to be answered; "": nobody
+	Change    string // in words; "": none
+	Err       error
 }
 
 // Reconcile makes the next change, if one is due: a voter that the file does not name is replaced by one that it names and that is
--- a/internal/fleet/voters/voters_test.go
+++ b/internal/fleet/voters/voters_test.go
@@ -15,7 +15,7 @@
 
 // The raft group's voters become those of the file one at a time, and never before the new one's seat is open. A seat
 // without a vote for the change, and one that is named no more, are left as they are.
-func TestOneVoterAtATime(t *testing.T) {
+func TestReconcileReplacesOneReadyVoter(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	seat, err := raftgroup.Open(raftgroup.Options{
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhoVotesIsBounded(t *testing.T) {
+func TestVoterMessageSizeIsBounded(t *testing.T) {
 	raw := Message{Answer: true, Voters: []string{"a", "b"}}.Encode()
 	if s, err := Decode(raw); !IsMessage(raw) || err != nil || len(s.Voters) != 2 {
 		t.Errorf("%+v %v", s, err)
