--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -11,59 +11,59 @@
 )
 
 // Tick implements statemachine.Part: offers and loans whose time is over end, and what is remembered for a time is forgotten.
-func (b *State) Tick(now time.Duration) {
-	b.now = max(b.now, now)
-	b.pool.Tick(b.now)
-	if len(b.moves) > 0 && b.nextExpiry <= b.now {
-		b.expireMoves()
+func (s *State) Tick(now time.Duration) {
+	s.now = max(s.now, now)
+	s.pool.Tick(s.now)
+	if len(s.moves) > 0 && s.nextExpiry <= s.now {
+		s.expireMoves()
 	}
 	n := 0
-	for n < len(b.offerCounts) && b.offerCounts[n].At+OfferWindow < b.now-b.now%time.Second {
+	for n < len(s.offerCounts) && s.offerCounts[n].At+OfferWindow < s.now-s.now%time.Second {
 		n++
 	}
-	b.offerCounts = b.offerCounts[n:]
-	b.dropExpiredEnds()
+	s.offerCounts = s.offerCounts[n:]
+	s.dropExpiredEnds()
 }
 
 // lapse ends the moves whose time is over: an offer is withdrawn, a handed session goes back to its source, or is free if
 // that had it back already. No one acts for a handed one, so that an adoption which comes late finds another epoch.
-func (b *State) expireMoves() {
-	b.nextExpiry = statemachine.MaxTime
-	for _, id := range sortedIDs(b.moves) {
-		f, l := b.moves[id], b.sessions[id]
+func (s *State) expireMoves() {
+	s.nextExpiry = statemachine.MaxTime
+	for _, id := range sortedIDs(s.moves) {
+		m, l := s.moves[id], s.sessions[id]
 		switch {
-		case f.Until > b.now:
+		case m.Until > s.now:
 		case l.phase == Offered:
-			b.pin(id, l)
+			s.pin(id, l)
 		default:
-			b.returnToSource(id, l, "no co-ordinator took it over in time")
+			s.returnToSource(id, l, "no co-ordinator took it over in time")
 		}
-		if f, ok := b.moves[id]; ok {
-			b.nextExpiry = min(b.nextExpiry, f.Until)
+		if m, ok := s.moves[id]; ok {
+			s.nextExpiry = min(s.nextExpiry, m.Until)
 		}
 	}
 }
 
 // pin ends a move where the session is.
-func (b *State) pin(id ID, l ownedSession) {
-	delete(b.moves, id)
-	l.phase, l.since = Pinned, b.now
-	b.sessions[id] = l
+func (s *State) pin(id ID, l ownedSession) {
+	delete(s.moves, id)
+	l.phase, l.since = Pinned, s.now
+	s.sessions[id] = l
 }
 
 // Apply implements statemachine.Part. A command of several acts is refused if each of them is; Refused tells of the others.
-func (b *State) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
-	b.Tick(now)
-	b.refusals, b.refusalCount = nil, 0
+func (s *State) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
+	s.Tick(now)
+	s.refusals, s.refusalCount = nil, 0
 	switch kind {
 	case KindLimits:
-		return decodeAndApply(body, b.applyLimits)
+		return decodeAndApply(body, s.applyLimits)
 	case KindActs:
-		return decodeAndApply(body, b.applyActs)
+		return decodeAndApply(body, s.applyActs)
 	case KindPlan:
-		return decodeAndApply(body, func(p PlanBody) error { return b.applyPlan(p, fence) })
+		return decodeAndApply(body, func(p PlanBody) error { return s.applyPlan(p, fence) })
 	case KindRelease:
-		return decodeAndApply(body, b.applyRelease)
+		return decodeAndApply(body, s.applyRelease)
 	case KindTick:
 		return decodeAndApply(body, func(TickBody) error { return nil })
 	}
@@ -79,24 +79,24 @@
 }
 
 // several counts what came of the parts of a command; each stands alone.
-func (b *State) countResult(what fmt.Stringer, err error) bool {
+func (s *State) countResult(what fmt.Stringer, err error) bool {
 	if err == nil {
 		return true
 	}
-	if b.refusalCount++; len(b.refusals) < MaxRefusals {
-		b.refusals = append(b.refusals, fmt.Sprintf("%s: %v", what, err))
+	if s.refusalCount++; len(s.refusals) < MaxRefusals {
+		s.refusals = append(s.refusals, fmt.Sprintf("%s: %v", what, err))
 	}
 	return false
 }
 
-func (b *State) commandResult(done int) error {
+func (s *State) commandResult(done int) error {
 	if done > 0 {
 		return nil
 	}
-	if b.refusalCount == 0 {
+	if s.refusalCount == 0 {
 		return errors.New("session: nothing to do")
 	}
-	return fmt.Errorf("session: all %d refused, first %s", b.refusalCount, b.refusals[0])
+	return fmt.Errorf("session: all %d refused, first %s", s.refusalCount, s.refusals[0])
 }
 
 func (a Act) String() string {
@@ -106,211 +106,211 @@
 	return fmt.Sprintf("%s %s of epoch %d", a.Kind, a.ID, a.Epoch)
 }
 
-func (b *State) applyActs(c ActsBody) error {
+func (s *State) applyActs(c ActsBody) error {
 	if c.From == "" || len(c.From) > MaxNameBytes || len(c.Acts) > MaxActs {
 		return fmt.Errorf("session: %d acts of %.20q", len(c.Acts), c.From)
 	}
 	done := 0
 	for _, a := range c.Acts {
-		if b.countResult(a, b.act(c.From, a)) {
+		if s.countResult(a, s.act(c.From, a)) {
 			done++
 		}
 	}
 	if done > 0 {
-		if i, err := b.coordinatorIndex(c.From); err == nil {
-			b.coordinators[i].lastActAt, b.coordinators[i].lastKnownAt = b.now, b.now
+		if i, err := s.coordinatorIndex(c.From); err == nil {
+			s.coordinators[i].lastActAt, s.coordinators[i].lastKnownAt = s.now, s.now
 		}
 	}
-	return b.commandResult(done)
+	return s.commandResult(done)
 }
 
-func (b *State) act(from string, a Act) error {
+func (s *State) act(from string, a Act) error {
 	if a.Kind == Freed {
-		return b.completeTransfer(from, a.Fence)
+		return s.completeTransfer(from, a.Fence)
 	}
 	if a.Kind == Claim {
-		return b.claim(from, a)
+		return s.claim(from, a)
 	}
-	l, ok := b.sessions[a.ID]
+	l, ok := s.sessions[a.ID]
 	if !ok {
 		return errors.New("it is free")
 	}
 	if a.Epoch != l.epoch {
 		return fmt.Errorf("it is in epoch %d", l.epoch)
 	}
-	owner := b.coordinators[l.owner].name
+	owner := s.coordinators[l.owner].name
 	if a.Kind == Decline && l.phase == Offered {
-		return b.decline(from, a, l)
+		return s.decline(from, a, l)
 	}
 	if owner != from {
 		return fmt.Errorf("it is %s of %q, not of %q", l.phase, owner, from)
 	}
 	switch {
 	case a.Kind == HandOver && l.phase == Offered:
-		return b.handOver(from, a, l)
+		return s.handOver(from, a, l)
 	case a.Kind == Adopt && l.phase == HandedOver:
-		b.pin(a.ID, l)
+		s.pin(a.ID, l)
 		return nil
 	case a.Kind == Decline && l.phase == HandedOver:
-		b.returnToSource(a.ID, l, "no co-ordinator had room for it")
+		s.returnToSource(a.ID, l, "no co-ordinator had room for it")
 		return nil
 	case a.Kind == End:
 		l.seq = max(l.seq, a.Seq)
-		b.end(a.ID, l, a.Reason)
+		s.end(a.ID, l, a.Reason)
 		return nil
 	}
 	return fmt.Errorf("it is %s", l.phase)
 }
 
-func (b *State) claim(from string, a Act) error {
-	r, owned := b.Get(a.ID)
+func (s *State) claim(from string, a Act) error {
+	r, owned := s.Get(a.ID)
 	switch {
 	case owned:
 		return fmt.Errorf("it is %s of %q in epoch %d", r.Phase, r.Owner, r.Epoch)
-	case b.now < b.blockedUntil:
-		return fmt.Errorf("the era is new, nothing is claimed before %v, it is %v", b.blockedUntil, b.now)
+	case s.now < s.blockedUntil:
+		return fmt.Errorf("the era is new, nothing is claimed before %v, it is %v", s.blockedUntil, s.now)
 	case a.Epoch != r.Epoch:
 		return fmt.Errorf("it was last in epoch %d", r.Epoch)
-	case len(b.sessions) >= b.limits.MaxSessions:
-		return fmt.Errorf("%d sessions, %d are allowed", len(b.sessions), b.limits.MaxSessions)
+	case len(s.sessions) >= s.limits.MaxSessions:
+		return fmt.Errorf("%d sessions, %d are allowed", len(s.sessions), s.limits.MaxSessions)
 	}
-	i, err := b.coordinatorIndex(from)
+	i, err := s.coordinatorIndex(from)
 	if err != nil {
 		return err
 	}
-	delete(b.ended, a.ID)
-	b.coordinators[i].owned++
-	b.sessions[a.ID] = ownedSession{epoch: r.Epoch + 1, seq: r.Seq, since: b.now, owner: i, phase: Pinned, lane: a.Lane}
+	delete(s.ended, a.ID)
+	s.coordinators[i].owned++
+	s.sessions[a.ID] = ownedSession{epoch: r.Epoch + 1, seq: r.Seq, since: s.now, owner: i, phase: Pinned, lane: a.Lane}
 	return nil
 }
 
-func (b *State) handOver(from string, a Act, l ownedSession) error {
-	f := b.moves[a.ID]
+func (s *State) handOver(from string, a Act, l ownedSession) error {
+	m := s.moves[a.ID]
 	switch {
-	case a.Fence != f.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", f.Fence, a.Fence)
+	case a.Fence != m.Fence:
+		return fmt.Errorf("its offer is number %d, not %d", m.Fence, a.Fence)
 	case a.Seq < l.seq:
 		return fmt.Errorf("%d queries begun, %d were", a.Seq, l.seq)
-	case len(a.State) > min(b.limits.MaxStateBytes, MaxStateBytes):
-		return fmt.Errorf("a state of %d bytes, %d are allowed", len(a.State), min(b.limits.MaxStateBytes, MaxStateBytes))
+	case len(a.State) > min(s.limits.MaxStateBytes, MaxStateBytes):
+		return fmt.Errorf("a state of %d bytes, %d are allowed", len(a.State), min(s.limits.MaxStateBytes, MaxStateBytes))
 	}
-	to, err := b.coordinatorIndex(f.To)
+	to, err := s.coordinatorIndex(m.To)
 	if err != nil {
 		return err
 	}
-	f.Source, f.State, f.Hand = from, a.State, &handOverEvidence{from, a.Epoch, a.Fence}
-	b.startStep(a.ID, f)
-	b.coordinators[l.owner].owned--
-	b.coordinators[to].owned++
-	l.owner, l.epoch, l.phase, l.since, l.seq, l.lane = to, l.epoch+1, HandedOver, b.now, a.Seq, a.Lane
-	b.sessions[a.ID] = l
+	m.Source, m.State, m.Hand = from, a.State, &handOverEvidence{from, a.Epoch, a.Fence}
+	s.startStep(a.ID, m)
+	s.coordinators[l.owner].owned--
+	s.coordinators[to].owned++
+	l.owner, l.epoch, l.phase, l.since, l.seq, l.lane = to, l.epoch+1, HandedOver, s.now, a.Seq, a.Lane
+	s.sessions[a.ID] = l
 	return nil
 }
 
-func (b *State) decline(from string, a Act, l ownedSession) error {
-	switch f := b.moves[a.ID]; {
-	case f.To != from:
-		return fmt.Errorf("it is offered to %q, not to %q", f.To, from)
-	case f.Fence != a.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", f.Fence, a.Fence)
-	}
-	b.pin(a.ID, l)
+func (s *State) decline(from string, a Act, l ownedSession) error {
+	switch m := s.moves[a.ID]; {
+	case m.To != from:
+		return fmt.Errorf("it is offered to %q, not to %q", m.To, from)
+	case m.Fence != a.Fence:
+		return fmt.Errorf("its offer is number %d, not %d", m.Fence, a.Fence)
+	}
+	s.pin(a.ID, l)
 	return nil
 }
 
 // back gives a handed session to its source, once; if that is gone, or had it back before, it is free.
-func (b *State) returnToSource(id ID, l ownedSession, why string) {
-	f := b.moves[id]
-	to, err := b.coordinatorIndex(f.Source)
-	if f.Source == "" || err != nil {
-		b.end(id, l, why)
+func (s *State) returnToSource(id ID, l ownedSession, reason string) {
+	m := s.moves[id]
+	to, err := s.coordinatorIndex(m.Source)
+	if m.Source == "" || err != nil {
+		s.end(id, l, reason)
 		return
 	}
-	f.Source = ""
-	b.startStep(id, f)
-	b.coordinators[l.owner].owned--
-	b.coordinators[to].owned++
-	l.owner, l.epoch, l.since = to, l.epoch+1, b.now
-	b.sessions[id] = l
+	m.Source = ""
+	s.startStep(id, m)
+	s.coordinators[l.owner].owned--
+	s.coordinators[to].owned++
+	l.owner, l.epoch, l.since = to, l.epoch+1, s.now
+	s.sessions[id] = l
 }
 
 // fly gives a flight its time: StepTimeout for each step of it, offered, handed, handed back.
-func (b *State) startStep(id ID, f move) {
-	f.Until = b.now + b.limits.StepTimeout
-	b.moves[id] = f
-	b.nextExpiry = min(b.nextExpiry, f.Until)
+func (s *State) startStep(id ID, m move) {
+	m.Until = s.now + s.limits.StepTimeout
+	s.moves[id] = m
+	s.nextExpiry = min(s.nextExpiry, m.Until)
 }
 
 // end frees a session and keeps how it ended.
-func (b *State) end(id ID, l ownedSession, why string) {
-	b.coordinators[l.owner].owned--
-	delete(b.sessions, id)
-	delete(b.moves, id)
-	if len(b.ended) >= MaxEnds {
-		b.dropOldestEnd()
-	}
-	b.ended[id] = endedSession{l.epoch, l.seq, b.now, unique.Make(truncateReason(why)), b.firstPosition + uint64(len(b.endOrder))}
-	b.endOrder = append(b.endOrder, id)
+func (s *State) end(id ID, l ownedSession, reason string) {
+	s.coordinators[l.owner].owned--
+	delete(s.sessions, id)
+	delete(s.moves, id)
+	if len(s.ended) >= MaxEnds {
+		s.dropOldestEnd()
+	}
+	s.ended[id] = endedSession{l.epoch, l.seq, s.now, unique.Make(truncateReason(reason)), s.firstPosition + uint64(len(s.endOrder))}
+	s.endOrder = append(s.endOrder, id)
 }
 
 // forget drops ends older than Remember, and the places of those that were claimed again.
-func (b *State) dropExpiredEnds() {
-	for len(b.endOrder) > 0 {
-		e, ok := b.ended[b.endOrder[0]]
-		if ok && e.position == b.firstPosition { // else it was claimed since: only its place goes
-			if e.at+EndRetention > b.now {
+func (s *State) dropExpiredEnds() {
+	for len(s.endOrder) > 0 {
+		e, ok := s.ended[s.endOrder[0]]
+		if ok && e.position == s.firstPosition { // else it was claimed since: only its place goes
+			if e.at+EndRetention > s.now {
 				break
 			}
-			b.maxForgottenEpoch = max(b.maxForgottenEpoch, e.epoch)
-			delete(b.ended, b.endOrder[0])
+			s.maxForgottenEpoch = max(s.maxForgottenEpoch, e.epoch)
+			delete(s.ended, s.endOrder[0])
 		}
-		b.endOrder = b.endOrder[1:]
-		b.firstPosition++
+		s.endOrder = s.endOrder[1:]
+		s.firstPosition++
 	}
-	if len(b.endOrder) <= 2*len(b.ended)+64 {
+	if len(s.endOrder) <= 2*len(s.ended)+64 {
 		return
 	}
-	keep := make([]ID, 0, len(b.ended))
-	for i, id := range b.endOrder {
-		if e, ok := b.ended[id]; ok && e.position == b.firstPosition+uint64(i) {
+	keep := make([]ID, 0, len(s.ended))
+	for i, id := range s.endOrder {
+		if e, ok := s.ended[id]; ok && e.position == s.firstPosition+uint64(i) {
 			e.position = uint64(len(keep))
-			b.ended[id] = e
+			s.ended[id] = e
 			keep = append(keep, id)
 		}
 	}
-	b.endOrder, b.firstPosition = keep, 0
+	s.endOrder, s.firstPosition = keep, 0
 }
 
 // drop forgets the oldest end. Its epoch counts for all that are not known from then on.
-func (b *State) dropOldestEnd() {
-	for len(b.endOrder) > 0 {
-		id := b.endOrder[0]
-		e, ok := b.ended[id]
-		ok = ok && e.position == b.firstPosition
-		b.endOrder = b.endOrder[1:]
-		b.firstPosition++
+func (s *State) dropOldestEnd() {
+	for len(s.endOrder) > 0 {
+		id := s.endOrder[0]
+		e, ok := s.ended[id]
+		ok = ok && e.position == s.firstPosition
+		s.endOrder = s.endOrder[1:]
+		s.firstPosition++
 		if ok {
-			b.maxForgottenEpoch = max(b.maxForgottenEpoch, e.epoch)
-			delete(b.ended, id)
+			s.maxForgottenEpoch = max(s.maxForgottenEpoch, e.epoch)
+			delete(s.ended, id)
 			return
 		}
 	}
 }
 
-func (b *State) completeTransfer(from string, fence uint64) error {
-	t, ok := b.pool.Transfer(fence)
+func (s *State) completeTransfer(from string, fence uint64) error {
+	t, ok := s.pool.Transfer(fence)
 	switch {
 	case !ok:
 		return errors.New("no such transfer is open")
 	case t.Stage == 0 && t.From == from:
-		return b.pool.Land(fence)
+		return s.pool.Land(fence)
 	case t.Stage != 0 && t.To == from:
-		return b.pool.Return(fence)
+		return s.pool.Return(fence)
 	}
 	return fmt.Errorf("the transfer is %s from %q to %q, it does not wait for %q", t.Stage, t.From, t.To, from)
 }
 
 // clip cuts a reason, between two letters.
-func truncateReason(why string) string {
-	return strings.ToValidUTF8(why[:min(len(why), MaxReasonBytes)], "")
+func truncateReason(reason string) string {
+	return strings.ToValidUTF8(reason[:min(len(reason), MaxReasonBytes)], "")
 }
--- a/internal/fleet/session/book.go
+++ b/internal/fleet/session/book.go
@@ -138,60 +138,60 @@
 }
 
 // Clone is an independent copy: some 100 bytes a session.
-func (b *State) Clone() *State {
-	n := *b
-	n.sessions, n.moves, n.indexByName, n.ended = maps.Clone(b.sessions), maps.Clone(b.moves), maps.Clone(b.indexByName), maps.Clone(b.ended)
-	n.coordinators, n.offerCounts, n.endOrder = slices.Clone(b.coordinators), slices.Clone(b.offerCounts), slices.Clone(b.endOrder)
-	n.pool, n.refusals = b.pool.Clone(), slices.Clone(b.refusals)
-	n.limits.Caps = maps.Clone(b.limits.Caps)
+func (s *State) Clone() *State {
+	n := *s
+	n.sessions, n.moves, n.indexByName, n.ended = maps.Clone(s.sessions), maps.Clone(s.moves), maps.Clone(s.indexByName), maps.Clone(s.ended)
+	n.coordinators, n.offerCounts, n.endOrder = slices.Clone(s.coordinators), slices.Clone(s.offerCounts), slices.Clone(s.endOrder)
+	n.pool, n.refusals = s.pool.Clone(), slices.Clone(s.refusals)
+	n.limits.Caps = maps.Clone(s.limits.Caps)
 	return &n
 }
 
 // Get gives a session that is owned. Of one that is free it gives false and what is still known: Epoch, which a claim has
 // to name, and, for Remember after its end, Seq and Why.
-func (b *State) Get(id ID) (Record, bool) {
-	if l, ok := b.sessions[id]; ok {
-		return b.record(id, l), true
+func (s *State) Get(id ID) (Record, bool) {
+	if l, ok := s.sessions[id]; ok {
+		return s.record(id, l), true
 	}
-	if e, ok := b.ended[id]; ok {
+	if e, ok := s.ended[id]; ok {
 		return Record{ID: id, Epoch: e.epoch, Seq: e.seq, Since: e.at, Reason: e.reason.Value()}, false
 	}
-	return Record{ID: id, Epoch: b.maxForgottenEpoch}, false
+	return Record{ID: id, Epoch: s.maxForgottenEpoch}, false
 }
 
-func (b *State) record(id ID, l ownedSession) Record {
-	r := Record{ID: id, Owner: b.coordinators[l.owner].name, Epoch: l.epoch, Phase: l.phase, Seq: l.seq, Lane: l.lane, Since: l.since}
+func (s *State) record(id ID, l ownedSession) Record {
+	r := Record{ID: id, Owner: s.coordinators[l.owner].name, Epoch: l.epoch, Phase: l.phase, Seq: l.seq, Lane: l.lane, Since: l.since}
 	if l.phase != Pinned {
-		f := b.moves[id]
-		r.Fence, r.Until = f.Fence, f.Until
+		m := s.moves[id]
+		r.Fence, r.Until = m.Fence, m.Until
 		if l.phase == Offered {
-			r.To = f.To
+			r.To = m.To
 		} else {
-			r.Source, r.State = f.Source, f.State
+			r.Source, r.State = m.Source, m.State
 		}
 	}
 	return r
 }
 
 // Len is how many sessions are owned.
-func (b *State) Len() int { return len(b.sessions) }
+func (s *State) Len() int { return len(s.sessions) }
 
 // Owned is how many sessions co owns, those handed to it included.
-func (b *State) Owned(co string) int {
-	if i, ok := b.indexByName[co]; ok {
-		return b.coordinators[i].owned
+func (s *State) Owned(co string) int {
+	if i, ok := s.indexByName[co]; ok {
+		return s.coordinators[i].owned
 	}
 	return 0
 }
 
 // Moving is how many sessions are offered or handed.
-func (b *State) Moving() int { return len(b.moves) }
+func (s *State) Moving() int { return len(s.moves) }
 
 // HasMoves says that a session is on its way from co, to it, or back.
-func (b *State) HasMoves(co string) bool {
-	for id, f := range b.moves {
-		l := b.sessions[id]
-		if b.coordinators[l.owner].name == co || l.phase == Offered && f.To == co || l.phase == HandedOver && f.Source == co {
+func (s *State) HasMoves(co string) bool {
+	for id, f := range s.moves {
+		l := s.sessions[id]
+		if s.coordinators[l.owner].name == co || l.phase == Offered && f.To == co || l.phase == HandedOver && f.Source == co {
 			return true
 		}
 	}
@@ -199,63 +199,63 @@
 }
 
 // RecentOffers is how many offers count against PerMinute now.
-func (b *State) RecentOffers() int {
+func (s *State) RecentOffers() int {
 	n := 0
-	for _, s := range b.offerCounts {
-		if s.At+OfferWindow >= b.now-b.now%time.Second {
-			n += s.N
+	for _, count := range s.offerCounts {
+		if count.At+OfferWindow >= s.now-s.now%time.Second {
+			n += count.N
 		}
 	}
 	return n
 }
 
 // Now is the agreed time that the book was last told.
-func (b *State) Now() time.Duration { return b.now }
+func (s *State) Now() time.Duration { return s.now }
 
 // BlockedUntil is the agreed time before which nothing is claimed or moved, since the era is new.
-func (b *State) BlockedUntil() time.Duration { return b.blockedUntil }
+func (s *State) BlockedUntil() time.Duration { return s.blockedUntil }
 
 // Pool is the state of the slots, to be read.
-func (b *State) Pool() *pool.Pool { return b.pool }
+func (s *State) Pool() *pool.Pool { return s.pool }
 
 // Limits in force, and their revision; 0 as long as there are none.
-func (b *State) Limits() (Limits, int) { return b.limits, b.limits.Revision }
+func (s *State) Limits() (Limits, int) { return s.limits, s.limits.Revision }
 
 // Refusals tells what the last command would have done and may not, each in words, MaxRefusals of them, and how many in
 // all. It is no part of the state.
-func (b *State) Refusals() ([]string, int) { return b.refusals, b.refusalCount }
+func (s *State) Refusals() ([]string, int) { return s.refusals, s.refusalCount }
 
 // All gives every session that is owned, by its id.
-func (b *State) All(yield func(Record) bool) {
-	b.eachMatching(yield, func(ownedSession) bool { return true })
+func (s *State) All(yield func(Record) bool) {
+	s.eachMatching(yield, func(ownedSession) bool { return true })
 }
 
 // ByOwner gives the sessions that co owns, by their id.
-func (b *State) ByOwner(co string, yield func(Record) bool) {
-	if i, ok := b.indexByName[co]; ok && b.coordinators[i].owned > 0 {
-		b.eachMatching(yield, func(l ownedSession) bool { return l.owner == i })
+func (s *State) ByOwner(co string, yield func(Record) bool) {
+	if i, ok := s.indexByName[co]; ok && s.coordinators[i].owned > 0 {
+		s.eachMatching(yield, func(l ownedSession) bool { return l.owner == i })
 	}
 }
 
 // Moves gives the sessions that are offered or handed, by their id.
-func (b *State) Moves(yield func(Record) bool) {
-	for _, id := range sortedIDs(b.moves) {
-		if !yield(b.record(id, b.sessions[id])) {
+func (s *State) Moves(yield func(Record) bool) {
+	for _, id := range sortedIDs(s.moves) {
+		if !yield(s.record(id, s.sessions[id])) {
 			return
 		}
 	}
 }
 
-func (b *State) eachMatching(yield func(Record) bool, which func(ownedSession) bool) {
+func (s *State) eachMatching(yield func(Record) bool, matches func(ownedSession) bool) {
 	var ids []ID
-	for id, l := range b.sessions {
-		if which(l) {
+	for id, l := range s.sessions {
+		if matches(l) {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(x, y ID) int { return bytes.Compare(x[:], y[:]) })
 	for _, id := range ids {
-		if !yield(b.record(id, b.sessions[id])) {
+		if !yield(s.record(id, s.sessions[id])) {
 			return
 		}
 	}
@@ -271,19 +271,19 @@
 }
 
 // named finds or enters a co-ordinator. One that owns nothing and was not heard of for Remember makes room.
-func (b *State) coordinatorIndex(co string) (uint16, error) {
-	if i, ok := b.indexByName[co]; ok {
-		if b.expired(int(i)) {
-			b.coordinators[i] = coordinator{name: co, lastKnownAt: b.now}
+func (s *State) coordinatorIndex(co string) (uint16, error) {
+	if i, ok := s.indexByName[co]; ok {
+		if s.expired(int(i)) {
+			s.coordinators[i] = coordinator{name: co, lastKnownAt: s.now}
 		}
 		return i, nil
 	}
 	if co == "" || len(co) > MaxNameBytes {
 		return 0, fmt.Errorf("a co-ordinator's name has 1 to %d bytes, not %d", MaxNameBytes, len(co))
 	}
-	at := len(b.coordinators)
-	for i := range b.coordinators {
-		if b.expired(i) {
+	at := len(s.coordinators)
+	for i := range s.coordinators {
+		if s.expired(i) {
 			at = i
 			break
 		}
@@ -291,17 +291,17 @@
 	switch {
 	case at == MaxCoordinators:
 		return 0, fmt.Errorf("%d co-ordinators are known, no more are allowed", MaxCoordinators)
-	case at == len(b.coordinators):
-		b.coordinators = append(b.coordinators, coordinator{})
+	case at == len(s.coordinators):
+		s.coordinators = append(s.coordinators, coordinator{})
 	default:
-		delete(b.indexByName, b.coordinators[at].name)
+		delete(s.indexByName, s.coordinators[at].name)
 	}
-	b.coordinators[at] = coordinator{name: co, lastKnownAt: b.now}
-	b.indexByName[co] = uint16(at)
+	s.coordinators[at] = coordinator{name: co, lastKnownAt: s.now}
+	s.indexByName[co] = uint16(at)
 	return uint16(at), nil
 }
 
 // gone says that a co-ordinator is forgotten: it owns nothing, and nothing was heard of it for Remember.
-func (b *State) expired(i int) bool {
-	return b.coordinators[i].owned == 0 && b.coordinators[i].lastKnownAt < b.now-EndRetention
+func (s *State) expired(i int) bool {
+	return s.coordinators[i].owned == 0 && s.coordinators[i].lastKnownAt < s.now-EndRetention
 }
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -25,98 +25,98 @@
 func (n cancelledTransfer) String() string { return fmt.Sprintf("call off transfer %d", uint64(n)) }
 
 // applyPlan checks each part against the state as it is now, whatever the leader believed.
-func (b *State) applyPlan(p PlanBody, fence func() uint64) error {
+func (s *State) applyPlan(p PlanBody, fence func() uint64) error {
 	if n := len(p.Offers) + len(p.Withdrawals) + len(p.Shifts) + len(p.CancelledTransfers); n > MaxActs {
 		return fmt.Errorf("session: a plan of %d parts, %d are allowed", n, MaxActs)
 	}
 	done := 0
 	for _, w := range p.Withdrawals {
-		if b.countResult(w, b.withdraw(w)) {
+		if s.countResult(w, s.withdraw(w)) {
 			done++
 		}
 	}
 	for _, n := range p.CancelledTransfers {
-		if b.countResult(cancelledTransfer(n), b.pool.Back(n)) {
+		if s.countResult(cancelledTransfer(n), s.pool.Back(n)) {
 			done++
 		}
 	}
-	for _, s := range p.Shifts {
-		if b.countResult(s, b.shift(s, fence)) {
+	for _, shift := range p.Shifts {
+		if s.countResult(shift, s.shift(shift, fence)) {
 			done++
 		}
 	}
 	for _, o := range p.Offers {
-		if b.countResult(o, b.offer(o, fence)) {
+		if s.countResult(o, s.offer(o, fence)) {
 			done++
 		}
 	}
-	return b.commandResult(done)
+	return s.commandResult(done)
 }
 
-func (b *State) withdraw(w Withdrawal) error {
-	l, ok := b.sessions[w.ID]
+func (s *State) withdraw(w Withdrawal) error {
+	l, ok := s.sessions[w.ID]
 	switch {
 	case !ok:
 		return errors.New("it is free")
 	case l.epoch != w.Epoch || l.phase != Offered:
 		return fmt.Errorf("it is %s in epoch %d", l.phase, l.epoch)
-	case b.moves[w.ID].Fence != w.Fence:
-		return fmt.Errorf("its offer is number %d", b.moves[w.ID].Fence)
+	case s.moves[w.ID].Fence != w.Fence:
+		return fmt.Errorf("its offer is number %d", s.moves[w.ID].Fence)
 	}
-	b.pin(w.ID, l)
+	s.pin(w.ID, l)
 	return nil
 }
 
-func (b *State) shift(s Shift, fence func() uint64) error {
-	if b.now < b.blockedUntil {
-		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", b.blockedUntil, b.now)
+func (s *State) shift(shift Shift, fence func() uint64) error {
+	if s.now < s.blockedUntil {
+		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", s.blockedUntil, s.now)
 	}
-	if s.From == "" && s.Until == 0 {
-		return b.pool.Take(s.To, s.Replica, s.N)
+	if shift.From == "" && shift.Until == 0 {
+		return s.pool.Take(shift.To, shift.Replica, shift.N)
 	}
 	n, err := fence(), error(nil)
-	if s.Until != 0 {
-		err = b.pool.Lend(n, s.From, s.To, s.Replica, s.N, s.Until)
+	if shift.Until != 0 {
+		err = s.pool.Lend(n, shift.From, shift.To, shift.Replica, shift.N, shift.Until)
 	} else {
-		err = b.pool.Move(n, s.From, s.To, s.Replica, s.N)
+		err = s.pool.Move(n, shift.From, shift.To, shift.Replica, shift.N)
 	}
 	if err == nil {
-		b.fence = max(b.fence, n)
+		s.fence = max(s.fence, n)
 	}
 	return err
 }
 
-func (b *State) offer(o Offer, fence func() uint64) error {
-	l, ok := b.sessions[o.ID]
+func (s *State) offer(o Offer, fence func() uint64) error {
+	l, ok := s.sessions[o.ID]
 	if !ok {
 		return errors.New("it is free")
 	}
 	if o.Until == 0 {
-		o.Until = b.now + b.limits.StepTimeout
+		o.Until = s.now + s.limits.StepTimeout
 	}
-	switch owner := b.coordinators[l.owner].name; {
+	switch owner := s.coordinators[l.owner].name; {
 	case l.epoch != o.Epoch || l.phase != Pinned || owner != o.From:
 		return fmt.Errorf("it is %s of %q in epoch %d", l.phase, owner, l.epoch)
 	case o.To == "" || len(o.To) > MaxNameBytes || o.To == o.From:
 		return fmt.Errorf("from %q to %.20q", o.From, o.To)
-	case o.Until <= b.now || o.Until > b.now+b.limits.StepTimeout:
-		return fmt.Errorf("until %v, it is %v and %v is the most", o.Until, b.now, b.limits.StepTimeout)
-	case len(b.moves) >= b.limits.InFlight:
-		return fmt.Errorf("%d are in flight, %d are allowed", len(b.moves), b.limits.InFlight)
-	case b.RecentOffers() >= b.limits.PerMinute:
-		return fmt.Errorf("%d were offered in the last minute, %d are allowed", b.RecentOffers(), b.limits.PerMinute)
+	case o.Until <= s.now || o.Until > s.now+s.limits.StepTimeout:
+		return fmt.Errorf("until %v, it is %v and %v is the most", o.Until, s.now, s.limits.StepTimeout)
+	case len(s.moves) >= s.limits.InFlight:
+		return fmt.Errorf("%d are in flight, %d are allowed", len(s.moves), s.limits.InFlight)
+	case s.RecentOffers() >= s.limits.PerMinute:
+		return fmt.Errorf("%d were offered in the last minute, %d are allowed", s.RecentOffers(), s.limits.PerMinute)
 	}
 	n := fence()
-	b.fence = max(b.fence, n)
-	b.moves[o.ID] = move{From: o.From, To: o.To, Epoch: l.epoch, Fence: n, Until: o.Until, Revision: b.limits.Revision}
-	b.nextExpiry = min(b.nextExpiry, o.Until)
-	l.phase, l.since = Offered, b.now
-	b.sessions[o.ID] = l
-	at := b.now - b.now%time.Second
-	if k := len(b.offerCounts); k == 0 || b.offerCounts[k-1].At != at {
-		b.offerCounts = append(b.offerCounts, offerCount{At: at})
+	s.fence = max(s.fence, n)
+	s.moves[o.ID] = move{From: o.From, To: o.To, Epoch: l.epoch, Fence: n, Until: o.Until, Revision: s.limits.Revision}
+	s.nextExpiry = min(s.nextExpiry, o.Until)
+	l.phase, l.since = Offered, s.now
+	s.sessions[o.ID] = l
+	at := s.now - s.now%time.Second
+	if k := len(s.offerCounts); k == 0 || s.offerCounts[k-1].At != at {
+		s.offerCounts = append(s.offerCounts, offerCount{At: at})
 	}
-	b.offerCounts[len(b.offerCounts)-1].N++
+	s.offerCounts[len(s.offerCounts)-1].N++
 	return nil
 }
 
@@ -124,83 +124,83 @@
 // for clocks.
 func (l Limits) SilentFor() time.Duration { return l.Lease + l.Grace + (l.Lease+l.Grace)/100 }
 
-func (b *State) applyRelease(r ReleaseBody) error {
+func (s *State) applyRelease(r ReleaseBody) error {
 	if r.At == 0 {
-		r.At = b.now
+		r.At = s.now
 	}
-	need := b.limits.SilentFor()
+	need := s.limits.SilentFor()
 	switch {
-	case b.limits.Revision == 0:
+	case s.limits.Revision == 0:
 		return errors.New("session: release before there are limits")
-	case r.At < 0 || r.At > b.now || r.Silent < need:
-		return fmt.Errorf("session: release of %s, silent for %v at %v: it is %v, and %v are needed", r.Name, r.Silent, r.At, b.now, need)
+	case r.At < 0 || r.At > s.now || r.Silent < need:
+		return fmt.Errorf("session: release of %s, silent for %v at %v: it is %v, and %v are needed", r.Name, r.Silent, r.At, s.now, need)
 	}
-	if i, ok := b.indexByName[r.Name]; ok && !b.expired(int(i)) {
-		switch n := b.coordinators[i]; {
+	if i, ok := s.indexByName[r.Name]; ok && !s.expired(int(i)) {
+		switch n := s.coordinators[i]; {
 		case n.releasedAt > 0 && r.At <= n.releasedAt:
 			return fmt.Errorf("session: release of %s, silent at %v: it was released at %v", r.Name, r.At, n.releasedAt)
 		case n.lastActAt > 0 && n.lastActAt > r.At-need:
 			return fmt.Errorf("session: release of %s, silent for %v at %v: it acted at %v", r.Name, r.Silent, r.At, n.lastActAt)
 		}
 	}
-	i, err := b.coordinatorIndex(r.Name)
+	i, err := s.coordinatorIndex(r.Name)
 	if err != nil {
 		return fmt.Errorf("session: release of %.20q: %w", r.Name, err)
 	}
-	b.coordinators[i].releasedAt, b.coordinators[i].lastKnownAt = b.now, b.now
-	b.releaseOwned(r.Name, "its co-ordinator was silent")
+	s.coordinators[i].releasedAt, s.coordinators[i].lastKnownAt = s.now, s.now
+	s.releaseOwned(r.Name, "its co-ordinator was silent")
 	return nil
 }
 
 // releaseOwned frees what a co-ordinator has that surely acts no more.
-func (b *State) releaseOwned(co, why string) {
-	b.pool.Drop(co)
-	for _, id := range sortedIDs(b.moves) {
-		f, l := b.moves[id], b.sessions[id]
+func (s *State) releaseOwned(co, reason string) {
+	s.pool.Drop(co)
+	for _, id := range sortedIDs(s.moves) {
+		m, l := s.moves[id], s.sessions[id]
 		switch {
-		case l.phase == Offered && f.To == co:
-			b.pin(id, l)
-		case l.phase == HandedOver && f.Source == co:
-			f.Source = ""
-			b.moves[id] = f
-		case l.phase == HandedOver && b.coordinators[l.owner].name == co:
-			b.returnToSource(id, l, why)
+		case l.phase == Offered && m.To == co:
+			s.pin(id, l)
+		case l.phase == HandedOver && m.Source == co:
+			m.Source = ""
+			s.moves[id] = m
+		case l.phase == HandedOver && s.coordinators[l.owner].name == co:
+			s.returnToSource(id, l, reason)
 		}
 	}
 	var all []ID
-	b.ByOwner(co, func(r Record) bool {
+	s.ByOwner(co, func(r Record) bool {
 		all = append(all, r.ID)
 		return true
 	})
 	for _, id := range all {
-		b.end(id, b.sessions[id], why)
+		s.end(id, s.sessions[id], reason)
 	}
 }
 
-func (b *State) applyLimits(c LimitsBody) error {
+func (s *State) applyLimits(c LimitsBody) error {
 	l := c.Limits
 	if err := l.validate(); err != nil {
 		return err
 	}
-	if l.Revision <= b.limits.Revision {
-		if l.Revision == b.limits.Revision && l.equal(b.limits) {
+	if l.Revision <= s.limits.Revision {
+		if l.Revision == s.limits.Revision && l.equal(s.limits) {
 			return nil
 		}
-		return fmt.Errorf("session: limits of revision %d, %d is in force", l.Revision, b.limits.Revision)
+		return fmt.Errorf("session: limits of revision %d, %d is in force", l.Revision, s.limits.Revision)
 	}
-	before := b.pool.Clone()
-	for _, replica := range b.pool.Replicas() {
+	before := s.pool.Clone()
+	for _, replica := range s.pool.Replicas() {
 		if _, ok := l.Caps[replica]; !ok {
-			_ = b.pool.SetCap(replica, 0) // no more than there were
+			_ = s.pool.SetCap(replica, 0) // no more than there were
 		}
 	}
 	for _, replica := range slices.Sorted(maps.Keys(l.Caps)) {
-		if err := b.pool.SetCap(replica, l.Caps[replica]); err != nil {
-			*b.pool = *before
+		if err := s.pool.SetCap(replica, l.Caps[replica]); err != nil {
+			*s.pool = *before
 			return fmt.Errorf("session: limits: %w", err)
 		}
 	}
-	b.limits, b.limitsAt = l, b.now
+	s.limits, s.limitsAt = l, s.now
 	return nil
 }
 
@@ -212,7 +212,7 @@
 
 // valid says what makes limits unfit.
 func (l Limits) validate() error {
-	for _, one := range []struct {
+	for _, limit := range []struct {
 		name        string
 		n, from, to int
 	}{
@@ -224,16 +224,16 @@
 		{"slots", l.Slots, 1, pool.SlotsMost},
 		{"caps", len(l.Caps), 0, pool.ReplicasMost},
 	} {
-		if one.n < one.from || one.n > one.to {
-			return fmt.Errorf("session: limits: %s is %d, it has to be within %d and %d", one.name, one.n, one.from, one.to)
+		if limit.n < limit.from || limit.n > limit.to {
+			return fmt.Errorf("session: limits: %s is %d, it has to be within %d and %d", limit.name, limit.n, limit.from, limit.to)
 		}
 	}
-	for _, one := range []struct {
+	for _, limit := range []struct {
 		name string
 		d    time.Duration
 	}{{"offer_for", l.StepTimeout}, {"idle_for", l.IdleTimeout}, {"lease", l.Lease}, {"grace", l.Grace}} {
-		if one.d <= 0 || one.d > MaxLimitDuration {
-			return fmt.Errorf("session: limits: %s is %v, it has to be over 0, and at most %v", one.name, one.d, MaxLimitDuration)
+		if limit.d <= 0 || limit.d > MaxLimitDuration {
+			return fmt.Errorf("session: limits: %s is %v, it has to be over 0, and at most %v", limit.name, limit.d, MaxLimitDuration)
 		}
 	}
 	return nil
@@ -242,22 +242,22 @@
 // Renew implements statemachine.Renewer. The copy that the raft group is set up from may be behind: a session may have been handed
 // on, ended or claimed since, and slots too. So all are free, with a gap between the epochs, and nothing is claimed,
 // moved or given before until, when the leases of before have ended.
-func (b *State) Renew(until time.Duration) {
-	const why = "the raft group was set up anew"
-	b.blockedUntil = max(b.blockedUntil, until)
-	for _, l := range b.sessions {
-		b.maxForgottenEpoch = max(b.maxForgottenEpoch, l.epoch)
+func (s *State) Renew(until time.Duration) {
+	const reason = "the raft group was set up anew"
+	s.blockedUntil = max(s.blockedUntil, until)
+	for _, l := range s.sessions {
+		s.maxForgottenEpoch = max(s.maxForgottenEpoch, l.epoch)
 	}
-	for _, e := range b.ended {
-		b.maxForgottenEpoch = max(b.maxForgottenEpoch, e.epoch)
+	for _, e := range s.ended {
+		s.maxForgottenEpoch = max(s.maxForgottenEpoch, e.epoch)
 	}
-	b.maxForgottenEpoch += EpochGap
-	for _, id := range sortedIDs(b.sessions) {
-		b.end(id, b.sessions[id], why)
+	s.maxForgottenEpoch += EpochGap
+	for _, id := range sortedIDs(s.sessions) {
+		s.end(id, s.sessions[id], reason)
 	}
-	for id, e := range b.ended {
-		e.epoch = b.maxForgottenEpoch
-		b.ended[id] = e
+	for id, e := range s.ended {
+		e.epoch = s.maxForgottenEpoch
+		s.ended[id] = e
 	}
-	b.pool.Clear()
+	s.pool.Clear()
 }
--- a/internal/fleet/session/rules_test.go
+++ b/internal/fleet/session/rules_test.go
@@ -329,8 +329,8 @@
 	p.mustRefuse("10001 acts", KindActs, acts("c0", make([]Act, MaxActs+1)...))
 }
 
-func (b *State) mustApplyActs(t *testing.T, body ActsBody) {
-	if err := b.applyActs(body); err != nil {
+func (s *State) mustApplyActs(t *testing.T, body ActsBody) {
+	if err := s.applyActs(body); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/fleet/session/save.go
+++ b/internal/fleet/session/save.go
@@ -57,30 +57,30 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Save implements statemachine.Part: the same bytes for the same state, some 50 a session.
-func (b *State) Save() ([]byte, error) {
-	v := savedState{Now: b.now, Limits: b.limits, LimitsAt: b.limitsAt, BlockedUntil: b.blockedUntil, Fence: b.fence, MaxForgottenEpoch: b.maxForgottenEpoch,
-		Offers: b.offerCounts, Pool: b.pool.Save()}
-	if len(b.limits.Caps) == 0 {
+func (s *State) Save() ([]byte, error) {
+	v := savedState{Now: s.now, Limits: s.limits, LimitsAt: s.limitsAt, BlockedUntil: s.blockedUntil, Fence: s.fence, MaxForgottenEpoch: s.maxForgottenEpoch,
+		Offers: s.offerCounts, Pool: s.pool.Save()}
+	if len(s.limits.Caps) == 0 {
 		v.Limits.Caps = nil
 	}
-	for i, n := range b.coordinators {
-		if !b.expired(i) {
+	for i, n := range s.coordinators {
+		if !s.expired(i) {
 			v.Coordinators = append(v.Coordinators, savedCoordinator{n.name, n.lastActAt, n.releasedAt, n.lastKnownAt})
 		}
 	}
 	slices.SortFunc(v.Coordinators, func(x, y savedCoordinator) int { return cmp.Compare(x.Name, y.Name) })
-	place := make([]int, len(b.coordinators))
+	positions := make([]int, len(s.coordinators))
 	for i, n := range v.Coordinators {
-		place[b.indexByName[n.Name]] = i
+		positions[s.indexByName[n.Name]] = i
 	}
-	v.Sessions = make([]byte, 0, 40*len(b.sessions))
-	for _, id := range sortedIDs(b.sessions) {
-		v.Sessions = appendSession(v.Sessions, id, b.sessions[id], place)
+	v.Sessions = make([]byte, 0, 40*len(s.sessions))
+	for _, id := range sortedIDs(s.sessions) {
+		v.Sessions = appendSession(v.Sessions, id, s.sessions[id], positions)
 	}
-	for _, id := range sortedIDs(b.moves) {
-		v.Moves = append(v.Moves, savedMove{id, b.moves[id]})
+	for _, id := range sortedIDs(s.moves) {
+		v.Moves = append(v.Moves, savedMove{id, s.moves[id]})
 	}
-	v.Reasons, v.Ended = b.packEnds()
+	v.Reasons, v.Ended = s.packEnds()
 	book, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("session: save: %w", err)
@@ -100,50 +100,50 @@
 }
 
 // appendSession appends id, owner's place, epoch, sequence, since, and one byte each of phase and lane.
-func appendSession(raw []byte, id ID, l ownedSession, place []int) []byte {
+func appendSession(raw []byte, id ID, l ownedSession, positions []int) []byte {
 	raw = append(raw, id[:]...)
-	for _, n := range []uint64{uint64(place[l.owner]), l.epoch, l.seq, uint64(l.since)} {
+	for _, n := range []uint64{uint64(positions[l.owner]), l.epoch, l.seq, uint64(l.since)} {
 		raw = binary.AppendUvarint(raw, n)
 	}
 	return append(raw, byte(l.phase), l.lane)
 }
 
 // packEnds gives the reasons, sorted, and for each end id, epoch, sequence, time and the place of its reason.
-func (b *State) packEnds() (whys []string, raw []byte) {
-	seen := map[unique.Handle[string]]int{}
-	for _, e := range b.ended {
-		seen[e.reason] = 0
+func (s *State) packEnds() (reasons []string, raw []byte) {
+	reasonIndex := map[unique.Handle[string]]int{}
+	for _, e := range s.ended {
+		reasonIndex[e.reason] = 0
 	}
-	for why := range seen {
-		whys = append(whys, why.Value())
+	for reason := range reasonIndex {
+		reasons = append(reasons, reason.Value())
 	}
-	slices.Sort(whys)
-	for i, why := range whys {
-		seen[unique.Make(why)] = i
+	slices.Sort(reasons)
+	for i, reason := range reasons {
+		reasonIndex[unique.Make(reason)] = i
 	}
-	for i, id := range b.endOrder {
-		e, ok := b.ended[id]
-		if !ok || e.position != b.firstPosition+uint64(i) {
+	for i, id := range s.endOrder {
+		e, ok := s.ended[id]
+		if !ok || e.position != s.firstPosition+uint64(i) {
 			continue
 		}
 		raw = append(raw, id[:]...)
-		for _, n := range []uint64{e.epoch, e.seq, uint64(e.at), uint64(seen[e.reason])} {
+		for _, n := range []uint64{e.epoch, e.seq, uint64(e.at), uint64(reasonIndex[e.reason])} {
 			raw = binary.AppendUvarint(raw, n)
 		}
 	}
-	return whys, raw
+	return reasons, raw
 }
 
 // Load implements statemachine.Part: all of raw is taken, or nothing and the reason is told.
-func (b *State) Load(raw []byte) error {
-	var head struct {
+func (s *State) Load(raw []byte) error {
+	var header struct {
 		V int `json:"v"`
 	}
-	if err := json.Unmarshal(raw, &head); err != nil {
+	if err := json.Unmarshal(raw, &header); err != nil {
 		return fmt.Errorf("session: saved book can not be read: %w", err)
 	}
-	if head.V != Version {
-		return fmt.Errorf("session: saved book of version %d, this program reads %d: %w", head.V, Version, statemachine.ErrUnknown)
+	if header.V != Version {
+		return fmt.Errorf("session: saved book of version %d, this program reads %d: %w", header.V, Version, statemachine.ErrUnknown)
 	}
 	var o envelope
 	if err := statemachine.Strict(raw, &o); err != nil {
@@ -160,11 +160,11 @@
 	if err := n.restore(v); err != nil {
 		return fmt.Errorf("session: saved book: %w", err)
 	}
-	*b = *n
+	*s = *n
 	return nil
 }
 
-func (b *State) restore(v savedState) error {
+func (s *State) restore(v savedState) error {
 	if v.Limits.Revision != 0 {
 		if err := v.Limits.validate(); err != nil {
 			return err
@@ -181,38 +181,38 @@
 	if v.LimitsAt > v.Now || v.Pool.Now != v.Now {
 		return fmt.Errorf("now %v, limits of %v, slots of %v", v.Now, v.LimitsAt, v.Pool.Now)
 	}
-	b.now, b.limits, b.limitsAt, b.blockedUntil, b.fence, b.maxForgottenEpoch = v.Now, v.Limits, v.LimitsAt, v.BlockedUntil, v.Fence, v.MaxForgottenEpoch
+	s.now, s.limits, s.limitsAt, s.blockedUntil, s.fence, s.maxForgottenEpoch = v.Now, v.Limits, v.LimitsAt, v.BlockedUntil, v.Fence, v.MaxForgottenEpoch
 	for i, n := range v.Coordinators {
 		if i > 0 && v.Coordinators[i-1].Name >= n.Name || n.Name == "" || len(n.Name) > MaxNameBytes {
 			return fmt.Errorf("co-ordinator %.20q is out of order", n.Name)
 		}
-		b.indexByName[n.Name] = uint16(i)
-		b.coordinators = append(b.coordinators, coordinator{name: n.Name, lastActAt: n.LastActAt, releasedAt: n.ReleasedAt, lastKnownAt: n.LastKnownAt})
+		s.indexByName[n.Name] = uint16(i)
+		s.coordinators = append(s.coordinators, coordinator{name: n.Name, lastActAt: n.LastActAt, releasedAt: n.ReleasedAt, lastKnownAt: n.LastKnownAt})
 	}
-	for i, s := range v.Offers {
-		if s.N < 1 || s.N > MaxOffersPerMinute || s.At%time.Second != 0 || s.At < 0 || s.At > v.Now || i > 0 && v.Offers[i-1].At >= s.At {
-			return fmt.Errorf("%d offers at %v", s.N, s.At)
+	for i, count := range v.Offers {
+		if count.N < 1 || count.N > MaxOffersPerMinute || count.At%time.Second != 0 || count.At < 0 || count.At > v.Now || i > 0 && v.Offers[i-1].At >= count.At {
+			return fmt.Errorf("%d offers at %v", count.N, count.At)
 		}
 	}
-	b.offerCounts = v.Offers
-	if err := b.unpackSessions(v.Sessions); err != nil {
+	s.offerCounts = v.Offers
+	if err := s.unpackSessions(v.Sessions); err != nil {
 		return err
 	}
-	b.nextExpiry = statemachine.MaxTime
-	for i, f := range v.Moves {
-		if i > 0 && bytes.Compare(v.Moves[i-1].ID[:], f.ID[:]) >= 0 {
-			return fmt.Errorf("flight of %s is out of order", f.ID)
+	s.nextExpiry = statemachine.MaxTime
+	for i, m := range v.Moves {
+		if i > 0 && bytes.Compare(v.Moves[i-1].ID[:], m.ID[:]) >= 0 {
+			return fmt.Errorf("flight of %s is out of order", m.ID)
 		}
-		b.moves[f.ID] = f.move
-		b.nextExpiry = min(b.nextExpiry, f.Until)
+		s.moves[m.ID] = m.move
+		s.nextExpiry = min(s.nextExpiry, m.Until)
 	}
-	if err := b.unpackEnds(v.Ended, v.Reasons); err != nil {
+	if err := s.unpackEnds(v.Ended, v.Reasons); err != nil {
 		return err
 	}
-	if err := b.pool.Load(v.Pool); err != nil {
+	if err := s.pool.Load(v.Pool); err != nil {
 		return err
 	}
-	return b.Check()
+	return s.Check()
 }
 
 // reader takes a list apart.
@@ -241,7 +241,7 @@
 	return n
 }
 
-func (r *decoder) agreedTime() time.Duration {
+func (r *decoder) time() time.Duration {
 	n := r.uvarint()
 	if n > uint64(statemachine.MaxTime) {
 		r.failed = true
@@ -249,38 +249,38 @@
 	return time.Duration(n)
 }
 
-func (b *State) unpackSessions(raw []byte) error {
-	b.sessions = make(map[ID]ownedSession, len(raw)/28)
+func (s *State) unpackSessions(raw []byte) error {
+	s.sessions = make(map[ID]ownedSession, len(raw)/28)
 	r, last := decoder{raw: raw}, ID{}
 	for i := 0; len(r.raw) > 0; i++ {
 		id := ID(r.bytes(len(last)))
-		owner, epoch, seq, since := r.uvarint(), r.uvarint(), r.uvarint(), r.agreedTime()
+		owner, epoch, seq, since := r.uvarint(), r.uvarint(), r.uvarint(), r.time()
 		rest := r.bytes(2)
-		if r.failed || owner >= uint64(len(b.coordinators)) || i > 0 && bytes.Compare(last[:], id[:]) >= 0 {
+		if r.failed || owner >= uint64(len(s.coordinators)) || i > 0 && bytes.Compare(last[:], id[:]) >= 0 {
 			return fmt.Errorf("session %d is torn or out of order", i)
 		}
 		last = id
-		b.sessions[id] = ownedSession{epoch, seq, since, uint16(owner), Phase(rest[0]), rest[1]}
-		b.coordinators[owner].owned++
+		s.sessions[id] = ownedSession{epoch, seq, since, uint16(owner), Phase(rest[0]), rest[1]}
+		s.coordinators[owner].owned++
 	}
 	return nil
 }
 
-func (b *State) unpackEnds(raw []byte, whys []string) error {
-	for i, why := range whys {
-		if i > 0 && whys[i-1] >= why || len(why) > MaxReasonBytes {
+func (s *State) unpackEnds(raw []byte, reasons []string) error {
+	for i, reason := range reasons {
+		if i > 0 && reasons[i-1] >= reason || len(reason) > MaxReasonBytes {
 			return fmt.Errorf("reason %d is out of order", i)
 		}
 	}
 	r := decoder{raw: raw}
 	for i := 0; len(r.raw) > 0; i++ {
 		id := ID(r.bytes(16))
-		epoch, seq, at, why := r.uvarint(), r.uvarint(), r.agreedTime(), r.uvarint()
-		if _, twice := b.ended[id]; r.failed || why >= uint64(len(whys)) || twice {
+		epoch, seq, at, reasonIndex := r.uvarint(), r.uvarint(), r.time(), r.uvarint()
+		if _, duplicate := s.ended[id]; r.failed || reasonIndex >= uint64(len(reasons)) || duplicate {
 			return fmt.Errorf("end %d is torn, or there twice", i)
 		}
-		b.ended[id] = endedSession{epoch, seq, at, unique.Make(whys[why]), uint64(i)}
-		b.endOrder = append(b.endOrder, id)
+		s.ended[id] = endedSession{epoch, seq, at, unique.Make(reasons[reasonIndex]), uint64(i)}
+		s.endOrder = append(s.endOrder, id)
 	}
 	return nil
 }
--- a/internal/fleet/session/types.go
+++ b/internal/fleet/session/types.go
@@ -16,8 +16,8 @@
 
 // IDOf is the first 16 bytes of SHA-256 over tenant and key, each with its length before it.
 func IDOf(tenant int, key []byte) ID {
-	var room [192]byte // on the stack for most keys
-	raw := room[:0]
+	var buf [192]byte // on the stack for most keys
+	raw := buf[:0]
 	raw = binary.BigEndian.AppendUint64(raw, 8)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(tenant))
 	raw = binary.BigEndian.AppendUint64(raw, uint64(len(key)))
