--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -10,7 +10,8 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Tick implements statemachine.Part: offers and loans whose time is over end, and what is remembered for a time is forgotten.
+// Tick implements statemachine.Part. It advances agreed time, ends the offers, hand-overs and loans whose time is over, and drops
+// what is kept for a limited time.
 func (s *State) Tick(now time.Duration) {
 	s.now = max(s.now, now)
 	s.pool.Tick(s.now)
@@ -25,8 +26,9 @@
 	s.dropExpiredEnds()
 }
 
-// lapse ends the moves whose time is over: an offer is withdrawn, a handed session goes back to its source, or is free if
-// that had it back already. No one acts for a handed one, so that an adoption which comes late finds another epoch.
+// expireMoves ends the steps of moves whose time is over: an offer is withdrawn; a handed-over session returns to its source, or
+// becomes free if it has returned already. No co-ordinator acts for a handed-over session, and its epoch changes here, so that a
+// late adoption is refused.
 func (s *State) expireMoves() {
 	s.nextExpiry = statemachine.MaxTime
 	for _, id := range sortedIDs(s.moves) {
@@ -44,14 +46,15 @@
 	}
 }
 
-// pin ends a move where the session is.
+// pin ends a move: the session stays with its current owner.
 func (s *State) pin(id ID, l ownedSession) {
 	delete(s.moves, id)
 	l.phase, l.since = Pinned, s.now
 	s.sessions[id] = l
 }
 
-// Apply implements statemachine.Part. A command of several acts is refused if each of them is; Refused tells of the others.
+// Apply implements statemachine.Part. A command of several parts is refused only if all of them are; Refusals returns the errors
+// of the parts that were refused.
 func (s *State) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
 	s.Tick(now)
 	s.refusals, s.refusalCount = nil, 0
@@ -67,18 +70,18 @@
 	case KindTick:
 		return decodeAndApply(body, func(TickBody) error { return nil })
 	}
-	return fmt.Errorf("session: kind %q: %w", kind, statemachine.ErrUnknown)
+	return fmt.Errorf("session: command kind %q: %w", kind, statemachine.ErrUnknown)
 }
 
 func decodeAndApply[B any](raw []byte, apply func(B) error) error {
 	var body B
 	if err := statemachine.Strict(raw, &body); err != nil {
-		return fmt.Errorf("session: body can not be read: %w", err)
+		return fmt.Errorf("session: cannot decode the command body: %w", err)
 	}
 	return apply(body)
 }
 
-// several counts what came of the parts of a command; each stands alone.
+// countResult reports whether a part of a command succeeded, and records its error if it did not.
 func (s *State) countResult(what fmt.Stringer, err error) bool {
 	if err == nil {
 		return true
@@ -89,14 +92,15 @@
 	return false
 }
 
+// commandResult returns the error of a command of which done parts succeeded: nil if any did.
 func (s *State) commandResult(done int) error {
 	if done > 0 {
 		return nil
 	}
 	if s.refusalCount == 0 {
-		return errors.New("session: nothing to do")
+		return errors.New("session: the command has no parts")
 	}
-	return fmt.Errorf("session: all %d refused, first %s", s.refusalCount, s.refusals[0])
+	return fmt.Errorf("session: all %d parts were refused, the first: %s", s.refusalCount, s.refusals[0])
 }
 
 func (a Act) String() string {
@@ -108,7 +112,7 @@
 
 func (s *State) applyActs(c ActsBody) error {
 	if c.From == "" || len(c.From) > MaxNameBytes || len(c.Acts) > MaxActs {
-		return fmt.Errorf("session: %d acts of %.20q", len(c.Acts), c.From)
+		return fmt.Errorf("session: invalid command of %d acts from %.20q", len(c.Acts), c.From)
 	}
 	done := 0
 	for _, a := range c.Acts {
@@ -133,17 +137,17 @@
 	}
 	l, ok := s.sessions[a.ID]
 	if !ok {
-		return errors.New("it is free")
+		return errors.New("the session is free")
 	}
 	if a.Epoch != l.epoch {
-		return fmt.Errorf("it is in epoch %d", l.epoch)
+		return fmt.Errorf("the session is in epoch %d", l.epoch)
 	}
 	owner := s.coordinators[l.owner].name
 	if a.Kind == Decline && l.phase == Offered {
 		return s.decline(from, a, l)
 	}
 	if owner != from {
-		return fmt.Errorf("it is %s of %q, not of %q", l.phase, owner, from)
+		return fmt.Errorf("the session is %s, owned by %q, not by %q", l.phase, owner, from)
 	}
 	switch {
 	case a.Kind == HandOver && l.phase == Offered:
@@ -159,20 +163,20 @@
 		s.end(a.ID, l, a.Reason)
 		return nil
 	}
-	return fmt.Errorf("it is %s", l.phase)
+	return fmt.Errorf("the session is %s", l.phase)
 }
 
 func (s *State) claim(from string, a Act) error {
 	r, owned := s.Get(a.ID)
 	switch {
 	case owned:
-		return fmt.Errorf("it is %s of %q in epoch %d", r.Phase, r.Owner, r.Epoch)
+		return fmt.Errorf("the session is %s, owned by %q, in epoch %d", r.Phase, r.Owner, r.Epoch)
 	case s.now < s.blockedUntil:
-		return fmt.Errorf("the era is new, nothing is claimed before %v, it is %v", s.blockedUntil, s.now)
+		return fmt.Errorf("no session can be claimed before %v in a new era, the agreed time is %v", s.blockedUntil, s.now)
 	case a.Epoch != r.Epoch:
-		return fmt.Errorf("it was last in epoch %d", r.Epoch)
+		return fmt.Errorf("the session was last in epoch %d", r.Epoch)
 	case len(s.sessions) >= s.limits.MaxSessions:
-		return fmt.Errorf("%d sessions, %d are allowed", len(s.sessions), s.limits.MaxSessions)
+		return fmt.Errorf("%d sessions exist, %d are allowed", len(s.sessions), s.limits.MaxSessions)
 	}
 	i, err := s.coordinatorIndex(from)
 	if err != nil {
@@ -188,11 +192,11 @@
 	m := s.moves[a.ID]
 	switch {
 	case a.Fence != m.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", m.Fence, a.Fence)
+		return fmt.Errorf("the current offer has number %d, not %d", m.Fence, a.Fence)
 	case a.Seq < l.seq:
-		return fmt.Errorf("%d queries begun, %d were", a.Seq, l.seq)
+		return fmt.Errorf("the hand-over counts %d queries begun, the agreed state %d", a.Seq, l.seq)
 	case len(a.State) > min(s.limits.MaxStateBytes, MaxStateBytes):
-		return fmt.Errorf("a state of %d bytes, %d are allowed", len(a.State), min(s.limits.MaxStateBytes, MaxStateBytes))
+		return fmt.Errorf("the hand-over has a state of %d bytes, %d are allowed", len(a.State), min(s.limits.MaxStateBytes, MaxStateBytes))
 	}
 	to, err := s.coordinatorIndex(m.To)
 	if err != nil {
@@ -210,15 +214,16 @@
 func (s *State) decline(from string, a Act, l ownedSession) error {
 	switch m := s.moves[a.ID]; {
 	case m.To != from:
-		return fmt.Errorf("it is offered to %q, not to %q", m.To, from)
+		return fmt.Errorf("the session is offered to %q, not to %q", m.To, from)
 	case m.Fence != a.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", m.Fence, a.Fence)
+		return fmt.Errorf("the current offer has number %d, not %d", m.Fence, a.Fence)
 	}
 	s.pin(a.ID, l)
 	return nil
 }
 
-// back gives a handed session to its source, once; if that is gone, or had it back before, it is free.
+// returnToSource returns a handed-over session to its source. It frees the session if it has no source any more: the source was
+// released, or the session has returned before.
 func (s *State) returnToSource(id ID, l ownedSession, reason string) {
 	m := s.moves[id]
 	to, err := s.coordinatorIndex(m.Source)
@@ -234,14 +239,14 @@
 	s.sessions[id] = l
 }
 
-// fly gives a flight its time: StepTimeout for each step of it, offered, handed, handed back.
+// startStep stores a move and starts the time of its next step, handed over or returned, which lasts at most Limits.StepTimeout.
 func (s *State) startStep(id ID, m move) {
 	m.Until = s.now + s.limits.StepTimeout
 	s.moves[id] = m
 	s.nextExpiry = min(s.nextExpiry, m.Until)
 }
 
-// end frees a session and keeps how it ended.
+// end frees a session and remembers its end.
 func (s *State) end(id ID, l ownedSession, reason string) {
 	s.coordinators[l.owner].owned--
 	delete(s.sessions, id)
@@ -253,11 +258,12 @@
 	s.endOrder = append(s.endOrder, id)
 }
 
-// forget drops ends older than Remember, and the places of those that were claimed again.
+// dropExpiredEnds drops ends older than EndRetention and the entries of endOrder whose sessions were claimed again. It compacts
+// endOrder when it has more than 64 entries over twice the number of remembered ends.
 func (s *State) dropExpiredEnds() {
 	for len(s.endOrder) > 0 {
 		e, ok := s.ended[s.endOrder[0]]
-		if ok && e.position == s.firstPosition { // else it was claimed since: only its place goes
+		if ok && e.position == s.firstPosition { // otherwise the session was claimed since then, and only its entry in endOrder is dropped
 			if e.at+EndRetention > s.now {
 				break
 			}
@@ -281,7 +287,7 @@
 	s.endOrder, s.firstPosition = keep, 0
 }
 
-// drop forgets the oldest end. Its epoch counts for all that are not known from then on.
+// dropOldestEnd drops the oldest end. From then on its epoch counts for all sessions that are not known.
 func (s *State) dropOldestEnd() {
 	for len(s.endOrder) > 0 {
 		id := s.endOrder[0]
@@ -297,6 +303,7 @@
 	}
 }
 
+// completeTransfer applies Freed: it completes the stage of a transfer that waits for from.
 func (s *State) completeTransfer(from string, fence uint64) error {
 	t, ok := s.pool.Transfer(fence)
 	switch {
@@ -307,10 +314,10 @@
 	case t.Stage != 0 && t.To == from:
 		return s.pool.Return(fence)
 	}
-	return fmt.Errorf("the transfer is %s from %q to %q, it does not wait for %q", t.Stage, t.From, t.To, from)
+	return fmt.Errorf("the transfer is %s from %q to %q and does not wait for %q", t.Stage, t.From, t.To, from)
 }
 
-// clip cuts a reason, between two letters.
+// truncateReason shortens a reason to MaxReasonBytes and keeps it valid UTF-8.
 func truncateReason(reason string) string {
 	return strings.ToValidUTF8(reason[:min(len(reason), MaxReasonBytes)], "")
 }
--- a/internal/fleet/session/book.go
+++ b/internal/fleet/session/book.go
@@ -13,123 +13,128 @@
 )
 
 const (
-	// Version of what is saved. Another one is refused in words.
+	// Version is the version of the saved form. Load refuses any other with an error that names both.
 	Version = 1
-	// MaxSessions in a book, whatever the operators' file says: a snapshot of so many has some 45 MB.
+	// MaxSessions bounds Limits.MaxSessions: a snapshot of this many sessions takes about 45 MB.
 	MaxSessions = 1_000_000
-	// MaxInFlight sessions offered or handed at once, whatever the operators' file says: a hand carries MaxStateBytes at most,
-	// so that the states of all have 10 MB. Twice as many are no use: that many moves take minutes by any PerMinute.
+	// MaxInFlight bounds Limits.InFlight, the sessions that are offered or handed over at a time. A hand-over carries at most
+	// MaxStateBytes, so that all states together take 10 MB. Twice as many would be no use: so many moves take minutes with any
+	// value of Limits.PerMinute.
 	MaxInFlight = 10_000
-	// MaxStateBytes bytes in what a hand carries.
+	// MaxStateBytes bounds the state that a hand-over carries.
 	MaxStateBytes = 1 << 10
-	// MaxOffersPerMinute offers a minute.
+	// MaxOffersPerMinute bounds Limits.PerMinute.
 	MaxOffersPerMinute = 1_000_000
-	// OfferWindow is the window of PerMinute, counted by whole seconds and one more.
+	// OfferWindow is the window in which Limits.PerMinute counts. Offers are counted per second, and the window is rounded up by
+	// one second.
 	OfferWindow = time.Minute
-	// EndRetention is how long it is kept how a session ended. It is the state machine's time for ids, so that a claim which comes
-	// later than that is stale there. Half: a late claim may need a second look at the epoch, and a client that comes
-	// back after 5 minutes is told nothing of the end. Twice: twice the memory.
+	// EndRetention is how long the end of a session is remembered. It equals the time for which the state machine keeps command
+	// IDs, so that the state machine refuses a claim that arrives later as stale. With half of it, a late claim may have to read
+	// the epoch again, and a client that returns after 5 minutes does not learn why its session ended. Twice as long would take
+	// twice the memory.
 	EndRetention = statemachine.IDRetention
-	// MaxEnds ends are kept. The oldest goes first: its client is told nothing then, and its epoch counts for all that
-	// are not known (Book.over). A release of a co-ordinator with 60,000 sessions fits in.
+	// MaxEnds bounds the ends that are remembered. The oldest is dropped first: its client then does not learn why the session
+	// ended, and its epoch counts for all sessions that are not known (State.maxForgottenEpoch). The release of a co-ordinator
+	// with 60,000 sessions fits.
 	MaxEnds = 65_536
-	// MaxCoordinators co-ordinators are known: of the fleet, and of what was in it within Remember.
+	// MaxCoordinators bounds the co-ordinators that are known: those of the fleet, and those that left it within EndRetention.
 	MaxCoordinators = 4_096
-	// MaxNameBytes bytes in a name.
+	// MaxNameBytes bounds the name of a co-ordinator.
 	MaxNameBytes = pool.NameMost
-	// MaxReasonBytes bytes in a reason. Longer ones are cut.
+	// MaxReasonBytes bounds the reason for an end. A longer reason is truncated.
 	MaxReasonBytes = 120
-	// MaxActs acts, or parts of a plan, in one command.
+	// MaxActs bounds the acts, or the parts of a plan, in one command.
 	MaxActs = 10_000
-	// MaxLimitDuration of a limit that is a time.
+	// MaxLimitDuration bounds each duration in Limits.
 	MaxLimitDuration = 24 * time.Hour
-	// EpochGap is left between the epochs of two eras: what was claimed and moved after the copy that a raft group is set
-	// up from is not known here. A session would have to change its owner a million times in between to reach it.
+	// EpochGap separates the epochs of two eras. Claims and moves that followed the copy from which a raft group is set up anew are
+	// not known to the new group. A session would have to change its owner a million times in between to exceed the gap.
 	EpochGap = 1 << 20
-	// MaxRefusals refusals of one command are kept in words; the rest is counted.
+	// MaxRefusals bounds the refusals of one command whose text is kept; all are counted.
 	MaxRefusals = 8
 )
 
-// live is a session that is owned; by its ID in the book. What a move adds is kept apart, in flight.
+// ownedSession is a session that has an owner, kept by ID in State.sessions. What a move adds is kept in State.moves.
 type ownedSession struct {
 	epoch uint64
 	seq   uint64
 	since time.Duration
-	owner uint16 // in Book.names
+	owner uint16 // index in State.coordinators
 	phase Phase
 	lane  uint8
 }
 
-// flight is what is known of a session that is offered or handed.
+// move is the additional state of a session that is offered or handed over. Its fields are saved under their Go names.
 type move struct {
-	From     string            // its owner when it was offered
-	To       string            // who it was offered to
-	Epoch    uint64            // when it was offered
-	Fence    uint64            // of the offer
-	Until    time.Duration     // of the offer; handed, and handed back: of that
-	Revision int               // of the limits that the offer was checked against
-	Source   string            // handed: who gets it back
-	State    []byte            // handed
-	Hand     *handOverEvidence // handed: the word of it
+	From     string            // the owner when the session was offered
+	To       string            // the co-ordinator that it was offered to
+	Epoch    uint64            // of the session when it was offered
+	Fence    uint64            // number of the offer
+	Until    time.Duration     // end of the current step: offered, handed over or returned
+	Revision int               // of the limits that applied to the offer
+	Source   string            // handed over: the co-ordinator that it returns to, see Record.Source
+	State    []byte            // handed over: what the hand-over carried
+	Hand     *handOverEvidence // handed over: the evidence for it
 }
 
-// word is the evidence of a hand, for Check.
+// handOverEvidence records which act handed a session over, for Check. Its fields are saved under their Go names.
 type handOverEvidence struct {
 	By    string
 	Epoch uint64
 	Fence uint64
 }
 
-// ended is how a session ended.
+// endedSession describes the end of a session.
 type endedSession struct {
 	epoch, seq uint64
 	at         time.Duration
 	reason     unique.Handle[string]
-	position   uint64 // its place in Book.ends
+	position   uint64 // State.firstPosition plus its index in State.endOrder
 }
 
-// name is a co-ordinator that owns or owned something.
+// coordinator is a co-ordinator that owns a session, or that acted or was released within EndRetention.
 type coordinator struct {
 	name        string
 	owned       int
-	lastActAt   time.Duration // its last act that was not refused; 0: none
-	releasedAt  time.Duration // its last release; 0: none
-	lastKnownAt time.Duration // the later of both, and of when it was entered
+	lastActAt   time.Duration // time of its last act that was not refused; 0: none
+	releasedAt  time.Duration // time of its last release; 0: none
+	lastKnownAt time.Duration // the latest of both and of the time at which it was entered
 }
 
-// second counts the offers in one second of agreed time.
+// offerCount counts the offers in one second of agreed time.
 type offerCount struct {
 	At time.Duration `json:"at"`
 	N  int           `json:"n"`
 }
 
-// State is the agreed state. The zero value is of no use; New makes one. Not for two goroutines at once, not even to read.
+// State is the agreed state of all pinned sessions. New creates one; the zero value is not usable. It is not safe for concurrent
+// use, not even for concurrent reads.
 type State struct {
 	now          time.Duration
 	limits       Limits
 	limitsAt     time.Duration
-	blockedUntil time.Duration // of a new era: nothing is claimed or moved before
-	fence        uint64        // the highest number of an offer or a transfer
+	blockedUntil time.Duration // in a new era, nothing is claimed or moved before this time
+	fence        uint64        // highest number of an offer or a transfer
 
 	sessions     map[ID]ownedSession
 	moves        map[ID]move
-	nextExpiry   time.Duration // no flight ends before
+	nextExpiry   time.Duration // no step of a move ends before this time
 	coordinators []coordinator
 	indexByName  map[string]uint16
-	offerCounts  []offerCount // of the last minute, by time
+	offerCounts  []offerCount // of the last minute, in order of time
 
 	ended             map[ID]endedSession
-	endOrder          []ID   // in order of their end; one that was claimed since is in ended no more, or with another place
-	firstPosition     uint64 // the place of ends[0]
-	maxForgottenEpoch uint64 // the highest epoch of those that are forgotten: the next of one that is not known is higher
+	endOrder          []ID   // by time of the end; a session claimed since then is missing in ended, or has another position there
+	firstPosition     uint64 // position of endOrder[0]
+	maxForgottenEpoch uint64 // highest epoch of all forgotten ends: a session that is not known gets a higher one
 
 	pool *pool.Pool
 
-	refusals     []string // by the last command, no part of the state
+	refusals     []string // of the last command; not part of the agreed state
 	refusalCount int
 }
 
-// New makes an empty book. Nothing is claimed in it before there are limits.
+// New returns an empty state. Nothing can be claimed in it before it has limits.
 func New() *State {
 	return &State{
 		sessions: map[ID]ownedSession{}, moves: map[ID]move{}, indexByName: map[string]uint16{}, ended: map[ID]endedSession{}, pool: pool.New(),
@@ -137,7 +142,7 @@
 	}
 }
 
-// Clone is an independent copy: some 100 bytes a session.
+// Clone returns an independent copy, which takes about 100 bytes a session.
 func (s *State) Clone() *State {
 	n := *s
 	n.sessions, n.moves, n.indexByName, n.ended = maps.Clone(s.sessions), maps.Clone(s.moves), maps.Clone(s.indexByName), maps.Clone(s.ended)
@@ -147,8 +152,8 @@
 	return &n
 }
 
-// Get gives a session that is owned. Of one that is free it gives false and what is still known: Epoch, which a claim has
-// to name, and, for Remember after its end, Seq and Why.
+// Get returns the record of a session that is owned, and true. For a free session it returns false and what is still known: Epoch,
+// which a claim has to name, and, for EndRetention after its end, Seq and Reason.
 func (s *State) Get(id ID) (Record, bool) {
 	if l, ok := s.sessions[id]; ok {
 		return s.record(id, l), true
@@ -173,10 +178,10 @@
 	return r
 }
 
-// Len is how many sessions are owned.
+// Len returns the number of sessions that are owned.
 func (s *State) Len() int { return len(s.sessions) }
 
-// Owned is how many sessions co owns, those handed to it included.
+// Owned returns the number of sessions that co owns, including those handed over to it.
 func (s *State) Owned(co string) int {
 	if i, ok := s.indexByName[co]; ok {
 		return s.coordinators[i].owned
@@ -184,21 +189,21 @@
 	return 0
 }
 
-// Moving is how many sessions are offered or handed.
+// Moving returns the number of sessions that are offered or handed over.
 func (s *State) Moving() int { return len(s.moves) }
 
-// HasMoves says that a session is on its way from co, to it, or back.
+// HasMoves reports whether a session is moving from co, to co or back to co.
 func (s *State) HasMoves(co string) bool {
-	for id, f := range s.moves {
+	for id, m := range s.moves {
 		l := s.sessions[id]
-		if s.coordinators[l.owner].name == co || l.phase == Offered && f.To == co || l.phase == HandedOver && f.Source == co {
+		if s.coordinators[l.owner].name == co || l.phase == Offered && m.To == co || l.phase == HandedOver && m.Source == co {
 			return true
 		}
 	}
 	return false
 }
 
-// RecentOffers is how many offers count against PerMinute now.
+// RecentOffers returns the number of offers that count against Limits.PerMinute now.
 func (s *State) RecentOffers() int {
 	n := 0
 	for _, count := range s.offerCounts {
@@ -209,35 +214,35 @@
 	return n
 }
 
-// Now is the agreed time that the book was last told.
+// Now returns the agreed time of the last tick or command.
 func (s *State) Now() time.Duration { return s.now }
 
-// BlockedUntil is the agreed time before which nothing is claimed or moved, since the era is new.
+// BlockedUntil returns the agreed time before which nothing is claimed or moved because the era is new.
 func (s *State) BlockedUntil() time.Duration { return s.blockedUntil }
 
-// Pool is the state of the slots, to be read.
+// Pool returns the state of the slots. The caller must not change it.
 func (s *State) Pool() *pool.Pool { return s.pool }
 
-// Limits in force, and their revision; 0 as long as there are none.
+// Limits returns the limits in force and their revision, which is 0 as long as there are none.
 func (s *State) Limits() (Limits, int) { return s.limits, s.limits.Revision }
 
-// Refusals tells what the last command would have done and may not, each in words, MaxRefusals of them, and how many in
-// all. It is no part of the state.
+// Refusals returns the errors of the refused parts of the last command, at most MaxRefusals of them, and the number of all refused
+// parts. They are not part of the agreed state.
 func (s *State) Refusals() ([]string, int) { return s.refusals, s.refusalCount }
 
-// All gives every session that is owned, by its id.
+// All yields every session that is owned, in order of its ID.
 func (s *State) All(yield func(Record) bool) {
 	s.eachMatching(yield, func(ownedSession) bool { return true })
 }
 
-// ByOwner gives the sessions that co owns, by their id.
+// ByOwner yields the sessions that co owns, in order of their IDs.
 func (s *State) ByOwner(co string, yield func(Record) bool) {
 	if i, ok := s.indexByName[co]; ok && s.coordinators[i].owned > 0 {
 		s.eachMatching(yield, func(l ownedSession) bool { return l.owner == i })
 	}
 }
 
-// Moves gives the sessions that are offered or handed, by their id.
+// Moves yields the sessions that are offered or handed over, in order of their IDs.
 func (s *State) Moves(yield func(Record) bool) {
 	for _, id := range sortedIDs(s.moves) {
 		if !yield(s.record(id, s.sessions[id])) {
@@ -246,6 +251,7 @@
 	}
 }
 
+// eachMatching yields the sessions for which matches returns true, in order of their IDs.
 func (s *State) eachMatching(yield func(Record) bool, matches func(ownedSession) bool) {
 	var ids []ID
 	for id, l := range s.sessions {
@@ -270,7 +276,8 @@
 	return ids
 }
 
-// named finds or enters a co-ordinator. One that owns nothing and was not heard of for Remember makes room.
+// coordinatorIndex returns the index of a co-ordinator, and enters it first if it is not known. A new co-ordinator takes the entry
+// of an expired one if there is any.
 func (s *State) coordinatorIndex(co string) (uint16, error) {
 	if i, ok := s.indexByName[co]; ok {
 		if s.expired(int(i)) {
@@ -301,7 +308,8 @@
 	return uint16(at), nil
 }
 
-// gone says that a co-ordinator is forgotten: it owns nothing, and nothing was heard of it for Remember.
+// expired reports whether a co-ordinator counts as forgotten: it owns nothing, and has not been entered, acted or been released
+// within EndRetention.
 func (s *State) expired(i int) bool {
 	return s.coordinators[i].owned == 0 && s.coordinators[i].lastKnownAt < s.now-EndRetention
 }
--- a/internal/fleet/session/check.go
+++ b/internal/fleet/session/check.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Check names the first of S1 (one owner in an epoch, epochs that only grow), S2 (slots, by the pool) and S7 (moves have an
-// end and stay within the limits) that does not hold, with the evidence.
+// Check returns an error for the first invariant that does not hold, with the evidence: S1 (one owner in an epoch, and epochs only
+// grow), S2 (slots, checked by the pool) or S7 (every move ends, and moves stay within the limits).
 func (s *State) Check() error {
 	for _, check := range []func() error{s.checkOwners, s.checkEnds, s.pool.Check, s.checkMoves} {
 		if err := check(); err != nil {
@@ -16,12 +16,13 @@
 	return nil
 }
 
-// checkOwners is S1 for what is owned: an owner that is known, an epoch past what it ended in, a flight if it moves.
+// checkOwners checks S1 for owned sessions: the owner is known, the end of the session is not remembered, and it has a move exactly
+// if its phase is Offered or HandedOver.
 func (s *State) checkOwners() error {
 	owned, moving := make([]int, len(s.coordinators)), 0
-	for id, l := range s.sessions { // in any order: the first fault found is as good as another
+	for id, l := range s.sessions { // in any order: one violation is enough
 		if int(l.owner) >= len(s.coordinators) || l.epoch == 0 {
-			return fmt.Errorf("S1: %s is %s in epoch %d of no one known", id, l.phase, l.epoch)
+			return fmt.Errorf("S1: %s is %s in epoch %d without a known owner", id, l.phase, l.epoch)
 		}
 		if e, ok := s.ended[id]; ok {
 			return fmt.Errorf("S1: %s is %s in epoch %d and ended in %d", id, l.phase, l.epoch, e.epoch)
@@ -29,27 +30,28 @@
 		owned[l.owner]++
 		_, ok := s.moves[id]
 		if ok != (l.phase == Offered || l.phase == HandedOver) || l.phase == Free || l.phase > HandedOver {
-			return fmt.Errorf("S1: %s is %s, and %v that it moves", id, l.phase, ok)
+			return fmt.Errorf("S1: %s is %s, and has a move: %v", id, l.phase, ok)
 		}
 		if ok {
 			moving++
 		}
 	}
 	if moving != len(s.moves) {
-		return fmt.Errorf("S1: %d sessions move, %d are owned of them", len(s.moves), moving)
+		return fmt.Errorf("S1: %d moves exist, %d of their sessions are owned", len(s.moves), moving)
 	}
 	for i, n := range s.coordinators {
 		if n.owned != owned[i] || s.indexByName[n.name] != uint16(i) || max(n.lastActAt, n.releasedAt, n.lastKnownAt) > s.now {
-			return fmt.Errorf("S1: %s owns %d, %d are counted, known at %v, now %v", n.name, owned[i], n.owned, n.lastKnownAt, s.now)
+			return fmt.Errorf("S1: %s owns %d sessions, %d are counted, last known at %v, now %v", n.name, owned[i], n.owned, n.lastKnownAt, s.now)
 		}
 	}
 	if len(s.indexByName) != len(s.coordinators) || len(s.coordinators) > MaxCoordinators || len(s.sessions) > MaxSessions {
-		return fmt.Errorf("S1: %d co-ordinators by name, %d in order, %d sessions", len(s.indexByName), len(s.coordinators), len(s.sessions))
+		return fmt.Errorf("S1: %d co-ordinators by name, %d in the list, %d sessions", len(s.indexByName), len(s.coordinators), len(s.sessions))
 	}
 	return nil
 }
 
-// checkEnds is S1 for what ended: kept in order, so that an epoch is forgotten only into the one that counts for all.
+// checkEnds checks S1 for remembered ends: they are in order of time, so that the oldest is dropped first, and its epoch goes into
+// maxForgottenEpoch.
 func (s *State) checkEnds() error {
 	n, last := 0, time.Duration(0)
 	for i, id := range s.endOrder {
@@ -58,7 +60,7 @@
 			continue
 		}
 		if n++; e.at < last || e.at > s.now || e.at+EndRetention <= s.now || e.epoch == 0 {
-			return fmt.Errorf("S1: %s ended in epoch %d at %v, after one at %v, now %v", id, e.epoch, e.at, last, s.now)
+			return fmt.Errorf("S1: %s ended in epoch %d at %v, after an end at %v, now %v", id, e.epoch, e.at, last, s.now)
 		}
 		last = e.at
 	}
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// checkMoves is S7, and S1 for a hand: it is the word of who owned it, in its epoch, for this offer.
+// checkMoves checks S7, and S1 for hand-overs: each was sent by the owner at that time, in the epoch of the offer, for this offer.
 func (s *State) checkMoves() error {
 	fences := make(map[uint64]ID, len(s.moves))
 	current := 0
@@ -76,14 +78,14 @@
 		m, l := s.moves[id], s.sessions[id]
 		owner := s.coordinators[l.owner].name
 		if o, duplicate := fences[m.Fence]; duplicate || m.Fence == 0 || m.Fence > s.fence {
-			return fmt.Errorf("S1: offer %d is of %s and of %s, the highest is %d", m.Fence, o, id, s.fence)
+			return fmt.Errorf("S1: offer %d belongs to %s and to %s, the highest number is %d", m.Fence, o, id, s.fence)
 		}
 		fences[m.Fence] = id
 		if m.Revision == s.limits.Revision {
 			current++
 		}
 		if m.Until <= s.now || m.Until > s.now+MaxLimitDuration {
-			return fmt.Errorf("S7: %s is %s to %s until %v, it is %v", id, l.phase, m.To, m.Until, s.now)
+			return fmt.Errorf("S7: %s is %s to %s until %v, now %v", id, l.phase, m.To, m.Until, s.now)
 		}
 		if l.phase == Offered {
 			switch {
@@ -94,18 +96,18 @@
 		}
 		switch h := m.Hand; {
 		case h == nil:
-			return fmt.Errorf("S1: %s is handed to %s by no one's word", id, owner)
+			return fmt.Errorf("S1: %s is handed over to %s without evidence", id, owner)
 		case h.By != m.From || h.Epoch != m.Epoch || h.Fence != m.Fence:
-			return fmt.Errorf("S1: offer %d of %s by %s in epoch %d was handed by %s in %d, for offer %d",
+			return fmt.Errorf("S1: offer %d of %s by %s in epoch %d was handed over by %s in %d, for offer %d",
 				m.Fence, id, m.From, m.Epoch, h.By, h.Epoch, h.Fence)
 		case owner == m.To && l.epoch == m.Epoch+1 && (m.Source == m.From || m.Source == ""):
 		case owner == m.From && l.epoch == m.Epoch+2 && m.Source == "":
 		default:
-			return fmt.Errorf("S7: %s of %s in epoch %d, back to %q, was handed by %s in %d to %s",
+			return fmt.Errorf("S7: %s of %s in epoch %d, with source %q, was handed over by %s in %d to %s",
 				id, owner, l.epoch, m.Source, m.From, m.Epoch, m.To)
 		}
 		if len(m.State) > MaxStateBytes {
-			return fmt.Errorf("S7: %s is handed with %d bytes", id, len(m.State))
+			return fmt.Errorf("S7: %s is handed over with %d bytes", id, len(m.State))
 		}
 	}
 	if current > s.limits.InFlight {
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -24,10 +24,10 @@
 
 func (n cancelledTransfer) String() string { return fmt.Sprintf("call off transfer %d", uint64(n)) }
 
-// applyPlan checks each part against the state as it is now, whatever the leader believed.
+// applyPlan checks each part against the current state, since the leader planned with a copy that may be behind.
 func (s *State) applyPlan(p PlanBody, fence func() uint64) error {
 	if n := len(p.Offers) + len(p.Withdrawals) + len(p.Shifts) + len(p.CancelledTransfers); n > MaxActs {
-		return fmt.Errorf("session: a plan of %d parts, %d are allowed", n, MaxActs)
+		return fmt.Errorf("session: the plan has %d parts, %d are allowed", n, MaxActs)
 	}
 	done := 0
 	for _, w := range p.Withdrawals {
@@ -57,11 +57,11 @@
 	l, ok := s.sessions[w.ID]
 	switch {
 	case !ok:
-		return errors.New("it is free")
+		return errors.New("the session is free")
 	case l.epoch != w.Epoch || l.phase != Offered:
-		return fmt.Errorf("it is %s in epoch %d", l.phase, l.epoch)
+		return fmt.Errorf("the session is %s in epoch %d", l.phase, l.epoch)
 	case s.moves[w.ID].Fence != w.Fence:
-		return fmt.Errorf("its offer is number %d", s.moves[w.ID].Fence)
+		return fmt.Errorf("the current offer has number %d", s.moves[w.ID].Fence)
 	}
 	s.pin(w.ID, l)
 	return nil
@@ -69,7 +69,7 @@
 
 func (s *State) shift(shift Shift, fence func() uint64) error {
 	if s.now < s.blockedUntil {
-		return fmt.Errorf("the era is new, no slots are given before %v, it is %v", s.blockedUntil, s.now)
+		return fmt.Errorf("no slots are assigned before %v in a new era, the agreed time is %v", s.blockedUntil, s.now)
 	}
 	if shift.From == "" && shift.Until == 0 {
 		return s.pool.Take(shift.To, shift.Replica, shift.N)
@@ -89,22 +89,22 @@
 func (s *State) offer(o Offer, fence func() uint64) error {
 	l, ok := s.sessions[o.ID]
 	if !ok {
-		return errors.New("it is free")
+		return errors.New("the session is free")
 	}
 	if o.Until == 0 {
 		o.Until = s.now + s.limits.StepTimeout
 	}
 	switch owner := s.coordinators[l.owner].name; {
 	case l.epoch != o.Epoch || l.phase != Pinned || owner != o.From:
-		return fmt.Errorf("it is %s of %q in epoch %d", l.phase, owner, l.epoch)
+		return fmt.Errorf("the session is %s, owned by %q, in epoch %d", l.phase, owner, l.epoch)
 	case o.To == "" || len(o.To) > MaxNameBytes || o.To == o.From:
-		return fmt.Errorf("from %q to %.20q", o.From, o.To)
+		return fmt.Errorf("invalid offer from %q to %.20q", o.From, o.To)
 	case o.Until <= s.now || o.Until > s.now+s.limits.StepTimeout:
-		return fmt.Errorf("until %v, it is %v and %v is the most", o.Until, s.now, s.limits.StepTimeout)
+		return fmt.Errorf("the offer ends at %v, the agreed time is %v, and it may last %v at most", o.Until, s.now, s.limits.StepTimeout)
 	case len(s.moves) >= s.limits.InFlight:
-		return fmt.Errorf("%d are in flight, %d are allowed", len(s.moves), s.limits.InFlight)
+		return fmt.Errorf("%d sessions are in flight, %d are allowed", len(s.moves), s.limits.InFlight)
 	case s.RecentOffers() >= s.limits.PerMinute:
-		return fmt.Errorf("%d were offered in the last minute, %d are allowed", s.RecentOffers(), s.limits.PerMinute)
+		return fmt.Errorf("%d sessions were offered in the last minute, %d are allowed", s.RecentOffers(), s.limits.PerMinute)
 	}
 	n := fence()
 	s.fence = max(s.fence, n)
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// SilentFor is how long a co-ordinator has to have been silent before it may be released: its lease and grace, and 1 %
-// for clocks.
+// SilentFor returns how long a co-ordinator has to be silent before it may be released: its lease, the grace and 1 % of both for
+// the difference between clocks.
 func (l Limits) SilentFor() time.Duration { return l.Lease + l.Grace + (l.Lease+l.Grace)/100 }
 
 func (s *State) applyRelease(r ReleaseBody) error {
@@ -131,9 +131,9 @@
 	need := s.limits.SilentFor()
 	switch {
 	case s.limits.Revision == 0:
-		return errors.New("session: release before there are limits")
+		return errors.New("session: release without limits in force")
 	case r.At < 0 || r.At > s.now || r.Silent < need:
-		return fmt.Errorf("session: release of %s, silent for %v at %v: it is %v, and %v are needed", r.Name, r.Silent, r.At, s.now, need)
+		return fmt.Errorf("session: release of %s, silent for %v at %v: the agreed time is %v, and a silence of %v is needed", r.Name, r.Silent, r.At, s.now, need)
 	}
 	if i, ok := s.indexByName[r.Name]; ok && !s.expired(int(i)) {
 		switch n := s.coordinators[i]; {
@@ -152,7 +152,8 @@
 	return nil
 }
 
-// releaseOwned frees what a co-ordinator has that surely acts no more.
+// releaseOwned frees the slots and sessions of a co-ordinator that certainly does not act any more, and ends its part in the moves
+// of other sessions.
 func (s *State) releaseOwned(co, reason string) {
 	s.pool.Drop(co)
 	for _, id := range sortedIDs(s.moves) {
@@ -191,7 +192,7 @@
 	before := s.pool.Clone()
 	for _, replica := range s.pool.Replicas() {
 		if _, ok := l.Caps[replica]; !ok {
-			_ = s.pool.SetCap(replica, 0) // no more than there were
+			_ = s.pool.SetCap(replica, 0) // cannot fail: the replica has an entry, and 0 slots are allowed
 		}
 	}
 	for _, replica := range slices.Sorted(maps.Keys(l.Caps)) {
@@ -204,13 +205,14 @@
 	return nil
 }
 
+// equal reports whether two sets of limits have the same values. An empty Caps equals a missing one.
 func (l Limits) equal(o Limits) bool {
 	caps := maps.Equal(l.Caps, o.Caps)
 	l.Caps, o.Caps = nil, nil
 	return caps && fmt.Sprint(l) == fmt.Sprint(o)
 }
 
-// valid says what makes limits unfit.
+// validate returns an error that names the first limit out of its range.
 func (l Limits) validate() error {
 	for _, limit := range []struct {
 		name        string
@@ -225,7 +227,7 @@
 		{"caps", len(l.Caps), 0, pool.ReplicasMost},
 	} {
 		if limit.n < limit.from || limit.n > limit.to {
-			return fmt.Errorf("session: limits: %s is %d, it has to be within %d and %d", limit.name, limit.n, limit.from, limit.to)
+			return fmt.Errorf("session: limits: %s is %d, it must be between %d and %d", limit.name, limit.n, limit.from, limit.to)
 		}
 	}
 	for _, limit := range []struct {
@@ -233,15 +235,15 @@
 		d    time.Duration
 	}{{"offer_for", l.StepTimeout}, {"idle_for", l.IdleTimeout}, {"lease", l.Lease}, {"grace", l.Grace}} {
 		if limit.d <= 0 || limit.d > MaxLimitDuration {
-			return fmt.Errorf("session: limits: %s is %v, it has to be over 0, and at most %v", limit.name, limit.d, MaxLimitDuration)
+			return fmt.Errorf("session: limits: %s is %v, it must be over 0 and at most %v", limit.name, limit.d, MaxLimitDuration)
 		}
 	}
 	return nil
 }
 
-// Renew implements statemachine.Renewer. The copy that the raft group is set up from may be behind: a session may have been handed
-// on, ended or claimed since, and slots too. So all are free, with a gap between the epochs, and nothing is claimed,
-// moved or given before until, when the leases of before have ended.
+// Renew implements statemachine.Renewer. The copy from which the raft group is set up may be behind: sessions may have been handed
+// over, ended or claimed since then, and slots moved. So all sessions and slots become free, with a gap between old and new epochs,
+// and nothing is claimed, moved or assigned before until, when the leases of the previous era have ended.
 func (s *State) Renew(until time.Duration) {
 	const reason = "the raft group was set up anew"
 	s.blockedUntil = max(s.blockedUntil, until)
--- a/internal/fleet/session/play_test.go
+++ b/internal/fleet/session/play_test.go
@@ -117,7 +117,7 @@
 	p := newHarness(t, limits)
 	claim := acts("c0", Act{Kind: Claim, ID: a, Lane: 3})
 	p.mustApply(KindActs, claim)
-	p.mustRefuse("pinned of \"c0\" in epoch 1", KindActs, claim)
+	p.mustRefuse("pinned, owned by \"c0\", in epoch 1", KindActs, claim)
 	n := p.offer(a, "c1")
 	if r := p.expect(a, "c0", 1, Offered); r.To != "c1" || r.Until != p.now+10*second || r.Fence != n || r.Lane != 3 {
 		t.Fatalf("%+v", r)
@@ -127,17 +127,17 @@
 	if r := p.expect(a, "c1", 2, HandedOver); r.Source != "c0" || r.Seq != 7 || string(r.State) != "x" || r.Lane != 4 {
 		t.Fatalf("%+v", r)
 	}
-	p.mustRefuse("it is in epoch 2", KindActs, hand)
+	p.mustRefuse("the session is in epoch 2", KindActs, hand)
 	adopt := acts("c1", Act{Kind: Adopt, ID: a, Epoch: 2})
 	p.mustApply(KindActs, adopt)
 	p.expect(a, "c1", 2, Pinned)
-	p.mustRefuse("it is pinned", KindActs, adopt)
+	p.mustRefuse("the session is pinned", KindActs, adopt)
 	end := acts("c1", Act{Kind: End, ID: a, Epoch: 2, Seq: 9, Reason: "idle"})
 	p.mustApply(KindActs, end)
 	if r := p.expect(a, "", 2, Free); r.Reason != "idle" || r.Seq != 9 {
 		t.Fatalf("%+v", r)
 	}
-	p.mustRefuse("it is free", KindActs, end)
+	p.mustRefuse("the session is free", KindActs, end)
 	p.mustRefuse("last in epoch 2", KindActs, claim)
 	p.claim("c2", a)
 	if r := p.expect(a, "c2", 3, Pinned); r.Seq != 9 {
--- a/internal/fleet/session/rules_test.go
+++ b/internal/fleet/session/rules_test.go
@@ -37,43 +37,43 @@
 		want string
 		f    func()
 	}{
-		{"all 1 refused, first claim 0300", act("c0", Act{Kind: Claim, ID: c, Epoch: 1})},
+		{"all 1 parts were refused, the first: claim 0300", act("c0", Act{Kind: Claim, ID: c, Epoch: 1})},
 		{"last in epoch 0", act("c0", Act{Kind: Claim, ID: c, Epoch: 1})},
-		{`pinned of "c0" in epoch 1`, act("c1", Act{Kind: Claim, ID: a})}, {"it is free", act("c0", Act{Kind: End, ID: c})},
-		{"it is pinned", act("c0", Act{Kind: HandOver, ID: a, Epoch: 1})}, {"it is pinned", act("c0", Act{Kind: Adopt, ID: a, Epoch: 1})},
-		{"it is pinned", act("c0", Act{Kind: Decline, ID: a, Epoch: 1})}, {`pinned of "c0", not of "c1"`, act("c1", Act{Kind: End, ID: a, Epoch: 1})},
+		{`pinned, owned by "c0", in epoch 1`, act("c1", Act{Kind: Claim, ID: a})}, {"the session is free", act("c0", Act{Kind: End, ID: c})},
+		{"the session is pinned", act("c0", Act{Kind: HandOver, ID: a, Epoch: 1})}, {"the session is pinned", act("c0", Act{Kind: Adopt, ID: a, Epoch: 1})},
+		{"the session is pinned", act("c0", Act{Kind: Decline, ID: a, Epoch: 1})}, {`pinned, owned by "c0", not by "c1"`, act("c1", Act{Kind: End, ID: a, Epoch: 1})},
 		{"in epoch 1", act("c0", Act{Kind: End, ID: a, Epoch: 2})}, {"in epoch 1", act("c0", Act{Kind: End, ID: a})},
-		{`offered of "c0", not of "c1"`, act("c1", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: n})},
-		{"is number 1, not 2", act("c0", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: 2})},
-		{"in epoch 1", act("c0", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: n})}, {"it is offered", act("c0", Act{Kind: Adopt, ID: b, Epoch: 1})},
+		{`offered, owned by "c0", not by "c1"`, act("c1", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: n})},
+		{"has number 1, not 2", act("c0", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: 2})},
+		{"in epoch 1", act("c0", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: n})}, {"the session is offered", act("c0", Act{Kind: Adopt, ID: b, Epoch: 1})},
 		{`offered to "c1", not to "c2"`, act("c2", Act{Kind: Decline, ID: b, Epoch: 1, Fence: n})},
 		{`offered to "c1", not to "c0"`, act("c0", Act{Kind: Decline, ID: b, Epoch: 1, Fence: n})},
-		{"is number 1, not 0", act("c1", Act{Kind: Decline, ID: b, Epoch: 1})}, {"it is pinned", act("c0", Act{Kind: 9, ID: a, Epoch: 1})},
+		{"has number 1, not 0", act("c1", Act{Kind: Decline, ID: b, Epoch: 1})}, {"the session is pinned", act("c0", Act{Kind: 9, ID: a, Epoch: 1})},
 		{"a state of 65 bytes", act("c0", Act{Kind: HandOver, ID: b, Epoch: 1, Fence: n, State: make([]byte, 65)})},
-		{"freed 5: no such transfer", act("c0", Act{Kind: Freed, Fence: 5})}, {"acts of \"\"", act("", Act{})},
-		{"acts of", act(long, Act{Kind: Claim, ID: c})},
-		{`offered of "c0" in epoch 1`, offer(Offer{b, 1, "c0", "c2", 0})}, {`pinned of "c0"`, offer(Offer{a, 1, "c1", "c2", 0})},
+		{"freed 5: no such transfer", act("c0", Act{Kind: Freed, Fence: 5})}, {"acts from \"\"", act("", Act{})},
+		{"acts from", act(long, Act{Kind: Claim, ID: c})},
+		{`offered, owned by "c0", in epoch 1`, offer(Offer{b, 1, "c0", "c2", 0})}, {`pinned, owned by "c0"`, offer(Offer{a, 1, "c1", "c2", 0})},
 		{`in epoch 1`, offer(Offer{a, 2, "c0", "c2", 0})}, {`from "c0" to "c0"`, offer(Offer{a, 1, "c0", "c0", 0})},
 		{`to "xxxx`, offer(Offer{a, 1, "c0", long, 0})}, {`to ""`, offer(Offer{a, 1, "c0", "", 0})},
-		{"it is free", offer(Offer{c, 1, "c0", "c2", 0})}, {"10s is the most", offer(Offer{a, 1, "c0", "c2", p.now})},
-		{"10s is the most", offer(Offer{a, 1, "c0", "c2", p.now + 11*second})},
-		{"it is pinned", plan(PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})},
+		{"the session is free", offer(Offer{c, 1, "c0", "c2", 0})}, {"it may last 10s at most", offer(Offer{a, 1, "c0", "c2", p.now})},
+		{"it may last 10s at most", offer(Offer{a, 1, "c0", "c2", p.now + 11*second})},
+		{"the session is pinned", plan(PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})},
 		{"in epoch 1", plan(PlanBody{Withdrawals: []Withdrawal{{b, 2, n}}})},
-		{"number 1", plan(PlanBody{Withdrawals: []Withdrawal{{b, 1, 2}}})}, {"it is free", plan(PlanBody{Withdrawals: []Withdrawal{{c, 0, 0}}})},
+		{"number 1", plan(PlanBody{Withdrawals: []Withdrawal{{b, 1, 2}}})}, {"the session is free", plan(PlanBody{Withdrawals: []Withdrawal{{c, 0, 0}}})},
 		{"4 are free", plan(PlanBody{Shifts: []Shift{{"", "c0", "r0", 5, 0}}})},
 		{"holds 0", plan(PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, 0}}})},
 		{"holds 0", plan(PlanBody{Shifts: []Shift{{"c0", "c1", "r0", 1, p.now + 1}}})}, {"back 4", plan(PlanBody{CancelledTransfers: []uint64{4}})},
-		{"nothing to do", plan(PlanBody{})}, {"10001 parts", plan(PlanBody{CancelledTransfers: make([]uint64, MaxActs+1)})},
-		{"15.15s are needed", release(ReleaseBody{"c9", need - 1, p.now})}, {"it acted at", release(ReleaseBody{"c0", need, p.now})},
-		{"it is 16m40s", release(ReleaseBody{"c9", need, p.now + 1})}, {"1 to 128 bytes, not 0", release(ReleaseBody{"", need, p.now})},
-		{"1 to 128 bytes, not 129", release(ReleaseBody{long, need, p.now})}, {"it is 16m40s", release(ReleaseBody{"c9", need, -1})},
+		{"the command has no parts", plan(PlanBody{})}, {"10001 parts", plan(PlanBody{CancelledTransfers: make([]uint64, MaxActs+1)})},
+		{"a silence of 15.15s is needed", release(ReleaseBody{"c9", need - 1, p.now})}, {"it acted at", release(ReleaseBody{"c0", need, p.now})},
+		{"the agreed time is 16m40s", release(ReleaseBody{"c9", need, p.now + 1})}, {"1 to 128 bytes, not 0", release(ReleaseBody{"", need, p.now})},
+		{"1 to 128 bytes, not 129", release(ReleaseBody{long, need, p.now})}, {"the agreed time is 16m40s", release(ReleaseBody{"c9", need, -1})},
 	} {
 		p.wantError = one.want
 		one.f()
 	}
 	p.handOver(b, 5)
-	p.mustRefuse(`handed of "c1", not of "c0"`, KindActs, acts("c0", Act{Kind: Adopt, ID: b, Epoch: 2}))
-	p.mustRefuse(`handed of "c1", not of "c2"`, KindActs, acts("c2", Act{Kind: Decline, ID: b, Epoch: 2}))
+	p.mustRefuse(`handed, owned by "c1", not by "c0"`, KindActs, acts("c0", Act{Kind: Adopt, ID: b, Epoch: 2}))
+	p.mustRefuse(`handed, owned by "c1", not by "c2"`, KindActs, acts("c2", Act{Kind: Decline, ID: b, Epoch: 2}))
 	p.mustRefuse("in epoch 2", KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 1}))
 	if err := New().applyRelease(ReleaseBody{"c9", need, 0}); err == nil {
 		t.Fatal("released without limits")
@@ -89,7 +89,7 @@
 		t.Fatal(words, n)
 	}
 	p.offer(b, "c2")
-	p.mustRefuse("3 queries begun, 5 were", KindActs, acts("c1", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: p.fence, Seq: 3}))
+	p.mustRefuse("counts 3 queries begun, the agreed state 5", KindActs, acts("c1", Act{Kind: HandOver, ID: b, Epoch: 2, Fence: p.fence, Seq: 3}))
 }
 
 // The hand of an offer that was withdrawn comes late, when the session is offered again in the same epoch.
@@ -101,8 +101,8 @@
 	no := acts("c1", Act{Kind: Decline, ID: a, Epoch: 1, Fence: n})
 	p.mustApply(KindPlan, PlanBody{Withdrawals: []Withdrawal{{a, 1, n}}})
 	p.offer(a, "c1")
-	p.mustRefuse("is number 2, not 1", KindActs, late)
-	p.mustRefuse("is number 2, not 1", KindActs, no)
+	p.mustRefuse("has number 2, not 1", KindActs, late)
+	p.mustRefuse("has number 2, not 1", KindActs, no)
 	p.handOver(a, 20)
 	p.mustRefuse("in epoch 2", KindActs, late)
 	p.mustApply(KindActs, acts("c1", Act{Kind: Adopt, ID: a, Epoch: 2}))
@@ -215,20 +215,20 @@
 		all = append(all, Act{Kind: Claim, ID: ID{i}})
 	}
 	p.mustApply(KindActs, acts("c0", all...))
-	if words, n := p.b.Refusals(); n != 1 || p.b.Len() != 5 || p.b.Owned("c0") != 5 || !strings.Contains(words[0], "5 sessions, 5 are allowed") {
+	if words, n := p.b.Refusals(); n != 1 || p.b.Len() != 5 || p.b.Owned("c0") != 5 || !strings.Contains(words[0], "5 sessions exist, 5 are allowed") {
 		t.Fatal(words, n)
 	}
 	p.now = p.now.Truncate(second) + second - 1 // the end of a second
 	for i := range byte(4) {
 		p.offer(ID{i}, "c1")
 		if i%2 == 1 {
-			p.mustRefuse("2 are in flight, 2 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
+			p.mustRefuse("2 sessions are in flight, 2 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
 			p.now += 11 * second
 			p.b.Tick(p.now)
 		}
 	}
 	p.now = 1060 * second
-	p.mustRefuse("4 were offered in the last minute, 4 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
+	p.mustRefuse("4 sessions were offered in the last minute, 4 are allowed", KindPlan, PlanBody{Offers: []Offer{{ID{4}, 1, "c0", "c1", 0}}})
 	p.now = 1061 * second
 	p.offer(ID{4}, "c1")
 
@@ -346,8 +346,8 @@
 	if r := p.expect(a, "", 1+EpochGap, Free); r.Reason != "the raft group was set up anew" || p.b.Pool().Free("r0") != 4 || p.b.BlockedUntil() != p.now+20*second {
 		t.Fatalf("%+v", r)
 	}
-	p.mustRefuse("nothing is claimed before 17m0s", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1 + EpochGap}))
-	p.mustRefuse("no slots are given before 17m0s", KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 1, 0}}})
+	p.mustRefuse("no session can be claimed before 17m0s", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1 + EpochGap}))
+	p.mustRefuse("no slots are assigned before 17m0s", KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 1, 0}}})
 	p.now += 20 * second
 	p.mustRefuse("last in epoch 1048577", KindActs, acts("c0", Act{Kind: Claim, ID: a, Epoch: 1}))
 	p.claim("c0", a)
@@ -361,26 +361,26 @@
 // Check finds each rule broken.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for words, spoil := range map[string]func(*State){
-		"S1: " + a.String() + " is pinned in epoch 1 of no one": func(b *State) {
+		"S1: " + a.String() + " is pinned in epoch 1 without a known owner": func(b *State) {
 			l := b.sessions[a]
 			l.owner = 9
 			b.sessions[a] = l
 		},
 		"S1: " + a.String() + " is pinned in epoch 1 and ended": func(b *State) { b.ended[a] = b.ended[ID{4}] },
-		"S1: " + c.String() + " is pinned, and true": func(b *State) {
+		"S1: " + c.String() + " is pinned, and has a move: true": func(b *State) {
 			l := b.sessions[c]
 			l.phase = Pinned
 			b.sessions[c] = l
 		},
-		"S1: 3 sessions move":          func(b *State) { b.moves[ID{7}] = move{} },
-		"S1: c0 owns 2, 3 are counted": func(b *State) { b.coordinators[b.indexByName["c0"]].owned++ },
-		"S1: 1 ends in order, 2 by id": func(b *State) { b.ended[ID{5}] = b.ended[ID{4}] },
+		"S1: 3 moves exist":                     func(b *State) { b.moves[ID{7}] = move{} },
+		"S1: c0 owns 2 sessions, 3 are counted": func(b *State) { b.coordinators[b.indexByName["c0"]].owned++ },
+		"S1: 1 ends in order, 2 by id":          func(b *State) { b.ended[ID{5}] = b.ended[ID{4}] },
 		"S1: 04000000000000000000000000000000 ended in epoch 0": func(b *State) {
 			e := b.ended[ID{4}]
 			e.epoch = 0
 			b.ended[ID{4}] = e
 		},
-		"S1: offer 1 is of 02": func(b *State) {
+		"S1: offer 1 belongs to 02": func(b *State) {
 			f := b.moves[c]
 			f.Fence = 1
 			f.Hand.Fence = 1
@@ -396,12 +396,12 @@
 			f.Until = b.now
 			b.moves[idOfB] = f
 		},
-		"S1: " + c.String() + " is handed to c1 by no": func(b *State) {
+		"S1: " + c.String() + " is handed over to c1 without": func(b *State) {
 			f := b.moves[c]
 			f.Hand = nil
 			b.moves[c] = f
 		},
-		"S1: offer 2 of " + c.String() + " by c0 in epoch 1 was handed by c0 in 1, for offer 1": func(b *State) { b.moves[c].Hand.Fence = 1 },
+		"S1: offer 2 of " + c.String() + " by c0 in epoch 1 was handed over by c0 in 1, for offer 1": func(b *State) { b.moves[c].Hand.Fence = 1 },
 		"S7: " + c.String() + " of c1 in epoch 3": func(b *State) {
 			l := b.sessions[c]
 			l.epoch = 3
--- a/internal/fleet/session/save.go
+++ b/internal/fleet/session/save.go
@@ -17,15 +17,15 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// outer is what Save gives. Sum is CRC-32C over the bytes of Book.
+// envelope is the saved form. Sum is the CRC-32C of the bytes of State.
 type envelope struct {
 	Version int             `json:"v"`
 	Sum     uint32          `json:"sum"`
 	State   json.RawMessage `json:"book"`
 }
 
-// saved is the book. Sessions and ends are binary, see appendSession and packEnds: a JSON object each would be five times as
-// long.
+// savedState is the saved form of State. Sessions and ends are binary, see appendSession and packEnds, because JSON objects would
+// take five times as many bytes.
 type savedState struct {
 	Now               time.Duration      `json:"now"`
 	Limits            Limits             `json:"limits"`
@@ -33,12 +33,12 @@
 	BlockedUntil      time.Duration      `json:"quiet,omitempty"`
 	Fence             uint64             `json:"fence"`
 	MaxForgottenEpoch uint64             `json:"over"`
-	Coordinators      []savedCoordinator `json:"names,omitempty"` // by name
-	Sessions          []byte             `json:"live,omitempty"`  // by id
+	Coordinators      []savedCoordinator `json:"names,omitempty"` // in order of name
+	Sessions          []byte             `json:"live,omitempty"`  // in order of ID
 	Moves             []savedMove        `json:"flights,omitempty"`
 	Offers            []offerCount       `json:"offers,omitempty"`
 	Reasons           []string           `json:"whys,omitempty"`  // sorted
-	Ended             []byte             `json:"ended,omitempty"` // in order of their end
+	Ended             []byte             `json:"ended,omitempty"` // in order of time
 	Pool              pool.Saved         `json:"pool"`
 }
 
@@ -56,7 +56,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Save implements statemachine.Part: the same bytes for the same state, some 50 a session.
+// Save implements statemachine.Part. Equal states give equal bytes, about 50 a session.
 func (s *State) Save() ([]byte, error) {
 	v := savedState{Now: s.now, Limits: s.limits, LimitsAt: s.limitsAt, BlockedUntil: s.blockedUntil, Fence: s.fence, MaxForgottenEpoch: s.maxForgottenEpoch,
 		Offers: s.offerCounts, Pool: s.pool.Save()}
@@ -88,7 +88,7 @@
 	return wrapWithChecksum(book), nil
 }
 
-// seal puts version and checksum around a book.
+// wrapWithChecksum encodes an envelope around the encoded state.
 func wrapWithChecksum(book []byte) []byte {
 	raw := make([]byte, 0, len(book)+64)
 	raw = append(raw, `{"v":`...)
@@ -99,7 +99,8 @@
 	return append(append(raw, book...), '}')
 }
 
-// appendSession appends id, owner's place, epoch, sequence, since, and one byte each of phase and lane.
+// appendSession appends the ID, the owner's index in Coordinators, epoch, sequence and start of the phase of a session, and one byte
+// each for phase and lane.
 func appendSession(raw []byte, id ID, l ownedSession, positions []int) []byte {
 	raw = append(raw, id[:]...)
 	for _, n := range []uint64{uint64(positions[l.owner]), l.epoch, l.seq, uint64(l.since)} {
@@ -108,7 +109,7 @@
 	return append(raw, byte(l.phase), l.lane)
 }
 
-// packEnds gives the reasons, sorted, and for each end id, epoch, sequence, time and the place of its reason.
+// packEnds returns the sorted reasons and, for each end, its ID, epoch, sequence, time and the index of its reason.
 func (s *State) packEnds() (reasons []string, raw []byte) {
 	reasonIndex := map[unique.Handle[string]]int{}
 	for _, e := range s.ended {
@@ -134,31 +135,31 @@
 	return reasons, raw
 }
 
-// Load implements statemachine.Part: all of raw is taken, or nothing and the reason is told.
+// Load implements statemachine.Part. It replaces the whole state, or returns an error and changes nothing.
 func (s *State) Load(raw []byte) error {
 	var header struct {
 		V int `json:"v"`
 	}
 	if err := json.Unmarshal(raw, &header); err != nil {
-		return fmt.Errorf("session: saved book can not be read: %w", err)
+		return fmt.Errorf("session: cannot decode the saved state: %w", err)
 	}
 	if header.V != Version {
-		return fmt.Errorf("session: saved book of version %d, this program reads %d: %w", header.V, Version, statemachine.ErrUnknown)
+		return fmt.Errorf("session: the saved state has version %d, this program reads version %d: %w", header.V, Version, statemachine.ErrUnknown)
 	}
 	var o envelope
 	if err := statemachine.Strict(raw, &o); err != nil {
-		return fmt.Errorf("session: saved book can not be read: %w", err)
+		return fmt.Errorf("session: cannot decode the saved state: %w", err)
 	}
 	if crc32.Checksum(o.State, castagnoli) != o.Sum {
-		return errors.New("session: saved book is damaged: its checksum is another")
+		return errors.New("session: the saved state is damaged: its checksum does not match")
 	}
 	var v savedState
 	if err := statemachine.Strict(o.State, &v); err != nil {
-		return fmt.Errorf("session: saved book can not be read: %w", err)
+		return fmt.Errorf("session: cannot decode the saved state: %w", err)
 	}
 	n := New()
 	if err := n.restore(v); err != nil {
-		return fmt.Errorf("session: saved book: %w", err)
+		return fmt.Errorf("session: saved state: %w", err)
 	}
 	*s = *n
 	return nil
@@ -171,27 +172,27 @@
 		}
 	}
 	if len(v.Coordinators) > MaxCoordinators || len(v.Moves) > MaxInFlight || len(v.Reasons) > MaxEnds || len(v.Offers) > int(OfferWindow/time.Second)+2 {
-		return fmt.Errorf("%d names, %d flights, %d reasons, %d seconds", len(v.Coordinators), len(v.Moves), len(v.Reasons), len(v.Offers))
+		return fmt.Errorf("too many entries: %d co-ordinators, %d moves, %d reasons, %d seconds of offers", len(v.Coordinators), len(v.Moves), len(v.Reasons), len(v.Offers))
 	}
 	for _, at := range []time.Duration{v.Now, v.LimitsAt, v.BlockedUntil} {
 		if at < 0 || at > statemachine.MaxTime {
-			return fmt.Errorf("a time of %v", at)
+			return fmt.Errorf("invalid time %v", at)
 		}
 	}
 	if v.LimitsAt > v.Now || v.Pool.Now != v.Now {
-		return fmt.Errorf("now %v, limits of %v, slots of %v", v.Now, v.LimitsAt, v.Pool.Now)
+		return fmt.Errorf("state at %v has limits of %v and slots of %v", v.Now, v.LimitsAt, v.Pool.Now)
 	}
 	s.now, s.limits, s.limitsAt, s.blockedUntil, s.fence, s.maxForgottenEpoch = v.Now, v.Limits, v.LimitsAt, v.BlockedUntil, v.Fence, v.MaxForgottenEpoch
 	for i, n := range v.Coordinators {
 		if i > 0 && v.Coordinators[i-1].Name >= n.Name || n.Name == "" || len(n.Name) > MaxNameBytes {
-			return fmt.Errorf("co-ordinator %.20q is out of order", n.Name)
+			return fmt.Errorf("co-ordinator %.20q is out of order or has an invalid name", n.Name)
 		}
 		s.indexByName[n.Name] = uint16(i)
 		s.coordinators = append(s.coordinators, coordinator{name: n.Name, lastActAt: n.LastActAt, releasedAt: n.ReleasedAt, lastKnownAt: n.LastKnownAt})
 	}
 	for i, count := range v.Offers {
 		if count.N < 1 || count.N > MaxOffersPerMinute || count.At%time.Second != 0 || count.At < 0 || count.At > v.Now || i > 0 && v.Offers[i-1].At >= count.At {
-			return fmt.Errorf("%d offers at %v", count.N, count.At)
+			return fmt.Errorf("invalid count of %d offers at %v", count.N, count.At)
 		}
 	}
 	s.offerCounts = v.Offers
@@ -201,7 +202,7 @@
 	s.nextExpiry = statemachine.MaxTime
 	for i, m := range v.Moves {
 		if i > 0 && bytes.Compare(v.Moves[i-1].ID[:], m.ID[:]) >= 0 {
-			return fmt.Errorf("flight of %s is out of order", m.ID)
+			return fmt.Errorf("the move of %s is out of order", m.ID)
 		}
 		s.moves[m.ID] = m.move
 		s.nextExpiry = min(s.nextExpiry, m.Until)
@@ -215,7 +216,7 @@
 	return s.Check()
 }
 
-// reader takes a list apart.
+// decoder reads the binary lists. After the first read that fails, failed is set and every further read returns zero values.
 type decoder struct {
 	raw    []byte
 	failed bool
@@ -233,7 +234,7 @@
 
 func (r *decoder) uvarint() uint64 {
 	n, k := binary.Uvarint(r.raw)
-	if k <= 0 || k > 1 && r.raw[k-1] == 0 { // torn, or longer than it has to be
+	if k <= 0 || k > 1 && r.raw[k-1] == 0 { // truncated, or not in its shortest form
 		r.failed, r.raw = true, nil
 		return 0
 	}
@@ -257,7 +258,7 @@
 		owner, epoch, seq, since := r.uvarint(), r.uvarint(), r.uvarint(), r.time()
 		rest := r.bytes(2)
 		if r.failed || owner >= uint64(len(s.coordinators)) || i > 0 && bytes.Compare(last[:], id[:]) >= 0 {
-			return fmt.Errorf("session %d is torn or out of order", i)
+			return fmt.Errorf("session %d is truncated, invalid or out of order", i)
 		}
 		last = id
 		s.sessions[id] = ownedSession{epoch, seq, since, uint16(owner), Phase(rest[0]), rest[1]}
@@ -269,7 +270,7 @@
 func (s *State) unpackEnds(raw []byte, reasons []string) error {
 	for i, reason := range reasons {
 		if i > 0 && reasons[i-1] >= reason || len(reason) > MaxReasonBytes {
-			return fmt.Errorf("reason %d is out of order", i)
+			return fmt.Errorf("reason %d is out of order or too long", i)
 		}
 	}
 	r := decoder{raw: raw}
@@ -277,7 +278,7 @@
 		id := ID(r.bytes(16))
 		epoch, seq, at, reasonIndex := r.uvarint(), r.uvarint(), r.time(), r.uvarint()
 		if _, duplicate := s.ended[id]; r.failed || reasonIndex >= uint64(len(reasons)) || duplicate {
-			return fmt.Errorf("end %d is torn, or there twice", i)
+			return fmt.Errorf("end %d is truncated, invalid or duplicate", i)
 		}
 		s.ended[id] = endedSession{epoch, seq, at, unique.Make(reasons[reasonIndex]), uint64(i)}
 		s.endOrder = append(s.endOrder, id)
--- a/internal/fleet/session/types.go
+++ b/internal/fleet/session/types.go
@@ -1,6 +1,7 @@
-// Package session is the agreed state of all pinned sessions: who owns each, in which epoch, to whom it is offered, and
-// with what it is handed on; with it, the slots at the replicas (package pool). It is a part of the state machine: a pure state
-// machine without clock, goroutine or I/O. All times are agreed time, since the Unix epoch by the leader's clock.
+// Package session holds the agreed state of all pinned sessions: the owner of each session, its epoch, the co-ordinator that it
+// is offered to, and the state that a hand-over carries. It also holds the slots at the replicas (package pool). It is a part of
+// the replicated state machine: deterministic, without clock, goroutine or I/O. All times are agreed time, which counts from the
+// Unix epoch by the leader's clock.
 package session
 
 import (
@@ -11,12 +12,12 @@
 	"time"
 )
 
-// ID of a session: what is agreed of its tenant and key, bounded however long they are.
+// ID identifies a session. It is a hash of tenant and key, so that its size does not depend on their length.
 type ID [16]byte
 
-// IDOf is the first 16 bytes of SHA-256 over tenant and key, each with its length before it.
+// IDOf returns the first 16 bytes of SHA-256 over tenant and key, each preceded by its length.
 func IDOf(tenant int, key []byte) ID {
-	var buf [192]byte // on the stack for most keys
+	var buf [192]byte // stays on the stack, and is long enough for most keys
 	raw := buf[:0]
 	raw = binary.BigEndian.AppendUint64(raw, 8)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(tenant))
@@ -27,27 +28,27 @@
 
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// MarshalText gives 32 hexadecimal digits.
+// MarshalText returns 32 hexadecimal digits.
 func (id ID) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, id[:]), nil }
 
-// UnmarshalText takes 32 hexadecimal digits.
+// UnmarshalText reads 32 hexadecimal digits.
 func (id *ID) UnmarshalText(raw []byte) error {
 	if len(raw) != 2*len(id) {
-		return fmt.Errorf("session: an id of %d bytes", len(raw))
+		return fmt.Errorf("session: an ID of %d bytes is not 32 hexadecimal digits", len(raw))
 	}
 	_, err := hex.Decode(id[:], raw)
 	return err
 }
 
-// Phase of a session.
+// Phase is the state of a session in its life cycle.
 type Phase uint8
 
 // Phases of a session.
 const (
-	Free       Phase = iota // no one's: not stored, but for how it ended, for a while
-	Pinned                  // the owner acts for it
-	Offered                 // the owner acts for it, and hands it to another when nothing of it is open
-	HandedOver              // its new owner may adopt it; no one acts for it before that is seen in the state
+	Free       Phase = iota // has no owner. Only its end is stored, for EndRetention
+	Pinned                  // its owner executes its queries
+	Offered                 // its owner executes its queries, and hands it over when none is in flight
+	HandedOver              // its new owner may adopt it. No co-ordinator executes its queries until the adoption is agreed
 )
 
 func (p Phase) String() string {
@@ -57,35 +58,36 @@
 	return [...]string{"free", "pinned", "offered", "handed"}[p]
 }
 
-// Record is all that is agreed of a session. Of a free one it has Epoch, Seq, Since and Why as far as they are still known.
+// Record is the agreed state of one session. For a free session it has Epoch, Seq, Since and Reason as far as they are still known.
 type Record struct {
 	ID    ID
 	Owner string
-	To    string // offered: the target
-	// Source of a handed one, who gets it back if its owner declines or is released; "" if it would be free then.
+	To    string // offered: the co-ordinator that it is offered to
+	// Source is the co-ordinator that gets a handed-over session back if the new owner declines it or is released. If it is "",
+	// the session becomes free instead.
 	Source string
-	Epoch  uint64 // grows with each change of the owner. Of a free one: what a claim has to name, one less than it gets
+	Epoch  uint64 // grows with each change of the owner. Free: the epoch that a claim has to name; the claim gets the next one
 	Phase  Phase
-	Seq    uint64 // queries begun, as last agreed: at a claim, a hand or an end
-	State  []byte // handed: what the hand carried. The adopter takes it before it adopts; it is not kept after that
+	Seq    uint64 // number of queries begun, as of the last claim, hand-over or end
+	State  []byte // handed over: what the hand-over carried. The new owner reads it before it adopts; it is dropped after that
 	Lane   uint8
-	Fence  uint64        // offered or handed: the number of the offer
-	Until  time.Duration // offered: the end of the offer. Handed: when it goes back, or is free
-	Since  time.Duration // of the phase
-	Reason string        // free: why it ended, for its client
+	Fence  uint64        // offered or handed over: the number of the offer
+	Until  time.Duration // offered: the end of the offer. Handed over: when it returns to Source, or becomes free
+	Since  time.Duration // start of the phase
+	Reason string        // free: why it ended, to be told to its client
 }
 
-// ActKind is what a co-ordinator does with a session of its own, or with slots.
+// ActKind is the kind of a change that a co-ordinator makes to a session or to slots.
 type ActKind uint8
 
-// Kinds of acts.
+// Kinds of acts, each with the fields of Act that it needs.
 const (
-	Claim    ActKind = iota + 1 // a free one; Epoch as Get gives it
-	HandOver                    // an offered one, frozen, to its target; Epoch, Fence, Seq, State, Lane
-	Adopt                       // a handed one; Epoch
-	Decline                     // the target's: an offered one (Epoch and Fence of the offer), or a handed one (Epoch)
-	End                         // one of its own; Epoch, Seq, Why
-	Freed                       // slots: the transfer Fence, from it, leaves it no more in use than what it holds
+	Claim    ActKind = iota + 1 // takes a free session. Epoch as returned by State.Get
+	HandOver                    // gives an offered session to its target; no query of it begins after this. Epoch, Fence, Seq, State, Lane
+	Adopt                       // takes over a handed-over session. Epoch
+	Decline                     // sent by the target: rejects an offer (its Epoch and Fence) or a handed-over session (Epoch)
+	End                         // ends a session that the sender owns. Epoch, Seq, Reason
+	Freed                       // the sender no longer uses the slots that the transfer with the number Fence takes from it
 )
 
 func (k ActKind) String() string {
@@ -95,8 +97,8 @@
 	return [...]string{"claim", "hand", "adopt", "decline", "end", "freed"}[k-1]
 }
 
-// Act of a co-ordinator. It is formed from the state as its copy has it, anew if that changes before the act was seen in
-// it: one of another epoch, or of an offer that is over, is refused.
+// Act is a change that a co-ordinator proposes. It is built from the co-ordinator's copy of the state, and built again if the copy
+// changes before the act is seen in it: an act that names another epoch, or an offer that has ended, is refused.
 type Act struct {
 	Kind   ActKind `json:"kind"`
 	ID     ID      `json:"id,omitzero"`
@@ -108,13 +110,13 @@
 	Reason string  `json:"why,omitempty"`
 }
 
-// ActsBody of kind "acts", from one co-ordinator. Each act stands alone: what is refused changes nothing of the others.
+// ActsBody is the body of a command of kind "acts", from one co-ordinator. Each act is applied or refused on its own.
 type ActsBody struct {
 	From string `json:"from"`
 	Acts []Act  `json:"acts"`
 }
 
-// Offer of a session to another co-ordinator. Until 0 is as long as the limits allow.
+// Offer offers a session to another co-ordinator. An Until of 0 stands for the longest time that the limits allow.
 type Offer struct {
 	ID    ID            `json:"id"`
 	Epoch uint64        `json:"epoch"`
@@ -123,15 +125,15 @@
 	Until time.Duration `json:"until,omitempty"`
 }
 
-// Withdrawal of an offer, by its number.
+// Withdrawal withdraws the offer with the number Fence.
 type Withdrawal struct {
 	ID    ID     `json:"id"`
 	Epoch uint64 `json:"epoch"`
 	Fence uint64 `json:"fence"`
 }
 
-// Shift of slots at a replica. From "" takes free ones, at once. Else a transfer begins, with a number of its own, that
-// goes on until From says Freed; To "" frees them. Until over 0 lends them until that time.
+// Shift moves slots at a replica. An empty From takes free slots at once. Otherwise a transfer with its own number begins, which
+// lasts until From sends Freed; an empty To makes the slots free. With Until over 0 the slots are lent until that time.
 type Shift struct {
 	From    string        `json:"from,omitempty"`
 	To      string        `json:"to,omitempty"`
@@ -140,47 +142,47 @@
 	Until   time.Duration `json:"until,omitempty"`
 }
 
-// PlanBody of kind "plan", from the leader. Each part of it stands alone.
+// PlanBody is the body of a command of kind "plan", from the leader. Each part is applied or refused on its own.
 type PlanBody struct {
 	Offers             []Offer      `json:"offers,omitempty"`
 	Withdrawals        []Withdrawal `json:"withdrawals,omitempty"`
 	Shifts             []Shift      `json:"shifts,omitempty"`
-	CancelledTransfers []uint64     `json:"backs,omitempty"` // transfers that are called off, if their source has not said Freed
+	CancelledTransfers []uint64     `json:"backs,omitempty"` // numbers of transfers to cancel, unless their source has sent Freed
 }
 
-// ReleaseBody of kind "release", from the leader: what a silent co-ordinator owned is free. At is the agreed time at
-// which it had been silent for Silent; 0 is the time of application. The leader gives it no lease from the proposal on,
-// until it has seen what came of it.
+// ReleaseBody is the body of a command of kind "release", from the leader: it frees what a silent co-ordinator owned. At is the
+// agreed time at which the co-ordinator had been silent for Silent; 0 stands for the time of application. From the proposal until
+// it sees the result, the leader grants the co-ordinator no lease.
 type ReleaseBody struct {
 	Name   string        `json:"name"`
 	Silent time.Duration `json:"silent"`
 	At     time.Duration `json:"at,omitempty"`
 }
 
-// Limits are what the operators allow, from their file.
+// Limits are the operators' limits, as read from their file.
 type Limits struct {
 	Revision      int            `json:"revision"`
-	Caps          map[string]int `json:"caps,omitempty"` // slots by replica; one that is not named has none
-	InFlight      int            `json:"in_flight"`      // offered or handed at once; 0 begins no move
-	PerMinute     int            `json:"per_minute"`     // offers in any minute; 0 begins no move
-	StepTimeout   time.Duration  `json:"offer_for"`      // the longest time of each step of a move: offered, handed, handed back
-	IdleTimeout   time.Duration  `json:"idle_for"`       // the owner ends a session that had no query for so long
-	Lease         time.Duration  `json:"lease"`          // of a co-ordinator's part in the fleet
-	Grace         time.Duration  `json:"grace"`          // after its lease. Silent for both and 1 % longer, it may be released
-	MaxSessions   int            `json:"sessions_most"`  // in all
-	MaxStateBytes int            `json:"state_most"`     // bytes in what a hand carries
-	Slots         int            `json:"slots"`          // of one session at a replica: safe queries beside each other
+	Caps          map[string]int `json:"caps,omitempty"` // slots by replica; a replica that is not named has none
+	InFlight      int            `json:"in_flight"`      // most sessions offered or handed over at a time; 0 allows no move
+	PerMinute     int            `json:"per_minute"`     // most offers in any minute; 0 allows no move
+	StepTimeout   time.Duration  `json:"offer_for"`      // longest time of each step of a move: offered, handed over, returned
+	IdleTimeout   time.Duration  `json:"idle_for"`       // the owner ends a session that has had no query for this time
+	Lease         time.Duration  `json:"lease"`          // duration of a co-ordinator's lease; it acts for its sessions only while it has one
+	Grace         time.Duration  `json:"grace"`          // after the lease. A co-ordinator that is silent for both and 1 % more may be released
+	MaxSessions   int            `json:"sessions_most"`  // sessions in total
+	MaxStateBytes int            `json:"state_most"`     // bytes of the state that a hand-over carries
+	Slots         int            `json:"slots"`          // slots of one session at a replica: how many of its safe queries run in parallel
 }
 
-// LimitsBody of kind "limits".
+// LimitsBody is the body of a command of kind "limits".
 type LimitsBody struct {
 	Limits Limits `json:"limits"`
 }
 
-// TickBody of kind "tick" only moves agreed time.
+// TickBody is the body of a command of kind "tick", which only advances agreed time.
 type TickBody struct{}
 
-// Kinds of commands of the part.
+// Kinds of commands that State applies.
 const (
 	KindLimits  = "limits"
 	KindActs    = "acts"
