--- a/internal/fleet/session/cost_test.go
+++ b/internal/fleet/session/cost_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// many is a book of n sessions of 20 co-ordinators, a tenth of them in flight with a state, and claims for n more.
+// largeState returns a state with n sessions of 20 co-ordinators, a tenth of them handed over with a state, up to MaxInFlight.
 func largeState(t testing.TB, n int) *State {
 	l := limits
 	l.MaxSessions, l.InFlight, l.PerMinute, l.StepTimeout, l.MaxStateBytes = MaxSessions, MaxInFlight, MaxOffersPerMinute, time.Hour, MaxStateBytes
-	b, fence := New(), uint64(0)
+	state, fence := New(), uint64(0)
 	apply := func(kind string, body any) {
 		raw, err := json.Marshal(body)
 		if err == nil {
-			err = b.Apply(1000*second, func() uint64 { fence++; return fence }, kind, raw)
+			err = state.Apply(1000*second, func() uint64 { fence++; return fence }, kind, raw)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -34,12 +34,12 @@
 			n := fence + uint64(len(plan.Offers))
 			hands.Acts = append(hands.Acts, Act{Kind: HandOver, ID: x.ID, Epoch: 1, Fence: n, State: []byte("a state of some bytes")})
 		}
-		if b.Moving()+100 <= MaxInFlight {
+		if state.Moving()+100 <= MaxInFlight {
 			apply(KindPlan, plan)
 			apply(KindActs, hands)
 		}
 	}
-	return b
+	return state
 }
 
 func claims(co string, from int) ActsBody {
@@ -58,71 +58,72 @@
 	return m.HeapAlloc
 }
 
-// 100,000 sessions, 10,000 of them handed: memory, snapshot, and a command of 1,000 claims.
+// Bounds the cost of 100,000 sessions, 10,000 of them handed over: memory, snapshot size and the time of a command of 1,000 claims.
 func TestMemorySnapshotAndApplyCost(t *testing.T) {
 	n := 100_000
 	if raceEnabled {
-		n = 10_000 // what it costs is not looked at
+		n = 10_000 // the race detector changes the costs, so they are not checked
 	}
 	before := heapBytes()
-	b := largeState(t, n)
-	if b.Len() != n || b.Moving() != n/10 {
-		t.Fatal(b.Len(), b.Moving())
+	state := largeState(t, n)
+	if state.Len() != n || state.Moving() != n/10 {
+		t.Fatal(state.Len(), state.Moving())
 	}
-	each := int(heapBytes()-before) / n
-	raw, err := b.Save()
+	bytesPerSession := int(heapBytes()-before) / n
+	raw, err := state.Save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Now()
+	begin := time.Now()
 	again := New()
 	if err := again.Load(raw); err != nil {
 		t.Fatal(err)
 	}
-	load := time.Since(at)
-	if two, _ := again.Save(); string(two) != string(raw) {
-		t.Fatal("saved again, another")
+	load := time.Since(begin)
+	if resaved, _ := again.Save(); string(resaved) != string(raw) {
+		t.Fatal("the restored state saves to other bytes")
 	}
 	body, _ := json.Marshal(claims("c0", n))
 	best := time.Hour
-	for range 20 { // the best, since others have the machine too
-		c := b.Clone()
-		at := time.Now()
+	for range 20 { // the best of 20, because the machine is shared
+		c := state.Clone()
+		begin := time.Now()
 		if err := c.Apply(1000*second, nil, KindActs, body); err != nil || c.Len() != n+1000 {
 			t.Fatal(err, c.Len())
 		}
-		best = min(best, time.Since(at))
+		best = min(best, time.Since(begin))
 	}
-	t.Logf("%d bytes of heap and %d of a snapshot each; load %v; 1,000 claims (%d bytes) %v", each, len(raw)/n, load, len(body), best)
+	t.Logf("%d bytes of heap and %d of a snapshot each; load %v; 1,000 claims (%d bytes) %v", bytesPerSession, len(raw)/n, load, len(body), best)
 	if raceEnabled {
 		return
 	}
-	if each >= 200 || len(raw)/n >= 100 { // under 400 is asked for
-		t.Errorf("%d bytes of heap and %d of a snapshot each, 200 and 100 are allowed", each, len(raw)/n)
+	if bytesPerSession >= 200 || len(raw)/n >= 100 { // the requirement is less than 400 bytes a session
+		t.Errorf("%d bytes of heap and %d of a snapshot each, 200 and 100 are allowed", bytesPerSession, len(raw)/n)
 	}
 	if best > 5*time.Millisecond {
 		t.Errorf("1,000 claims take %v, 5 ms are allowed", best)
 	}
 }
 
-// A snapshot that is torn anywhere, damaged, of another version or with a field that is not known changes nothing.
+// Loading a snapshot that is truncated or damaged at any byte, of another version, or with an unknown field fails and changes
+// nothing.
 func TestLoadIsAtomic(t *testing.T) {
-	p := newHarness(t, limits)
-	for _, id := range []ID{a, b, c} {
-		p.claim("c0", id)
-	}
-	p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: 1, Reason: "idle"}))
-	p.offer(b, "c1")
-	p.handOver(b, 4)
-	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
-	good := p.save()
-	spoiled := []string{strings.Replace(good, `"v":1`, `"v":2`, 1), strings.Replace(good, `"v":1`, `"v":1,"x":1`, 1), good + good,
+	h := newHarness(t, limits)
+	for _, id := range []ID{idA, idB, idC} {
+		h.claim("c0", id)
+	}
+	h.mustApply(KindActs, acts("c0", Act{Kind: End, ID: idC, Epoch: 1, Reason: "idle"}))
+	h.offer(idB, "c1")
+	h.handOver(idB, 4)
+	h.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	good := h.save()
+	damaged := []string{strings.Replace(good, `"v":1`, `"v":2`, 1), strings.Replace(good, `"v":1`, `"v":1,"x":1`, 1), good + good,
 		strings.Replace(good, `"sum":`, `"sum":1`, 1)}
 	for i := range good {
-		spoiled = append(spoiled, good[:i], good[:i]+string(good[i]^1)+good[i+1:])
+		damaged = append(damaged, good[:i], good[:i]+string(good[i]^1)+good[i+1:])
 	}
-	for _, raw := range spoiled {
-		if err := p.b.Load([]byte(raw)); err == nil || p.save() != good {
+	for _, raw := range damaged {
+		if err := h.state.Load([]byte(raw)); err == nil || h.save() != good {
 			t.Fatalf("%v of %s", err, raw)
 		}
 	}
@@ -130,20 +131,20 @@
 	if err := n.Load([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	p.b = n
-	p.expect(b, "c1", 2, HandedOver)
-	if p.save() != good || p.expect(c, "", 1, Free).Reason != "idle" {
-		t.Fatal(p.save())
+	h.state = n
+	h.expect(idB, "c1", 2, HandedOver)
+	if h.save() != good || h.expect(idC, "", 1, Free).Reason != "idle" {
+		t.Fatal(h.save())
 	}
 	clone := n.Clone()
-	p.claim("c2", c)
-	p.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 2}))
-	if p.b = clone; p.save() != good {
-		t.Fatal("a clone follows")
+	h.claim("c2", idC)
+	h.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: idB, Epoch: 2}))
+	if h.state = clone; h.save() != good {
+		t.Fatal("a change of the original shows in its clone")
 	}
 }
 
-// A snapshot whose checksum is right and whose lists do not fit is refused all the same.
+// A snapshot with a correct checksum but invalid lists is refused.
 func TestLoadRefusesInvalidLists(t *testing.T) {
 	raw, _ := stateWithAllPhases(t).Save()
 	var o envelope
@@ -151,7 +152,7 @@
 		t.Fatal(err)
 	}
 	long := strings.Repeat("x", MaxNameBytes+1)
-	for words, spoil := range map[string]func(*savedState){
+	for want, corrupt := range map[string]func(*savedState){
 		"in_flight":          func(v *savedState) { v.Limits.InFlight = -1 },
 		"4097 co-ordinators": func(v *savedState) { v.Coordinators = make([]savedCoordinator, MaxCoordinators+1) },
 		"10001 moves":        func(v *savedState) { v.Moves = make([]savedMove, MaxInFlight+1) },
@@ -186,14 +187,14 @@
 		if err := json.Unmarshal(o.State, &v); err != nil {
 			t.Fatal(err)
 		}
-		spoil(&v)
+		corrupt(&v)
 		book, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := New()
-		if err := b.Load(wrapWithChecksum(book)); err == nil || !strings.Contains(err.Error(), words) || b.Len() != 0 {
-			t.Errorf("%v, want %q", err, words)
+		state := New()
+		if err := state.Load(wrapWithChecksum(book)); err == nil || !strings.Contains(err.Error(), want) || state.Len() != 0 {
+			t.Errorf("%v, want %q", err, want)
 		}
 	}
 }
--- a/internal/fleet/session/fuzz_test.go
+++ b/internal/fleet/session/fuzz_test.go
@@ -6,45 +6,46 @@
 	"testing"
 )
 
-// fuzzed is a book with something in each phase.
+// stateWithAllPhases returns a state with a session in each phase and a transfer of slots.
 func stateWithAllPhases(t testing.TB) *State {
-	p := &harness{t: t, b: New(), now: 1000 * second}
-	p.mustApply(KindLimits, LimitsBody{limits})
-	for _, id := range []ID{a, b, c} {
-		p.claim("c0", id)
+	h := &harness{t: t, state: New(), now: 1000 * second}
+	h.mustApply(KindLimits, LimitsBody{limits})
+	for _, id := range []ID{idA, idB, idC} {
+		h.claim("c0", id)
 	}
-	p.claim("c0", ID{4})
-	p.mustApply(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1, Reason: "idle"}))
-	p.offer(b, "c1")
-	p.offer(c, "c1")
-	p.handOver(c, 4)
-	p.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
-	return p.b
+	h.claim("c0", ID{4})
+	h.mustApply(KindActs, acts("c0", Act{Kind: End, ID: ID{4}, Epoch: 1, Reason: "idle"}))
+	h.offer(idB, "c1")
+	h.offer(idC, "c1")
+	h.handOver(idC, 4)
+	h.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	return h.state
 }
 
-// FuzzApply: whatever a body says, what is refused changes nothing, and what is taken breaks nothing and can be saved.
+// FuzzApply applies arbitrary command bodies. A refused command changes nothing; after an accepted one all invariants hold, and the
+// state can be saved and loaded.
 func FuzzApply(f *testing.F) {
-	start := stateWithAllPhases(f)
+	initial := stateWithAllPhases(f)
 	for kind, body := range []any{
 		LimitsBody{limits},
-		acts("c1", Act{Kind: Adopt, ID: c, Epoch: 2}, Act{Kind: Decline, ID: b, Epoch: 1, Fence: 1}),
-		PlanBody{Withdrawals: []Withdrawal{{b, 1, 1}}, Offers: []Offer{{a, 1, "c0", "c2", 0}}, Shifts: []Shift{{"", "c0", "r1", 1, 0}}, CancelledTransfers: []uint64{3}},
+		acts("c1", Act{Kind: Adopt, ID: idC, Epoch: 2}, Act{Kind: Decline, ID: idB, Epoch: 1, Fence: 1}),
+		PlanBody{Withdrawals: []Withdrawal{{idB, 1, 1}}, Offers: []Offer{{idA, 1, "c0", "c2", 0}}, Shifts: []Shift{{"", "c0", "r1", 1, 0}}, CancelledTransfers: []uint64{3}},
 		ReleaseBody{"c1", limits.SilentFor(), 0},
 	} {
 		raw, _ := json.Marshal(body)
 		f.Add(kind, raw)
 	}
 	f.Fuzz(func(t *testing.T, kind int, raw []byte) {
-		b := start.Clone()
-		before, _ := b.Save()
+		state := initial.Clone()
+		before, _ := state.Save()
 		fence := uint64(10)
 		kinds := []string{KindLimits, KindActs, KindPlan, KindRelease}
-		err := b.Apply(1000*second, func() uint64 { fence++; return fence }, kinds[uint(kind)%4], raw)
-		after, serr := b.Save()
+		err := state.Apply(1000*second, func() uint64 { fence++; return fence }, kinds[uint(kind)%4], raw)
+		after, serr := state.Save()
 		if serr != nil || err != nil && !bytes.Equal(before, after) {
 			t.Fatalf("%v, %v\n%s\n%s", err, serr, before, after)
 		}
-		if err := b.Check(); err != nil {
+		if err := state.Check(); err != nil {
 			t.Fatal(err)
 		}
 		n := New()
@@ -57,7 +58,8 @@
 	})
 }
 
-// FuzzLoad: what is loaded, with its binary lists spoiled each on its own, holds all rules, and saves and loads again.
+// FuzzLoad loads states with arbitrary JSON and binary lists. In every state that Load accepts, all invariants hold, and it can be
+// saved and loaded again.
 func FuzzLoad(f *testing.F) {
 	raw, _ := stateWithAllPhases(f).Save()
 	var o envelope
@@ -71,14 +73,14 @@
 		}
 		v.Sessions, v.Ended = live, ended
 		book, _ = json.Marshal(v)
-		b := New()
-		if b.Load(wrapWithChecksum(book)) != nil {
+		state := New()
+		if state.Load(wrapWithChecksum(book)) != nil {
 			return
 		}
-		if err := b.Check(); err != nil {
+		if err := state.Check(); err != nil {
 			t.Fatal(err)
 		}
-		raw, err := b.Save()
+		raw, err := state.Save()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +88,7 @@
 		if err := n.Load(raw); err != nil {
 			t.Fatalf("%v\n%s", err, raw)
 		}
-		for range 3 { // it goes on
+		for range 3 { // ticks still work
 			n.Tick(n.Now() + 10*second)
 		}
 		if err := n.Check(); err != nil {
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -133,7 +133,8 @@
 	case s.limits.Revision == 0:
 		return errors.New("session: release without limits in force")
 	case r.At < 0 || r.At > s.now || r.Silent < need:
-		return fmt.Errorf("session: release of %s, silent for %v at %v: the agreed time is %v, and a silence of %v is needed", r.Name, r.Silent, r.At, s.now, need)
+		return fmt.Errorf("session: release of %s, silent for %v at %v: the agreed time is %v, and a silence of %v is needed",
+			r.Name, r.Silent, r.At, s.now, need)
 	}
 	if i, ok := s.indexByName[r.Name]; ok && !s.expired(int(i)) {
 		switch n := s.coordinators[i]; {
--- a/internal/fleet/session/race_test.go
+++ b/internal/fleet/session/race_test.go
@@ -2,4 +2,4 @@
 
 package session
 
-const race = true
+const raceEnabled = true
--- a/internal/fleet/session/save.go
+++ b/internal/fleet/session/save.go
@@ -42,6 +42,7 @@
 	Pool              pool.Saved         `json:"pool"`
 }
 
+// savedCoordinator is the saved form of coordinator.
 type savedCoordinator struct {
 	Name        string        `json:"name"`
 	LastActAt   time.Duration `json:"heard,omitempty"`
@@ -49,6 +50,7 @@
 	LastKnownAt time.Duration `json:"known"`
 }
 
+// savedMove is the saved form of a move with the ID of its session.
 type savedMove struct {
 	ID ID `json:"id"`
 	move
@@ -58,8 +60,8 @@
 
 // Save implements statemachine.Part. Equal states give equal bytes, about 50 a session.
 func (s *State) Save() ([]byte, error) {
-	v := savedState{Now: s.now, Limits: s.limits, LimitsAt: s.limitsAt, BlockedUntil: s.blockedUntil, Fence: s.fence, MaxForgottenEpoch: s.maxForgottenEpoch,
-		Offers: s.offerCounts, Pool: s.pool.Save()}
+	v := savedState{Now: s.now, Limits: s.limits, LimitsAt: s.limitsAt, BlockedUntil: s.blockedUntil, Fence: s.fence,
+		MaxForgottenEpoch: s.maxForgottenEpoch, Offers: s.offerCounts, Pool: s.pool.Save()}
 	if len(s.limits.Caps) == 0 {
 		v.Limits.Caps = nil
 	}
@@ -171,8 +173,10 @@
 			return err
 		}
 	}
-	if len(v.Coordinators) > MaxCoordinators || len(v.Moves) > MaxInFlight || len(v.Reasons) > MaxEnds || len(v.Offers) > int(OfferWindow/time.Second)+2 {
-		return fmt.Errorf("too many entries: %d co-ordinators, %d moves, %d reasons, %d seconds of offers", len(v.Coordinators), len(v.Moves), len(v.Reasons), len(v.Offers))
+	if len(v.Coordinators) > MaxCoordinators || len(v.Moves) > MaxInFlight || len(v.Reasons) > MaxEnds ||
+		len(v.Offers) > int(OfferWindow/time.Second)+2 {
+		return fmt.Errorf("too many entries: %d co-ordinators, %d moves, %d reasons, %d seconds of offers",
+			len(v.Coordinators), len(v.Moves), len(v.Reasons), len(v.Offers))
 	}
 	for _, at := range []time.Duration{v.Now, v.LimitsAt, v.BlockedUntil} {
 		if at < 0 || at > statemachine.MaxTime {
@@ -182,16 +186,19 @@
 	if v.LimitsAt > v.Now || v.Pool.Now != v.Now {
 		return fmt.Errorf("state at %v has limits of %v and slots of %v", v.Now, v.LimitsAt, v.Pool.Now)
 	}
-	s.now, s.limits, s.limitsAt, s.blockedUntil, s.fence, s.maxForgottenEpoch = v.Now, v.Limits, v.LimitsAt, v.BlockedUntil, v.Fence, v.MaxForgottenEpoch
+	s.now, s.limits, s.limitsAt, s.blockedUntil, s.fence, s.maxForgottenEpoch =
+		v.Now, v.Limits, v.LimitsAt, v.BlockedUntil, v.Fence, v.MaxForgottenEpoch
 	for i, n := range v.Coordinators {
 		if i > 0 && v.Coordinators[i-1].Name >= n.Name || n.Name == "" || len(n.Name) > MaxNameBytes {
 			return fmt.Errorf("co-ordinator %.20q is out of order or has an invalid name", n.Name)
 		}
 		s.indexByName[n.Name] = uint16(i)
-		s.coordinators = append(s.coordinators, coordinator{name: n.Name, lastActAt: n.LastActAt, releasedAt: n.ReleasedAt, lastKnownAt: n.LastKnownAt})
+		s.coordinators = append(s.coordinators, coordinator{name: n.Name, lastActAt: n.LastActAt, releasedAt: n.ReleasedAt,
+			lastKnownAt: n.LastKnownAt})
 	}
 	for i, count := range v.Offers {
-		if count.N < 1 || count.N > MaxOffersPerMinute || count.At%time.Second != 0 || count.At < 0 || count.At > v.Now || i > 0 && v.Offers[i-1].At >= count.At {
+		if count.N < 1 || count.N > MaxOffersPerMinute || count.At%time.Second != 0 || count.At < 0 || count.At > v.Now ||
+			i > 0 && v.Offers[i-1].At >= count.At {
 			return fmt.Errorf("invalid count of %d offers at %v", count.N, count.At)
 		}
 	}
@@ -216,36 +223,36 @@
 	return s.Check()
 }
 
-// decoder reads the binary lists. After the first read that fails, failed is set and every further read returns zero values.
+// decoder reads the binary lists. Each invalid read sets failed; after one that runs past the end, every further read returns zeros.
 type decoder struct {
 	raw    []byte
 	failed bool
 }
 
-func (r *decoder) bytes(n int) []byte {
-	if len(r.raw) < n {
-		r.failed, r.raw = true, nil
+func (d *decoder) bytes(n int) []byte {
+	if len(d.raw) < n {
+		d.failed, d.raw = true, nil
 		return make([]byte, n)
 	}
-	out := r.raw[:n]
-	r.raw = r.raw[n:]
+	out := d.raw[:n]
+	d.raw = d.raw[n:]
 	return out
 }
 
-func (r *decoder) uvarint() uint64 {
-	n, k := binary.Uvarint(r.raw)
-	if k <= 0 || k > 1 && r.raw[k-1] == 0 { // truncated, or not in its shortest form
-		r.failed, r.raw = true, nil
+func (d *decoder) uvarint() uint64 {
+	n, k := binary.Uvarint(d.raw)
+	if k <= 0 || k > 1 && d.raw[k-1] == 0 { // truncated, or not in its shortest form
+		d.failed, d.raw = true, nil
 		return 0
 	}
-	r.raw = r.raw[k:]
+	d.raw = d.raw[k:]
 	return n
 }
 
-func (r *decoder) time() time.Duration {
-	n := r.uvarint()
+func (d *decoder) time() time.Duration {
+	n := d.uvarint()
 	if n > uint64(statemachine.MaxTime) {
-		r.failed = true
+		d.failed = true
 	}
 	return time.Duration(n)
 }
--- a/internal/fleet/session/types.go
+++ b/internal/fleet/session/types.go
@@ -167,7 +167,7 @@
 	PerMinute     int            `json:"per_minute"`     // most offers in any minute; 0 allows no move
 	StepTimeout   time.Duration  `json:"offer_for"`      // longest time of each step of a move: offered, handed over, returned
 	IdleTimeout   time.Duration  `json:"idle_for"`       // the owner ends a session that has had no query for this time
-	Lease         time.Duration  `json:"lease"`          // duration of a co-ordinator's lease; it acts for its sessions only while it has one
+	Lease         time.Duration  `json:"lease"`          // duration of a lease; a co-ordinator acts for its sessions only while it has one
 	Grace         time.Duration  `json:"grace"`          // after the lease. A co-ordinator that is silent for both and 1 % more may be released
 	MaxSessions   int            `json:"sessions_most"`  // sessions in total
 	MaxStateBytes int            `json:"state_most"`     // bytes of the state that a hand-over carries
