--- a/internal/fleet/session/cost_test.go
+++ b/internal/fleet/session/cost_test.go
@@ -188,12 +188,12 @@
 			t.Fatal(err)
 		}
 		corrupt(&v)
-		book, err := json.Marshal(v)
+		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		state := New()
-		if err := state.Load(wrapWithChecksum(book)); err == nil || !strings.Contains(err.Error(), want) || state.Len() != 0 {
+		if err := state.Load(wrapWithChecksum(encoded)); err == nil || !strings.Contains(err.Error(), want) || state.Len() != 0 {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
--- a/internal/fleet/session/fuzz_test.go
+++ b/internal/fleet/session/fuzz_test.go
@@ -66,15 +66,15 @@
 	var v savedState
 	_, _ = json.Unmarshal(raw, &o), json.Unmarshal(o.State, &v)
 	f.Add([]byte(o.State), v.Sessions, v.Ended)
-	f.Fuzz(func(t *testing.T, book, live, ended []byte) {
+	f.Fuzz(func(t *testing.T, encoded, live, ended []byte) {
 		var v savedState
-		if json.Unmarshal(book, &v) != nil {
+		if json.Unmarshal(encoded, &v) != nil {
 			return
 		}
 		v.Sessions, v.Ended = live, ended
-		book, _ = json.Marshal(v)
+		encoded, _ = json.Marshal(v)
 		state := New()
-		if state.Load(wrapWithChecksum(book)) != nil {
+		if state.Load(wrapWithChecksum(encoded)) != nil {
 			return
 		}
 		if err := state.Check(); err != nil {
--- a/internal/fleet/session/late_test.go
+++ b/internal/fleet/session/late_test.go
@@ -20,11 +20,13 @@
 	seq            map[queryEpoch]uint64 // queries begun in an epoch
 }
 
+// queryEpoch names an epoch of a session.
 type queryEpoch struct {
 	id    ID
 	epoch uint64
 }
 
+// message is a command on its way to the state machine.
 type message struct {
 	kind string
 	body any
@@ -46,8 +48,8 @@
 	lastJump     time.Duration // time jumped to this value, and no co-ordinator could act in between
 	fence        uint64
 
-	lastQuery map[ID]queryEpoch // epoch of the last query that any co-ordinator began
-	actingFor map[queryEpoch]string
+	lastQuery map[ID]queryEpoch        // epoch of the last query that any co-ordinator began
+	actingFor map[queryEpoch]string    // co-ordinator that acts in an epoch
 	seq       map[ID]uint64            // number of the last query begun, unless its owner was released
 	maxEpoch  map[ID]uint64            // highest epoch seen
 	moveStart map[uint64]time.Duration // by the number of the offer: when it was first seen
--- a/internal/fleet/session/play_test.go
+++ b/internal/fleet/session/play_test.go
@@ -123,12 +123,12 @@
 	if r := h.expect(idA, "c0", 1, Offered); r.To != "c1" || r.Until != h.now+10*second || r.Fence != n || r.Lane != 3 {
 		t.Fatalf("%+v", r)
 	}
-	hand := acts("c0", Act{Kind: HandOver, ID: idA, Epoch: 1, Fence: n, Seq: 7, State: []byte("x"), Lane: 4})
-	h.mustApply(KindActs, hand)
+	handOver := acts("c0", Act{Kind: HandOver, ID: idA, Epoch: 1, Fence: n, Seq: 7, State: []byte("x"), Lane: 4})
+	h.mustApply(KindActs, handOver)
 	if r := h.expect(idA, "c1", 2, HandedOver); r.Source != "c0" || r.Seq != 7 || string(r.State) != "x" || r.Lane != 4 {
 		t.Fatalf("%+v", r)
 	}
-	h.mustRefuse("the session is in epoch 2", KindActs, hand)
+	h.mustRefuse("the session is in epoch 2", KindActs, handOver)
 	adopt := acts("c1", Act{Kind: Adopt, ID: idA, Epoch: 2})
 	h.mustApply(KindActs, adopt)
 	h.expect(idA, "c1", 2, Pinned)
--- a/internal/fleet/session/save.go
+++ b/internal/fleet/session/save.go
@@ -83,22 +83,22 @@
 		v.Moves = append(v.Moves, savedMove{id, s.moves[id]})
 	}
 	v.Reasons, v.Ended = s.packEnds()
-	book, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("session: save: %w", err)
 	}
-	return wrapWithChecksum(book), nil
+	return wrapWithChecksum(encoded), nil
 }
 
 // wrapWithChecksum encodes an envelope around the encoded state.
-func wrapWithChecksum(book []byte) []byte {
-	raw := make([]byte, 0, len(book)+64)
+func wrapWithChecksum(encoded []byte) []byte {
+	raw := make([]byte, 0, len(encoded)+64)
 	raw = append(raw, `{"v":`...)
 	raw = strconv.AppendInt(raw, Version, 10)
 	raw = append(raw, `,"sum":`...)
-	raw = strconv.AppendUint(raw, uint64(crc32.Checksum(book, castagnoli)), 10)
+	raw = strconv.AppendUint(raw, uint64(crc32.Checksum(encoded, castagnoli)), 10)
 	raw = append(raw, `,"book":`...)
-	return append(append(raw, book...), '}')
+	return append(append(raw, encoded...), '}')
 }
 
 // appendSession appends the ID, the owner's index in Coordinators, epoch, sequence and start of the phase of a session, and one byte
