--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -14,7 +14,7 @@
 // what is kept for a limited time.
 func (s *State) Tick(now time.Duration) {
 	s.now = max(s.now, now)
-	s.pool.Tick(s.now)
+	s.pool.Advance(s.now)
 	if len(s.moves) > 0 && s.nextExpiry <= s.now {
 		s.expireMoves()
 	}
@@ -310,9 +310,9 @@
 	case !ok:
 		return errors.New("no such transfer is open")
 	case t.Stage == 0 && t.From == from:
-		return s.pool.Land(fence)
+		return s.pool.ConfirmSource(fence)
 	case t.Stage != 0 && t.To == from:
-		return s.pool.Return(fence)
+		return s.pool.ReturnLoan(fence)
 	}
 	return fmt.Errorf("the transfer is %s from %q to %q and does not wait for %q", t.Stage, t.From, t.To, from)
 }
--- a/internal/fleet/session/book.go
+++ b/internal/fleet/session/book.go
@@ -40,7 +40,7 @@
 	// MaxCoordinators bounds the co-ordinators that are known: those of the fleet, and those that left it within EndRetention.
 	MaxCoordinators = 4_096
 	// MaxNameBytes bounds the name of a co-ordinator.
-	MaxNameBytes = pool.NameMost
+	MaxNameBytes = pool.MaxNameBytes
 	// MaxReasonBytes bounds the reason for an end. A longer reason is truncated.
 	MaxReasonBytes = 120
 	// MaxActs bounds the acts, or the parts of a plan, in one command.
--- a/internal/fleet/session/cost_test.go
+++ b/internal/fleet/session/cost_test.go
@@ -179,7 +179,7 @@
 		"reason 0 is out":                                func(v *savedState) { v.Reasons[0] = long },
 		"end 0 is truncated":                             func(v *savedState) { v.Ended = v.Ended[:len(v.Ended)-1] },
 		"end 1 is truncated, invalid or duplicate":       func(v *savedState) { v.Ended = append(v.Ended, v.Ended...) },
-		"pool: saved":                                    func(v *savedState) { v.Pool.Sites[0].Free = -1 },
+		"pool: saved":                                    func(v *savedState) { v.Pool.Replicas[0].Free = -1 },
 		"S7:":                                            func(v *savedState) { v.Moves[0].Until = v.Now },
 		"S1: c0 owns 2 sessions":                         func(v *savedState) { v.Coordinators[0].LastActAt = v.Now + 1 },
 	} {
--- a/internal/fleet/session/plan.go
+++ b/internal/fleet/session/plan.go
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, n := range p.CancelledTransfers {
-		if s.countResult(cancelledTransfer(n), s.pool.Back(n)) {
+		if s.countResult(cancelledTransfer(n), s.pool.Cancel(n)) {
 			done++
 		}
 	}
@@ -72,7 +72,7 @@
 		return fmt.Errorf("no slots are assigned before %v in a new era, the agreed time is %v", s.blockedUntil, s.now)
 	}
 	if shift.From == "" && shift.Until == 0 {
-		return s.pool.Take(shift.To, shift.Replica, shift.N)
+		return s.pool.Allocate(shift.To, shift.Replica, shift.N)
 	}
 	n, err := fence(), error(nil)
 	if shift.Until != 0 {
@@ -156,7 +156,7 @@
 // releaseOwned frees the slots and sessions of a co-ordinator that certainly does not act any more, and ends its part in the moves
 // of other sessions.
 func (s *State) releaseOwned(co, reason string) {
-	s.pool.Drop(co)
+	s.pool.RemoveCoordinator(co)
 	for _, id := range sortedIDs(s.moves) {
 		m, l := s.moves[id], s.sessions[id]
 		switch {
@@ -224,8 +224,8 @@
 		{"per_minute", l.PerMinute, 0, MaxOffersPerMinute},
 		{"sessions_most", l.MaxSessions, 0, MaxSessions},
 		{"state_most", l.MaxStateBytes, 0, MaxStateBytes},
-		{"slots", l.Slots, 1, pool.SlotsMost},
-		{"caps", len(l.Caps), 0, pool.ReplicasMost},
+		{"slots", l.Slots, 1, pool.MaxSlots},
+		{"caps", len(l.Caps), 0, pool.MaxReplicas},
 	} {
 		if limit.n < limit.from || limit.n > limit.to {
 			return fmt.Errorf("session: limits: %s is %d, it must be between %d and %d", limit.name, limit.n, limit.from, limit.to)
--- a/internal/fleet/session/rules_test.go
+++ b/internal/fleet/session/rules_test.go
@@ -253,7 +253,7 @@
 	}
 	h.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 3, 0}, {"c0", "c1", "r0", 2, 0}, {"c0", "c1", "r0", 1, h.now + second}}})
 	fence, pool := h.fence, h.state.Pool()
-	if pool.Held("c0", "r0") != 0 || pool.Held("c1", "r0") != 0 || len(pool.Asked("c0")) != 2 {
+	if pool.Held("c0", "r0") != 0 || pool.Held("c1", "r0") != 0 || len(pool.PendingReleases("c0")) != 2 {
 		t.Fatalf("%+v", pool.Save())
 	}
 	h.mustRefuse(`does not wait for "c1"`, KindActs, acts("c1", Act{Kind: Freed, Fence: fence}))
