--- a/internal/fleet/member/heartbeat_test.go
+++ b/internal/fleet/member/heartbeat_test.go
@@ -8,29 +8,29 @@
 
 // Clocks that run 1 % fast or slow, and show any hour: a record's age, passed on from one to the next, is told within 1 % (and the
 // millisecond in which it is written, at each hand), and a member that beats as it should is no suspect anywhere.
-func TestAgesUnderClocksOnePerCentOff(t *testing.T) {
-	for _, paces := range [][]float64{{1.01, 1.01, 1.01, 1.01}, {0.99, 0.99, 0.99, 0.99}, {0.99, 1.01, 0.99, 1.01}, {1.01, 0.99, 1.01, 0.99}} {
-		t.Run(fmt.Sprint(paces), func(t *testing.T) {
+func TestAgesWithClockDrift(t *testing.T) {
+	for _, rates := range [][]float64{{1.01, 1.01, 1.01, 1.01}, {0.99, 0.99, 0.99, 0.99}, {0.99, 1.01, 0.99, 1.01}, {1.01, 0.99, 1.01, 0.99}} {
+		t.Run(fmt.Sprint(rates), func(t *testing.T) {
 			var all []*memberTable
-			for i := range paces {
+			for i := range rates {
 				n := &memberTable{}
 				n.init(Options{Name: fmt.Sprint("n", i), Incarnation: 7})
 				all = append(all, n)
 			}
 			// clock of one at a true time: its own hour and pace.
 			clock := func(i int, at time.Duration) time.Time {
-				return time.Unix(int64(1_000_000*i), 0).Add(time.Duration(float64(at) * paces[i]))
+				return time.Unix(int64(1_000_000*i), 0).Add(time.Duration(float64(at) * rates[i]))
 			}
 			first := all[0]
-			for hour := range time.Duration(20) { // a beat each, and three hands on, 3 to 10 s apart
-				made := 1000*time.Second + hour*40*time.Second
+			for round := range time.Duration(20) { // a beat each, and three hands on, 3 to 10 s apart
+				made := 1000*time.Second + round*40*time.Second
 				first.mu.Lock()
 				first.loadAt = clock(0, made-2*time.Second)
 				first.makeRecord(clock(0, made))
 				first.mu.Unlock()
 				at := made
 				for i := 1; i < len(all); i++ {
-					at += time.Duration(2+i*int(hour%3+1)) * time.Second
+					at += time.Duration(2+i*int(round%3+1)) * time.Second
 					b := all[i-1].allRecords(clock(i-1, at))
 					if err := all[i].merge(b[1:], clock(i, at)); err != nil {
 						t.Fatal(err)
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -106,21 +106,21 @@
 	if o.Log == nil {
 		return nil, errors.New("member: no log")
 	}
-	ring, err := readKeys(o.Keys)
+	keyring, err := readKeys(o.Keys)
 	if err != nil {
 		return nil, err
 	}
-	m := &Members{options: o, log: o.Log, keys: ring, stop: make(chan struct{})}
+	m := &Members{options: o, log: o.Log, keys: keyring, stop: make(chan struct{})}
 	m.table.init(o)
 	m.inbox.init(o.Receive)
 	m.queues.init(m)
-	lines := logadapter.New(o.Log).Standard()
-	host, sockets, err := bind(o.Bind, lines)
+	logger := logadapter.New(o.Log).Standard()
+	host, sockets, err := bind(o.Bind, logger)
 	if err != nil {
 		return nil, err
 	}
 	m.traffic = &countingTransport{NodeAwareTransport: sockets, source: net.ParseIP(host)}
-	c, err := m.memberlistConfig(host, sockets.port(), lines)
+	c, err := m.memberlistConfig(host, sockets.port(), logger)
 	if err != nil {
 		_ = sockets.Shutdown()
 		return nil, err
@@ -196,18 +196,18 @@
 	defer m.done.Done()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	next, turn := time.Time{}, 0
+	nextJoin, joinIndex := time.Time{}, 0
 	for {
 		now := time.Now()
 		m.table.heartbeat(now)
-		if !now.Before(next) {
+		if !now.Before(nextJoin) {
 			if missing := m.addressesToJoin(now); len(missing) > 0 {
-				_, _ = m.list.Join([]string{missing[turn%len(missing)]})
-				turn++
+				_, _ = m.list.Join([]string{missing[joinIndex%len(missing)]})
+				joinIndex++
 			}
-			next = now.Add(JoinInterval)
-			if m.table.alone() {
-				next = now.Add(ProbeInterval) // nobody yet: the start of a fleet should not take longer than it must
+			nextJoin = now.Add(JoinInterval)
+			if m.table.noneAlive() {
+				nextJoin = now.Add(ProbeInterval) // nobody yet: the start of a fleet should not take longer than it must
 			}
 		}
 		select {
@@ -222,18 +222,18 @@
 // living are joined again too: memberlist announces a new member only so often, in a small fleet past one in a hundred,
 // and whole states, which have it, would be exchanged only after one or two PushPullInterval.
 func (m *Members) addressesToJoin(now time.Time) (out []string) {
-	there, dead := m.table.addresses()
+	known, dead := m.table.addresses()
 	if m.table.hasUnknownMember(now) {
-		for a := range there {
+		for a := range known {
 			out = append(out, a)
 		}
 		sort.Strings(out)
 	}
-	there[m.Addr()] = true
+	known[m.Addr()] = true
 	for _, a := range append(append([]string{}, m.options.Join...), dead...) {
-		if !there[a] {
+		if !known[a] {
 			out = append(out, a)
-			there[a] = true
+			known[a] = true
 		}
 	}
 	return out
@@ -260,9 +260,9 @@
 		return ErrClosed
 	default:
 	}
-	farewell := m.table.leave()
+	leaveRecord := m.table.leave()
 	for _, n := range m.table.nodes() {
-		_ = m.list.SendBestEffort(&n, farewell)
+		_ = m.list.SendBestEffort(&n, leaveRecord)
 	}
 	return m.list.Leave(LeaveTimeout)
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -57,14 +57,14 @@
 	}
 }
 
-func quiet() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetLevel(logrus.FatalLevel)
 	return logrus.NewEntry(l)
 }
 
 // fleet opens so many members that join the first.
-func fleet(t *testing.T, n int, keys string, change func(i int, o *Options)) []*Members {
+func openFleet(t *testing.T, n int, keys string, change func(i int, o *Options)) []*Members {
 	t.Helper()
 	var all []*Members
 	t.Cleanup(func() { // together: one after the other, those that are left would look for more and more dead
@@ -76,7 +76,7 @@
 	})
 	for i := range n {
 		o := Options{Name: fmt.Sprintf("c%02d", i), Zone: fmt.Sprintf("z%d", i%3), Incarnation: 7, Bind: "127.0.0.1:0", Keys: keys,
-			Log: quiet()}
+			Log: discardLog()}
 		if i > 0 {
 			o.Join = []string{all[0].Addr()}
 		}
@@ -93,9 +93,9 @@
 }
 
 // patience is how long a busy machine may take to what comes in seconds on a quiet one.
-const patience = 90 * time.Second
+const testTimeout = 90 * time.Second
 
-func until(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
+func waitFor(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if f() {
@@ -125,18 +125,18 @@
 }
 
 // whole waits until each of them knows just these, alive, and says who knew what if that never comes.
-func whole(t *testing.T, all []*Members) time.Duration {
+func waitAllAlive(t *testing.T, all []*Members) time.Duration {
 	t.Helper()
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(views(all))
+			t.Log(describeViews(all))
 		}
 	})
-	return until(t, "all alive", patience, allAlive(all))
+	return waitFor(t, "all alive", testTimeout, allAlive(all))
 }
 
 // views is what each of them knows: one line a member, and in it the others that are not alive or not one of all.
-func views(all []*Members) string {
+func describeViews(all []*Members) string {
 	own := map[string]string{}
 	for _, m := range all {
 		own[m.options.Name] = m.Addr()
@@ -157,10 +157,10 @@
 
 func TestStatesAndRecords(t *testing.T) {
 	t.Parallel()
-	all := fleet(t, 5, keyFile(t, 1), nil)
-	whole(t, all)
+	all := openFleet(t, 5, keyFile(t, 1), nil)
+	waitAllAlive(t, all)
 	all[1].SetRecord(Record{Load: 120, Pressure: 0.5, Voter: true, Version: "v9"})
-	until(t, "the load is heard", patience, func() bool { return all[4].Member("c01").Load == 120 })
+	waitFor(t, "the load is heard", testTimeout, func() bool { return all[4].Member("c01").Load == 120 })
 	got := all[4].Member("c01")
 	if got.Zone != "z1" || got.Incarnation != 7 || !got.Voter || got.Version != "v9" || got.Pressure != 0.5 || got.LoadAge > 15*time.Second {
 		t.Errorf("%+v", got)
@@ -174,28 +174,28 @@
 	}
 	all[3].Close()
 	all[2].Close()
-	until(t, "c03 has left", patience, func() bool { return all[0].Member("c03").State == Left })
-	took := until(t, "c02 is dead", patience, func() bool { return all[0].Member("c02").State == Dead })
+	waitFor(t, "c03 has left", testTimeout, func() bool { return all[0].Member("c03").State == Left })
+	took := waitFor(t, "c02 is dead", testTimeout, func() bool { return all[0].Member("c02").State == Dead })
 	t.Logf("death seen after %v", took)
 }
 
-func TestMessagesAndASlowPeer(t *testing.T) {
+func TestSlowPeerDoesNotDelayMessages(t *testing.T) {
 	t.Parallel()
-	held := &held{until: make(chan struct{})}
+	blocked := &blockingTransport{release: make(chan struct{})}
 	got := make(chan string, 100)
-	all := fleet(t, 4, keyFile(t, 1), func(i int, o *Options) {
+	all := openFleet(t, 4, keyFile(t, 1), func(i int, o *Options) {
 		o.Receive = func(from string, raw []byte) { got <- fmt.Sprintf("%s to c%02d: %d", from, i, len(raw)) }
 		if i == 0 {
 			o.Transport = func(n memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
-				held.NodeAwareTransport = n
-				return held
+				blocked.NodeAwareTransport = n
+				return blocked
 			}
 		}
 	})
-	defer close(held.until)
-	whole(t, all)
+	defer close(blocked.release)
+	waitAllAlive(t, all)
 	slow := all[3].Addr()
-	held.to.Store(&slow)
+	blocked.to.Store(&slow)
 	for i := 0; i < MaxQueuedMessages; i++ {
 		if err := all[0].Send("c03", make([]byte, 50_000)); err != nil {
 			t.Fatal(err)
@@ -207,7 +207,7 @@
 	// All of these come while the first to c03 is still on its way.
 	for _, n := range []int{10, MaxPacketMessage - 5, MaxPacketMessage, 300_000} {
 		want := fmt.Sprintf("c00 to c01: %d", n)
-		until(t, want, patience, func() bool {
+		waitFor(t, want, testTimeout, func() bool {
 			if err := all[0].Send("c01", make([]byte, n)); err != nil && !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -238,15 +238,15 @@
 }
 
 // held keeps streams to one address waiting until the test's end.
-type held struct {
+type blockingTransport struct {
 	memberlist.NodeAwareTransport
-	to    atomic.Pointer[string]
-	until chan struct{}
+	to      atomic.Pointer[string]
+	release chan struct{}
 }
 
-func (h *held) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
+func (h *blockingTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	if to := h.to.Load(); to != nil && a.Addr == *to {
-		<-h.until
+		<-h.release
 		return nil, errors.New("held")
 	}
 	return h.NodeAwareTransport.DialAddressTimeout(a, wait)
@@ -256,36 +256,36 @@
 // one hears the new member's records soon and then asks for it, long before whole states are exchanged.
 func TestMissedNewMember(t *testing.T) {
 	t.Parallel()
-	var deaf atomic.Pointer[string]
-	var by [4]*lossy
+	var unreachable atomic.Pointer[string]
+	var transports [4]*lossyTransport
 	keys := keyFile(t, 1)
-	lose := func(i int, o *Options) {
+	setTransport := func(i int, o *Options) {
 		o.pushPullInterval = time.Hour
 		o.Transport = func(n memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
-			by[i] = &lossy{NodeAwareTransport: n, to: &deaf}
-			return by[i]
+			transports[i] = &lossyTransport{NodeAwareTransport: n, to: &unreachable}
+			return transports[i]
 		}
 	}
-	all := fleet(t, 3, keys, lose)
-	whole(t, all)
+	all := openFleet(t, 3, keys, setTransport)
+	waitAllAlive(t, all)
 	at := all[2].Addr()
-	deaf.Store(&at)
-	o := Options{Name: "c03", Incarnation: 7, Bind: "127.0.0.1:0", Keys: keys, Join: []string{all[0].Addr()}, Log: quiet()}
-	lose(3, &o)
-	late, err := Open(o)
+	unreachable.Store(&at)
+	o := Options{Name: "c03", Incarnation: 7, Bind: "127.0.0.1:0", Keys: keys, Join: []string{all[0].Addr()}, Log: discardLog()}
+	setTransport(3, &o)
+	newMember, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { late.Close() })
-	until(t, "the new member is known to the two", patience, func() bool {
-		return all[0].Member("c03").State == Alive && all[1].Member("c03").State == Alive && late.Member("c01").State == Alive
+	t.Cleanup(func() { newMember.Close() })
+	waitFor(t, "the new member is known to the two", testTimeout, func() bool {
+		return all[0].Member("c03").State == Alive && all[1].Member("c03").State == Alive && newMember.Member("c01").State == Alive
 	})
 	var before [4]int64
-	for i := range by {
-		before[i] = by[i].sent.Load()
+	for i := range transports {
+		before[i] = transports[i].sent.Load()
 	}
-	until(t, "the word of it is used up", patience, func() bool { // what is new is in each packet, four times in a fleet of four
-		for i, l := range by {
+	waitFor(t, "the word of it is used up", testTimeout, func() bool { // what is new is in each packet, four times in a fleet of four
+		for i, l := range transports {
 			if i != 2 && l.sent.Load() < before[i]+12 {
 				return false
 			}
@@ -295,18 +295,18 @@
 	if x := all[2].Member("c03"); x.State != Unknown {
 		t.Logf("the deaf one knows it by another way: %+v", x)
 	}
-	deaf.Store(nil)
-	whole(t, append(all, late))
+	unreachable.Store(nil)
+	waitAllAlive(t, append(all, newMember))
 }
 
 // lossy loses the packets to one address, and counts all.
-type lossy struct {
+type lossyTransport struct {
 	memberlist.NodeAwareTransport
 	to   *atomic.Pointer[string]
 	sent atomic.Int64
 }
 
-func (l *lossy) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (l *lossyTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	l.sent.Add(1)
 	if to := l.to.Load(); to != nil && a.Addr == *to {
 		return time.Now(), nil
@@ -318,12 +318,12 @@
 	t.Parallel()
 	path := keyFile(t, 1)
 	other := keyFile(t, 2)
-	all := fleet(t, 3, path, func(i int, o *Options) {
+	all := openFleet(t, 3, path, func(i int, o *Options) {
 		if i == 2 {
 			o.Keys = other
 		}
 	})
-	until(t, "two of one key", patience, func() bool { return all[1].Member("c00").State == Alive && all[0].Member("c01").State == Alive })
+	waitFor(t, "two of one key", testTimeout, func() bool { return all[1].Member("c00").State == Alive && all[0].Member("c01").State == Alive })
 	if x := all[0].Member("c02"); x.State != Unknown {
 		t.Errorf("with another key: %+v", x)
 	}
@@ -335,14 +335,14 @@
 			}
 		}
 	}
-	until(t, "the third of the new key", patience, allAlive(all))
+	waitFor(t, "the third of the new key", testTimeout, allAlive(all))
 	if err := os.WriteFile(path, []byte("c2hvcnQ=\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := all[0].ReloadKeys(); err == nil || strings.Contains(err.Error(), "c2hvcnQ") || !strings.Contains(err.Error(), "line 1") {
 		t.Errorf("a bad key: %v", err)
 	}
-	if _, err := Open(Options{Name: "x", Bind: "127.0.0.1:0", Log: quiet()}); err == nil {
+	if _, err := Open(Options{Name: "x", Bind: "127.0.0.1:0", Log: discardLog()}); err == nil {
 		t.Error("no keyring was taken")
 	}
 }
@@ -364,9 +364,9 @@
 	if _, _, err := parseRecord(b); err == nil || !strings.Contains(err.Error(), "version 2") {
 		t.Error(err)
 	}
-	young := a
-	young.age, young.loadAge = -3*time.Millisecond, -3*time.Millisecond
-	if got, _, err := parseRecord(young.append(nil)); err != nil || got.age != 0 || got.loadAge != 0 {
+	negativeAge := a
+	negativeAge.age, negativeAge.loadAge = -3*time.Millisecond, -3*time.Millisecond
+	if got, _, err := parseRecord(negativeAge.append(nil)); err != nil || got.age != 0 || got.loadAge != 0 {
 		t.Errorf("made after the clock was read: %+v, %v", got, err)
 	}
 	a.Load = -1
@@ -375,12 +375,12 @@
 	}
 }
 
-func TestNewsBoundedAndAging(t *testing.T) {
+func TestTableBoundedAndRecordsAge(t *testing.T) {
 	var n memberTable
 	n.init(Options{Name: "self"})
 	now := time.Now()
 	// memberlist may ask for the own record at once, and one without a time would pass for a day old.
-	if own, _, err := parseRecord(n.allRecords(now)[1:]); err != nil || own.sequence == 0 || own.age > patience {
+	if own, _, err := parseRecord(n.allRecords(now)[1:]); err != nil || own.sequence == 0 || own.age > testTimeout {
 		t.Errorf("the first of all: %+v, %v", own, err)
 	}
 	for i := range 2 * MaxMembers {
@@ -420,8 +420,8 @@
 			if testing.Short() && size > 5 {
 				t.Skip("fifty members under the race detector keep a machine busy, which is not rest")
 			}
-			all := fleet(t, size, keyFile(t, 1), nil)
-			took := whole(t, all)
+			all := openFleet(t, size, keyFile(t, 1), nil)
+			took := waitAllAlive(t, all)
 			sum := func() (n int64) {
 				for _, m := range all {
 					n += m.Traffic()
@@ -452,7 +452,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	m := fleet(t, 1, keyFile(t, 1), func(_ int, o *Options) { o.Bind = "127.0.0.2:0" })[0]
+	m := openFleet(t, 1, keyFile(t, 1), func(_ int, o *Options) { o.Bind = "127.0.0.2:0" })[0]
 	out, err := m.traffic.DialAddressTimeout(memberlist.Address{Addr: ln.Addr().String()}, time.Second)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/member/record.go
+++ b/internal/fleet/member/record.go
@@ -63,12 +63,12 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(a.Pressure))
 }
 
-var errRecord = errors.New("member: a record is cut short or damaged")
+var errDamagedRecord = errors.New("member: a record is cut short or damaged")
 
 // parseRecord reads one and gives what follows it.
 func parseRecord(b []byte) (a wireRecord, rest []byte, err error) {
 	if len(b) < 2 {
-		return a, nil, errRecord
+		return a, nil, errDamagedRecord
 	}
 	if b[0] != recordVersion {
 		return a, nil, fmt.Errorf("member: a record of version %d, this program knows %d", b[0], recordVersion)
@@ -77,7 +77,7 @@
 	b = b[2:]
 	for _, s := range []*string{&a.name, &a.zone, &a.Version} {
 		if len(b) < 1 || int(b[0]) > MaxNameLength || len(b) < 1+int(b[0]) {
-			return a, nil, errRecord
+			return a, nil, errDamagedRecord
 		}
 		*s, b = string(b[1:1+b[0]]), b[1+b[0]:]
 	}
@@ -85,12 +85,12 @@
 	for _, n := range []*uint64{&a.incarnation, &a.sequence, &age, &loadAge} {
 		v, size := binary.Uvarint(b)
 		if size <= 0 {
-			return a, nil, errRecord
+			return a, nil, errDamagedRecord
 		}
 		*n, b = v, b[size:]
 	}
 	if len(b) < 16 || a.name == "" {
-		return a, nil, errRecord
+		return a, nil, errDamagedRecord
 	}
 	limit := uint64(maxAge.Milliseconds())
 	a.age = time.Duration(min(age, limit)) * time.Millisecond
--- a/internal/fleet/member/sockets.go
+++ b/internal/fleet/member/sockets.go
@@ -16,12 +16,12 @@
 const (
 	// maxDatagramSize is the maximum number of bytes that UDP carries in one packet: the room to read one, as its size is not known before.
 	maxDatagramSize = 1 << 16
-	// kernelBuffer is asked of the kernel for packets that wait to be read. Twice as much: more that is old after a stall;
+	// kernelBufferSize is asked of the kernel for packets that wait to be read. Twice as much: more that is old after a stall;
 	// half: a stall of half the length loses some of what 300 send.
-	kernelBuffer = 2 << 20
-	// acceptPause follows a stream that could not be accepted, for want of descriptors. Twice as long: streams wait so much
+	kernelBufferSize = 2 << 20
+	// acceptRetryDelay follows a stream that could not be accepted, for want of descriptors. Twice as long: streams wait so much
 	// longer after it; half: twice the lines of it.
-	acceptPause = 100 * time.Millisecond
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 // sockets listen for memberlist, by UDP and TCP at one address. memberlist's own take 64 KB of new memory for each packet,
@@ -50,7 +50,7 @@
 		_ = tcp.Close()
 		return nil, err
 	}
-	for size := kernelBuffer; size > 0 && udp.SetReadBuffer(size) != nil; size /= 2 {
+	for size := kernelBufferSize; size > 0 && udp.SetReadBuffer(size) != nil; size /= 2 {
 	}
 	s := &sockets{tcp: tcp, udp: udp, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), log: log, stop: make(chan struct{})}
 	s.done.Go(s.readPackets)
@@ -92,7 +92,7 @@
 		if err != nil {
 			s.log.Printf("[ERR] memberlist: Error accepting TCP connection: %v", err)
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			case <-s.stop:
 				return
 			}
@@ -129,8 +129,8 @@
 	default:
 		port = bound.Port
 	}
-	if four := ip.To4(); four != nil {
-		ip = four
+	if ipv4 := ip.To4(); ipv4 != nil {
+		ip = ipv4
 	}
 	return ip, port, nil
 }
--- a/internal/fleet/member/sockets_test.go
+++ b/internal/fleet/member/sockets_test.go
@@ -12,14 +12,14 @@
 
 // A packet costs about its own size in memory, keeps what came when the next is read, and a closed pair ends at once with
 // packets and streams that nobody took.
-func TestPacketsCostTheirSize(t *testing.T) {
+func TestSocketsAllocatePerPacketSize(t *testing.T) {
 	// Long: one measurement of allocations, with its set-up.
-	quiet := log.New(io.Discard, "", 0)
-	from, err := listen("127.0.0.1", 0, quiet)
+	logger := log.New(io.Discard, "", 0)
+	from, err := listen("127.0.0.1", 0, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	to, err := listen("127.0.0.1", 0, quiet)
+	to, err := listen("127.0.0.1", 0, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -28,8 +28,8 @@
 	SuspectHeartbeats = 4
 	// MinChangeInterval: a change (load by a quarter, pressure by a tenth, voter, version) is sent at once, but not more often.
 	MinChangeInterval = 5 * time.Second
-	loadChange        = 0.25
-	pressureChange    = 0.1
+	minLoadChange     = 0.25
+	minPressureChange = 0.1
 )
 
 // memberEntry is all that is known of one.
@@ -70,7 +70,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.Record, n.loadAt = r, time.Now()
-	if math.Abs(r.Load-n.lastRecord.Load) > loadChange*n.lastRecord.Load || math.Abs(r.Pressure-n.lastRecord.Pressure) > pressureChange ||
+	if math.Abs(r.Load-n.lastRecord.Load) > minLoadChange*n.lastRecord.Load || math.Abs(r.Pressure-n.lastRecord.Pressure) > minPressureChange ||
 		r.Voter != n.lastRecord.Voter || r.Version != n.lastRecord.Version {
 		n.changed = true
 	}
@@ -104,7 +104,7 @@
 	n.self.loadAge = now.Sub(n.loadAt)
 }
 
-func (n *memberTable) leave() (farewell []byte) {
+func (n *memberTable) leave() (leaveRecord []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.leaving = true
@@ -243,7 +243,7 @@
 	return nil
 }
 
-func (n *memberTable) alone() bool {
+func (n *memberTable) noneAlive() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.members {
@@ -254,20 +254,20 @@
 	return true
 }
 
-func (n *memberTable) addresses() (there map[string]bool, dead []string) {
+func (n *memberTable) addresses() (live map[string]bool, dead []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	there = map[string]bool{}
+	live = map[string]bool{}
 	for _, h := range n.members {
 		switch {
 		case h.alive:
-			there[h.node.Address()] = true
+			live[h.node.Address()] = true
 		case h.inMemberlist && !h.leaving:
 			dead = append(dead, h.node.Address())
 		}
 	}
 	sort.Strings(dead)
-	return there, dead
+	return live, dead
 }
 
 // hasUnknownMember says whether a member's recent record has come for at least JoinInterval, but memberlist never announced it.
--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -11,15 +11,15 @@
 
 // evidence is kept beside the deciding, from what goes out and what the agreed state says, so that Check does not
 // rest on what the decisions rest on.
-type evidence struct {
-	since map[string]time.Duration // when the set that goes out first had a name; as long as it has
-	fence map[string]uint64        // the live grant under which it goes out
-	wrong error                    // the first thing that was wrong
+type checkState struct {
+	appliedSince map[string]time.Duration // when the set that goes out first had a name; as long as it has
+	grantFences  map[string]uint64        // the live grant under which it goes out
+	violation    error                    // the first thing that was wrong
 }
 
-func (e *evidence) fail(format string, a ...any) {
-	if e.wrong == nil {
-		e.wrong = fmt.Errorf(format, a...)
+func (e *checkState) fail(format string, a ...any) {
+	if e.violation == nil {
+		e.violation = fmt.Errorf(format, a...)
 	}
 }
 
@@ -27,7 +27,7 @@
 func (v *View) recordGrants(names []string) {
 	for _, n := range names {
 		if i := v.liveGrantIndex(n); i >= 0 {
-			v.evidence.fence[n] = v.live[i].Fence
+			v.checks.grantFences[n] = v.live[i].Fence
 		}
 	}
 }
@@ -38,21 +38,21 @@
 		if slices.Contains(names, n) {
 			continue
 		}
-		delete(v.evidence.since, n)
-		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.evidence.fence[n] && !(v.CutOff(now) && now >= v.endOf(v.live[i].Until)) {
-			v.evidence.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
+		delete(v.checks.appliedSince, n)
+		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.checks.grantFences[n] && !(v.CutOff(now) && now >= v.grantEnd(v.live[i].Until)) {
+			v.checks.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
 		}
 	}
 	for _, n := range names {
 		if slices.Contains(v.sentDrains, n) {
 			continue
 		}
-		v.evidence.since[n] = now
+		v.checks.appliedSince[n] = now
 		if v.liveGrantIndex(n) < 0 {
-			v.evidence.fail("V3: %s was drained at %v without a live grant", n, now)
+			v.checks.fail("V3: %s was drained at %v without a live grant", n, now)
 		}
 		if v.CutOff(now) && v.polls.answered {
-			v.evidence.fail("V4: %s was drained at %v while cut off", n, now)
+			v.checks.fail("V4: %s was drained at %v while cut off", n, now)
 		}
 	}
 }
@@ -66,8 +66,8 @@
 	if v.machines[l.machine].Kind == maintenance.Coordinator {
 		return
 	}
-	if since, ok := v.evidence.since[l.machine]; !ok || now-since < v.limits.Grace {
-		v.evidence.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
+	if since, ok := v.checks.appliedSince[l.machine]; !ok || now-since < v.limits.Grace {
+		v.checks.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
 			l.machine, now, ok, since, v.limits.Grace)
 	}
 }
@@ -78,8 +78,8 @@
 // V4 one was newly drained while cut off (but by a process never answered yet), V5 what is remembered is over its bound
 // or out of order.
 func (v *View) Check() error {
-	if v.evidence.wrong != nil {
-		return v.evidence.wrong
+	if v.checks.violation != nil {
+		return v.checks.violation
 	}
 	if len(v.polls.sent) > MaxSentPolls {
 		return fmt.Errorf("V5: %d polls are remembered, %d at most", len(v.polls.sent), MaxSentPolls)
--- a/internal/fleet/view/drains.go
+++ b/internal/fleet/view/drains.go
@@ -25,11 +25,11 @@
 // confirmDrains counts the Grace of what the last Step applied from now on, as it was certainly carried out by now. After a gap
 // the Grace of what was not reported yet starts anew: what was being sent when the process stopped is sent when it wakes.
 func (v *View) confirmDrains(now time.Duration, gap bool) {
-	said := func(l drain) bool {
+	reported := func(l drain) bool {
 		return slices.ContainsFunc(v.polls.reported, func(s DrainStatus) bool { return s.Fence == l.fence && s.Machine == l.machine })
 	}
 	for i, l := range v.drains {
-		if !l.confirmed || gap && !said(l) {
+		if !l.confirmed || gap && !reported(l) {
 			v.drains[i].confirmed, v.drains[i].graceFrom = true, now
 		}
 	}
@@ -50,7 +50,7 @@
 		}
 	}
 	if v.cutOff {
-		v.drains = slices.DeleteFunc(v.drains, func(l drain) bool { return now >= v.endOf(l.until) })
+		v.drains = slices.DeleteFunc(v.drains, func(l drain) bool { return now >= v.grantEnd(l.until) })
 	}
 }
 
@@ -59,8 +59,8 @@
 	return slices.IndexFunc(v.drains, func(l drain) bool { return l.fence == fence })
 }
 
-// endOf is when an agreed time has passed for certain, by the own clock.
-func (v *View) endOf(until time.Duration) time.Duration {
+// grantEnd is when an agreed time has passed for certain, by the own clock.
+func (v *View) grantEnd(until time.Duration) time.Duration {
 	return v.agreedAt + withDrift(max(until-v.agreedTime, 0))
 }
 
@@ -78,7 +78,7 @@
 			}
 			continue
 		}
-		if v.cutOff && now >= v.endOf(it.Until) {
+		if v.cutOff && now >= v.grantEnd(it.Until) {
 			continue
 		}
 		l := drain{machine: it.Machine, fence: it.Fence, until: it.Until, graceFrom: now, applied: m.Kind != maintenance.Coordinator}
--- a/internal/fleet/view/epoch.go
+++ b/internal/fleet/view/epoch.go
@@ -22,7 +22,7 @@
 			if !l.applied {
 				continue
 			}
-			o := previousDrain{machine: l.machine, ends: v.endOf(l.until)}
+			o := previousDrain{machine: l.machine, ends: v.grantEnd(l.until)}
 			if i := v.liveGrantIndex(l.machine); i >= 0 {
 				o.start = v.live[i].StartedAt
 			}
@@ -36,7 +36,7 @@
 	v.epoch, v.applied, v.index, v.drains, v.live = epoch, false, 0, nil, nil
 	v.polls.term = 0
 	clear(v.machines)
-	clear(v.evidence.fence)
+	clear(v.checks.grantFences)
 }
 
 // dropEndedPrevious drops the old drains that are over.
--- a/internal/fleet/view/lease_test.go
+++ b/internal/fleet/view/lease_test.go
@@ -14,165 +14,165 @@
 	"birchcart/internal/fleet/peerproto"
 )
 
-func TestTheLeaseRunsFromTheSendingLessTheDrift(t *testing.T) {
-	r := begin(t)
+func TestLeaseCountsFromPollSendTimeLessDrift(t *testing.T) {
+	r := newRig(t)
 	r.run(3 * s)
-	r.deaf = true
+	r.unanswered = true
 	r.pending = nil
 	n := len(r.polls)
 	sent := r.now - r.v.Age(r.now)
 	r.run(9 * s)
-	r.want("cut off", r.v.CutOff(sent+9900*time.Millisecond), true)
-	r.want("cut off", r.v.CutOff(sent+9899*time.Millisecond), false)
-	r.want("age", r.v.Age(r.now), r.now-sent)
+	r.expect("cut off", r.v.CutOff(sent+9900*time.Millisecond), true)
+	r.expect("cut off", r.v.CutOff(sent+9899*time.Millisecond), false)
+	r.expect("age", r.v.Age(r.now), r.now-sent)
 	// Answers that are late, repeated or of no poll of ours change only what their own poll's sending allows.
 	r.run(3 * s)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n-2].Sequence}, PollAnswered{Sequence: 999}}
 	r.step(100 * time.Millisecond)
-	r.want("cut off after a repeated answer", r.v.CutOff(r.now), true)
+	r.expect("cut off after a repeated answer", r.v.CutOff(r.now), true)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
-	r.want("a late answer lengthens by its own poll", r.v.Age(r.now), r.now-r.pollsAt[n])
+	r.expect("a late answer lengthens by its own poll", r.v.Age(r.now), r.now-r.pollsAt[n])
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n+2].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
 	age := r.now - r.pollsAt[n+2]
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n+1].Sequence, Term: 3}, PollAnswered{Sequence: r.polls[len(r.polls)-1].Sequence, Term: 2}}
 	r.step(0)
-	r.want("an older answer, or an older leader's, changes nothing", r.v.Age(r.now), age)
+	r.expect("an older answer, or an older leader's, changes nothing", r.v.Age(r.now), age)
 }
 
-func TestCutOffKeepsWhatItLaidUntilTheGrantsEnd(t *testing.T) {
-	r := begin(t)
-	r.applied(r.item("r1", 7, maintenance.Acknowledged))
+func TestCutOffKeepsDrainsUntilGrantEnd(t *testing.T) {
+	r := newRig(t)
+	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
-	r.want("for the file", len(r.grants), 1)
-	r.want("to begin before", r.grants[0].StartBefore, 5080*s)
-	r.deaf = true
+	r.expect("for the file", len(r.grants), 1)
+	r.expect("to begin before", r.grants[0].StartBefore, 5080*s)
+	r.unanswered = true
 	r.run(12 * s)
-	r.want("cut off", r.v.CutOff(r.now), true)
-	r.want("for the file while cut off", r.grants, "[]")
-	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted))
-	r.want("kept, nothing new", r.drains, "[r1]")
+	r.expect("cut off", r.v.CutOff(r.now), true)
+	r.expect("for the file while cut off", r.grants, "[]")
+	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted))
+	r.expect("kept, nothing new", r.drains, "[r1]")
 	later := r.item("r1", 7, maintenance.Out)
 	later.Until += 20 * s
-	r.applied(later, r.item("r3", 8, maintenance.Granted))
-	known := r.at
-	for r.at < 5120*s+900*time.Millisecond {
-		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: known}) // which moves no time
+	r.applyItems(later, r.item("r3", 8, maintenance.Granted))
+	knownTime := r.agreedTime
+	for r.agreedTime < 5120*s+900*time.Millisecond {
+		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: knownTime}) // which moves no time
 		r.run(100 * time.Millisecond)
-		r.want("kept until a hundredth past the end", r.drains, "[r1]")
+		r.expect("kept until a hundredth past the end", r.drains, "[r1]")
 	}
 	r.run(s)
-	r.want("lifted after the end", r.drains, "[]")
-	r.deaf = false
+	r.expect("lifted after the end", r.drains, "[]")
+	r.unanswered = false
 	r.run(6 * s)
-	r.want("laid again once answered, while the grants live", r.drains, "[r1 r3]")
-	r = begin(t)
-	r.applied(r.item("r1", 7, maintenance.Acknowledged))
+	r.expect("laid again once answered, while the grants live", r.drains, "[r1 r3]")
+	r = newRig(t)
+	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(78 * s)
-	r.want("for the file", len(r.grants), 1)
+	r.expect("for the file", len(r.grants), 1)
 	r.run(2 * s)
-	r.want("for the file once it is too late to begin", r.grants, "[]")
+	r.expect("for the file once it is too late to begin", r.grants, "[]")
 }
 
-func TestAStoppedProcessIsCutOffUntilAnswered(t *testing.T) {
-	r := begin(t)
-	r.applied(r.item("r1", 7, maintenance.Granted))
+func TestStalledProcessIsCutOffUntilAnswered(t *testing.T) {
+	r := newRig(t)
+	r.applyItems(r.item("r1", 7, maintenance.Granted))
 	r.run(s)
-	r.deaf, r.pending = true, nil
+	r.unanswered, r.pending = true, nil
 	r.step(100 * time.Millisecond)
-	r.want("before the stop", r.v.CutOff(r.now), false)
+	r.expect("before the stop", r.v.CutOff(r.now), false)
 	before := r.polls[len(r.polls)-1].Sequence
 	// What was sent before the stop is answered in the first Step after it, together with a new grant.
 	r.pending = []Input{PollAnswered{Sequence: before}}
-	r.applied(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted))
+	r.applyItems(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted))
 	r.step(30 * s)
-	woke := r.now
-	r.want("cut off on waking", r.v.CutOff(r.now), true)
-	r.want("laid on waking", r.drains, "[r1]")
-	r.want("said on waking: its Grace began anew", r.laid(), "[]")
-	r.deaf = false
+	resumedAt := r.now
+	r.expect("cut off on waking", r.v.CutOff(r.now), true)
+	r.expect("laid on waking", r.drains, "[r1]")
+	r.expect("said on waking: its Grace began anew", r.lastReported(), "[]")
+	r.unanswered = false
 	r.run(10 * s)
-	r.want("after an answer", r.drains, "[r1 r3]")
+	r.expect("after an answer", r.drains, "[r1 r3]")
 	i := slices.IndexFunc(r.polls, func(p Poll) bool { return len(p.Drains) > 0 })
-	r.want("a whole Grace after waking", r.pollsAt[i]-woke >= 2*s, true)
+	r.expect("a whole Grace after waking", r.pollsAt[i]-resumedAt >= 2*s, true)
 	r.step(30 * s)
-	r.want("what was said before a stop", r.laid(), "[{r1 7 false } {r3 8 false }]")
+	r.expect("what was said before a stop", r.lastReported(), "[{r1 7 false } {r3 8 false }]")
 }
 
-func TestPolls(t *testing.T) {
-	r := begin(t)
+func TestPollIntervals(t *testing.T) {
+	r := newRig(t)
 	r.run(10 * s)
-	r.want("polls in 10 s", len(r.polls), 11)
+	r.expect("polls in 10 s", len(r.polls), 11)
 	for len(r.pending) == 0 {
 		r.step(100 * time.Millisecond)
 	}
 	n := len(r.polls)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n-1].Sequence, Truncated: true}}
 	r.step(100 * time.Millisecond)
-	r.want("at once after an answer that was cut short", len(r.polls), n+1)
-	r.deaf, r.pending = true, nil
+	r.expect("at once after an answer that was cut short", len(r.polls), n+1)
+	r.unanswered, r.pending = true, nil
 	r.run(60 * s)
 	var gaps []string
 	for i := n + 1; i < len(r.polls); i++ {
 		gaps = append(gaps, (r.pollsAt[i] - r.pollsAt[i-1]).String())
-		r.want("numbers", r.polls[i].Sequence, r.polls[i-1].Sequence+1)
+		r.expect("numbers", r.polls[i].Sequence, r.polls[i-1].Sequence+1)
 	}
-	r.want("unanswered, a quarter of the lease at most", gaps[:5], "[1s 1s 2s 2.5s 2.5s]")
+	r.expect("unanswered, a quarter of the lease at most", gaps[:5], "[1s 1s 2s 2.5s 2.5s]")
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence, Truncated: true}}
 	n = len(r.polls)
 	for range 100 {
 		r.step(10 * time.Millisecond)
 		r.pending = append(r.pending, PollAnswered{Sequence: r.v.polls.sequence, Truncated: true})
 	}
-	r.want("in a second of answers cut short", len(r.polls)-n, 20)
+	r.expect("in a second of answers cut short", len(r.polls)-n, 20)
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.step(100 * time.Millisecond)
 	r.run(5 * s)
 	n = len(r.polls)
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.run(1100 * time.Millisecond)
-	r.want("after one that came late, at once and a second later", len(r.polls)-n, 2)
+	r.expect("after one that came late, at once and a second later", len(r.polls)-n, 2)
 	r.run(200 * s)
 	if len(r.v.polls.sent) != MaxSentPolls {
 		t.Errorf("%d sendings are remembered", len(r.v.polls.sent))
 	}
-	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, deaf: true}
+	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, unanswered: true}
 	r.run(5 * s)
-	r.want("in 5 s of a process never answered, ten of them in the first", len(r.polls), 10+3)
+	r.expect("in 5 s of a process never answered, ten of them in the first", len(r.polls), 10+3)
 	v := New("a", 10*s)
 	v.FirstSequence(1000)
-	r.want("first number", v.Step(0, nil)[1].(Poll).Sequence, 1001)
+	r.expect("first number", v.Step(0, nil)[1].(Poll).Sequence, 1001)
 }
 
-func TestAHaltedPartEndsAndServesOn(t *testing.T) {
-	r := begin(t)
-	r.applied(r.item("r1", 7, maintenance.Acknowledged), r.item("a", 8, maintenance.Granted))
+func TestHaltedViewStopsPollingAndKeepsDrains(t *testing.T) {
+	r := newRig(t)
+	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("a", 8, maintenance.Granted))
 	r.run(3 * s)
 	n := len(r.polls)
 	r.pending = []Input{Halted{fmt.Errorf("version 9")}, Halted{fmt.Errorf("again")}}
 	r.step(100 * time.Millisecond)
-	r.want("cut off at once", r.v.CutOff(r.now), true)
+	r.expect("cut off at once", r.v.CutOff(r.now), true)
 	r.run(10 * s)
-	r.want("drains, polls, grants, leaves", fmt.Sprint(r.drains, len(r.polls)-n, r.grants, r.leaves), "[r1] 0 [] []")
-	r.want("lines", len(slices.DeleteFunc(r.logs, func(l string) bool { return !strings.Contains(l, "has ended") })), 1)
+	r.expect("drains, polls, grants, leaves", fmt.Sprint(r.drains, len(r.polls)-n, r.grants, r.leaves), "[r1] 0 [] []")
+	r.expect("lines", len(slices.DeleteFunc(r.logs, func(l string) bool { return !strings.Contains(l, "has ended") })), 1)
 	r.run(100 * s)
-	r.want("past the end", r.drains, "[]")
+	r.expect("past the end", r.drains, "[]")
 
-	r = begin(t)
+	r = newRig(t)
 	var many []maintenance.Item
 	for i := range peerproto.MaxDrains + 9 {
 		many = append(many, r.item("b", uint64(i+1), maintenance.Granted))
 	}
-	r.applied(many...)
+	r.applyItems(many...)
 	r.run(s)
-	r.want("told of in one poll", len(r.polls[len(r.polls)-1].Drains), peerproto.MaxDrains)
+	r.expect("told of in one poll", len(r.polls[len(r.polls)-1].Drains), peerproto.MaxDrains)
 }
 
 // play is a seeded life of a view: grants come and go, answers are lost, late and repeated, the process stalls.
-func play(t *testing.T, seed uint64) []Output {
+func runRandom(t *testing.T, seed uint64) []Output {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	r := begin(t)
+	r := newRig(t)
 	var fence uint64
 	items := map[string]maintenance.Item{}
 	for range 300 {
@@ -188,22 +188,22 @@
 				it.Phase = maintenance.Returned
 			default:
 				fence++
-				it = maintenance.Item{Machine: name, Fence: fence, Phase: maintenance.Granted, Until: r.at + 20*s}
+				it = maintenance.Item{Machine: name, Fence: fence, Phase: maintenance.Granted, Until: r.agreedTime + 20*s}
 			}
 			items[name] = it
 			var all []maintenance.Item
 			for _, n := range []string{"a", "b", "r0", "r1", "r2", "r3"} {
 				all = append(all, items[n])
 			}
-			r.applied(all...)
+			r.applyItems(all...)
 		}
 		if rng.IntN(10) == 0 {
-			own := slices.Clone(list)
+			own := slices.Clone(replicaList)
 			own[rng.IntN(4)].Status = maintenance.Gone
 			r.pending = append(r.pending, ReplicaList{own})
 		}
 		if rng.IntN(20) == 0 {
-			r.deaf = !r.deaf
+			r.unanswered = !r.unanswered
 		}
 		r.pending = append(r.pending, PollAnswered{Sequence: uint64(rng.IntN(int(r.polls[len(r.polls)-1].Sequence) + 2)), Term: uint64(rng.IntN(3))})
 		r.step([]time.Duration{10 * time.Millisecond, 200 * time.Millisecond, s, 15 * s}[min(rng.IntN(40)/12, 3)])
@@ -211,50 +211,50 @@
 	return r.out
 }
 
-func TestSeededLivesHoldAndRepeat(t *testing.T) {
+func TestRandomRunsHoldInvariantsAndRepeat(t *testing.T) {
 	for seed := range uint64(200) {
-		play(t, seed)
+		runRandom(t, seed)
 	}
-	first := play(t, 3)
+	first := runRandom(t, 3)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	if again := play(t, 3); !reflect.DeepEqual(first, again) {
+	if again := runRandom(t, 3); !reflect.DeepEqual(first, again) {
 		t.Error("the same life gave something else on one processor")
 	}
 }
 
 // A co-ordinator that the inventory does not have yet is told what was agreed and lays it, and holds no lease: the next
 // leader would not wait for it. One that had a lease keeps what its older answers gave.
-func TestOneThatIsNotListedHoldsNoLease(t *testing.T) {
-	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, at: 5000 * s, deaf: true, pending: []Input{ReplicaList{list}}}
+func TestNotInInventoryGivesNoLease(t *testing.T) {
+	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, agreedTime: 5000 * s, unanswered: true, pending: []Input{ReplicaList{replicaList}}}
 	r.step(0)
 	unlisted := func() {
 		r.pending = append(r.pending, PollAnswered{Sequence: r.polls[len(r.polls)-1].Sequence, Leader: "b", NotInInventory: true})
 	}
-	r.applied(r.item("r1", 7, maintenance.Acknowledged))
+	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	for range 30 {
 		unlisted()
 		r.run(100 * time.Millisecond)
-		r.want("cut off before it is listed", r.v.CutOff(r.now), true)
+		r.expect("cut off before it is listed", r.v.CutOff(r.now), true)
 	}
-	r.want("laid all the same", r.drains, "[r1]")
-	r.want("for the file", r.grants, "[]")
+	r.expect("laid all the same", r.drains, "[r1]")
+	r.expect("for the file", r.grants, "[]")
 	n := len(r.polls)
 	if n > 15 {
 		t.Errorf("%d polls in 3 s", n)
 	}
-	r.deaf = false
+	r.unanswered = false
 	r.run(2 * s)
-	r.want("cut off once listed", r.v.CutOff(r.now), false)
-	r.deaf = true
+	r.expect("cut off once listed", r.v.CutOff(r.now), false)
+	r.unanswered = true
 	for range 120 {
 		unlisted()
 		r.run(100 * time.Millisecond)
 	}
-	r.want("cut off once it is listed no more", r.v.CutOff(r.now), true)
+	r.expect("cut off once it is listed no more", r.v.CutOff(r.now), true)
 }
 
 // Who waits for something agreed polls as soon as polls may be, and not much later where a packet was lost.
-func TestAHurryPollsSoon(t *testing.T) {
+func TestUrgentPolls(t *testing.T) {
 	v := New("c1", 10*time.Second)
 	polls := func(now time.Duration, in ...Input) (no uint64) {
 		for _, o := range v.Step(now, in) {
--- a/internal/fleet/view/polls.go
+++ b/internal/fleet/view/polls.go
@@ -56,12 +56,12 @@
 
 // pollDelay until the next poll, the newest being the n-th in a row without an answer.
 func (v *View) pollDelay(n int) time.Duration {
-	most := max(min(MaxPollInterval, v.lease/4), PollInterval)
+	maxDelay := max(min(MaxPollInterval, v.lease/4), PollInterval)
 	d := PollInterval
-	for ; n > 2 && d < most; n-- {
+	for ; n > 2 && d < maxDelay; n-- {
 		d *= 2
 	}
-	return min(d, most)
+	return min(d, maxDelay)
 }
 
 // emitPoll polls when it is time: once a second, less often while unanswered, and soon if an answer was truncated or
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -135,18 +135,18 @@
 	polls pollState
 
 	// The agreed state as last applied: its live items (granted, acknowledged, out), in its order.
-	applied           bool
-	index             uint64
-	epoch             uint64
-	agreedTime        time.Duration // its time, and when that was first seen by the own clock
-	agreedAt          time.Duration
-	live              []maintenance.Item
-	machines          map[string]maintenance.Machine // of the live items
-	limits            maintenance.Limits
-	newestFence       uint64 // highest fence seen
-	caughtUp          bool   // an answer was complete, with a state applied
-	fencesBeforeStart uint64 // highest fence seen up to then: grants of before this process, for which it does not leave
-	leftByFence       uint64 // fence it left by
+	applied                 bool
+	index                   uint64
+	epoch                   uint64
+	agreedTime              time.Duration // its time, and when that was first seen by the own clock
+	agreedAt                time.Duration
+	live                    []maintenance.Item
+	machines                map[string]maintenance.Machine // of the live items
+	limits                  maintenance.Limits
+	highestFence            uint64 // highest fence seen
+	caughtUp                bool   // an answer was complete, with a state applied
+	highestFenceBeforeStart uint64 // highest fence seen up to then: grants of before this process, for which it does not leave
+	leftByFence             uint64 // fence it left by
 
 	replicasKnown bool
 	replicas      []maintenance.Machine
@@ -155,14 +155,14 @@
 	previousDrains []previousDrain // drains of grants of an earlier epoch, by name
 	sentDrains     []string
 	sentGrants     []Grant
-	evidence       evidence
+	checks         checkState
 }
 
 // New makes a view of the co-ordinator of that name. The lease is that of the limits in force when it starts; Applied
 // limits replace it.
 func New(name string, lease time.Duration) *View {
 	return &View{name: name, lease: lease, cutOff: true, machines: map[string]maintenance.Machine{},
-		evidence: evidence{since: map[string]time.Duration{}, fence: map[string]uint64{}}}
+		checks: checkState{appliedSince: map[string]time.Duration{}, grantFences: map[string]uint64{}}}
 }
 
 // FirstSequence sets where the numbers of polls begin, before the first Step. They must not repeat between processes of one
@@ -272,7 +272,7 @@
 	v.live = v.live[:0]
 	clear(v.machines)
 	for _, it := range a.State.Items() {
-		v.newestFence = max(v.newestFence, it.Fence)
+		v.highestFence = max(v.highestFence, it.Fence)
 		if !isLive(it.Phase) || it.Fence == 0 {
 			continue
 		}
@@ -288,7 +288,7 @@
 		return ok && m.Status == maintenance.Up && m.Started > o.start
 	})
 	if !v.caughtUp {
-		v.fencesBeforeStart = v.newestFence
+		v.highestFenceBeforeStart = v.highestFence
 	}
 }
 
@@ -313,7 +313,7 @@
 func (v *View) emitLeave() {
 	for _, it := range v.live {
 		if v.cutOff || it.Machine != v.name || it.Phase != maintenance.Acknowledged || v.machines[it.Machine].Kind != maintenance.Coordinator ||
-			it.Fence <= v.fencesBeforeStart || it.Fence <= v.leftByFence {
+			it.Fence <= v.highestFenceBeforeStart || it.Fence <= v.leftByFence {
 			continue
 		}
 		v.leftByFence = it.Fence
