--- a/internal/fleet/completed/completed.go
+++ b/internal/fleet/completed/completed.go
@@ -1,6 +1,6 @@
-// Package completed is the cache of a session's latest completed requests that must not run twice: a client that repeats
-// one of them is told so at once, at the owner where it ran and at later owners, since a hand-over carries the cache. It holds
-// requests that ran or may have run. One that surely never ran is not in it, and may come again. Pure: times come in.
+// Package completed caches a session's latest completed queries that must not run twice. A repeat of one of them is rejected at once,
+// by the owner where it ran and by later owners, since hand-overs carry the cache. It holds queries that ran or may have run. A query
+// that surely never ran is not in it and may be repeated. The package has no clock: callers pass times.
 package completed
 
 import (
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// MaxEntries queries are remembered; the oldest go first. A session has one open query that is not safe at a time, and its client
-// repeats the newest. Twice as many: 16 bytes more at the owner and 15 in a hand for each; half: a client that repeats five at once may have one run twice.
+// MaxEntries is the maximum of queries in a record; the oldest are dropped first. A session has one open query at a time that is not
+// safe, and its client usually repeats the newest. Each entry takes 16 bytes at the owner and 15 in a hand-over. With half as many,
+// a client that repeats five queries at once may have one of them run twice.
 const MaxEntries = 8
 
-// TimeUnit of the times that are kept, which are rounded down: a window ends early rather than late.
+// TimeUnit is the resolution of stored times. They are rounded down, so that a window ends early rather than late.
 const TimeUnit = 100 * time.Millisecond
 
-// ID is a short hash of the id that a client gave its query, among those of one session. Two ids of one hash, one in 2^48, cost a query that is
-// failed and could have run. Zero for none.
+// ID is a short hash of the id that a client gave its query, compared within one session. A collision of two ids has a probability of
+// 1 in 2^48; it fails a query that could have run. The zero ID stands for no id.
 type ID [6]byte
 
-// IDOf is FNV-1a of 64 bits over a request's id, folded to 48; zero of an empty one. It costs a tenth of a cryptographic one, and a client that
-// looks for two ids of one hash fails only a query of its own.
-func IDOf(request string) (id ID) {
-	if request == "" {
+// IDOf returns the 64-bit FNV-1a hash of a query's id, folded to 48 bits; the zero ID for an empty id. It costs a tenth of a
+// cryptographic hash, and a client that searches for a collision can only make its own queries fail.
+func IDOf(requestID string) (id ID) {
+	if requestID == "" {
 		return id
 	}
 	h := uint64(14695981039346656037)
-	for i := range len(request) {
-		h = (h ^ uint64(request[i])) * 1099511628211
+	for i := range len(requestID) {
+		h = (h ^ uint64(requestID[i])) * 1099511628211
 	}
 	h = max((h^h>>48)<<16, 1<<16)
 	var raw [8]byte
@@ -36,25 +37,25 @@
 	return id
 }
 
-// Outcome a query ended that is remembered.
+// Outcome is how a query ended.
 type Outcome uint8
 
-// Outcomes that are remembered.
+// Outcomes of the queries in a record.
 const (
-	Served     Outcome = iota + 1 // with an answer, whether its client got it or not
-	MayHaveRun                    // without
+	Served     Outcome = iota + 1 // answered, whether or not the client received the answer
+	MayHaveRun                    // ended without an answer
 )
 
-// Entry is one query.
+// Entry is a completed query.
 type Entry struct {
 	ID        ID
 	Outcome   Outcome
-	Keyed     bool   // a repeat is dropped at the replicas until its window ends; else never
-	Seq       uint32 // its place in the session, the lower bits
-	windowEnd uint32 // Keyed: the end of the window, in Units of the own clock
+	Keyed     bool   // replicas drop a repeat until the window ends; if false they never do
+	Seq       uint32 // lower bits of its sequence number in the session
+	windowEnd uint32 // if Keyed: the end of the window by the local clock, in TimeUnits
 }
 
-// WithWindowEnd gives an entry of a keyed query its window's end, by the own clock.
+// WithWindowEnd returns the entry as that of a keyed query whose window ends at that time of the local clock.
 func (e Entry) WithWindowEnd(until time.Duration) Entry {
 	e.Keyed, e.windowEnd = true, toTimeUnits(until)
 	return e
@@ -62,16 +63,16 @@
 
 func toTimeUnits(d time.Duration) uint32 { return uint32(min(max(d/TimeUnit, 0), 1<<32-1)) }
 
-// WindowEnd is the end of the window, by the own clock.
+// WindowEnd returns the end of the window by the local clock.
 func (e Entry) WindowEnd() time.Duration { return time.Duration(e.windowEnd) * TimeUnit }
 
-// BlocksRepeat says that a repeat must not begin which may run until that time.
+// BlocksRepeat reports whether a repeat that may run until that time must not begin.
 func (e Entry) BlocksRepeat(until time.Duration) bool { return !e.Keyed || until > e.WindowEnd() }
 
-// Record of a session, the oldest first.
+// Record holds the completed queries of a session, the oldest first.
 type Record []Entry
 
-// Find gives what is remembered of a query.
+// Find returns the entry of a query; false if there is none.
 func (r Record) Find(id ID) (Entry, bool) {
 	if id != (ID{}) {
 		for i := len(r) - 1; i >= 0; i-- {
@@ -83,15 +84,16 @@
 	return Entry{}, false
 }
 
-// Add remembers a query as the newest. Of one that is there already the worse is kept: that it is not keyed, and the window that ends first.
+// Add adds a query as the newest entry. An entry with the same ID is replaced; the new one is keyed only if both are, and gets the
+// window that ends first.
 func (r Record) Add(e Entry) Record {
 	if e.ID == (ID{}) {
 		return r
 	}
 	for i := range r {
-		if b := r[i]; b.ID == e.ID {
-			e.Keyed, e.windowEnd = e.Keyed && b.Keyed, min(e.windowEnd, b.windowEnd)
-			if b.Outcome == Served {
+		if old := r[i]; old.ID == e.ID {
+			e.Keyed, e.windowEnd = e.Keyed && old.Keyed, min(e.windowEnd, old.windowEnd)
+			if old.Outcome == Served {
 				e.Outcome = Served
 			}
 			if !e.Keyed {
@@ -106,7 +108,7 @@
 	return append(r, e)
 }
 
-// ShiftWindows moves the windows' ends, as if the own clock had shown d more.
+// ShiftWindows adds d to the ends of all windows.
 func (r Record) ShiftWindows(d time.Duration) {
 	for i := range r {
 		if r[i].Keyed {
--- a/internal/fleet/completed/save.go
+++ b/internal/fleet/completed/save.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Version of the form in which a hand-over carries a record. What is of another one is refused: a target that can't read
-// what it is handed declines it.
+// Version is the version of the encoding in which hand-overs carry a record. Load rejects other versions; a target that can't read a
+// record declines the session.
 const Version = 1
 
-// ErrVersion is wrapped when a record is of a form that is not known here.
+// ErrVersion is wrapped if a record has an unknown version.
 var ErrVersion = errors.New("unknown version of a record of queries")
 
 const (
@@ -19,86 +19,87 @@
 	maxEntryBytes = len(ID{}) + 1 + 2*binary.MaxVarintLen64
 )
 
-// Save writes the newest entries that fit into that many bytes, for a session that began seq queries, with times that are ahead
-// of the own clock by so much. One without entries is nothing.
+// Save encodes the newest entries that fit into maxBytes, for a session that has begun seq queries. clockOffset is added to the ends
+// of windows, which are times of the local clock. It returns nil if there is no entry or none fits.
 //
-//	version, entries, then of each, the oldest first: id, how, how far behind seq, and of a keyed one its window's end in Units
-func (r Record) Save(seq uint64, ahead time.Duration, most int) []byte {
+// The encoding is the version, the number of entries, and for each entry, the oldest first: its ID, its outcome with flagKeyed, the
+// difference of seq and its sequence number, and if it is keyed the end of its window in TimeUnits.
+func (r Record) Save(seq uint64, clockOffset time.Duration, maxBytes int) []byte {
 	for skip := 0; skip < len(r); skip++ {
 		out := make([]byte, 0, 2+len(r)*maxEntryBytes)
 		out = append(out, Version, byte(len(r)-skip))
 		for _, e := range r[skip:] {
-			how := byte(e.Outcome)
+			outcome := byte(e.Outcome)
 			if e.Keyed {
-				how |= flagKeyed
+				outcome |= flagKeyed
 			}
-			out = append(append(out, e.ID[:]...), how)
+			out = append(append(out, e.ID[:]...), outcome)
 			out = binary.AppendUvarint(out, uint64(uint32(seq)-e.Seq))
 			if e.Keyed {
-				out = binary.AppendUvarint(out, uint64(max((e.WindowEnd()+ahead)/TimeUnit, 0)))
+				out = binary.AppendUvarint(out, uint64(max((e.WindowEnd()+clockOffset)/TimeUnit, 0)))
 			}
 		}
-		if len(out) <= most {
+		if len(out) <= maxBytes {
 			return out
 		}
 	}
 	return nil
 }
 
-// Load reads what Save wrote, of a session that began seq queries, or says what is wrong with it. Times are ahead of the own clock by so much.
-func Load(raw []byte, seq uint64, ahead time.Duration) (Record, error) {
-	if len(raw) == 0 {
+// Load decodes the result of Save for a session that has begun seq queries. clockOffset is subtracted from the ends of windows.
+func Load(data []byte, seq uint64, clockOffset time.Duration) (Record, error) {
+	if len(data) == 0 {
 		return nil, nil
 	}
-	if raw[0] != Version {
-		return nil, fmt.Errorf("%w: %d, known is %d", ErrVersion, raw[0], Version)
+	if data[0] != Version {
+		return nil, fmt.Errorf("%w: %d, known is %d", ErrVersion, data[0], Version)
 	}
-	if len(raw) < 2 || raw[1] == 0 || int(raw[1]) > MaxEntries {
-		return nil, fmt.Errorf("a record of queries is torn, or has more than %d", MaxEntries)
+	if len(data) < 2 || data[1] == 0 || int(data[1]) > MaxEntries {
+		return nil, fmt.Errorf("a record of queries is truncated, or has no entries or more than %d", MaxEntries)
 	}
-	n, before := int(raw[1]), uint64(1<<32)
-	raw = raw[2:]
-	number := func() (uint64, bool) {
-		v, k := binary.Uvarint(raw)
+	n, previousBehind := int(data[1]), uint64(1<<32)
+	data = data[2:]
+	readUvarint := func() (uint64, bool) {
+		v, k := binary.Uvarint(data)
 		if k <= 0 {
 			return 0, false
 		}
-		raw = raw[k:]
+		data = data[k:]
 		return v, true
 	}
 	r := make(Record, 0, n)
 	for range n {
 		var e Entry
-		if len(raw) < len(e.ID)+1 {
-			return nil, errors.New("a record of queries is torn")
+		if len(data) < len(e.ID)+1 {
+			return nil, errors.New("a record of queries is truncated")
 		}
-		copy(e.ID[:], raw)
-		how := raw[len(e.ID)]
-		raw = raw[len(e.ID)+1:]
-		e.Outcome, e.Keyed = Outcome(how&^flagKeyed), how&flagKeyed != 0
-		back, ok := number()
-		switch _, twice := r.Find(e.ID); {
+		copy(e.ID[:], data)
+		outcome := data[len(e.ID)]
+		data = data[len(e.ID)+1:]
+		e.Outcome, e.Keyed = Outcome(outcome&^flagKeyed), outcome&flagKeyed != 0
+		behind, ok := readUvarint()
+		switch _, duplicate := r.Find(e.ID); {
 		case !ok:
-			return nil, errors.New("a record of queries is torn")
-		case e.ID == ID{} || twice:
-			return nil, fmt.Errorf("a record of queries has %x twice, or as none's", e.ID)
+			return nil, errors.New("a record of queries is truncated")
+		case e.ID == ID{} || duplicate:
+			return nil, fmt.Errorf("a record of queries has ID %x twice, or an empty ID", e.ID)
 		case e.Outcome != Served && e.Outcome != MayHaveRun:
-			return nil, fmt.Errorf("a record of queries has one that ended as %d", e.Outcome)
-		case back >= before || back >= seq:
-			return nil, fmt.Errorf("a record of queries has one %d behind %d after one %d behind it", back, seq, before)
+			return nil, fmt.Errorf("a record of queries has an entry with unknown outcome %d", e.Outcome)
+		case behind >= previousBehind || behind >= seq:
+			return nil, fmt.Errorf("a record of queries is out of order: an entry %d behind %d after one %d behind it", behind, seq, previousBehind)
 		}
-		before, e.Seq = back, uint32(seq-back)
+		previousBehind, e.Seq = behind, uint32(seq-behind)
 		if e.Keyed {
-			end, ok := number()
+			end, ok := readUvarint()
 			if !ok || end > uint64(1<<62/TimeUnit) {
-				return nil, errors.New("a record of queries is torn, or has a window without an end")
+				return nil, errors.New("a record of queries is truncated, or has an invalid window end")
 			}
-			e.windowEnd = toTimeUnits(time.Duration(end)*TimeUnit - ahead)
+			e.windowEnd = toTimeUnits(time.Duration(end)*TimeUnit - clockOffset)
 		}
 		r = append(r, e)
 	}
-	if len(raw) > 0 {
-		return nil, fmt.Errorf("a record of queries has %d bytes too many", len(raw))
+	if len(data) > 0 {
+		return nil, fmt.Errorf("a record of queries has %d bytes too many", len(data))
 	}
 	return r, nil
 }
