--- a/internal/fleet/pool/pool.go
+++ b/internal/fleet/pool/pool.go
@@ -1,10 +1,11 @@
-// Package pool keeps the slots at each replica, which co-ordinators hold, lend and hand on: a part of the agreed state of
-// pinned sessions. It is pure: no clock, goroutine or I/O; times are agreed time, since the Unix epoch. At each replica
+// Package pool tracks the slots at each replica, which co-ordinators hold, lend and transfer. It is part of the agreed state of
+// pinned sessions. It has no clock, goroutine or I/O; times are agreed time since the Unix epoch. At each replica
 //
 //	cap = free + held by each co-ordinator + lent + in transfer      (S2)
 //
-// whatever is lost, late or repeated. What leaves a co-ordinator's hand is no one's until it has said, by the number of
-// the transfer, that it uses no more than what is left to it: until then a copy behind the others could use it still.
+// whichever messages are lost, late or repeated. Slots in transfer may not be used by their target until the source has confirmed,
+// by the number of the transfer, that it no longer uses them: until then a source whose local copy of the state is behind may use
+// them.
 package pool
 
 import (
@@ -15,42 +16,43 @@
 )
 
 const (
-	// MaxSlots at one replica. Twice as many overflow nothing; a file with more is a slip of the pen.
+	// MaxSlots is the maximum of slots at one replica. More would not overflow, but a larger number in a file is most likely a mistake.
 	MaxSlots = 1 << 20
-	// MaxReplicas with slots, those included whose cap is lowered to 0 and whose slots are still out: as many as machines.
+	// MaxReplicas is the maximum of replicas with slots, including those with a cap lowered to 0 whose slots are still in use. It is
+	// the maximum of machines.
 	MaxReplicas = 10_000
-	// MaxHolders of slots at one replica: as many as co-ordinators of a fleet.
+	// MaxHolders is the maximum of co-ordinators that hold slots at one replica: that of a fleet.
 	MaxHolders = 1_000
-	// MaxTransfers at once. One more is refused, and the planner asks again once others are over.
+	// MaxTransfers is the maximum of open transfers. One more is rejected; the planner repeats it once others have ended.
 	MaxTransfers = 4_096
-	// MaxNameBytes bytes in a name.
+	// MaxNameBytes is the maximum length of a name.
 	MaxNameBytes = 128
 )
 
-// site is one replica.
+// replicaSlots are the slots at one replica.
 type replicaSlots struct {
 	cap         int // free + held + lent + in transfer
-	targetCap   int // what SetCap said; under cap while more is out
+	targetCap   int // the cap by SetCap; less than cap while more slots are in use
 	free        int
-	held        map[string]int // by co-ordinator, over 0
-	outstanding int            // lent or in transfer
-	lent        map[string]int // by who uses it as a loan, over 0; nil: no one
+	held        map[string]int // by co-ordinator, each greater than 0
+	outstanding int            // slots lent or in transfer
+	lent        map[string]int // by borrower, each greater than 0; nil if none
 }
 
-// Pool is the state. The zero value is of no use; New makes one. Not for two goroutines at once.
+// Pool holds the slots of all replicas. Use New to create one; the zero value isn't usable. It is not safe for concurrent use.
 type Pool struct {
 	replicas   map[string]*replicaSlots
 	transfers  map[uint64]Transfer
-	now        time.Duration
-	nextExpiry time.Duration // the first end of a loan, if any is open
+	now        time.Duration // the latest agreed time
+	nextExpiry time.Duration // the earliest end of a loan, -1 if none is open
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New() *Pool {
 	return &Pool{replicas: map[string]*replicaSlots{}, transfers: map[uint64]Transfer{}, nextExpiry: -1}
 }
 
-// Clone is an independent copy.
+// Clone returns an independent copy.
 func (p *Pool) Clone() *Pool {
 	n := &Pool{replicas: make(map[string]*replicaSlots, len(p.replicas)), transfers: maps.Clone(p.transfers), now: p.now, nextExpiry: p.nextExpiry}
 	for name, s := range p.replicas {
@@ -61,9 +63,9 @@
 	return n
 }
 
-// SetCap says how many slots a replica has, 0 if it is gone. A lower number takes effect at once for free slots and for
-// the rest as they come back: those out are in someone's use. A replica with none and nothing out is forgotten; there is
-// no shorter way, since a replica that comes back under its name would meet what is out for the one before.
+// SetCap sets the number of slots at a replica, 0 if the replica is gone. A lower number takes effect at once for free slots, and
+// for the others when they are released, since they are in use. A replica is removed only once it has no slots at all: otherwise
+// one that returns under the same name would conflict with slots in use from before.
 func (p *Pool) SetCap(replica string, n int) error {
 	s := p.replicas[replica]
 	switch {
@@ -80,46 +82,46 @@
 		p.replicas[replica] = s
 	}
 	s.targetCap = n
-	if more := n - s.cap; more > 0 {
-		s.cap += more
-		s.free += more
+	if increase := n - s.cap; increase > 0 {
+		s.cap += increase
+		s.free += increase
 	}
 	p.applyLoweredCap(replica)
 	return nil
 }
 
-// settle lets a lowered cap take the free slots, and forgets a replica that has none.
+// applyLoweredCap removes free slots above the target cap, and removes a replica without slots.
 func (p *Pool) applyLoweredCap(replica string) {
 	s := p.replicas[replica]
-	less := min(s.cap-s.targetCap, s.free)
-	s.cap -= less
-	s.free -= less
+	decrease := min(s.cap-s.targetCap, s.free)
+	s.cap -= decrease
+	s.free -= decrease
 	if s.cap == 0 && s.targetCap == 0 {
 		delete(p.replicas, replica)
 	}
 }
 
-// Allocate moves n slots from the free ones into the hand of co.
-func (p *Pool) Allocate(co, replica string, n int) error {
+// Allocate gives n free slots at a replica to a co-ordinator.
+func (p *Pool) Allocate(coordinator, replica string, n int) error {
 	s := p.replicas[replica]
 	switch {
-	case co == "" || len(co) > MaxNameBytes:
-		return fmt.Errorf("pool: a co-ordinator's name has 1 to %d bytes, not %d", MaxNameBytes, len(co))
+	case coordinator == "" || len(coordinator) > MaxNameBytes:
+		return fmt.Errorf("pool: a co-ordinator's name has 1 to %d bytes, not %d", MaxNameBytes, len(coordinator))
 	case n < 1:
-		return fmt.Errorf("pool: %s takes %d slots at %s", co, n, replica)
+		return fmt.Errorf("pool: %s requests %d slots at %s, at least 1 is required", coordinator, n, replica)
 	case s == nil || s.free < n:
-		return fmt.Errorf("pool: %s takes %d slots at %s, %d are free", co, n, replica, p.Free(replica))
-	case s.held[co] == 0 && len(s.held) >= MaxHolders:
+		return fmt.Errorf("pool: %s requests %d slots at %s, %d are free", coordinator, n, replica, p.Free(replica))
+	case s.held[coordinator] == 0 && len(s.held) >= MaxHolders:
 		return fmt.Errorf("pool: %d co-ordinators hold slots at %s, no more are allowed", len(s.held), replica)
 	}
 	s.free -= n
-	s.held[co] += n
+	s.held[coordinator] += n
 	return nil
 }
 
-// Release is the word of co itself that it uses n of its slots no more: they are free.
-func (p *Pool) Release(co, replica string, n int) error {
-	if err := p.removeHeld(co, replica, n); err != nil {
+// Release frees n slots of a co-ordinator. Only the co-ordinator itself may request it, once it no longer uses them.
+func (p *Pool) Release(coordinator, replica string, n int) error {
+	if err := p.removeHeld(coordinator, replica, n); err != nil {
 		return err
 	}
 	p.replicas[replica].free += n
@@ -127,31 +129,32 @@
 	return nil
 }
 
-// leave takes n slots out of the hand of co; the caller puts them somewhere.
-func (p *Pool) removeHeld(co, replica string, n int) error {
+// removeHeld subtracts n slots from those that a co-ordinator holds; the caller accounts for them elsewhere.
+func (p *Pool) removeHeld(coordinator, replica string, n int) error {
 	s := p.replicas[replica]
-	if n < 1 || s == nil || s.held[co] < n {
+	if n < 1 || s == nil || s.held[coordinator] < n {
 		held := 0
 		if s != nil {
-			held = s.held[co]
+			held = s.held[coordinator]
 		}
-		return fmt.Errorf("pool: %d slots at %s of %q, which holds %d", n, replica, co, held)
+		return fmt.Errorf("pool: %d slots at %s requested from %q, which holds %d", n, replica, coordinator, held)
 	}
-	if s.held[co] -= n; s.held[co] == 0 {
-		delete(s.held, co)
+	if s.held[coordinator] -= n; s.held[coordinator] == 0 {
+		delete(s.held, coordinator)
 	}
 	return nil
 }
 
-// Held is how many slots co may use at a replica: in its hand, and lent to it; what it lent or lets go is out of it.
-func (p *Pool) Held(co, replica string) int {
+// Held returns how many slots a co-ordinator may use at a replica: those it holds and those lent to it. Slots that it has lent or
+// that are in transfer from it don't count.
+func (p *Pool) Held(coordinator, replica string) int {
 	if s := p.replicas[replica]; s != nil {
-		return s.held[co] + s.lent[co]
+		return s.held[coordinator] + s.lent[coordinator]
 	}
 	return 0
 }
 
-// Free is how many slots at a replica are no one's.
+// Free returns how many slots at a replica are free.
 func (p *Pool) Free(replica string) int {
 	if s := p.replicas[replica]; s != nil {
 		return s.free
@@ -159,7 +162,7 @@
 	return 0
 }
 
-// Cap is how many slots a replica has, those that a lowered cap still waits for included.
+// Cap returns how many slots a replica has, including those above a lowered cap that are still in use.
 func (p *Pool) Cap(replica string) int {
 	if s := p.replicas[replica]; s != nil {
 		return s.cap
@@ -167,7 +170,7 @@
 	return 0
 }
 
-// TargetCap is what SetCap said last; under Cap while more is out.
+// TargetCap returns the cap last set by SetCap; it is less than Cap while more slots are in use.
 func (p *Pool) TargetCap(replica string) int {
 	if s := p.replicas[replica]; s != nil {
 		return s.targetCap
@@ -175,11 +178,11 @@
 	return 0
 }
 
-// Replicas with slots, sorted.
+// Replicas returns the names of replicas with slots, sorted.
 func (p *Pool) Replicas() []string { return slices.Sorted(maps.Keys(p.replicas)) }
 
-// EachHolder gives what is in each hand at a replica, in no order.
-func (p *Pool) EachHolder(replica string, yield func(co string, n int)) {
+// EachHolder calls yield with each co-ordinator that holds slots at a replica and their number, in no particular order.
+func (p *Pool) EachHolder(replica string, yield func(coordinator string, n int)) {
 	if s := p.replicas[replica]; s != nil {
 		for co, n := range s.held {
 			yield(co, n)
@@ -187,7 +190,7 @@
 	}
 }
 
-// Holders of slots at a replica, in the hand, sorted.
+// Holders returns the co-ordinators that hold slots at a replica, sorted; borrowers don't count.
 func (p *Pool) Holders(replica string) []string {
 	if s := p.replicas[replica]; s != nil {
 		return slices.Sorted(maps.Keys(s.held))
--- a/internal/fleet/pool/pool_test.go
+++ b/internal/fleet/pool/pool_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// user is a co-ordinator that uses all it may by its own copy, which is behind, and says so when it uses less.
+// simCoordinator is a co-ordinator that uses all slots that its local copy of the state allows. The copy lags behind. It sends a
+// message when it no longer uses slots.
 type simCoordinator struct {
-	version   int             // its copy: the pool after so many changes
-	returned  map[uint64]bool // transfers of which it uses the slots no more, by its word
-	leaseLost bool            // its lease is over: it uses nothing
+	version   int             // its local copy is the pool after that many changes
+	returned  map[uint64]bool // loans whose slots it no longer uses, as it has announced
+	leaseLost bool            // it uses no slots
 }
 
-// world plays co-ordinators whose words are lost, late, repeated and out of order.
+// simulation runs co-ordinators whose messages are lost, delayed, repeated and reordered.
 type simulation struct {
 	t            *testing.T
 	seed         uint64
@@ -28,7 +29,7 @@
 	pool         *Pool
 	history      []*Pool
 	coordinators map[string]*simCoordinator
-	messages     []func() error // said by someone, at any time after that, any number of times
+	messages     []func() error // sent messages; each may be delivered at any time, any number of times
 	lastFence    uint64
 	now          time.Duration
 }
@@ -37,31 +38,31 @@
 
 func pick[T any](w *simulation, from []T) T { return from[w.rand.IntN(len(from))] }
 
-// uses is what a co-ordinator uses of a replica's slots: all that its copy gives it, but for what it said.
-func (w *simulation) maxUse(co, replica string) int {
-	u := w.coordinators[co]
+// maxUse returns how many slots a co-ordinator may use at a replica: all that its copy allows, except loans announced as returned.
+func (w *simulation) maxUse(coordinator, replica string) int {
+	u := w.coordinators[coordinator]
 	if u.leaseLost {
 		return 0
 	}
-	return max(w.useByState(u, w.history[u.version], co, replica), w.useByState(u, w.pool, co, replica)) // its copy may follow at any time
+	return max(w.useByState(u, w.history[u.version], coordinator, replica), w.useByState(u, w.pool, coordinator, replica)) // its copy may be updated at any time
 }
 
-func (w *simulation) useByState(u *simCoordinator, copied *Pool, co, replica string) int {
-	n := copied.Held(co, replica)
+func (w *simulation) useByState(u *simCoordinator, state *Pool, coordinator, replica string) int {
+	n := state.Held(coordinator, replica)
 	for fence := range u.returned {
-		if t, ok := copied.Transfer(fence); ok && t.Replica == replica && t.To == co && t.Stage == Lent {
+		if t, ok := state.Transfer(fence); ok && t.Replica == replica && t.To == coordinator && t.Stage == Lent {
 			n -= t.Slots
 		}
 	}
 	return n
 }
 
-// say is a word of co about a transfer that its copy shows.
+// sendRelease sends the message of a random co-ordinator about a transfer that its copy shows.
 func (w *simulation) sendRelease() {
 	co := pick(w, coordinatorNames)
 	u := w.coordinators[co]
-	copied := w.history[u.version]
-	open := slices.DeleteFunc(copied.Transfers(), func(t Transfer) bool { return t.Releaser() != co && (t.To != co || t.Stage != Lent) })
+	state := w.history[u.version]
+	open := slices.DeleteFunc(state.Transfers(), func(t Transfer) bool { return t.Releaser() != co && (t.To != co || t.Stage != Lent) })
 	if u.leaseLost || len(open) == 0 {
 		return
 	}
@@ -85,7 +86,7 @@
 		err = w.pool.SetCap(replica, 2*n)
 	case 1:
 		err = w.pool.Allocate(co, replica, n)
-	case 2: // its own word, once, and its copy follows at once
+	case 2: // a co-ordinator's own command, applied once; its copy is updated at once
 		if !u.leaseLost {
 			err = w.pool.Release(co, replica, n)
 			u.version = len(w.history)
@@ -107,7 +108,7 @@
 	case 9:
 		w.now += time.Duration(w.rand.IntN(3)) * time.Second
 		w.pool.Advance(w.now)
-	case 10: // silent for long enough, and released; it begins anew with a copy that knows of it
+	case 10: // a silent co-ordinator is removed, and restarts with a current copy
 		if u.leaseLost {
 			w.pool.RemoveCoordinator(co)
 			*u = simCoordinator{returned: map[uint64]bool{}, version: len(w.history)}
@@ -119,24 +120,25 @@
 		u.version = u.version + w.rand.IntN(len(w.history)-u.version)
 	}
 	if err != nil && !reflect.DeepEqual(before, w.pool.Save()) {
-		w.t.Fatalf("seed %d: refused and changed: %v\n%+v\n%+v", w.seed, err, before, w.pool.Save())
+		w.t.Fatalf("seed %d: rejected change modified the pool: %v\n%+v\n%+v", w.seed, err, before, w.pool.Save())
 	}
 	w.history = append(w.history, w.pool.Clone())
 }
 
-// check compares with what is counted outside: what all use at a replica is never more than it has.
+// checkInvariants checks that the co-ordinators never use more slots at a replica than it has, that the slots add up, and that Save
+// and Load preserve the pool.
 func (w *simulation) checkInvariants() {
 	if err := w.pool.Check(); err != nil {
 		w.t.Fatalf("seed %d: %v", w.seed, err)
 	}
 	for _, r := range replicaNames {
-		used, words := 0, ""
+		used, perCoordinator := 0, ""
 		for _, co := range coordinatorNames {
 			used += w.maxUse(co, r)
-			words += fmt.Sprintf(" %s %d (copy %d)", co, w.maxUse(co, r), w.coordinators[co].version)
+			perCoordinator += fmt.Sprintf(" %s %d (copy %d)", co, w.maxUse(co, r), w.coordinators[co].version)
 		}
-		if used+w.pool.Free(r) > w.pool.Cap(r) { // who takes free ones uses them at once
-			w.t.Fatalf("seed %d: %d in use at %s, which has %d:%s at %d\n%+v", w.seed, used, r, w.pool.Cap(r), words, len(w.history), w.pool.Save())
+		if used+w.pool.Free(r) > w.pool.Cap(r) { // free slots count too, since they may be allocated and used at any time
+			w.t.Fatalf("seed %d: %d in use at %s, which has %d:%s at %d\n%+v", w.seed, used, r, w.pool.Cap(r), perCoordinator, len(w.history), w.pool.Save())
 		}
 		sum := w.pool.Free(r)
 		for _, co := range w.pool.Holders(r) {
@@ -148,7 +150,7 @@
 			}
 		}
 		if sum != w.pool.Cap(r) || w.pool.TargetCap(r) > sum {
-			w.t.Fatalf("seed %d: %d slots at %s, cap %d, wanted %d", w.seed, sum, r, w.pool.Cap(r), w.pool.TargetCap(r))
+			w.t.Fatalf("seed %d: %d slots at %s, cap %d, target cap %d", w.seed, sum, r, w.pool.Cap(r), w.pool.TargetCap(r))
 		}
 	}
 	raw, err := json.Marshal(w.pool.Save())
@@ -160,19 +162,19 @@
 	if err := errors.Join(json.Unmarshal(raw, &v), n.Load(v)); err != nil || !reflect.DeepEqual(n.Save(), w.pool.Save()) {
 		w.t.Fatalf("seed %d: loaded %v\n%+v\n%+v", w.seed, err, n.Save(), w.pool.Save())
 	}
-	n.nextExpiry, w.pool.nextExpiry = 0, 0 // no earlier than it has to look
+	n.nextExpiry, w.pool.nextExpiry = 0, 0 // nextExpiry may differ: it may be earlier than the first end of a loan
 	if !reflect.DeepEqual(n, w.pool) {
 		w.t.Fatalf("seed %d: loaded\n%+v\n%+v", w.seed, n, w.pool)
 	}
 }
 
-// S2 with late copies: co-ordinators that use all that they may never use more than there is.
+// S2 with outdated local copies: co-ordinators that use all slots that they may use never use more than a replica has.
 func TestSlotSumHoldsWithDelayedMessages(t *testing.T) {
-	plays := uint64(600)
+	runs := uint64(600)
 	if testing.Short() {
-		plays = 200
+		runs = 200
 	}
-	for seed := range plays {
+	for seed := range runs {
 		w := &simulation{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), pool: New(), coordinators: map[string]*simCoordinator{}}
 		for _, co := range coordinatorNames {
 			w.coordinators[co] = &simCoordinator{returned: map[uint64]bool{}}
@@ -190,69 +192,69 @@
 	}
 }
 
-// The life of a loan, of a lowered cap and of a replica that dies, in order.
+// A loan, a lowered cap, and a replica that is removed and returns, step by step.
 func TestLoanLoweredCapAndReplicaRemoval(t *testing.T) {
 	p := New()
-	ok := func(err error) {
+	mustSucceed := func(err error) {
 		t.Helper()
 		if err = errors.Join(err, p.Check()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	is := func(want string) {
+	expect := func(want string) {
 		t.Helper()
 		got := fmt.Sprintf("cap %d wanted %d free %d c0 %d c1 %d", p.Cap("r"), p.TargetCap("r"), p.Free("r"), p.Held("c0", "r"), p.Held("c1", "r"))
 		if got != want {
 			t.Fatalf("%s, want %s", got, want)
 		}
 	}
-	ok(p.SetCap("r", 6))
-	ok(p.Allocate("c0", "r", 4))
-	ok(p.Lend(1, "c0", "c1", "r", 3, 10))
-	is("cap 6 wanted 6 free 2 c0 1 c1 0")
-	ok(p.ConfirmSource(1))
-	is("cap 6 wanted 6 free 2 c0 1 c1 3")
+	mustSucceed(p.SetCap("r", 6))
+	mustSucceed(p.Allocate("c0", "r", 4))
+	mustSucceed(p.Lend(1, "c0", "c1", "r", 3, 10))
+	expect("cap 6 wanted 6 free 2 c0 1 c1 0")
+	mustSucceed(p.ConfirmSource(1))
+	expect("cap 6 wanted 6 free 2 c0 1 c1 3")
 	if err := p.ConfirmSource(1); !errors.Is(err, ErrNoTransfer) {
 		t.Fatal(err)
 	}
-	if err := p.Cancel(1); !errors.Is(err, ErrNoTransfer) { // the borrower uses them
+	if err := p.Cancel(1); !errors.Is(err, ErrNoTransfer) { // the borrower already uses the slots
 		t.Fatal(err)
 	}
-	ok(p.SetCap("r", 0)) // it dies
-	is("cap 4 wanted 0 free 0 c0 1 c1 3")
+	mustSucceed(p.SetCap("r", 0)) // the replica is removed
+	expect("cap 4 wanted 0 free 0 c0 1 c1 3")
 	p.Advance(10)
-	is("cap 4 wanted 0 free 0 c0 1 c1 0")
+	expect("cap 4 wanted 0 free 0 c0 1 c1 0")
 	if a := p.PendingReleases("c1"); len(a) != 1 || a[0].Fence != 1 || len(p.PendingReleases("c0")) != 0 {
 		t.Fatalf("%+v", a)
 	}
-	p.RemoveCoordinator("c0") // what it lent is free once it comes back
-	is("cap 3 wanted 0 free 0 c0 0 c1 0")
-	ok(p.ReturnLoan(1))
+	p.RemoveCoordinator("c0") // what c0 lent is free once c1 returns it
+	expect("cap 3 wanted 0 free 0 c0 0 c1 0")
+	mustSucceed(p.ReturnLoan(1))
 	if p.RemoveCoordinator("") || len(p.Replicas()) != 0 || p.Cap("r") != 0 {
 		t.Fatalf("%+v", p.Save())
 	}
-	ok(p.SetCap("r", 2)) // and comes back, with less
-	ok(p.Allocate("c1", "r", 2))
-	ok(p.Move(7, "c1", "", "r", 1))
-	is("cap 2 wanted 2 free 0 c0 0 c1 1")
-	ok(p.ConfirmSource(7))
-	is("cap 2 wanted 2 free 1 c0 0 c1 1")
-	ok(p.Move(8, "c1", "c0", "r", 1))
+	mustSucceed(p.SetCap("r", 2)) // the replica returns with fewer slots
+	mustSucceed(p.Allocate("c1", "r", 2))
+	mustSucceed(p.Move(7, "c1", "", "r", 1))
+	expect("cap 2 wanted 2 free 0 c0 0 c1 1")
+	mustSucceed(p.ConfirmSource(7))
+	expect("cap 2 wanted 2 free 1 c0 0 c1 1")
+	mustSucceed(p.Move(8, "c1", "c0", "r", 1))
 	p.RemoveCoordinator("c1")
-	is("cap 2 wanted 2 free 1 c0 1 c1 0")
-	ok(p.Lend(9, "c0", "c1", "r", 1, 30))
-	ok(p.Allocate("c1", "r", 1))
-	ok(p.Move(10, "c1", "c0", "r", 1))
-	p.Advance(30) // a loan that was not taken over stays, a move goes on
-	is("cap 2 wanted 2 free 0 c0 1 c1 0")
-	p.RemoveCoordinator("c0") // the target
-	is("cap 2 wanted 2 free 1 c0 0 c1 1")
+	expect("cap 2 wanted 2 free 1 c0 1 c1 0")
+	mustSucceed(p.Lend(9, "c0", "c1", "r", 1, 30))
+	mustSucceed(p.Allocate("c1", "r", 1))
+	mustSucceed(p.Move(10, "c1", "c0", "r", 1))
+	p.Advance(30) // an unconfirmed loan stays with its lender, a permanent transfer goes on
+	expect("cap 2 wanted 2 free 0 c0 1 c1 0")
+	p.RemoveCoordinator("c0") // the target of transfer 10
+	expect("cap 2 wanted 2 free 1 c0 0 c1 1")
 	p.Clear()
-	is("cap 2 wanted 2 free 2 c0 0 c1 0")
-	ok(nil)
+	expect("cap 2 wanted 2 free 2 c0 0 c1 0")
+	mustSucceed(nil)
 }
 
-// Check counts what is lent anew.
+// Check must recount the lent slots from the transfers and detect a wrong count.
 func TestCheckRecountsLentSlots(t *testing.T) {
 	p := New()
 	if err := errors.Join(p.SetCap("r", 6), p.Allocate("c0", "r", 4), p.Lend(1, "c0", "c1", "r", 2, 9), p.ConfirmSource(1), p.Check()); err != nil {
@@ -262,7 +264,7 @@
 		q := p.Clone()
 		q.replicas["r"].addLent("c1", n)
 		if err := q.Check(); err == nil || !strings.HasPrefix(err.Error(), "S2:") {
-			t.Errorf("%d too many: %v", n, err)
+			t.Errorf("lent count wrong by %d: %v", n, err)
 		}
 	}
 	if p.Held("c1", "r") != 2 || p.Clone().Held("c1", "r") != 2 {
@@ -270,7 +272,7 @@
 	}
 }
 
-// What does not fit is refused in words, by Load too.
+// Invalid changes, and invalid states in Load, are rejected with an error and change nothing.
 func TestInvalidChangesAreRejected(t *testing.T) {
 	p := New()
 	long := strings.Repeat("x", MaxNameBytes+1)
@@ -293,21 +295,21 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	good := p.Save()
-	for name, spoil := range map[string]func(*Saved){
+	valid := p.Save()
+	for name, corrupt := range map[string]func(*Saved){
 		"order": func(v *Saved) { v.Replicas = append(v.Replicas, v.Replicas[0]) }, "site": func(v *Saved) { v.Transfers[0].Replica = "q" },
 		"fence": func(v *Saved) { v.Transfers[0].Fence = 0 }, "none": func(v *Saved) { v.Transfers[0].Slots = 0 },
 		"stage": func(v *Saved) { v.Transfers[0].Stage = Lent }, "past": func(v *Saved) { v.Now, v.Transfers[0].Until = 9, 3 },
 		"held": func(v *Saved) { v.Replicas[0].Held[0].Slots = 0 }, "free": func(v *Saved) { v.Replicas[0].Free = -1 },
 		"wanted": func(v *Saved) { v.Replicas[0].TargetCap = 5 }, "less": func(v *Saved) { v.Replicas[0].TargetCap = 3 },
 	} {
-		raw, _ := json.Marshal(good)
+		raw, _ := json.Marshal(valid)
 		var v Saved
 		_ = json.Unmarshal(raw, &v)
 		if err := New().Load(v); err != nil {
 			t.Fatal(err)
 		}
-		spoil(&v)
+		corrupt(&v)
 		before := p.Clone()
 		if err := p.Load(v); err == nil || !reflect.DeepEqual(before, p) {
 			t.Errorf("%s: %v", name, err)
@@ -336,15 +338,14 @@
 	}
 }
 
-// Time that has not come ends no loan, neither one that is lent nor one that is on its way, though another's is over; and it is
-// looked at again when its own comes.
+// When one loan expires, others whose end has not come stay, both lent and unconfirmed ones. Each of them still ends at its own time.
 func TestAdvanceEndsOnlyExpiredLoans(t *testing.T) {
 	p := New()
 	if err := errors.Join(p.SetCap("r", 9), p.Allocate("c0", "r", 9), p.Lend(1, "c0", "c1", "r", 1, 10), p.Lend(2, "c0", "c1", "r", 2, 20),
 		p.Lend(3, "c0", "c2", "r", 3, 30), p.ConfirmSource(1), p.ConfirmSource(2)); err != nil {
 		t.Fatal(err)
 	}
-	stages := func(want string) {
+	expectStages := func(want string) {
 		t.Helper()
 		got := ""
 		for _, x := range p.Transfers() {
@@ -355,22 +356,23 @@
 		}
 	}
 	p.Advance(9)
-	stages("1 lent, 2 lent, 3 moving, 3 3")
+	expectStages("1 lent, 2 lent, 3 moving, 3 3")
 	p.Advance(10)
-	stages("1 returning, 2 lent, 3 moving, 3 2")
+	expectStages("1 returning, 2 lent, 3 moving, 3 2")
 	p.Advance(20)
-	stages("1 returning, 2 returning, 3 moving, 3 0")
+	expectStages("1 returning, 2 returning, 3 moving, 3 0")
 	p.Advance(30)
-	stages("1 returning, 2 returning, 6 0")
+	expectStages("1 returning, 2 returning, 6 0")
 }
 
-// Nobody is not a co-ordinator that can be dropped: what is on its way to the free ones, or is to come back to them, goes on.
+// The empty name in a transfer stands for free slots, not for a co-ordinator. Removing it must not end transfers to the free slots
+// or loans whose lender was removed.
 func TestRemoveCoordinatorIgnoresEmptyName(t *testing.T) {
 	p := New()
 	if err := errors.Join(p.SetCap("r", 9), p.Allocate("c0", "r", 5), p.Allocate("c1", "r", 4), p.Move(1, "c0", "", "r", 2), p.Lend(2, "c1", "c0", "r", 1, 10), p.ConfirmSource(2)); err != nil {
 		t.Fatal(err)
 	}
-	p.RemoveCoordinator("c1") // what it lent comes back to no one
+	p.RemoveCoordinator("c1") // its loan has no lender now
 	before := p.Clone()
 	if p.RemoveCoordinator("") || !reflect.DeepEqual(before, p) {
 		t.Fatalf("%+v, then %+v", before.Save(), p.Save())
--- a/internal/fleet/pool/save.go
+++ b/internal/fleet/pool/save.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Saved is the state for a snapshot: lists in a fixed order.
+// Saved is the form of a pool in snapshots. Its lists are sorted.
 type Saved struct {
 	Now       time.Duration  `json:"now"`
 	Replicas  []SavedReplica `json:"sites,omitempty"`     // by name
 	Transfers []Transfer     `json:"transfers,omitempty"` // by number
 }
 
-// SavedReplica is one replica. What is free and what the cap is follow from the rest.
+// SavedReplica is the form of one replica's slots in snapshots. The cap follows from these fields and the transfers.
 type SavedReplica struct {
 	Replica   string    `json:"replica"`
 	TargetCap int       `json:"wanted"`
@@ -22,13 +22,13 @@
 	Held      []Holding `json:"held,omitempty"` // by name
 }
 
-// Holding is what one co-ordinator has in its hand.
+// Holding is the number of slots that one co-ordinator holds at a replica.
 type Holding struct {
 	Coordinator string `json:"co"`
 	Slots       int    `json:"n"`
 }
 
-// Save gives the same lists for the same state.
+// Save returns the state for a snapshot. Equal states give equal results.
 func (p *Pool) Save() Saved {
 	v := Saved{Now: p.now}
 	if len(p.transfers) > 0 {
@@ -36,35 +36,35 @@
 	}
 	for _, name := range p.Replicas() {
 		s := p.replicas[name]
-		one := SavedReplica{Replica: name, TargetCap: s.targetCap, Free: s.free}
+		saved := SavedReplica{Replica: name, TargetCap: s.targetCap, Free: s.free}
 		for _, co := range p.Holders(name) {
-			one.Held = append(one.Held, Holding{co, s.held[co]})
+			saved.Held = append(saved.Held, Holding{co, s.held[co]})
 		}
-		v.Replicas = append(v.Replicas, one)
+		v.Replicas = append(v.Replicas, saved)
 	}
 	return v
 }
 
-// Load takes all of v in place of what is there, or nothing, and says why.
+// Load replaces the state with v. If v is invalid it returns an error and changes nothing.
 func (p *Pool) Load(v Saved) error {
 	n := New()
 	n.now = v.Now
 	if len(v.Replicas) > MaxReplicas || len(v.Transfers) > MaxTransfers {
-		return fmt.Errorf("pool: saved with %d replicas and %d transfers", len(v.Replicas), len(v.Transfers))
+		return fmt.Errorf("pool: saved state has %d replicas and %d transfers, more than allowed", len(v.Replicas), len(v.Transfers))
 	}
-	for i, one := range v.Replicas {
-		if i > 0 && v.Replicas[i-1].Replica >= one.Replica || one.Replica == "" || len(one.Replica) > MaxNameBytes {
-			return fmt.Errorf("pool: saved replica %q is out of order", one.Replica)
+	for i, saved := range v.Replicas {
+		if i > 0 && v.Replicas[i-1].Replica >= saved.Replica || saved.Replica == "" || len(saved.Replica) > MaxNameBytes {
+			return fmt.Errorf("pool: saved replica %q is out of order", saved.Replica)
 		}
-		s := &replicaSlots{targetCap: one.TargetCap, free: one.Free, cap: one.Free, held: make(map[string]int, len(one.Held))}
-		for j, h := range one.Held {
-			if j > 0 && one.Held[j-1].Coordinator >= h.Coordinator || h.Coordinator == "" || h.Slots < 1 || h.Slots > MaxSlots || j >= MaxHolders+MaxTransfers {
-				return fmt.Errorf("pool: saved share %d of %q at %s", h.Slots, h.Coordinator, one.Replica)
+		s := &replicaSlots{targetCap: saved.TargetCap, free: saved.Free, cap: saved.Free, held: make(map[string]int, len(saved.Held))}
+		for j, h := range saved.Held {
+			if j > 0 && saved.Held[j-1].Coordinator >= h.Coordinator || h.Coordinator == "" || h.Slots < 1 || h.Slots > MaxSlots || j >= MaxHolders+MaxTransfers {
+				return fmt.Errorf("pool: saved holding of %d slots by %q at %s is invalid or out of order", h.Slots, h.Coordinator, saved.Replica)
 			}
 			s.held[h.Coordinator] = h.Slots
 			s.cap += h.Slots
 		}
-		n.replicas[one.Replica] = s
+		n.replicas[saved.Replica] = s
 	}
 	for i, t := range v.Transfers {
 		s := n.replicas[t.Replica]
@@ -74,9 +74,9 @@
 		case i > 0 && v.Transfers[i-1].Fence >= t.Fence || t.Fence == 0:
 			return fmt.Errorf("pool: saved transfer %d is out of order", t.Fence)
 		case t.Slots < 1 || t.Slots > MaxSlots || t.Stage > Returning || t.Until < 0 || t.From == t.To:
-			return fmt.Errorf("pool: saved transfer %d of %d slots, %s", t.Fence, t.Slots, t.Stage)
+			return fmt.Errorf("pool: saved transfer %d of %d slots in stage %s is invalid", t.Fence, t.Slots, t.Stage)
 		case t.Until == 0 && t.Stage != Moving || t.Until > 0 && t.To == "" || t.Stage == Moving && t.From == "":
-			return fmt.Errorf("pool: saved transfer %d is %s from %q to %q until %v", t.Fence, t.Stage, t.From, t.To, t.Until)
+			return fmt.Errorf("pool: saved transfer %d has an invalid combination: %s from %q to %q until %v", t.Fence, t.Stage, t.From, t.To, t.Until)
 		}
 		s.cap += t.Slots
 		s.outstanding += t.Slots
@@ -86,13 +86,13 @@
 		n.store(t)
 	}
 	if err := n.Check(); err != nil {
-		return errors.Join(errors.New("pool: saved"), err)
+		return errors.Join(errors.New("pool: saved state is inconsistent"), err)
 	}
 	*p = *n
 	return nil
 }
 
-// Check is S2 and the order of loans: slots at each replica add up, and no loan is used past its time.
+// Check verifies the invariant S2: the slots at each replica add up to its cap, and no loan is used after its end.
 func (p *Pool) Check() error {
 	open, lent := make(map[string]int, len(p.transfers)), map[string]map[string]int{}
 	for _, t := range p.Transfers() {
@@ -100,7 +100,7 @@
 			return fmt.Errorf("S2: transfer %d of %d slots at %s, which has none", t.Fence, t.Slots, t.Replica)
 		}
 		if t.Until > 0 && t.Until <= p.now && t.Stage != Returning {
-			return fmt.Errorf("S2: the loan %d of %d slots at %s is %s past its time, %v, at %v",
+			return fmt.Errorf("S2: loan %d of %d slots at %s is still %s after its end, %v, at %v",
 				t.Fence, t.Slots, t.Replica, t.Stage, t.Until, p.now)
 		}
 		open[t.Replica] += t.Slots
@@ -120,12 +120,12 @@
 		}
 		switch {
 		case !maps.Equal(s.lent, lent[name]):
-			return fmt.Errorf("S2: %v are counted as lent at %s, %v are", s.lent, name, lent[name])
+			return fmt.Errorf("S2: %v counted as lent at %s, but the open loans are %v", s.lent, name, lent[name])
 		case s.free < 0 || s.free+held+open[name] != s.cap || open[name] != s.outstanding:
-			return fmt.Errorf("S2: %d free, %d held and %d (%d) lent or in transfer at %s make no cap of %d",
+			return fmt.Errorf("S2: %d free, %d held and %d (counted %d) lent or in transfer at %s don't add up to the cap of %d",
 				s.free, held, open[name], s.outstanding, name, s.cap)
 		case s.targetCap < 0 || s.targetCap > s.cap || s.targetCap > MaxSlots || s.targetCap < s.cap && s.free > 0 || s.cap == 0:
-			return fmt.Errorf("S2: %s has a cap of %d with %d free, %d are wanted", name, s.cap, s.free, s.targetCap)
+			return fmt.Errorf("S2: %s has a cap of %d with %d free slots and a target cap of %d", name, s.cap, s.free, s.targetCap)
 		}
 	}
 	return nil
--- a/internal/fleet/pool/transfer.go
+++ b/internal/fleet/pool/transfer.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// ErrNoTransfer is wrapped when a number names no transfer that is open: it never was, or it is over. Nothing has changed.
+// ErrNoTransfer is wrapped if a fence number belongs to no open transfer in the required stage: the transfer never existed, or has
+// ended. The pool is unchanged then.
 var ErrNoTransfer = errors.New("no such transfer is open")
 
-// Stage of a transfer.
+// Stage is the stage of a transfer.
 type Stage uint8
 
 // Stages of a transfer, in their order.
 const (
-	Moving    Stage = iota // its source has still to say that it uses no more than what is left
-	Lent                   // its target uses it until a time
-	Returning              // the time is over, its target has still to say that it uses it no more
+	Moving    Stage = iota // the source has yet to confirm that it no longer uses the slots
+	Lent                   // the target uses the slots of a loan until its end
+	Returning              // the loan has ended, the target has yet to confirm that it no longer uses the slots
 )
 
 func (s Stage) String() string {
 	return [...]string{"moving", "lent", "returning"}[min(s, Returning)]
 }
 
-// Transfer of n slots at a replica. It goes on until Land, Back or Return, or until one of both ends is dropped.
+// Transfer is an open transfer or loan of slots at a replica. It ends by ConfirmSource, Cancel or ReturnLoan, at the latest when its
+// source or target is removed; a loan goes on after ConfirmSource, and after the removal of its lender once lent.
 type Transfer struct {
-	Fence   uint64        `json:"fence"`          // its number
-	From    string        `json:"from,omitempty"` // of a loan "" once the lender was dropped: it goes back to the free ones
-	To      string        `json:"to,omitempty"`   // "": to the free ones
+	Fence   uint64        `json:"fence"`          // the number of the transfer
+	From    string        `json:"from,omitempty"` // "" for a loan whose lender was removed: the slots become free when it is returned
+	To      string        `json:"to,omitempty"`   // "" if the slots become free
 	Replica string        `json:"replica"`
 	Slots   int           `json:"n"`
-	Until   time.Duration `json:"until,omitempty"` // of a loan, else 0
+	Until   time.Duration `json:"until,omitempty"` // end of a loan; 0 for a permanent transfer
 	Stage   Stage         `json:"stage,omitempty"`
 }
 
-// Releaser is who has to say that it uses the slots no more, or "" while no one has to.
+// Releaser returns the co-ordinator that has yet to confirm that it no longer uses the slots, or "" if none has to.
 func (t Transfer) Releaser() string {
 	switch t.Stage {
 	case Moving:
@@ -47,28 +49,29 @@
 	return ""
 }
 
-// Move takes n slots out of the hand of from, for good. They are in the hand of to, or free if that is "", once from has
-// said so (Land). fence is the number of the transfer; one that is open already is refused.
+// Move starts the permanent transfer of n slots held by from. Once from has confirmed it (ConfirmSource) they are held by to, or
+// free if to is "". fence is the number of the transfer; a number that is already in use is rejected.
 func (p *Pool) Move(fence uint64, from, to, replica string, n int) error {
 	return p.start(Transfer{Fence: fence, From: from, To: to, Replica: replica, Slots: n})
 }
 
-// Lend is Move until a time. What was not yet taken over by then stays with from; else to has to say that it uses them
-// no more (Return), at the latest after that time.
+// Lend starts a transfer like Move, but as a loan until a time. Slots whose source has not confirmed by then stay with from.
+// Otherwise to has to confirm that it no longer uses them (ReturnLoan), at the latest after that time.
 func (p *Pool) Lend(fence uint64, from, to, replica string, n int, until time.Duration) error {
 	if until <= p.now || to == "" {
-		return fmt.Errorf("pool: a loan of %s to %q until %v, now %v", from, to, until, p.now)
+		return fmt.Errorf("pool: invalid loan from %s to %q until %v at %v", from, to, until, p.now)
 	}
 	return p.start(Transfer{Fence: fence, From: from, To: to, Replica: replica, Slots: n, Until: until})
 }
 
+// start checks and opens a transfer.
 func (p *Pool) start(t Transfer) error {
-	_, twice := p.transfers[t.Fence]
+	_, exists := p.transfers[t.Fence]
 	switch {
 	case t.From == "" || t.From == t.To || len(t.To) > MaxNameBytes:
-		return fmt.Errorf("pool: a transfer from %q to %q", t.From, t.To)
-	case t.Fence == 0 || twice:
-		return fmt.Errorf("pool: transfer %d is open already", t.Fence)
+		return fmt.Errorf("pool: invalid transfer from %q to %q", t.From, t.To)
+	case t.Fence == 0 || exists:
+		return fmt.Errorf("pool: transfer number %d is 0 or already open", t.Fence)
 	case len(p.transfers) >= MaxTransfers:
 		return fmt.Errorf("pool: %d transfers are open, no more are allowed", len(p.transfers))
 	}
@@ -80,6 +83,7 @@
 	return nil
 }
 
+// store sets a transfer and updates the earliest end of a loan.
 func (p *Pool) store(t Transfer) {
 	p.transfers[t.Fence] = t
 	if t.Until > 0 && t.Stage != Returning && (p.nextExpiry < 0 || t.Until < p.nextExpiry) {
@@ -87,24 +91,25 @@
 	}
 }
 
-// lend counts n more of the slots that co uses as a loan. Held is asked for each co-ordinator and replica, and walks no transfers for it.
-func (s *replicaSlots) addLent(co string, n int) {
+// addLent adds n to the slots that a co-ordinator uses as loans. They are counted here because Held is called for each co-ordinator
+// and replica, and must not walk over all transfers.
+func (s *replicaSlots) addLent(coordinator string, n int) {
 	if s.lent == nil {
 		s.lent = map[string]int{}
 	}
-	if s.lent[co] += n; s.lent[co] == 0 {
-		delete(s.lent, co)
+	if s.lent[coordinator] += n; s.lent[coordinator] == 0 {
+		delete(s.lent, coordinator)
 	}
 	if len(s.lent) == 0 {
 		s.lent = nil
 	}
 }
 
-// ConfirmSource is the word of the source that it uses no more than what is left to it: the target has the slots.
+// ConfirmSource records that the source no longer uses the slots. The target holds or borrows them from now on.
 func (p *Pool) ConfirmSource(fence uint64) error {
 	t, ok := p.transfers[fence]
 	if !ok || t.Stage != Moving {
-		return fmt.Errorf("pool: land %d: %w", fence, ErrNoTransfer)
+		return fmt.Errorf("pool: confirm source of transfer %d: %w", fence, ErrNoTransfer)
 	}
 	if t.Until > 0 {
 		t.Stage = Lent
@@ -116,88 +121,88 @@
 	return nil
 }
 
-// Cancel ends a transfer that the source has not yet let go: it keeps the slots.
+// Cancel ends a transfer that its source has not yet confirmed. The source keeps the slots.
 func (p *Pool) Cancel(fence uint64) error {
 	t, ok := p.transfers[fence]
 	if !ok || t.Stage != Moving {
-		return fmt.Errorf("pool: back %d: %w", fence, ErrNoTransfer)
+		return fmt.Errorf("pool: cancel transfer %d: %w", fence, ErrNoTransfer)
 	}
 	p.finish(t, t.From)
 	return nil
 }
 
-// ReturnLoan is the word of who borrowed that it uses the slots no more: they are the lender's again.
+// ReturnLoan records that the borrower no longer uses the slots. They go back to the lender, or are free if it was removed.
 func (p *Pool) ReturnLoan(fence uint64) error {
 	t, ok := p.transfers[fence]
 	if !ok || t.Stage == Moving {
-		return fmt.Errorf("pool: return %d: %w", fence, ErrNoTransfer)
+		return fmt.Errorf("pool: return loan %d: %w", fence, ErrNoTransfer)
 	}
 	p.finish(t, t.From)
 	return nil
 }
 
-// close ends a transfer: its slots go to co, or are free if that is "".
-func (p *Pool) finish(t Transfer, co string) {
+// finish ends a transfer: its slots go to coordinator, or are free if that is "".
+func (p *Pool) finish(t Transfer, coordinator string) {
 	s := p.replicas[t.Replica]
 	s.outstanding -= t.Slots
 	if t.Stage == Lent {
 		s.addLent(t.To, -t.Slots)
 	}
 	delete(p.transfers, t.Fence)
-	if co != "" {
-		s.held[co] += t.Slots
+	if coordinator != "" {
+		s.held[coordinator] += t.Slots
 		return
 	}
 	s.free += t.Slots
 	p.applyLoweredCap(t.Replica)
 }
 
-// RemoveCoordinator is for a co-ordinator that surely uses nothing any more: what it holds is free. What was on its way from it goes
-// to its target, or is free if it was a loan; what was on its way or lent to it goes back; what it lent stays lent until
-// its time, and is free after that. It says whether there was anything.
-func (p *Pool) RemoveCoordinator(co string) bool {
-	if co == "" {
+// RemoveCoordinator frees the slots of a co-ordinator that surely uses none any more. Unconfirmed transfers from it go to their
+// targets; its unconfirmed loans become free. Transfers and loans to it go back to their sources. Loans that it gave stay with their
+// borrowers until they end, and are free then. It reports whether there was anything to remove.
+func (p *Pool) RemoveCoordinator(coordinator string) bool {
+	if coordinator == "" {
 		return false
 	}
-	any := false
+	found := false
 	for _, t := range p.Transfers() {
-		if t.From != co && t.To != co {
+		if t.From != coordinator && t.To != coordinator {
 			continue
 		}
-		any = true
+		found = true
 		switch {
-		case t.From == co && t.Stage == Moving && t.Until == 0:
+		case t.From == coordinator && t.Stage == Moving && t.Until == 0:
 			p.finish(t, t.To)
-		case t.From == co && t.Stage == Moving:
+		case t.From == coordinator && t.Stage == Moving:
 			p.finish(t, "")
-		case t.From == co:
+		case t.From == coordinator:
 			t.From = ""
 			p.transfers[t.Fence] = t
-		case t.To == co:
+		case t.To == coordinator:
 			p.finish(t, t.From)
 		}
 	}
 	for _, replica := range p.Replicas() {
-		if n := p.replicas[replica].held[co]; n > 0 {
-			_ = p.Release(co, replica, n) // it holds them, as just seen
-			any = true
+		if n := p.replicas[replica].held[coordinator]; n > 0 {
+			_ = p.Release(coordinator, replica, n) // can't fail: it holds n
+			found = true
 		}
 	}
-	return any
+	return found
 }
 
-// Clear frees all slots, when none is surely in use.
+// Clear frees all slots and drops all transfers. It may only be called when surely no slot is in use.
 func (p *Pool) Clear() {
 	clear(p.transfers)
 	p.nextExpiry = -1
-	for name, s := range p.replicas { // in any order: each is on its own
+	for name, s := range p.replicas { // order doesn't matter: replicas are independent
 		s.free, s.outstanding, s.lent = s.cap, 0, nil
 		clear(s.held)
 		p.applyLoweredCap(name)
 	}
 }
 
-// Advance moves agreed time on: loans whose time is over end.
+// Advance advances agreed time and ends expired loans: unconfirmed ones stay with their lenders, lent ones have to be returned.
 func (p *Pool) Advance(now time.Duration) {
 	p.now = max(p.now, now)
 	if p.nextExpiry < 0 || p.nextExpiry > p.now {
@@ -219,7 +224,7 @@
 	}
 }
 
-// Transfers that are open, by number.
+// Transfers returns the open transfers, by number.
 func (p *Pool) Transfers() []Transfer {
 	out := make([]Transfer, 0, len(p.transfers))
 	for _, fence := range slices.Sorted(maps.Keys(p.transfers)) {
@@ -228,13 +233,13 @@
 	return out
 }
 
-// Transfer by its number, while it is open.
+// Transfer returns the open transfer with that number; false if there is none.
 func (p *Pool) Transfer(fence uint64) (Transfer, bool) {
 	t, ok := p.transfers[fence]
 	return t, ok
 }
 
-// PendingReleases are the transfers that wait for the word of co, by number.
-func (p *Pool) PendingReleases(co string) []Transfer {
-	return slices.DeleteFunc(p.Transfers(), func(t Transfer) bool { return co == "" || t.Releaser() != co })
+// PendingReleases returns the transfers that wait for a confirmation of coordinator, by number.
+func (p *Pool) PendingReleases(coordinator string) []Transfer {
+	return slices.DeleteFunc(p.Transfers(), func(t Transfer) bool { return coordinator == "" || t.Releaser() != coordinator })
 }
