--- a/internal/fleet/sessionctl/shares.go
+++ b/internal/fleet/sessionctl/shares.go
@@ -8,79 +8,78 @@
 	"birchcart/internal/fleet/session"
 )
 
-// Shares of slots at a replica are even ones at rest: what its cap comes to for each co-ordinator of the inventory. Where
-// sessions go together for a time, the planner shifts slots with them; a share that is over the even one is left alone as
-// long as nobody lacks what it would bring.
+// In the steady state every co-ordinator of the inventory holds an even share of each replica's slots. Where sessions concentrate for
+// a time, the planner shifts slots with them. A share above the even one is reduced only if another co-ordinator lacks slots.
 
-// shares gives slots to who is up, was heard of within its lease, does not leave and has less than its even share: free
-// ones, and where none are left, from who holds the most, to one that has less than half of its own. Without the latter
-// one that joins after all are given out could run no pinned query.
-func (l *Input) slotShifts(have session.Limits) (out []session.Shift) {
-	if l.AgreedTime < l.Sessions.BlockedUntil() {
+// shares returns shifts of slots to co-ordinators that are up, were heard of within their lease, don't leave and have less than
+// their even share. Free slots are given first. A co-ordinator that still has less than half of its share then gets slots of the
+// co-ordinator that holds the most: otherwise one that joins after all slots are given out could run no pinned query.
+func (in *Input) slotShifts(limits session.Limits) (out []session.Shift) {
+	if in.AgreedTime < in.Sessions.BlockedUntil() {
 		return nil
 	}
-	all := slices.DeleteFunc(l.coordinators(), func(m maintenance.Machine) bool { return m.Status == maintenance.Gone })
-	place, leaves := make(map[string]int, len(all)), map[string]bool{}
-	for i := range l.Coordinators {
-		leaves[l.Coordinators[i].Name] = l.Coordinators[i].Leaving
+	all := slices.DeleteFunc(in.coordinators(), func(m maintenance.Machine) bool { return m.Status == maintenance.Gone })
+	index, leaving := make(map[string]int, len(all)), map[string]bool{}
+	for i := range in.Coordinators {
+		leaving[in.Coordinators[i].Name] = in.Coordinators[i].Leaving
 	}
-	takes := make([]bool, len(all))
+	eligible := make([]bool, len(all))
 	for i, m := range all {
-		place[m.Name] = i
-		takes[i] = m.Status == maintenance.Up && l.SilentFor(m.Name) < have.Lease && !leaves[m.Name]
+		index[m.Name] = i
+		eligible[i] = m.Status == maintenance.Up && in.SilentFor(m.Name) < limits.Lease && !leaving[m.Name]
 	}
-	p := l.Sessions.Pool()
-	coming := map[string][]pool.Transfer{}
+	p := in.Sessions.Pool()
+	incomingTransfers := map[string][]pool.Transfer{}
 	for _, t := range p.Transfers() {
-		coming[t.Replica] = append(coming[t.Replica], t)
+		incomingTransfers[t.Replica] = append(incomingTransfers[t.Replica], t)
 	}
-	hand, more := make([]int, len(all)), make([]int, len(all)) // in each one's hand, and on its way there
+	held, incoming := make([]int, len(all)), make([]int, len(all)) // slots of each co-ordinator, held and in transfer to it
 	for _, r := range p.Replicas() {
-		clear(hand)
-		clear(more)
+		clear(held)
+		clear(incoming)
 		p.EachHolder(r, func(co string, n int) {
-			if i, ok := place[co]; ok {
-				hand[i] = n
+			if i, ok := index[co]; ok {
+				held[i] = n
 			}
 		})
-		for _, t := range coming[r] {
-			if i, ok := place[t.To]; ok {
-				more[i] += t.Slots
+		for _, t := range incomingTransfers[r] {
+			if i, ok := index[t.To]; ok {
+				incoming[i] += t.Slots
 			}
 		}
 		free, share := p.Free(r), p.Cap(r)/max(1, len(all))
 		for i, m := range all {
-			has := hand[i] + more[i]
-			if !takes[i] || has >= share {
+			total := held[i] + incoming[i]
+			if !eligible[i] || total >= share {
 				continue
 			}
 			if len(out) >= MaxShifts {
 				return out
 			}
-			if n := min(share-has, free); n > 0 {
+			if n := min(share-total, free); n > 0 {
 				out = append(out, session.Shift{To: m.Name, Replica: r, N: n})
 				free -= n
-				has += n
+				total += n
 			}
-			if has >= (share+1)/2 {
+			if total >= (share+1)/2 {
 				continue
 			}
-			richest := indexOfMax(hand)
-			if hand[richest] <= share {
-				break // no one has any to give, and none is free
+			largest := indexOfMax(held)
+			if held[largest] <= share {
+				break // no co-ordinator has more than its share, and no slot is free
 			}
-			n := min(share-has, hand[richest]-share)
-			out = append(out, session.Shift{From: all[richest].Name, To: m.Name, Replica: r, N: n})
-			hand[richest] -= n
+			n := min(share-total, held[largest]-share)
+			out = append(out, session.Shift{From: all[largest].Name, To: m.Name, Replica: r, N: n})
+			held[largest] -= n
 		}
 	}
 	return out
 }
 
-// most is the place of the highest number, the first of them.
-func indexOfMax(of []int) (at int) {
-	for i, n := range of {
-		if n > of[at] {
+// indexOfMax returns the index of the greatest value, the first one if there are several.
+func indexOfMax(values []int) (at int) {
+	for i, n := range values {
+		if n > values[at] {
 			at = i
 		}
 	}
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -1,7 +1,7 @@
-// Package sessionctl is what the leader proposes for pinned sessions: the limits of the operators' file, each co-ordinator's
-// share of slots, the release of who has been silent for longer than its lease, and the planner's moves. Pure: it looks at the agreed state and
-// says what it wants changed. Nothing waits for an end: what is wanted still, is proposed again, and what came twice or
-// late the agreed state refuses.
+// Package sessionctl decides what the leader proposes for pinned sessions: the limits of the operators' file, each co-ordinator's
+// share of slots, the release of co-ordinators that have been silent for longer than their lease, and the planner's moves. It has no
+// clock, goroutine or I/O: it compares the agreed state with what is wanted and returns proposals. It doesn't wait for their results:
+// a change that is still needed is proposed again, and the agreed state rejects duplicate and late commands.
 package sessionctl
 
 import (
@@ -16,166 +16,168 @@
 )
 
 const (
-	// RetryInterval is between two proposals of one thing that the state does not show. Twice as long: a lost one costs so much
-	// more; half: a slow council has most of them twice.
+	// RetryInterval is the time until a change is proposed again that the agreed state doesn't show yet. A longer interval delays
+	// recovery from a lost proposal; with half of it a slow raft group gets most proposals twice.
 	RetryInterval = time.Second
-	// PlanInterval is between steps of the planner. Twice as long: a session's move begins, or is called off, so much later; half:
-	// twice the looks at all that is in flight.
+	// PlanInterval is the time between steps of the planner. A longer interval delays the start and the cancellation of session
+	// moves; each step walks over all moves in flight.
 	PlanInterval = 200 * time.Millisecond
-	// MaxShifts shares are given out in one command. Twice as many: an entry twice as large; half: twice the entries at
-	// a fleet's start.
+	// MaxShifts is the maximum of slot shifts in one command. It bounds the size of a log entry; with half of it a fleet's start
+	// takes twice the entries.
 	MaxShifts = 500
 )
 
-// Input is all that a step goes by.
+// Input is the input to one step of the controller.
 type Input struct {
-	Now         time.Duration // own monotonic
-	AgreedTime  time.Duration // by which a command is proposed
+	Now         time.Duration // local monotonic time
+	AgreedTime  time.Duration // agreed time of the commands to propose
 	Sessions    *session.State
 	Maintenance *maintenance.State
-	// WantedLimits is what the operators' file says, without Caps and with the file's revision; Slots are those at each replica.
+	// WantedLimits are the limits of the operators' file, without Caps and with the file's revision; SlotsPerReplica is the file's
+	// number of slots at each replica.
 	WantedLimits    session.Limits
 	SlotsPerReplica int
-	// Coordinators are the co-ordinators of the inventory as the planner sees them, by name; SessionsPerSlot of their sessions share a slot at a
-	// replica, at most.
+	// Coordinators are the co-ordinators of the inventory as input to the planner, by name. At most SessionsPerSlot of their
+	// sessions share a slot at a replica.
 	Coordinators    []migrate.Coordinator
 	SessionsPerSlot int
-	Paused          bool // by the operators
-	// SilentFor is how long nothing was heard of a co-ordinator while this one leads.
+	Paused          bool // whether the operators have paused moves
+	// SilentFor returns how long nothing was heard of a co-ordinator while this one leads.
 	SilentFor func(name string) time.Duration
 	// Result says what came of earlier proposals.
 	Results []Result
 }
 
-// Result is the end of the waiting for one proposal: Known if it was applied, refused, or never entered the log; else it may
-// be in it, and come at any later time.
+// Result is the result of one proposal. OutcomeKnown is set if the command was applied, rejected, or never entered the log. Else the
+// command may be in the log and may be applied at any later time.
 type Result struct {
 	Number       uint64
 	OutcomeKnown bool
 }
 
-// release of a co-ordinator, by the number of its proposal. Once nobody knows what came of it, the end of a later one tells:
-// entries are applied in their order, and that one entered after it.
+// pendingRelease is the release of a co-ordinator, with the number of its proposal. If its outcome is unknown, the result of a later
+// proposal settles it: entries are applied in log order, and the later one entered the log after it.
 type pendingRelease struct {
 	number         uint64
 	outcomeUnknown bool
 }
 
-// Proposal is a command for the part "sessions". What names it for the log; numbers grow.
+// Proposal is a command for the part "sessions" of the agreed state. Description names it in logs; numbers increase.
 type Proposal struct {
 	Number            uint64
 	Description, Kind string
 	Body              any
 }
 
-// Controller is a leader's, or one's that may become it. Not for use by several goroutines at once.
+// Controller is the session controller of a co-ordinator that leads or may lead. It is not safe for concurrent use.
 type Controller struct {
-	retryAfter map[string]time.Duration // what was proposed and not seen, and until when it is not proposed again
-	lastNumber uint64                   // of the newest proposal
-	// releasing are those whose release may still come, and are given no lease: the log may hold the entry for as long as it
-	// has no majority.
+	retryAfter map[string]time.Duration // by description of a proposal: the time before which it isn't repeated
+	lastNumber uint64                   // number of the newest proposal
+	// releasing are the co-ordinators whose release may still be applied. They get no lease: the entry may stay uncommitted in the
+	// log for as long as there is no majority.
 	releasing map[string]*pendingRelease
-	// lease is the longest that the fleet's limits, which go by a file of their own, let a co-ordinator have: those of now, or of
-	// before until maxLeaseUntil.
+	// maxLease is the longest lease that a co-ordinator may have by the fleet's limits, which have a revision of their own: by the
+	// current limits, or until maxLeaseUntil by earlier ones.
 	maxLease, maxLeaseUntil time.Duration
 	planner                 *migrate.Planner
-	plan                    migrate.Plan // of the last step
+	plan                    migrate.Plan // the planner's result in the last step
 	plannedAt               time.Duration
 }
 
-// New makes one.
+// New returns a controller.
 func New() *Controller {
 	return &Controller{retryAfter: map[string]time.Duration{}, releasing: map[string]*pendingRelease{}, planner: migrate.New(migrate.Options{})}
 }
 
-// Reset forgets what holds for one term only. A leader knows that it leads once all that came before its term is applied, so
-// no release of before comes later.
-func (s *Controller) Reset() {
-	clear(s.retryAfter)
-	clear(s.releasing)
-	s.planner, s.plan, s.plannedAt = migrate.New(migrate.Options{}), migrate.Plan{}, 0
+// Reset drops what is valid for one term only. A leader learns that it leads after all entries of earlier terms are applied, so no
+// release of an earlier term can be applied later.
+func (c *Controller) Reset() {
+	clear(c.retryAfter)
+	clear(c.releasing)
+	c.planner, c.plan, c.plannedAt = migrate.New(migrate.Options{}), migrate.Plan{}, 0
 }
 
-// Plan is what the planner last said: its forecast, and which sessions it keeps and why.
-func (s *Controller) Plan() migrate.Plan { return s.plan }
-
-// Releasing says that a release of this co-ordinator may be under way: it is given no lease.
-func (s *Controller) Releasing(name string) bool { return s.releasing[name] != nil }
-
-// Step returns what to propose now.
-func (s *Controller) Step(l Input) (out []Proposal) {
-	s.handleResults(l.Results)
-	fleet, _ := l.Maintenance.Limits()
-	s.ObserveLease(l.Now, fleet.Lease)
-	maps.DeleteFunc(s.retryAfter, func(_ string, until time.Duration) bool { return l.Now >= until })
-	put := func(wait time.Duration, what, kind string, body any) bool {
-		_, waits := s.retryAfter[what]
-		if !waits {
-			s.retryAfter[what] = l.Now + wait
-			s.lastNumber++
-			out = append(out, Proposal{s.lastNumber, what, kind, body})
+// Plan returns the planner's last result: its forecast, and which sessions don't move and why.
+func (c *Controller) Plan() migrate.Plan { return c.plan }
+
+// Releasing reports whether a release of this co-ordinator may be in flight. It must not get a lease meanwhile.
+func (c *Controller) Releasing(name string) bool { return c.releasing[name] != nil }
+
+// Step returns the commands to propose now.
+func (c *Controller) Step(in Input) (out []Proposal) {
+	c.handleResults(in.Results)
+	fleetLimits, _ := in.Maintenance.Limits()
+	c.ObserveLease(in.Now, fleetLimits.Lease)
+	maps.DeleteFunc(c.retryAfter, func(_ string, until time.Duration) bool { return in.Now >= until })
+	propose := func(wait time.Duration, description, kind string, body any) bool {
+		_, waiting := c.retryAfter[description]
+		if !waiting {
+			c.retryAfter[description] = in.Now + wait
+			c.lastNumber++
+			out = append(out, Proposal{c.lastNumber, description, kind, body})
 		}
-		return !waits
+		return !waiting
 	}
-	have, revision := l.Sessions.Limits()
-	if want, ok := l.changedLimits(have); ok {
-		put(RetryInterval, fmt.Sprintf("limits %d", want.Revision), session.KindLimits, session.LimitsBody{Limits: want})
-		return out // what follows goes by them
+	current, revision := in.Sessions.Limits()
+	if want, ok := in.changedLimits(current); ok {
+		propose(RetryInterval, fmt.Sprintf("limits %d", want.Revision), session.KindLimits, session.LimitsBody{Limits: want})
+		return out // the following steps depend on the limits
 	}
 	if revision == 0 {
 		return nil
 	}
-	need := have.SilentFor()
-	if more := s.maxLease - have.Lease; more > 0 {
-		need += more + more/100
+	minSilence := current.SilentFor()
+	if longer := c.maxLease - current.Lease; longer > 0 {
+		minSilence += longer + longer/100
 	}
-	for _, name := range l.silentCoordinators(need) {
-		if s.Releasing(name) {
+	for _, name := range in.silentCoordinators(minSilence) {
+		if c.Releasing(name) {
 			continue
 		}
-		if put(RetryInterval, "release "+name, session.KindRelease, session.ReleaseBody{Name: name, Silent: l.SilentFor(name), At: l.AgreedTime}) {
-			s.releasing[name] = &pendingRelease{number: s.lastNumber}
+		if propose(RetryInterval, "release "+name, session.KindRelease, session.ReleaseBody{Name: name, Silent: in.SilentFor(name), At: in.AgreedTime}) {
+			c.releasing[name] = &pendingRelease{number: c.lastNumber}
 		}
 	}
-	if shifts := l.slotShifts(have); len(shifts) > 0 {
-		put(RetryInterval, "shares of slots", session.KindPlan, session.PlanBody{Shifts: shifts})
+	if shifts := in.slotShifts(current); len(shifts) > 0 {
+		propose(RetryInterval, "shares of slots", session.KindPlan, session.PlanBody{Shifts: shifts})
 	}
-	if l.Now >= s.plannedAt+PlanInterval {
-		s.plannedAt = l.Now
-		s.plan = s.planner.Step(l.AgreedTime, l.plannerView())
-		if !s.plan.Empty() { // the planner itself says again what came to nothing
-			s.lastNumber++
-			out = append(out, Proposal{s.lastNumber, "moves", session.KindPlan, s.plan.Body})
+	if in.Now >= c.plannedAt+PlanInterval {
+		c.plannedAt = in.Now
+		c.plan = c.planner.Step(in.AgreedTime, in.plannerView())
+		if !c.plan.Empty() { // the planner itself repeats failed moves
+			c.lastNumber++
+			out = append(out, Proposal{c.lastNumber, "moves", session.KindPlan, c.plan.Body})
 		}
 	}
-	unsure := slices.DeleteFunc(slices.Sorted(maps.Keys(s.releasing)), func(name string) bool { return !s.releasing[name].outcomeUnknown })
-	// The ends of moves are found by agreed time; what came of a release, by a later entry.
-	if l.Sessions.Moving() > 0 || s.plan.Tick || len(unsure) > 0 {
-		if put(RetryInterval, "tick", session.KindTick, session.TickBody{}) {
-			for _, name := range unsure {
-				s.releasing[name] = &pendingRelease{number: s.lastNumber}
+	unknown := slices.DeleteFunc(slices.Sorted(maps.Keys(c.releasing)), func(name string) bool { return !c.releasing[name].outcomeUnknown })
+	// A tick advances agreed time, by which moves expire, and its result settles releases with an unknown outcome.
+	if in.Sessions.Moving() > 0 || c.plan.Tick || len(unknown) > 0 {
+		if propose(RetryInterval, "tick", session.KindTick, session.TickBody{}) {
+			for _, name := range unknown {
+				c.releasing[name] = &pendingRelease{number: c.lastNumber}
 			}
 		}
 	}
 	return out
 }
 
-// ObserveLease notes, at that own time, how long a lease is by the fleet's limits. One that knows only the limits of before has
-// theirs: for as long after a shorter lease came into force as the longer one lasts. To be told while another leads, too.
-func (s *Controller) ObserveLease(now, lease time.Duration) {
-	if lease >= s.maxLease || now >= s.maxLeaseUntil {
-		s.maxLease, s.maxLeaseUntil = lease, now+lease
+// ObserveLease records the lease duration of the fleet's limits at the local time now. A co-ordinator that hasn't received new limits
+// yet may still get a lease of the earlier, longer duration, so the longer one counts until a lease of that duration has expired.
+// It must be called while another co-ordinator leads, too.
+func (c *Controller) ObserveLease(now, lease time.Duration) {
+	if lease >= c.maxLease || now >= c.maxLeaseUntil {
+		c.maxLease, c.maxLeaseUntil = lease, now+lease
 	}
 }
 
-// done takes what came of proposals.
-func (s *Controller) handleResults(all []Result) {
-	for name, r := range s.releasing { // in any order: each by itself
-		for _, d := range all {
+// handleResults applies the results of proposals to pending releases.
+func (c *Controller) handleResults(results []Result) {
+	for name, r := range c.releasing { // order doesn't matter: entries are independent
+		for _, d := range results {
 			switch {
 			case d.Number != r.number:
 			case d.OutcomeKnown:
-				delete(s.releasing, name)
+				delete(c.releasing, name)
 			default:
 				r.outcomeUnknown = true
 			}
@@ -183,44 +185,44 @@
 	}
 }
 
-// view is what the planner goes by.
-func (l *Input) plannerView() migrate.View {
-	v := migrate.View{Book: l.Sessions, Slots: l.Sessions.Pool(), Coordinators: slices.Clone(l.Coordinators), PerSlot: l.SessionsPerSlot, Paused: l.Paused,
-		Replicas: l.Sessions.Pool().Replicas()}
-	limits, _ := l.Sessions.Limits()
+// plannerView returns the planner's input.
+func (in *Input) plannerView() migrate.View {
+	v := migrate.View{Book: in.Sessions, Slots: in.Sessions.Pool(), Coordinators: slices.Clone(in.Coordinators), PerSlot: in.SessionsPerSlot, Paused: in.Paused,
+		Replicas: in.Sessions.Pool().Replicas()}
+	limits, _ := in.Sessions.Limits()
 	for i := range v.Coordinators {
-		c := &v.Coordinators[i]
-		c.Live = c.Live && l.SilentFor(c.Name) < limits.Lease
+		coordinator := &v.Coordinators[i]
+		coordinator.Live = coordinator.Live && in.SilentFor(coordinator.Name) < limits.Lease
 	}
 	return v
 }
 
-// wanted are the limits that the file and the inventory come to, if they differ from those in force. Their revision has the
-// file's in front: a file of an older one changes nothing, and replicas that come and go count up behind it.
-func (l *Input) changedLimits(have session.Limits) (session.Limits, bool) {
-	const room = 1 << 24
-	if l.WantedLimits.Revision == 0 || l.WantedLimits.Revision < have.Revision/room {
-		return have, false
+// changedLimits returns the limits by the operators' file and the inventory, if they differ from those in force. The high part of
+// their revision is the file's revision, so an older file changes nothing; the low part counts changes of the set of replicas.
+func (in *Input) changedLimits(current session.Limits) (session.Limits, bool) {
+	const revisionFactor = 1 << 24
+	if in.WantedLimits.Revision == 0 || in.WantedLimits.Revision < current.Revision/revisionFactor {
+		return current, false
 	}
-	want := l.WantedLimits
+	want := in.WantedLimits
 	want.Caps = map[string]int{}
-	for _, m := range l.Maintenance.Machines() {
+	for _, m := range in.Maintenance.Machines() {
 		if m.Kind == maintenance.Replica && m.Status != maintenance.Gone {
-			want.Caps[m.Name] = l.SlotsPerReplica
+			want.Caps[m.Name] = in.SlotsPerReplica
 		}
 	}
-	want.Revision = max(l.WantedLimits.Revision*room, have.Revision+1)
-	same := want
-	same.Revision, same.Caps = have.Revision, have.Caps
-	if len(want.Caps) == 0 || l.WantedLimits.Revision == have.Revision/room && maps.Equal(want.Caps, have.Caps) && fmt.Sprint(same) == fmt.Sprint(have) {
-		return have, false
+	want.Revision = max(in.WantedLimits.Revision*revisionFactor, current.Revision+1)
+	normalized := want
+	normalized.Revision, normalized.Caps = current.Revision, current.Caps
+	if len(want.Caps) == 0 || in.WantedLimits.Revision == current.Revision/revisionFactor && maps.Equal(want.Caps, current.Caps) && fmt.Sprint(normalized) == fmt.Sprint(current) {
+		return current, false
 	}
 	return want, true
 }
 
-// coordinators of the agreed inventory, by name.
-func (l *Input) coordinators() (out []maintenance.Machine) {
-	for _, m := range l.Maintenance.Machines() {
+// coordinators returns the co-ordinators of the agreed inventory, by name.
+func (in *Input) coordinators() (out []maintenance.Machine) {
+	for _, m := range in.Maintenance.Machines() {
 		if m.Kind == maintenance.Coordinator {
 			out = append(out, m)
 		}
@@ -228,28 +230,29 @@
 	return out
 }
 
-// silent are the co-ordinators that have something and have been silent for at least that long.
-func (l *Input) silentCoordinators(need time.Duration) (out []string) {
-	if l.AgreedTime < l.Sessions.BlockedUntil() {
+// silentCoordinators returns the co-ordinators that have sessions or slots and have been silent for at least minSilence.
+func (in *Input) silentCoordinators(minSilence time.Duration) (out []string) {
+	if in.AgreedTime < in.Sessions.BlockedUntil() {
 		return nil
 	}
-	names := map[string]bool{} // whether it holds slots in its hand
-	for _, m := range l.coordinators() {
-		names[m.Name] = false
+	holds := map[string]bool{} // whether the co-ordinator holds slots
+	for _, m := range in.coordinators() {
+		holds[m.Name] = false
 	}
-	held := l.Sessions.Pool()
-	for _, r := range held.Replicas() {
-		held.EachHolder(r, func(co string, _ int) { names[co] = true })
+	slots := in.Sessions.Pool()
+	for _, r := range slots.Replicas() {
+		slots.EachHolder(r, func(co string, _ int) { holds[co] = true })
 	}
-	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if l.SilentFor(name) >= need && (names[name] || l.Sessions.Owned(name) > 0 || l.holdsSlots(name)) {
+	for _, name := range slices.Sorted(maps.Keys(holds)) {
+		if in.SilentFor(name) >= minSilence && (holds[name] || in.Sessions.Owned(name) > 0 || in.holdsSlots(name)) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-func (l *Input) holdsSlots(name string) bool {
-	p := l.Sessions.Pool()
+// holdsSlots reports whether a co-ordinator may use slots at any replica, held or lent to it.
+func (in *Input) holdsSlots(name string) bool {
+	p := in.Sessions.Pool()
 	return slices.ContainsFunc(p.Replicas(), func(r string) bool { return p.Held(name, r) > 0 })
 }
--- a/internal/fleet/sessionctl/steward_test.go
+++ b/internal/fleet/sessionctl/steward_test.go
@@ -11,7 +11,7 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// rig is an agreed log with an inventory, and a leader's steward over it.
+// rig is an agreed state machine with an inventory, and a leader's controller that reads its state.
 type rig struct {
 	*testing.T
 	machine    *statemachine.Machine
@@ -51,7 +51,7 @@
 	return r.machine.Apply(r.machine.Index()+1, raw)
 }
 
-// list makes the inventory three co-ordinators and these replicas.
+// setReplicas sets the inventory to three co-ordinators and these replicas.
 func (r *rig) setReplicas(replicas ...string) {
 	r.setInventory([]string{"c0", "c1", "c2"}, replicas...)
 }
@@ -70,14 +70,14 @@
 	}
 }
 
-// step plays one look; what is proposed is agreed, if take says so.
-func (r *rig) step(after time.Duration, take bool) (kinds []string) {
+// step runs one step of the controller after the elapsed time, and applies its proposals if commit is set.
+func (r *rig) step(elapsed time.Duration, commit bool) (kinds []string) {
 	r.Helper()
-	r.input.Now += after
-	r.input.AgreedTime += after
+	r.input.Now += elapsed
+	r.input.AgreedTime += elapsed
 	for _, p := range r.controller.Step(r.input) {
 		kinds = append(kinds, p.Kind)
-		if take {
+		if commit {
 			if err := r.apply("sessions", p.Kind, p.Body); err != nil {
 				r.Errorf("%s: %v", p.Description, err)
 			}
@@ -99,19 +99,19 @@
 func TestLimitsAreProposedBeforeSlots(t *testing.T) {
 	r := newRig(t)
 	r.expectKinds(r.step(time.Second, false), "limits")
-	r.expectKinds(r.step(RetryInterval/2, true)) // that one may still come
+	r.expectKinds(r.step(RetryInterval/2, true)) // not repeated yet: the first proposal may still be applied
 	r.expectKinds(r.step(RetryInterval, true), "limits")
 	r.expectKinds(r.step(RetryInterval, true), "plan")
 	for _, name := range []string{"c0", "c1", "c2"} {
 		if p := r.input.Sessions.Pool(); p.Held(name, "r0") != 10 || p.Held(name, "r1") != 10 {
-			t.Errorf("%s holds %d and %d of 30 among three", name, p.Held(name, "r0"), p.Held(name, "r1"))
+			t.Errorf("%s holds %d and %d slots, wanted 10 of 30 at each replica", name, p.Held(name, "r0"), p.Held(name, "r1"))
 		}
 	}
 	r.expectKinds(r.step(RetryInterval, true))
-	r.setReplicas("r0", "r1", "r2") // another replica has a cap, and shares, too
+	r.setReplicas("r0", "r1", "r2") // a new replica changes the limits and gets shares
 	r.expectKinds(r.step(RetryInterval, true), "limits")
 	r.expectKinds(r.step(RetryInterval, true), "plan")
-	r.input.WantedLimits.Revision = 2 // an older file at the next leader
+	r.input.WantedLimits.Revision = 2 // an older revision of the file at the next leader
 	r.input.SlotsPerReplica = 5
 	r.expectKinds(r.step(RetryInterval, true))
 	r.input.WantedLimits.Revision, r.input.WantedLimits.InFlight = 4, 9
@@ -121,8 +121,8 @@
 	}
 }
 
-// One that is silent for as long as its lease can last, and has something, is released once; while that may be under way it
-// is given no lease, and the next leader counts anew.
+// A co-ordinator that has sessions or slots and is silent for as long as its lease can last is released once. While the release may
+// be in flight it gets no lease. The next leader starts without pending releases.
 func TestSilentCoordinatorIsReleasedOnce(t *testing.T) {
 	r := newRig(t)
 	for range 3 {
@@ -132,49 +132,49 @@
 	if err := r.apply("sessions", session.KindActs, claim); err != nil {
 		t.Fatal(err)
 	}
-	need := r.input.WantedLimits.SilentFor()
-	r.silent["c1"] = need - 1
-	r.expectKinds(r.step(need, false))
-	r.silent["c1"] = need
+	minSilence := r.input.WantedLimits.SilentFor()
+	r.silent["c1"] = minSilence - 1
+	r.expectKinds(r.step(minSilence, false))
+	r.silent["c1"] = minSilence
 	r.expectKinds(r.step(RetryInterval, false), "release")
 	if !r.controller.Releasing("c1") || r.controller.Releasing("c0") {
-		t.Error("a lease while it is released, or none for another")
+		t.Error("wrong co-ordinator is being released: c1 should be, c0 should not")
 	}
-	no := r.controller.lastNumber
-	// It is heard of again, and the raft group has no majority: the release may still come, for however long.
+	number := r.controller.lastNumber
+	// It is heard of again while the raft group has no majority: the release may still be applied, however late.
 	r.silent["c1"] = 0
 	r.expectKinds(r.step(time.Minute, false))
-	r.input.Results = []Result{{Number: no}} // nobody knows whether it entered the log
+	r.input.Results = []Result{{Number: number}} // unknown whether it entered the log
 	r.expectKinds(r.step(RetryInterval, false), "tick")
 	r.input.Results = nil
 	if !r.controller.Releasing("c1") {
-		t.Error("a lease while a release of before may still come")
+		t.Error("c1 may get a lease while its release may still be applied")
 	}
-	r.input.Results = []Result{{Number: r.controller.lastNumber, OutcomeKnown: true}} // that entered after it
+	r.input.Results = []Result{{Number: r.controller.lastNumber, OutcomeKnown: true}} // the tick entered the log after the release
 	r.expectKinds(r.step(RetryInterval, false))
 	if r.input.Results = nil; r.controller.Releasing("c1") {
-		t.Error("no lease, though what came of the release is known")
+		t.Error("c1 gets no lease although the outcome of its release is known")
 	}
-	r.silent["c1"] = need
+	r.silent["c1"] = minSilence
 	r.expectKinds(r.step(RetryInterval, false), "release")
 	r.controller.Reset()
 	if r.controller.Releasing("c1") {
-		t.Error("the next leader holds a lease back for what it did not propose")
+		t.Error("release of an earlier term is still pending after Reset")
 	}
 	r.expectKinds(r.step(RetryInterval, true), "release")
 	r.input.Results = []Result{{Number: r.controller.lastNumber, OutcomeKnown: true}}
 	if r.input.Sessions.Owned("c1") != 0 || r.input.Sessions.Pool().Held("c1", "r0") != 0 {
-		t.Error("what it had is not free")
+		t.Error("sessions or slots of c1 were not released")
 	}
-	r.expectKinds(r.step(RetryInterval, true)) // up by the inventory, and silent still: it gets no share
+	r.expectKinds(r.step(RetryInterval, true)) // up by the inventory but still silent: it gets no share
 	r.silent["c1"] = 0
 	if r.step(RetryInterval, true); r.input.Sessions.Pool().Held("c1", "r0") != 10 {
-		t.Errorf("c1 is heard of again, and holds %d", r.input.Sessions.Pool().Held("c1", "r0"))
+		t.Errorf("c1 holds %d slots after it is heard of again, wanted 10", r.input.Sessions.Pool().Held("c1", "r0"))
 	}
 }
 
-// One that joins after all slots are given out gets some from who has more than its even share; those say first that they
-// use them no more. Once all are near theirs, nothing moves.
+// A co-ordinator that joins after all slots are given out gets slots of those that have more than their even share, once these have
+// confirmed that they no longer use them. When all are near their share, nothing moves.
 func TestJoiningCoordinatorGetsSlots(t *testing.T) {
 	r := newRig(t, "c0", "c1")
 	for range 3 {
@@ -197,17 +197,17 @@
 		}
 	}
 	if c0, c1, c2 := p.Held("c0", "r0"), p.Held("c1", "r0"), p.Held("c2", "r0"); c2 < 5 || c0 < 10 || c1 < 10 {
-		t.Errorf("%d, %d and %d of 30", c0, c1, c2)
+		t.Errorf("c0, c1 and c2 hold %d, %d and %d slots of 30", c0, c1, c2)
 	}
 	r.expectKinds(r.step(RetryInterval, true))
 	r.expectKinds(r.step(RetryInterval, true))
 }
 
-// The fleet's limits have leases of their own, of the newest file anywhere; this leader's file, and with it the sessions'
-// limits, may be older. No release comes while a lease by either may last.
+// The fleet's limits have a lease duration of their own, by the newest file of any co-ordinator, while this leader's file, and with it
+// the sessions' limits, may be older. No release may be proposed while a lease by either duration may be valid.
 func TestReleaseWaitsForLongestLease(t *testing.T) {
 	r := newRig(t)
-	lease := func(revision int, d time.Duration) {
+	applyFleetLease := func(revision int, d time.Duration) {
 		l := maintenance.Limits{Cells: 2, Reach: 1, Shards: 1, MinHolders: 1, MaxOut: 1, MaxOutPerZone: 1, MaxPassedOver: 1, LoadAge: 1, ListAge: 1, Lease: d}
 		if err := r.apply("takeout", "limits", maintenance.LimitsBody{Revision: revision, Limits: l}); err != nil {
 			t.Fatal(err)
@@ -216,14 +216,14 @@
 	for range 3 {
 		r.step(RetryInterval, true)
 	}
-	lease(3, r.input.WantedLimits.Lease)
+	applyFleetLease(3, r.input.WantedLimits.Lease)
 	r.step(RetryInterval, true)
-	lease(4, time.Minute)
+	applyFleetLease(4, time.Minute)
 	r.silent["c1"] = r.input.WantedLimits.SilentFor()
-	r.expectKinds(r.step(RetryInterval, true)) // its lease may last for a minute
-	lease(5, time.Second)
+	r.expectKinds(r.step(RetryInterval, true)) // its lease may be valid for a minute
+	applyFleetLease(5, time.Second)
 	r.silent["c1"] = time.Minute
-	r.expectKinds(r.step(RetryInterval, true)) // as far as it knows
+	r.expectKinds(r.step(RetryInterval, true)) // c1 may not know the shorter lease yet
 	r.silent["c1"] = time.Minute + 2*time.Second
 	r.expectKinds(r.step(RetryInterval, false), "release")
 	r.controller.Reset()
@@ -231,34 +231,34 @@
 	r.expectKinds(r.step(time.Minute-3*RetryInterval, false))
 	r.expectKinds(r.step(2*RetryInterval, false), "release")
 
-	r.controller = New() // another leads, who saw the longer one while it did not
+	r.controller = New() // a new leader that saw the longer lease while another one led
 	r.controller.ObserveLease(r.input.Now, time.Minute)
 	r.expectKinds(r.step(RetryInterval, false))
 	r.controller = New()
 	r.expectKinds(r.step(RetryInterval, false), "release")
 }
 
-// A look at a large fleet while slots are on their way takes little time: it holds the agreed state, for which polls, words and
-// the keeper wait. The quickest of some counts, so that a busy machine does not.
+// A step in a large fleet with slots in transfer must be short: it holds the lock of the agreed state, for which polls, messages and
+// the owner wait. The fastest of several steps counts, so that load on the test machine doesn't matter.
 func TestSlotShiftTimeInLargeFleet(t *testing.T) {
-	var co, replicas []string
+	var coordinators, replicas []string
 	for i := range 100 {
-		co, replicas = append(co, fmt.Sprintf("c%02d", i)), append(replicas, fmt.Sprintf("r%02d", i))
+		coordinators, replicas = append(coordinators, fmt.Sprintf("c%02d", i)), append(replicas, fmt.Sprintf("r%02d", i))
 	}
-	r := newRig(t, co...)
-	r.setInventory(co, replicas...)
+	r := newRig(t, coordinators...)
+	r.setInventory(coordinators, replicas...)
 	r.input.SlotsPerReplica = 1000
 	for len(r.step(RetryInterval, true)) > 0 {
 	}
-	joined := append(co, "d0", "d1", "d2", "d3", "d4")
+	joined := append(coordinators, "d0", "d1", "d2", "d3", "d4")
 	r.setInventory(joined, replicas...)
 	best := time.Hour
 	for i := range 8 {
-		began := time.Now()
+		start := time.Now()
 		r.input.Now += RetryInterval
 		out := r.controller.Step(r.input)
-		if took := time.Since(began); i >= 4 {
-			best = min(best, took)
+		if duration := time.Since(start); i >= 4 {
+			best = min(best, duration)
 		}
 		for _, p := range out {
 			if err := r.apply("sessions", p.Kind, p.Body); err != nil {
@@ -267,18 +267,18 @@
 		}
 	}
 	p := r.input.Sessions.Pool()
-	given := map[string]int{}
+	incoming := map[string]int{}
 	for _, x := range p.Transfers() {
-		given[x.To] += x.Slots
+		incoming[x.To] += x.Slots
 		if share := 1000 / len(joined); x.Slots > share || p.Held(x.From, x.Replica) < share {
-			t.Fatalf("%+v, and %d are left there of a share of %d", x, p.Held(x.From, x.Replica), share)
+			t.Fatalf("%+v leaves the source %d slots, less than its share of %d, or moves more than a share", x, p.Held(x.From, x.Replica), share)
 		}
 	}
-	if len(given) != 5 {
-		t.Errorf("%v are to get slots", given)
+	if len(incoming) != 5 {
+		t.Errorf("transfers to %v, wanted 5 co-ordinators", incoming)
 	}
 	if best > 250*time.Millisecond {
-		t.Errorf("a look took %v", best)
+		t.Errorf("a step took %v, at most 250 ms allowed", best)
 	}
-	t.Logf("a look took %v", best)
+	t.Logf("a step took %v", best)
 }
