--- a/internal/fleet/sessionpart/lease.go
+++ b/internal/fleet/sessionpart/lease.go
@@ -10,39 +10,41 @@
 	"birchcart/policy"
 )
 
-// leaseSlack of a lease may be gone when a query comes: a poll a second, and its way.
+// leaseSlack is how much of a lease may have passed when a query arrives: leases are renewed by polls, one a second, plus their
+// time on the network.
 const leaseSlack = 1500 * time.Millisecond
 
-// Validate rejects classes that must not run twice and whose clients may wait for longer than a lease surely has left: a query of
-// theirs begins only if its time is over before others may act for its session.
+// Validate rejects pinned classes that are not safe to repeat and whose query timeout is longer than the time that a lease and its
+// grace period are certain to have left. Such a query begins only if it must end before another co-ordinator may act for its session.
 func Validate(f *operator.Fleet, names *settings.Names, cfg *policy.Config) error {
 	if f.Sessions == nil {
 		return nil
 	}
-	left := fleetfile.Milliseconds(f.Lease) + fleetfile.Milliseconds(f.Grace) - leaseSlack
+	remaining := fleetfile.Milliseconds(f.Lease) + fleetfile.Milliseconds(f.Grace) - leaseSlack
 	for i, name := range f.Sessions.Classes {
 		c := settings.Place(names.Classes, name)
 		if c < 0 || cfg.Classes[c].Effect == policy.Safe {
 			continue
 		}
-		if wait := time.Duration(cfg.Classes[c].GiveUp * float64(time.Second)); wait > left {
-			return fmt.Errorf("$.fleet.sessions.classes[%d]: %q stands there; its clients wait for up to %v, and of lease_ms and grace_ms at least %v are left when a query comes: a longer lease_ms is right",
-				i, name, wait, left)
+		if timeout := time.Duration(cfg.Classes[c].GiveUp * float64(time.Second)); timeout > remaining {
+			return fmt.Errorf("$.fleet.sessions.classes[%d]: %q stands there; its queries may take up to %v, but lease_ms and grace_ms leave only %v when a query arrives: a longer lease_ms is right",
+				i, name, timeout, remaining)
 		}
 	}
 	return nil
 }
 
-// leaseUntil is the own lease as the gate gets it, valid until that own time; 0: none. A process acts only once what the one before
-// it had out is over at the replicas, by when that one would be released, were there none: it knows neither the order of those
-// queries nor their slots. What is agreed when the first complete reply comes tells whether there may be any, as each ran with
-// slots that were held; the first lease may come later, with slots of its own.
+// leaseUntil returns the local time until which this co-ordinator's lease is valid for the gate; 0 without a lease. A process that
+// was restarted knows neither the order nor the slots of the queries that its predecessor sent to replicas. It therefore gets no
+// lease until these have ended, which is the case when a silent predecessor would be released. Whether there may be any is decided
+// by the agreed state at the first complete reply, because each of them ran with held slots. Deciding at the first lease would be
+// too late: it may come after this process was given slots of its own.
 func (p *Part) leaseUntil(t Turn) time.Duration {
 	if (t.LeaseUntil > 0 || t.CaughtUp) && !p.checkedPreviousProcess {
 		p.checkedPreviousProcess = true
 		p.setWaitForPreviousProcess()
 		if p.previousProcessUntil > t.Now {
-			p.host.Log.WithField("after", p.previousProcessUntil-t.Now).Info("pinned queries wait here for what a process before this one may have out")
+			p.host.Log.WithField("after", p.previousProcessUntil-t.Now).Info("pinned queries wait until those of the previous process have ended")
 		}
 	}
 	if t.Now < p.previousProcessUntil {
@@ -51,17 +53,18 @@
 	return t.LeaseUntil
 }
 
-// setWaitForPreviousProcess sets until when what a process before this one may have out can run, if anything is agreed to be its own.
+// setWaitForPreviousProcess sets the time until which queries of the previous process may run at replicas, if the agreed state has
+// sessions or slots of this co-ordinator.
 func (p *Part) setWaitForPreviousProcess() {
 	state := p.host.State
 	state.WithLock(func() {
 		sessions := state.Sessions
-		held := sessions.Owned(p.host.Name) > 0
+		ownsAny := sessions.Owned(p.host.Name) > 0
 		for _, r := range sessions.Pool().Replicas() {
-			held = held || sessions.Pool().Held(p.host.Name, r) > 0
+			ownsAny = ownsAny || sessions.Pool().Held(p.host.Name, r) > 0
 		}
-		if l, _ := sessions.Limits(); held {
-			p.previousProcessUntil = l.SilentFor()
+		if limits, _ := sessions.Limits(); ownsAny {
+			p.previousProcessUntil = limits.SilentFor()
 		}
 	})
 }
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -1,5 +1,5 @@
-// Package sessionpart is one co-ordinator's part in pinned sessions: it connects the session gate, the session controller of the
-// leader and the raft group. It is used by the node's loop; what other goroutines may call says so.
+// Package sessionpart connects the session gate, the leader's session controller and the raft group within one co-ordinator. It is
+// used by the goroutine of the node's loop; functions that other goroutines may call say so.
 package sessionpart
 
 import (
@@ -30,92 +30,95 @@
 )
 
 const (
-	// ControllerInterval is between the leader's looks at sessions. Twice as long: a release, or a shift of slots, comes so much
-	// later; half: twice the walks over slots by co-ordinator and replica.
+	// ControllerInterval is the time between steps of the leader's session controller. A longer interval delays releases and shifts
+	// of slots; each step walks over the slots of every co-ordinator at every replica.
 	ControllerInterval = 200 * time.Millisecond
-	// MaxInFlight proposals are under way from this leader to the raft group; more are left out, and come again from who wants them.
+	// MaxInFlight is the maximum of proposals from this leader to the raft group that are in flight. More are dropped, and
+	// requested again by the component that needs them.
 	MaxInFlight = 128
-	// ForecastInterval is between lines about what is to move. Twice as long: a change is logged later; half: twice the lines.
+	// ForecastInterval is the minimum time between two log lines of the migration forecast. A longer interval logs changes later;
+	// a shorter one logs more lines.
 	ForecastInterval = 10 * time.Second
-	// departureMargin the end of the time in which its work has to begin a co-ordinator leaves, whatever sessions it has: they are
-	// free after its lease. Twice as long: less time for hand-overs; half: the drain may not end in time.
+	// departureMargin is how long before the latest start of its maintenance a co-ordinator leaves even if it still owns sessions,
+	// which are released after its lease. A longer margin leaves less time for hand-overs; with half of it the drain may not end
+	// in time.
 	departureMargin = 10 * time.Second
-	// maxQueries of sessions are open at one co-ordinator, waiting or running; the owner's own bound is behind it.
+	// maxQueries is the reported maximum of session queries that wait or run at one co-ordinator; the owner enforces its own limit.
 	maxQueries = 32_768
 )
 
-// Controller is what this part needs of the leader's drain controller.
+// Controller is the part of the leader's drain controller that sessions use.
 type Controller interface {
-	// Time is the agreed time for a command; false while nothing may be proposed.
+	// Time returns the agreed time for a new command; false while nothing may be proposed.
 	Time() (time.Duration, bool)
-	// SilentFor is how long nothing was heard of a co-ordinator.
+	// SilentFor returns the time since the last message from a co-ordinator.
 	SilentFor(name string) time.Duration
 }
 
-// Host is what this part needs of the node. Functions must not block.
+// Host is the part of the node that sessions use. Functions must not block.
 type Host struct {
 	Name       string
-	StartTime  time.Time // of the own monotonic time
+	StartTime  time.Time // zero of the local monotonic time
 	State      *agreedstate.Copy
 	Exchange   *exchange.Exchange
 	Controller Controller
 	Names      *settings.Names
 	Policy     *policy.Config
 	Log        *logrus.Entry
-	// Section is the fleet section of the operators' file in force.
+	// Section returns the fleet section of the operators' file that is in force.
 	Section func() *operator.Fleet
 	// Send sends a message to another co-ordinator.
 	Send func(to string, m peerproto.Message)
-	// Wake has the node's loop make a step soon.
+	// Wake makes the node's loop step soon.
 	Wake func()
-	// Warn logs a line, a limited number of times.
+	// Warn logs a warning, a limited number of times.
 	Warn func(text string)
 }
 
-// Turn is what a step of the node's loop goes by.
+// Turn is the input to one step of the node's loop.
 type Turn struct {
-	Now        time.Duration // own monotonic
-	Index      uint64        // of what was agreed
-	Epoch      uint64
+	Now        time.Duration // local monotonic time
+	Index      uint64        // of the last applied log entry
+	Epoch      uint64        // of the log
 	AgreedTime time.Duration
-	Leader     string           // as far as it is known here
-	Term       uint64           // in which this one leads; 0: it does not
-	Group      *raftgroup.Group // nil: without a vote
-	LeaseUntil time.Duration    // own time; 0: no lease
-	CaughtUp   bool             // a complete reply came to this process
+	Leader     string           // "" if unknown
+	Term       uint64           // the term in which this co-ordinator leads; 0 if it doesn't
+	Group      *raftgroup.Group // nil if this co-ordinator is no voter
+	LeaseUntil time.Duration    // local time; 0 without a lease
+	CaughtUp   bool             // this process has received a complete reply to a poll
 }
 
-// Part is one co-ordinator's part.
+// Part runs the sessions of one co-ordinator.
 type Part struct {
 	host       Host
 	gate       *sessiongate.Gate
 	controller *sessionctl.Controller
 	section    *operator.Sessions // in force here
 
-	index                  uint64 // of the newest turn
-	sequence               uint64 // of the newest message of acts
+	index                  uint64 // Turn.Index of the newest step
+	sequence               uint64 // of the newest SessionActions message
 	controllerAt           time.Duration
 	controllerTerm         uint64
 	capacity               map[string]migrate.Room
 	idle                   map[string][]session.ID
 	unsafe                 map[string][]migrate.Unsafe
-	coordinators           []migrate.Coordinator // as of planIndex, made anew at planUntil
+	coordinators           []migrate.Coordinator // as of planIndex, rebuilt at planUntil
 	planIndex              uint64
 	planUntil              time.Duration
 	loggedForecast         string
 	forecastLoggedAt       time.Duration
-	requests               []peerproto.SessionActions // to be proposed by this leader
-	inFlight               atomic.Int64               // proposals
-	departureFence         uint64                     // the grant by which this one may leave, once it has no session; 0: none
-	checkedPreviousProcess bool                       // what a process before this one had
-	previousProcessUntil   time.Duration              // own time until which parts of that one may run at replicas
+	requests               []peerproto.SessionActions // received acts that this leader has still to propose
+	inFlight               atomic.Int64               // proposals in flight
+	departureFence         uint64                     // fence of the grant by which this co-ordinator may leave once it owns no session; 0: none
+	checkedPreviousProcess bool                       // whether previousProcessUntil was determined
+	previousProcessUntil   time.Duration              // local time until which parts of the previous process may run at replicas
 
 	mu      sync.Mutex
-	acts    []session.Act       // of the own owner, to be handed on
-	results []sessionctl.Result // of the controller's proposals
+	acts    []session.Act       // of the local owner, not yet sent to the leader
+	results []sessionctl.Result // results of the controller's proposals
 }
 
-// New makes the part and has the exchange ask its gate. It comes before the exchange runs; Run runs the gate.
+// New returns a part and sets its gate in the exchange. It must be called before the exchange runs. Run runs the gate.
 func New(h Host, section *operator.Sessions) *Part {
 	p := &Part{host: h, controller: sessionctl.New(), section: section, capacity: map[string]migrate.Room{},
 		idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}, sequence: uint64(h.StartTime.UnixNano())}
@@ -131,7 +134,7 @@
 // Run runs the gate until ctx ends.
 func (p *Part) Run(ctx context.Context) { p.gate.Run(ctx) }
 
-// queueActs takes what the owner wants agreed. Any goroutine may call it.
+// queueActs queues acts of the owner for the leader. It may be called from any goroutine.
 func (p *Part) queueActs(acts []session.Act) {
 	p.mu.Lock()
 	p.acts = append(p.acts, acts...)
@@ -139,13 +142,13 @@
 	p.host.Wake()
 }
 
-// Reload takes a section that was read again.
+// Reload applies a reloaded section of the operators' file.
 func (p *Part) Reload(s *operator.Sessions) {
 	p.section = s
 	p.gate.SetRules(s)
 }
 
-// SetReplicas tells the gate which replicas hold each shard.
+// SetReplicas computes which replicas hold each shard and passes them to the gate.
 func (p *Part) SetReplicas(list []exchange.Endpoint) {
 	c := p.host.Policy
 	all := make([]placement.Replica, len(list))
@@ -154,41 +157,41 @@
 	}
 	ring, err := placement.New(placement.Shape{Cells: c.Cells, Reach: c.Reach, Shards: c.Shards}, all)
 	if err != nil {
-		p.host.Warn("the holders of shards are not known to the sessions: " + err.Error())
+		p.host.Warn("sessions: cannot compute the holders of shards: " + err.Error())
 		return
 	}
 	holders := make([][]string, c.Shards)
 	for s := range holders {
-		for _, r := range ring.AllHolders(s) { // a draining one too: parts may go there within its grace
+		for _, r := range ring.AllHolders(s) { // draining ones too: parts may be sent there within their grace period
 			holders[s] = append(holders[s], r.Name)
 		}
 	}
 	p.gate.SetHolders(holders)
 }
 
-// Urgency tells the view whether something agreed is waited for here: acts without an end, or a session that moves from or to
-// this co-ordinator. The state is locked.
+// Urgency reports whether this co-ordinator should poll urgently because it waits for the agreed state: for the result of acts, or
+// for a session that moves from or to it. The caller holds the state's lock.
 func (p *Part) Urgency(now time.Duration) view.PollUrgently {
 	limits, _ := p.host.State.Maintenance.Limits()
-	p.controller.ObserveLease(now, limits.Lease) // it may have to lead with the next step
+	p.controller.ObserveLease(now, limits.Lease) // also while another co-ordinator leads, since this one may lead from the next step on
 	return view.PollUrgently{On: p.gate.AwaitsAgreement() || p.host.State.Sessions.HasMoves(p.host.Name)}
 }
 
-// Releasing says whether the controller releases a silent co-ordinator's sessions: it gets no lease meanwhile. The state is
-// locked.
+// Releasing reports whether the release of a silent co-ordinator's sessions may be in flight. It must not get a lease meanwhile.
+// The caller holds the state's lock.
 func (p *Part) Releasing(name string) bool { return p.controller.Releasing(name) }
 
-// HandleActions takes what another co-ordinator wants agreed, while this one leads.
+// HandleActions queues acts of another co-ordinator for proposal, while this one leads.
 func (p *Part) HandleActions(m peerproto.SessionActions) { p.requests = append(p.requests, m) }
 
-// Step hands on what the owner wants agreed, and proposes as the leader.
+// Step forwards the owner's acts to the leader. On the leader it also proposes queued acts and steps the session controller.
 func (p *Part) Step(t Turn) {
 	p.index = t.Index
 	p.gate.Update(t.Index, t.Epoch, t.AgreedTime, p.leaseUntil(t))
 	p.forwardActs(t)
-	at, may := p.host.Controller.Time()
-	if t.Term == 0 || !may {
-		p.requests = nil // their owners want them still, and send them again
+	at, allowed := p.host.Controller.Time()
+	if t.Term == 0 || !allowed {
+		p.requests = nil // the owners send them again
 		return
 	}
 	for _, m := range p.requests {
@@ -205,7 +208,7 @@
 	}
 }
 
-// forwardActs sends the owner's acts to the leader, or queues them if this one leads.
+// forwardActs sends the owner's acts to the leader, or queues them if this co-ordinator leads.
 func (p *Part) forwardActs(t Turn) {
 	p.mu.Lock()
 	acts := p.acts
@@ -223,7 +226,7 @@
 	}
 }
 
-// beginTerm forgets what holds for an earlier term of this leader.
+// beginTerm resets the controller and the reports of co-ordinators at the start of a new term.
 func (p *Part) beginTerm(term uint64) {
 	if p.controllerTerm == term {
 		return
@@ -235,7 +238,7 @@
 	clear(p.unsafe)
 }
 
-// stepController proposes what the session controller wants; at is the agreed time of the proposals.
+// stepController steps the session controller and proposes its commands, with the agreed time at.
 func (p *Part) stepController(t Turn, at time.Duration) {
 	p.mu.Lock()
 	results := p.results
@@ -253,13 +256,14 @@
 	})
 	for _, o := range out {
 		if o.Kind == session.KindRelease {
-			p.host.Log.WithField("what", o.Description).Info("a silent co-ordinator's sessions and slots are to be free")
+			p.host.Log.WithField("what", o.Description).Info("releasing the sessions and slots of a silent co-ordinator")
 		}
 		p.propose(t.Group, command{at: at, id: fmt.Sprintf("s-%d-%d", t.Term, o.Number), kind: o.Kind, body: o.Body, proposalNumber: o.Number})
 	}
 }
 
-// refreshPlan makes the planner's co-ordinators anew if the agreed state has moved, or a wait in it may be over.
+// refreshPlan rebuilds the planner's list of co-ordinators if the agreed state has changed, or once a second because its timeouts
+// may have expired, and adds what they last reported.
 func (p *Part) refreshPlan(now, at time.Duration) {
 	if p.coordinators == nil || p.index != p.planIndex || now >= p.planUntil {
 		p.coordinators, p.planIndex, p.planUntil = migrate.FromState(p.host.State.Maintenance, at), p.index, now+time.Second
@@ -270,10 +274,10 @@
 	}
 }
 
-// sessionsPerSlot is how many sessions share a slot at a replica when all that may be are there.
+// sessionsPerSlot returns how many sessions share a slot at a replica when the maximum of sessions is reached.
 func (p *Part) sessionsPerSlot() int { return (p.section.Most + p.section.Pool - 1) / p.section.Pool }
 
-// logForecast logs the planner's forecast when it changes, and what keeps sessions where they are, once in a while.
+// logForecast logs the planner's forecast when it changes, and why sessions don't move, at most once per ForecastInterval.
 func (p *Part) logForecast(now time.Duration) {
 	plan := p.controller.Plan()
 	text := plan.Forecast.String()
@@ -281,13 +285,13 @@
 		return
 	}
 	p.loggedForecast, p.forecastLoggedAt = text, now
-	p.host.Log.WithField("forecast", text).Info("pinned sessions are to move")
+	p.host.Log.WithField("forecast", text).Info("forecast of session moves changed")
 	for _, k := range plan.Kept {
-		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Why, "one_is": k.Example}).Info("sessions stay for now")
+		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Why, "one_is": k.Example}).Info("sessions are not moved for now")
 	}
 }
 
-// Load is what this co-ordinator reports of its sessions; nil without the part.
+// Load returns the load of sessions that this co-ordinator reports; nil if p is nil.
 func (p *Part) Load() *peerproto.SessionLoad {
 	if p == nil {
 		return nil
@@ -301,7 +305,7 @@
 	}
 }
 
-// HandlePoll takes what another co-ordinator reported of its sessions, with a poll.
+// HandlePoll records the session load that another co-ordinator reported with a poll.
 func (p *Part) HandlePoll(poll peerproto.Poll) {
 	load := poll.Sessions
 	if load == nil {
@@ -311,13 +315,13 @@
 	p.idle[poll.From] = load.Idle
 	at, _ := p.host.Controller.Time()
 	var open []migrate.Unsafe
-	for _, q := range load.Unsafe { // its way, and what the leader's time is behind by, are far below a deadline
+	for _, q := range load.Unsafe { // the poll's delay and the lag of the leader's agreed time are far shorter than deadlines
 		open = append(open, migrate.Unsafe{ID: q.ID, Due: at + q.TimeLeft})
 	}
 	p.unsafe[poll.From] = open
 }
 
-// AddSummary adds this part's fields to the node's summary.
+// AddSummary adds the fields of sessions to the node's summary.
 func (p *Part) AddSummary(f logrus.Fields) {
 	s := p.gate.Stats()
 	f["sessions"], f["waiting"], f["open"] = s.Sessions, s.Waiting, s.Open
@@ -327,21 +331,21 @@
 	p.host.State.WithLock(func() { f["sessions_agreed"], f["sessions_moving"] = sessions.Len(), sessions.Moving() })
 }
 
-// owned says how many sessions are agreed to be here.
+// owned returns the number of sessions that this co-ordinator owns by the agreed state.
 func (p *Part) owned() (owned int) {
 	p.host.State.WithLock(func() { owned = p.host.State.Sessions.Owned(p.host.Name) })
 	return owned
 }
 
-// Leave notes that this co-ordinator may leave by the grant of that fence. It does once its sessions are handed on.
+// Leave records that the grant with that fence allows this co-ordinator to leave, and starts to drain its sessions.
 func (p *Part) Leave(fence uint64) {
 	p.departureFence = fence
 	p.gate.Drain()
-	p.host.Log.WithFields(logrus.Fields{"fence": fence, "sessions": p.owned()}).Info("this co-ordinator may go for work, and waits for its sessions to be handed on")
+	p.host.Log.WithFields(logrus.Fields{"fence": fence, "sessions": p.owned()}).Info("granted to leave for maintenance, waiting for the hand-over of sessions")
 }
 
-// MayLeaveNow says that one that may leave can do so now: no session is its any more, or the time before which its work has to
-// begin comes, or the grant has ended otherwise.
+// MayLeaveNow reports whether a co-ordinator with a grant leaves now: it owns no session any more, or the latest start of its
+// maintenance is near. If the grant has ended otherwise, it cancels the drain and returns false.
 func (p *Part) MayLeaveNow(agreedTime time.Duration) (fence uint64, leaves bool) {
 	if p.departureFence == 0 {
 		return 0, false
@@ -351,10 +355,10 @@
 		it, ok := state.Maintenance.ActiveItem(p.host.Name)
 		limits, _ := state.Maintenance.Limits()
 		switch {
-		case !ok || it.Fence != p.departureFence || it.Phase != maintenance.Acknowledged: // it stays, or is gone for others already
+		case !ok || it.Fence != p.departureFence || it.Phase != maintenance.Acknowledged: // it stays, or others already regard it as gone
 			p.departureFence = 0
 			p.gate.CancelDrain()
-			p.host.Log.Info("this co-ordinator goes for work no more, and takes new sessions again")
+			p.host.Log.Info("grant to leave has ended, accepting new sessions again")
 		case state.Sessions.Owned(p.host.Name) == 0 || agreedTime >= it.Until-limits.SettleTime-departureMargin:
 			fence, leaves, p.departureFence = p.departureFence, true, 0
 		}
--- a/internal/fleet/sessionpart/part_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -20,33 +20,33 @@
 	"birchcart/policy"
 )
 
-// A pinned class that must not run twice needs a lease that outlasts its clients; one that may needs none.
+// A pinned class that is not safe to repeat needs a lease that is longer than its query timeout. A safe class has no such limit.
 func TestValidateRequiresLeaseLongerThanQueries(t *testing.T) {
 	names := &settings.Names{Classes: []string{"report", "tally"}}
 	cfg := &policy.Config{Classes: []policy.Class{{GiveUp: 60}, {GiveUp: 4, Effect: policy.Unsafe}}}
 	f := &operator.Fleet{Lease: 4500, Grace: 1000, Sessions: &operator.Sessions{Classes: []string{"report", "tally"}}}
 	if err := Validate(f, names, cfg); err != nil {
-		t.Errorf("4 s of 4 s: %v", err)
+		t.Errorf("query timeout equal to the 4 s left of the lease: %v", err)
 	}
 	f.Lease = 4499
 	if err := Validate(f, names, cfg); err == nil || !strings.Contains(err.Error(), `classes[1]: "tally" stands there`) {
-		t.Errorf("under it: %v", err)
+		t.Errorf("lease 1 ms shorter: %v", err)
 	}
 	if f.Sessions = nil; Validate(f, names, cfg) != nil {
-		t.Error("refused without sessions")
+		t.Error("rejected without a sessions section")
 	}
 }
 
-// A process gets its lease once what the one before it of its name had out at replicas is over: for lease and grace after its start,
-// if anything is agreed to be its own when its first lease comes.
+// A restarted process must not act on a lease while parts of the previous process of its name may run at replicas, which takes at
+// most lease and grace after its start. It waits only if the agreed state has slots of its name at the first lease.
 func TestLeaseWaitsForPartsOfPreviousProcess(t *testing.T) {
 	limits := session.Limits{Revision: 1, Caps: map[string]int{"r": 9}, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute,
 		Lease: 2 * time.Second, Grace: 3 * time.Second, MaxSessions: 9, MaxStateBytes: 9, Slots: 2}
-	const first, until = time.Second, time.Minute
+	const firstLeaseAt, leaseUntil = time.Second, time.Minute
 	for name, c := range map[string]struct {
-		slots string // whose they are
+		slots string // who holds them
 		want  time.Duration
-	}{"of a process before": {"a", 0}, "another's": {"b", until}, "no one's": {"", until}} {
+	}{"of the previous process": {"a", 0}, "of another co-ordinator": {"b", leaseUntil}, "of nobody": {"", leaseUntil}} {
 		t.Run(name, func(t *testing.T) {
 			state := agreedstate.New()
 			apply := func(kind string, body any) {
@@ -64,32 +64,32 @@
 			}
 			p := &Part{host: Host{Name: "a", State: state, Log: logrus.NewEntry(logrus.New())}}
 			if got := p.leaseUntil(Turn{Now: 0, LeaseUntil: 0}); got != 0 {
-				t.Errorf("without a lease it has one until %v", got)
+				t.Errorf("lease until %v without one", got)
 			}
-			if got := p.leaseUntil(Turn{Now: first, LeaseUntil: until}); got != c.want {
-				t.Errorf("at first it acts until %v, wanted %v", got, c.want)
+			if got := p.leaseUntil(Turn{Now: firstLeaseAt, LeaseUntil: leaseUntil}); got != c.want {
+				t.Errorf("first lease until %v, wanted %v", got, c.want)
 			}
-			apply(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r", N: 1}}}) // its own
-			if got := p.leaseUntil(Turn{Now: first + time.Millisecond, LeaseUntil: until}); got != c.want {
-				t.Errorf("then until %v, wanted %v", got, c.want)
+			apply(session.KindPlan, session.PlanBody{Shifts: []session.Shift{{To: "a", Replica: "r", N: 1}}}) // slots of the new process
+			if got := p.leaseUntil(Turn{Now: firstLeaseAt + time.Millisecond, LeaseUntil: leaseUntil}); got != c.want {
+				t.Errorf("with slots of its own: lease until %v, wanted %v", got, c.want)
 			}
-			if got := p.leaseUntil(Turn{Now: limits.SilentFor(), LeaseUntil: until}); got != until {
-				t.Errorf("after lease and grace until %v", got)
+			if got := p.leaseUntil(Turn{Now: limits.SilentFor(), LeaseUntil: leaseUntil}); got != leaseUntil {
+				t.Errorf("lease until %v after lease and grace", got)
 			}
 		})
 	}
 }
 
-// A message of acts stays within an entry of the log, whatever hands carry.
+// A message of acts must fit into a log entry, whatever state hand-overs carry.
 func TestCountFittingStaysWithinLogEntry(t *testing.T) {
 	full := session.Act{Kind: session.HandOver, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.MaxStateBytes), Lane: 255}
 	many := make([]session.Act, session.MaxActs+1)
 	if n := countFitting(many); n != session.MaxActs {
-		t.Errorf("%d claims", n)
+		t.Errorf("%d claims fit", n)
 	}
 	for i := range many {
 		many[i] = full
-		if i > 300 { // the most of these, without a record
+		if i > 300 { // most hand-overs carry no record of queries
 			many[i].State = nil
 		}
 	}
@@ -99,15 +99,15 @@
 		t.Fatal(err)
 	}
 	if len(body) > peerproto.MaxEntrySize || n < 500 {
-		t.Errorf("%d hands in %d bytes, %d at most", n, len(body), peerproto.MaxEntrySize)
+		t.Errorf("%d hand-overs in %d bytes, at most %d allowed", n, len(body), peerproto.MaxEntrySize)
 	}
 	if countFitting(many[:1]) != 1 || countFitting(nil) != 0 {
-		t.Error("one, or none")
+		t.Error("wrong count for one act, or for none")
 	}
 }
 
-// What a co-ordinator tells of its open unsafe queries comes to the leader's forecast: a session with one that may be open beyond the
-// deadline is named, and no offer is made of it; it is, once a later poll tells of none.
+// Open unsafe queries that a co-ordinator reports with a poll must reach the leader's forecast. A session with one that may be open
+// beyond the deadline is listed and not offered; it is offered once a later poll reports none.
 func TestForecastIncludesOpenUnsafeQueries(t *testing.T) {
 	state := agreedstate.New()
 	p := &Part{host: Host{Name: "b", State: state, Controller: drainctl.New(waveplan.Order)}, section: &operator.Sessions{Most: 9},
@@ -148,12 +148,12 @@
 	}
 	f, offers := forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Minute + 1})
 	if f.Meets || len(f.Unsure) != 1 || f.Unsure[0] != id || offers != 0 {
-		t.Errorf("beyond the deadline: %+v, %d offers", f, offers)
+		t.Errorf("open beyond the deadline: %+v, %d offers", f, offers)
 	}
 	if f, offers = forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Second}); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
 		t.Errorf("open for as long as an offer: %+v, %d offers", f, offers)
 	}
 	if f, offers = forecast(); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
-		t.Errorf("none: %+v, %d offers", f, offers)
+		t.Errorf("no open unsafe query: %+v, %d offers", f, offers)
 	}
 }
--- a/internal/fleet/sessionpart/propose.go
+++ b/internal/fleet/sessionpart/propose.go
@@ -16,11 +16,11 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// actBytes bytes of an entry are one act, in JSON, and as many again one with numbers or a reason. Twice as many: more messages;
-// half: an entry may be larger than the raft group takes, and comes to nothing each time.
+// actBytes is the estimated size of an act in a log entry, in JSON. An act with a fence, a sequence number or a reason counts
+// twice. A larger estimate makes more messages. With half of it an entry may exceed the raft group's limit and fail at each retry.
 const actBytes = 104
 
-// limits are what the section says, with the fleet's revision, lease and grace.
+// limits returns the limits of the sessions section, with the revision, lease and grace period of the fleet section.
 func (p *Part) limits() session.Limits {
 	f, s := p.host.Section(), p.section
 	return session.Limits{
@@ -30,27 +30,28 @@
 	}
 }
 
-// command is one for the agreed sessions.
+// command is a command for the agreed sessions.
 type command struct {
 	at             time.Duration // agreed time
 	id, kind       string
-	body           any    // the kind's body, as package session has it
-	proposalNumber uint64 // the controller's number of it; 0: another's
+	body           any    // the body that package session defines for the kind
+	proposalNumber uint64 // the controller's number of the proposal; 0 if it isn't the controller's
 }
 
-// propose puts a command to the raft group, beside the step. What comes to nothing is wanted again by who wants it.
+// propose proposes a command to the raft group in its own goroutine. It doesn't retry: the component that requested a failed
+// command requests it again.
 func (p *Part) propose(group *raftgroup.Group, c command) {
 	raw, err := json.Marshal(c.body)
 	if err == nil {
 		raw, err = statemachine.Command{V: statemachine.Version, ID: c.id, Part: agreedstate.SessionsPart, Kind: c.kind, At: c.at, Body: raw}.Encode()
 	}
 	if err != nil {
-		p.host.Log.WithError(err).Error("a proposal for the sessions can't be written")
+		p.host.Log.WithError(err).Error("encode a sessions proposal")
 		p.reportResult(c.proposalNumber, true)
 		return
 	}
 	if group == nil || p.inFlight.Load() >= MaxInFlight {
-		p.reportResult(c.proposalNumber, true) // it enters no log
+		p.reportResult(c.proposalNumber, true) // the proposal surely doesn't enter the log
 		return
 	}
 	p.inFlight.Add(1)
@@ -59,27 +60,27 @@
 		err := group.ProposeWithin(raw)
 		p.reportResult(c.proposalNumber, !errors.Is(err, raftgroup.ErrOutcomeUnknown))
 		if err != nil {
-			level := logrus.DebugLevel // what came twice or late, mostly
+			level := logrus.DebugLevel // most failures are duplicate or late commands
 			if c.kind == session.KindLimits {
 				level = logrus.WarnLevel
 			}
-			p.host.Log.WithError(err).WithFields(logrus.Fields{"kind": c.kind, "id": c.id}).Log(level, "a proposal for the sessions came to nothing")
+			p.host.Log.WithError(err).WithFields(logrus.Fields{"kind": c.kind, "id": c.id}).Log(level, "sessions proposal failed")
 		}
 		p.host.Wake()
 	}()
 }
 
-// finish notes the end of a proposal of the controller's. Any goroutine may call it.
-func (p *Part) reportResult(controllerNo uint64, known bool) {
-	if controllerNo == 0 {
+// reportResult records the end of one of the controller's proposals. It may be called from any goroutine.
+func (p *Part) reportResult(number uint64, outcomeKnown bool) {
+	if number == 0 {
 		return
 	}
 	p.mu.Lock()
-	p.results = append(p.results, sessionctl.Result{Number: controllerNo, OutcomeKnown: known})
+	p.results = append(p.results, sessionctl.Result{Number: number, OutcomeKnown: outcomeKnown})
 	p.mu.Unlock()
 }
 
-// countFitting is how many acts go in one message, and so in one entry of the log; the others come again from who wants them.
+// countFitting returns how many of the acts fit into one message, and so into one log entry. The owner sends the others again.
 func countFitting(acts []session.Act) int {
 	size := 0
 	for i := range acts {
