--- a/internal/fleet/sessiongate/bench_test.go
+++ b/internal/fleet/sessiongate/bench_test.go
@@ -8,7 +8,7 @@
 	"birchcart/internal/exchange"
 )
 
-// newOpenRig is a rig with a session "s" that nothing is open of.
+// newOpenRig returns a rig that owns a session "s" without open queries.
 func newOpenRig(t testing.TB) *rig {
 	r := newRig(t)
 	r.step(1, 1)
@@ -19,45 +19,45 @@
 	r.gate.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
 	r.gate.step()
 	if len(r.released) != 1 {
-		t.Fatal("the session is not open")
+		t.Fatal("the session is not owned")
 	}
 	return r
 }
 
-// A query of a pinned session costs two allocations at most beyond one of none, however many shards it asks.
+// A query of a pinned session costs at most two more allocations than one without a session, however many shards it reads.
 func TestQueryCost(t *testing.T) {
 	r := newOpenRig(t)
 	r.gate.SetHolders([][]string{{"r"}, {"r"}, {}})
 	for _, parts := range [][]exchange.Part{{{}}, {{}, {Shard: 1}, {Shard: 2}}} {
 		q := &exchange.Query{Session: "s", Tenant: -1, Due: time.Now().Add(50 * time.Second), Parts: parts}
-		each := testing.AllocsPerRun(1000, func() {
+		allocations := testing.AllocsPerRun(1000, func() {
 			r.released = r.released[:0]
 			r.gate.Admit(q, "")
 			r.gate.step()
 			if len(r.released) != 1 || r.gate.FinalReply(q, exchange.Reply{Status: exchange.Served}).Status != exchange.Served {
-				t.Fatal("it was not served")
+				t.Fatal("the query was not served")
 			}
 			r.gate.QueryEnded(q, exchange.QueryOutcome{Served: true, Ran: true})
 			r.gate.step()
 		})
-		t.Logf("%d shards: %v allocations", len(parts), each)
-		if each > 2 {
-			t.Errorf("%d shards: %v allocations, two at most", len(parts), each)
+		t.Logf("%d shards: %v allocations", len(parts), allocations)
+		if allocations > 2 {
+			t.Errorf("%d shards: %v allocations, at most 2 allowed", len(parts), allocations)
 		}
 	}
 }
 
-// BenchmarkQuery is what a query of a pinned session costs beyond one of none: taken, run, answered, over. Each step has one
-// query, or as many as a busy exchange has in a turn.
+// BenchmarkQuery measures what a query of a pinned session costs in addition to one without a session, from admission to its
+// end. Each step handles one query, or as many as a busy exchange has in one step.
 func BenchmarkQuery(b *testing.B) {
-	for _, many := range []int{1, 16} {
-		b.Run(fmt.Sprint(many), func(b *testing.B) {
+	for _, queries := range []int{1, 16} {
+		b.Run(fmt.Sprint(queries), func(b *testing.B) {
 			r := newOpenRig(b)
 			q := exchange.Query{Session: "s", Tenant: -1, Due: time.Now().Add(50 * time.Second), Parts: []exchange.Part{{}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				r.released = r.released[:0]
-				for range many {
+				for range queries {
 					next := q
 					r.gate.Admit(&next, "")
 					r.gate.step()
@@ -65,11 +65,11 @@
 					r.gate.QueryEnded(&next, exchange.QueryOutcome{Served: true, Ran: true})
 				}
 				r.gate.step()
-				if len(r.released) != many {
-					b.Fatalf("%d of %d ran", len(r.released), many)
+				if len(r.released) != queries {
+					b.Fatalf("%d of %d ran", len(r.released), queries)
 				}
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*many), "ns/query")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*queries), "ns/query")
 		})
 	}
 }
--- a/internal/fleet/sessiongate/gate.go
+++ b/internal/fleet/sessiongate/gate.go
@@ -1,6 +1,6 @@
-// Package sessiongate is the thin I/O around the owner of pinned sessions: it stands between the exchange, where queries come and
-// end, and the agreed state. It decides nothing: what waits, runs or is rejected the owner says, in a goroutine of its
-// own, so that the exchange's turn never waits for it or for what is agreed.
+// Package sessiongate connects the owner of pinned sessions to the exchange and to the raft group. It makes no decisions: the
+// owner (package sessionowner) decides which queries wait, run or are rejected. The owner runs in its own goroutine, so that the
+// exchange's loop never waits for it or for the agreed state.
 //
 //	exchange ──Pinned, Over──> inputs ──┐                    ┌──Release, Reject──> exchange
 //	node ──Events (index, lease)──────────┼──> sessionowner.Step ────┤
@@ -26,112 +26,114 @@
 )
 
 const (
-	inlineKeySize = 128  // bytes of a session's key that need no memory of their own
-	maxPooled     = 4096 // inputs, and queries that have ended, whose memory is kept for the next ones
+	inlineKeySize = 128  // longer session keys need an allocation
+	maxPooled     = 4096 // limit of inputs, and of ended queries, whose memory is kept for reuse
 )
 
 const (
-	// BusyInterval is between steps while a query waits or runs, or an act has no answer: a wait ends by time. Twice as long: a
-	// rejection after a wait comes that much later; half: twice the steps under load.
+	// BusyInterval is the time between steps while a query waits or runs, or a proposed act is unconfirmed. Waits end by time: a
+	// longer interval delays the rejection after a wait, and half of it doubles the steps under load.
 	BusyInterval = 5 * time.Millisecond
-	// IdleInterval is between steps of which nothing is waited for. Twice as long: idle sessions end that much later.
+	// IdleInterval is the time between steps while nothing waits or runs. A longer interval ends idle sessions later.
 	IdleInterval = 100 * time.Millisecond
-	// ReportInterval is between looks at what is open and unsafe, and counts of idle sessions while this co-ordinator leaves: polls come as often at the most.
+	// ReportInterval is the time between updates of the list of open unsafe queries and, while this co-ordinator drains, of idle
+	// sessions. Polls, which carry both lists, are sent no more often.
 	ReportInterval = 200 * time.Millisecond
-	// CheckInterval is between looks at whether the owner's rules hold. Twice as long: a fault is reported later; half: twice
-	// the walks over all that is known.
+	// CheckInterval is the time between checks of the owner's invariants. A longer interval reports a violation later; each check
+	// walks over everything the owner knows.
 	CheckInterval = 10 * time.Second
 )
 
-// Exchange is what this needs of the exchange.
+// Exchange is the part of the exchange that the gate uses.
 type Exchange interface {
 	Release(q *exchange.Query)
 	Reject(q *exchange.Query, r exchange.Reply)
 }
 
-// Options of the pins. Functions must not block.
+// Options are the options of a Gate. Functions must not block.
 type Options struct {
 	Name      string
-	StartTime time.Time // of the own monotonic time
+	StartTime time.Time // zero of the local monotonic time
 	Exchange  Exchange
 	Log       *logrus.Entry
 	Names     *settings.Names
 	Policy    *policy.Config
-	// Sessions is the own copy of the agreed sessions, read only inside of Look.
+	// Sessions is the local copy of the agreed sessions. It is only read inside WithLock.
 	Sessions *session.State
 	WithLock func(do func())
-	// Propose is given what is to be proposed, as of now.
+	// Propose proposes acts to the raft group. They are computed from the state at the time of the call.
 	Propose func(acts []session.Act)
 }
 
-// Gate keeps the queries of pinned sessions in order. It is an exchange.Gate.
+// Gate admits, orders and rejects the queries of pinned sessions. It implements exchange.Gate.
 type Gate struct {
 	options        Options
-	owner          *sessionowner.Owner // run's alone
-	checkedAt      time.Duration       // run's alone, as the next
+	owner          *sessionowner.Owner // this and the fields up to stepOutputs are used only by Run
+	checkedAt      time.Duration       // time of the last checkInvariants
 	idleListedAt   time.Duration
-	unsafeListedAt time.Duration // when the owner was last asked what is unsafe and open
+	unsafeListedAt time.Duration // time of the last collectUnsafe
 	unsafeScratch  []sessionowner.UnsafeQuery
-	stepOwner      func() // steps the owner with what is given; one for all steps, as it costs memory
+	stepOwner      func() // steps the owner with stepInputs; created once to avoid an allocation per step
 	stepInputs     []sessionowner.Input
 	stepOutputs    []sessionowner.Output
-	leaseUntil     atomic.Int64 // own time until which a served answer may be given; 0: not
+	leaseUntil     atomic.Int64 // local time until which a served answer may be given; 0 without a lease
 	holders        atomic.Pointer[[][]string]
 	rules          atomic.Pointer[sessionRules]
 	wake           chan struct{}
-	seed           maphash.Seed // for clients' names
+	seed           maphash.Seed // for hashes of clients' names
 
 	mu              sync.Mutex
 	inbox           []sessionowner.Input
-	spareInbox      []sessionowner.Input // the one before, to be used again
+	spareInbox      []sessionowner.Input // the previous inbox, for reuse
 	byQuery         map[*exchange.Query]*gatedQuery
 	byToken         map[uint64]*gatedQuery
-	ended           []*gatedQuery // the owner has not been notified of their end, or is just being notified
-	spareQueries    []*gatedQuery // to be used again
+	ended           []*gatedQuery // the owner has not yet processed their end
+	spareQueries    []*gatedQuery // for reuse
 	lastToken       uint64
-	newLease        sessionowner.Lease // newest, not yet given
+	newLease        sessionowner.Lease // newest lease, which the owner may not have received yet
 	index           uint64
 	logEpoch        uint64
 	agreedTime      time.Duration
 	stateChanged    bool
 	leaseChanged    bool
 	stats           sessionowner.Stats
-	idle            []session.ID // while it leaves
+	idle            []session.ID // idle sessions, while this co-ordinator drains
 	unsafe          []peerproto.UnsafeQuery
-	unsafeAsOf      time.Duration // own time as of which they are
+	unsafeAsOf      time.Duration // local time at which unsafe was listed
 	draining        bool
-	awaitsAgreement bool // something waits for what is to be agreed
-	hasWaiting      bool // the end of a query may let something else begin
+	awaitsAgreement bool // something waits for a change of the agreed state
+	hasWaiting      bool // the end of a query may allow another one to begin
 }
 
-// gatedQuery is one query that was taken. It is used again once the owner was notified of its end.
+// gatedQuery is an admitted query. Its memory is reused after the owner has processed its end.
 type gatedQuery struct {
 	token     uint64
 	query     *exchange.Query
 	effect    policy.Effect
-	responded atomic.Bool // the owner gave its response: no served answer any more
-	// What the owner is given of it, in one piece of memory.
+	responded atomic.Bool // the owner has responded: a served answer is no longer allowed
+	// Inputs to the owner, kept here to avoid separate allocations.
 	arrived sessionowner.Arrived
 	ended   sessionowner.QueryEnded
 }
 
-// sessionRules are what the operators' file pins.
+// sessionRules select the queries that belong to pinned sessions, from the operators' file.
 type sessionRules struct {
-	classes []bool // by class
-	routes  []string
-	lanes   []uint8 // by tenant + 1
+	classes []bool   // whether the class is pinned, by class
+	routes  []string // pinned routes; empty: all
+	lanes   []uint8  // priority lane, by tenant + 1; index 0 is for no tenant
 }
 
-// New makes them. Run begins.
+// New returns a gate. Run starts it.
 func New(o Options) *Gate {
-	p := &Gate{options: o, seed: maphash.MakeSeed(), wake: make(chan struct{}, 1), byQuery: map[*exchange.Query]*gatedQuery{}, byToken: map[uint64]*gatedQuery{}}
-	p.stepOwner = func() { p.stepOutputs = p.owner.Step(p.now(), p.stepInputs) }
-	p.holders.Store(&[][]string{})
-	p.rules.Store(&sessionRules{classes: make([]bool, len(o.Policy.Classes)), lanes: make([]uint8, len(o.Names.Tenants)+1)})
-	return p
+	g := &Gate{options: o, seed: maphash.MakeSeed(), wake: make(chan struct{}, 1), byQuery: map[*exchange.Query]*gatedQuery{}, byToken: map[uint64]*gatedQuery{}}
+	g.stepOwner = func() { g.stepOutputs = g.owner.Step(g.now(), g.stepInputs) }
+	g.holders.Store(&[][]string{})
+	g.rules.Store(&sessionRules{classes: make([]bool, len(o.Policy.Classes)), lanes: make([]uint8, len(o.Names.Tenants)+1)})
+	return g
 }
 
-// SetRules puts a section into force, for queries from now on. The first one also bounds the owner.
+// SetRules applies a section of the operators' file to new queries. The first call also creates the owner, with the section's
+// limit of sessions.
 func (g *Gate) SetRules(s *operator.Sessions) {
 	r := &sessionRules{classes: make([]bool, len(g.options.Policy.Classes)), lanes: make([]uint8, len(g.options.Names.Tenants)+1), routes: slices.Clone(s.Routes)}
 	for _, name := range s.Classes {
@@ -153,21 +155,21 @@
 	}
 }
 
-// SetHolders says which replicas hold each shard.
-func (g *Gate) SetHolders(by [][]string) { g.holders.Store(&by) }
+// SetHolders sets the replicas that hold each shard.
+func (g *Gate) SetHolders(holders [][]string) { g.holders.Store(&holders) }
 
-// Update passes on the agreed state, as far as it is applied here, of which era its log is, and of the own lease: sure until
-// then, by the own monotonic time; 0 for none.
-func (g *Gate) Update(index, era uint64, agreed, until time.Duration) {
+// Update notifies the owner of the index up to which the agreed state is applied here, the epoch of its log, the agreed time, and
+// the local monotonic time until which this co-ordinator's lease is certain, 0 without a lease.
+func (g *Gate) Update(index, logEpoch uint64, agreedTime, leaseUntil time.Duration) {
 	g.mu.Lock()
-	g.stateChanged = g.stateChanged || index != g.index || era != g.logEpoch
-	g.index, g.logEpoch, g.agreedTime = index, era, agreed
-	g.newLease, g.leaseChanged = sessionowner.Lease{Until: until, Valid: until > 0}, true
+	g.stateChanged = g.stateChanged || index != g.index || logEpoch != g.logEpoch
+	g.index, g.logEpoch, g.agreedTime = index, logEpoch, agreedTime
+	g.newLease, g.leaseChanged = sessionowner.Lease{Until: leaseUntil, Valid: leaseUntil > 0}, true
 	g.mu.Unlock()
 	g.wakeUp()
 }
 
-// Drain says that this co-ordinator goes.
+// Drain notifies the owner that this co-ordinator is leaving.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	g.draining = true
@@ -175,7 +177,7 @@
 	g.enqueue(sessionowner.Draining{})
 }
 
-// CancelDrain says that this co-ordinator does not leave any more.
+// CancelDrain notifies the owner that this co-ordinator stays after all.
 func (g *Gate) CancelDrain() {
 	g.mu.Lock()
 	g.draining, g.idle = false, nil
@@ -183,35 +185,37 @@
 	g.enqueue(sessionowner.DrainCancelled{})
 }
 
-// IdleSessions are sessions of which nothing was open at the last step, the longest unused first, while this co-ordinator leaves.
+// IdleSessions returns the sessions without an open query as of the last listing, the longest unused first, while this
+// co-ordinator drains; else nil.
 func (g *Gate) IdleSessions() []session.ID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle
 }
 
-// UnsafeQueries are the sessions with an open unsafe query, those that may be so for longest first, and for how long from now.
+// UnsafeQueries returns the sessions with an open unsafe query and the time for which it may still be open, the longest first.
 func (g *Gate) UnsafeQueries() []peerproto.UnsafeQuery {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	gone := g.now() - g.unsafeAsOf
+	elapsed := g.now() - g.unsafeAsOf
 	var out []peerproto.UnsafeQuery
 	for _, o := range g.unsafe {
-		if o.TimeLeft -= gone; o.TimeLeft > 0 {
+		if o.TimeLeft -= elapsed; o.TimeLeft > 0 {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// Stats are the owner's counts as of its last step.
+// Stats returns the owner's counts as of its last step.
 func (g *Gate) Stats() sessionowner.Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stats
 }
 
-// AwaitsAgreement says that something here waits for what is to be agreed, so that events of it is wanted soon.
+// AwaitsAgreement reports whether something here waits for a change of the agreed state, so that this co-ordinator should poll
+// for it soon.
 func (g *Gate) AwaitsAgreement() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/sessiongate/gate_test.go
+++ b/internal/fleet/sessiongate/gate_test.go
@@ -15,7 +15,7 @@
 	"birchcart/policy"
 )
 
-// rig is the pins of "a" beside a book, with an exchange that notes what it is told.
+// rig is the gate of co-ordinator "a" with an agreed state, and an exchange that records the gate's calls.
 type rig struct {
 	testing.TB
 	gate     *Gate
@@ -56,13 +56,13 @@
 	}
 }
 
-// step passes on the agreed state in that era, with a lease for a minute, and steps.
+// step passes the agreed state of that log epoch and a lease of one minute to the gate, and steps it.
 func (r *rig) step(index, era uint64) {
 	r.gate.Update(index, era, time.Second, r.gate.now()+time.Minute)
 	r.gate.step()
 }
 
-// agree applies what was proposed.
+// agree applies the proposed acts to the agreed state.
 func (r *rig) agree() {
 	r.Helper()
 	r.apply(session.KindActs, session.ActsBody{From: "a", Acts: r.acts})
@@ -73,12 +73,13 @@
 	r.Helper()
 	q := &exchange.Query{Session: key, Tenant: -1, Due: time.Now().Add(wait), Parts: []exchange.Part{{}}}
 	if !r.gate.Admit(q, "") {
-		r.Fatal("not taken")
+		r.Fatal("query not admitted")
 	}
 	return q
 }
 
-// What was agreed in a raft group that was set up anew is seen here, though its log's index is far behind.
+// A raft group that was set up again has a new log epoch and a much lower index. The gate must apply its state all the same, and
+// begin the query whose claim was agreed there.
 func TestStateOfNewLogEpochIsApplied(t *testing.T) {
 	r := newRig(t)
 	r.step(1000, 1)
@@ -87,12 +88,12 @@
 	r.agree()
 	r.step(3, 2)
 	if len(r.released) != 1 || r.released[0] != q {
-		t.Fatalf("its claim stands, and it is not let begin: %d released, %+v", len(r.released), r.rejected)
+		t.Fatalf("claim agreed, but query not released: %d released, rejections %+v", len(r.released), r.rejected)
 	}
 }
 
-// Between a release and its query's beginning the process may have been stopped past its lease, or the owner has told the
-// query's client meanwhile: then it does not begin, and is told to come back.
+// Between a release and the beginning of its query the process may be suspended past its lease, or the owner may respond to the
+// query's client. In both cases the query must not begin, and is rejected with a retry delay.
 func TestReleasedQueryDoesNotBeginWithoutLease(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
@@ -104,7 +105,7 @@
 		t.Fatalf("%d released, %+v", len(r.released), r.rejected)
 	}
 	if a, may := r.gate.MayBegin(q); !may {
-		t.Fatalf("with a sure lease it is told %+v", a)
+		t.Fatalf("rejected with a valid lease: %+v", a)
 	}
 	r.gate.leaseUntil.Store(int64(r.gate.now()))
 	if a, may := r.gate.MayBegin(q); may || a.Status != exchange.Rejected || a.RetryAfter == 0 {
@@ -113,11 +114,11 @@
 	r.gate.leaseUntil.Store(int64(r.gate.now() + time.Minute))
 	r.gate.reject(r.gate.byQuery[q], exchange.Reply{Status: exchange.Rejected})
 	if _, may := r.gate.MayBegin(q); may {
-		t.Error("one whose client was told may begin")
+		t.Error("query may begin after the owner has responded")
 	}
 }
 
-// releasing looks at the lease in the moment of a release, as an exchange in another goroutine may.
+// leaseCheckingRig calls MayBegin at the moment of a release, as an exchange in another goroutine may do.
 type leaseCheckingRig struct {
 	*rig
 	mayBegin []bool
@@ -128,7 +129,7 @@
 	r.mayBegin = append(r.mayBegin, may)
 }
 
-// A lease is published before the releases that rest on it: they would be told to come back otherwise.
+// A lease must be published before the releases that depend on it: MayBegin would reject these queries otherwise.
 func TestLeaseIsPublishedBeforeRelease(t *testing.T) {
 	r := &leaseCheckingRig{rig: newRig(t)}
 	r.gate.options.Exchange = r
@@ -143,7 +144,7 @@
 	}
 }
 
-// One whose leave came to nothing takes new sessions again.
+// A draining gate rejects new sessions; it accepts them again once the drain is cancelled.
 func TestCancelDrainAcceptsNewSessions(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
@@ -151,16 +152,16 @@
 	r.admit("k", time.Minute)
 	r.gate.step()
 	if len(r.rejected) != 1 || len(r.acts) != 0 {
-		t.Fatalf("one that leaves took a session: %+v, %+v", r.rejected, r.acts)
+		t.Fatalf("draining gate accepted a session: rejections %+v, acts %+v", r.rejected, r.acts)
 	}
 	r.gate.CancelDrain()
 	r.admit("k", time.Minute)
 	r.gate.step()
 	if len(r.rejected) != 1 || len(r.acts) != 1 {
-		t.Fatalf("one that stays took none: %+v, %+v", r.rejected, r.acts)
+		t.Fatalf("gate did not accept a session after CancelDrain: rejections %+v, acts %+v", r.rejected, r.acts)
 	}
 	if r.gate.IdleSessions() != nil {
-		t.Error("it names idle sessions still")
+		t.Error("idle sessions are still listed after CancelDrain")
 	}
 }
 
@@ -173,7 +174,7 @@
 	}
 }
 
-// The end of a query wakes the owner only if something may begin upon it; else it is told with what comes next.
+// The end of a query wakes the owner only if another query may begin because of it; else the owner learns of it in the next step.
 func TestQueryEndWakesOwnerOnlyWhenQueriesWait(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
@@ -185,32 +186,32 @@
 	}
 	r.gate.QueryEnded(first, exchange.QueryOutcome{Served: true, Ran: true})
 	if r.woken() {
-		t.Error("an end that nobody waits for woke the keeper")
+		t.Error("end of a query woke the owner while nothing waits")
 	}
 	second, third := r.admit("k", time.Minute), r.admit("k", time.Minute)
 	r.gate.step()
 	if len(r.released) != 2 || r.released[1] != second {
-		t.Fatalf("%d released: the second one begins upon the end of the first, the third waits for its own turn", len(r.released))
+		t.Fatalf("%d released, wanted 2: the second query begins when the first ends, the third one waits", len(r.released))
 	}
 	for r.woken() {
 	}
 	r.gate.QueryEnded(second, exchange.QueryOutcome{Served: true, Ran: true})
 	if !r.woken() {
-		t.Error("an end that one waits for did not wake the keeper")
+		t.Error("end of a query did not wake the owner while a query waits")
 	}
 	r.gate.step()
 	if len(r.released) != 3 || r.released[2] != third {
 		t.Fatalf("%d released", len(r.released))
 	}
 	if r.gate.QueryEnded(third, exchange.QueryOutcome{Served: true, Ran: true}); r.gate.step() {
-		t.Error("something is open at the end")
+		t.Error("queries are open at the end")
 	}
 	if n := len(r.gate.spareQueries); n != 3 || len(r.gate.ended) > 0 || r.gate.spareQueries[0].query != nil {
-		t.Errorf("%d of three kept for use again, %d are not told of", n, len(r.gate.ended))
+		t.Errorf("%d of 3 queries kept for reuse, %d ended ones not processed", n, len(r.gate.ended))
 	}
 }
 
-// An unsafe query that was served and comes again, called the same, is failed at once and never let begin.
+// An unsafe query that was served and is sent again with the same id fails at once and never begins.
 func TestRepeatedUnsafeQueryFails(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
@@ -223,7 +224,7 @@
 	r.admitWithID("b")
 	r.gate.step()
 	if len(r.rejected) != 1 || r.rejected[0].Status != exchange.Failed || len(r.released) != 2 || r.released[1].ID != "b" {
-		t.Fatalf("%d let begin, %+v", len(r.released), r.rejected)
+		t.Fatalf("%d released, rejections %+v", len(r.released), r.rejected)
 	}
 }
 
@@ -231,11 +232,11 @@
 	r.Helper()
 	q := &exchange.Query{ID: id, Session: "k", Tenant: -1, Due: time.Now().Add(time.Minute), Parts: []exchange.Part{{}}}
 	if !r.gate.Admit(q, "") {
-		r.Fatal("not taken")
+		r.Fatal("query not admitted")
 	}
 }
 
-// What is unsafe and open here is told, with the time that is left, and no more once it is over.
+// An open unsafe query is listed with its remaining time until it ends.
 func TestUnsafeQueriesAreListedUntilTheyEnd(t *testing.T) {
 	r := newRig(t)
 	r.step(1, 1)
--- a/internal/fleet/sessiongate/query.go
+++ b/internal/fleet/sessiongate/query.go
@@ -24,42 +24,43 @@
 		Session: session.IDOf(q.Tenant, append(key[:0], q.Session...)), Client: maphash.String(g.seed, q.Client), Effect: effects[class.Effect], Lane: r.lanes[q.Tenant+1],
 		Deadline: q.Due.Sub(g.options.StartTime), Window: time.Duration(class.Window * float64(time.Second)), Replicas: replicasFor(*g.holders.Load(), q.Parts),
 	}
-	if class.Effect != policy.Safe { // its id is its key: the frames carry it, and no other
+	if class.Effect != policy.Safe { // only ids of queries that are not safe travel in frames, as their idempotency keys
 		arrived.ID = completed.IDOf(q.ID)
 	}
 	g.mu.Lock()
-	var n *gatedQuery
+	var query *gatedQuery
 	if last := len(g.spareQueries) - 1; last >= 0 {
-		n, g.spareQueries = g.spareQueries[last], g.spareQueries[:last]
-		n.responded.Store(false)
+		query, g.spareQueries = g.spareQueries[last], g.spareQueries[:last]
+		query.responded.Store(false)
 	} else {
-		n = new(gatedQuery)
+		query = new(gatedQuery)
 	}
 	g.lastToken++
 	arrived.Token = g.lastToken
-	n.token, n.query, n.effect, n.arrived, n.ended = g.lastToken, q, class.Effect, arrived, sessionowner.QueryEnded{}
-	g.byQuery[q], g.byToken[n.token] = n, n
-	g.inbox = append(g.inbox, &n.arrived)
+	query.token, query.query, query.effect, query.arrived, query.ended = g.lastToken, q, class.Effect, arrived, sessionowner.QueryEnded{}
+	g.byQuery[q], g.byToken[query.token] = query, query
+	g.inbox = append(g.inbox, &query.arrived)
 	g.mu.Unlock()
 	g.wakeUp()
 	return true
 }
 
-// replicasFor are the replicas that hold the shards of these parts: those of the table for one shard, else in one piece of memory.
-func replicasFor(held [][]string, parts []exchange.Part) []string {
-	shards, many, one := 0, 0, []string(nil)
+// replicasFor returns the replicas that hold the shards of these parts. For a single shard it returns the table's own slice, else
+// it makes one allocation.
+func replicasFor(holders [][]string, parts []exchange.Part) []string {
+	shards, total, single := 0, 0, []string(nil)
 	for i := range parts {
-		if at := parts[i].Shard; at < len(held) {
-			shards, many, one = shards+1, many+len(held[at]), held[at]
+		if shard := parts[i].Shard; shard < len(holders) {
+			shards, total, single = shards+1, total+len(holders[shard]), holders[shard]
 		}
 	}
 	if shards <= 1 {
-		return one
+		return single
 	}
-	all := make([]string, 0, many)
+	all := make([]string, 0, total)
 	for i := range parts {
-		if at := parts[i].Shard; at < len(held) {
-			all = append(all, held[at]...)
+		if shard := parts[i].Shard; shard < len(holders) {
+			all = append(all, holders[shard]...)
 		}
 	}
 	return all
@@ -67,37 +68,37 @@
 
 var effects = map[policy.Effect]sessionowner.Effect{policy.Safe: sessionowner.Idempotent, policy.Keyed: sessionowner.Keyed, policy.Unsafe: sessionowner.NonIdempotent}
 
-// MayBegin implements exchange.Gate: a release may lie in the inbox while the process is stopped, and what was sure when it was
-// given need not be any more.
+// MayBegin implements exchange.Gate. It checks the lease once more, because the process may have been suspended past its lease
+// while a release was in the exchange's inbox.
 func (g *Gate) MayBegin(q *exchange.Query) (exchange.Reply, bool) {
 	g.mu.Lock()
-	n := g.byQuery[q]
+	query := g.byQuery[q]
 	g.mu.Unlock()
-	if n == nil || !n.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
+	if query == nil || !query.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
 		return exchange.Reply{}, true
 	}
 	return exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(sessionowner.RetryAfterWait)}, false
 }
 
-// FinalReply implements exchange.Gate: an answer is given as served only while the lease is sure at this very moment and the
-// owner has not given its response. The owner publishes a lease only after all responses of the one before.
+// FinalReply implements exchange.Gate. A served answer is given only if the lease is certain at this moment and the owner has not
+// responded to the query. A new lease is published only after all rejections of the same step have been sent.
 func (g *Gate) FinalReply(q *exchange.Query, r exchange.Reply) exchange.Reply {
 	if r.Status != exchange.Served {
 		return r
 	}
 	g.mu.Lock()
-	n := g.byQuery[q]
+	query := g.byQuery[q]
 	g.mu.Unlock()
-	if n == nil || !n.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
+	if query == nil || !query.responded.Load() && g.now() < time.Duration(g.leaseUntil.Load()) {
 		return r
 	}
-	if n.effect != policy.Safe { // of a keyed one nobody here looks at what is left of its window
+	if query.effect != policy.Safe { // a keyed query's remaining window isn't checked here, so no retry can be offered
 		return exchange.Reply{Status: exchange.Failed}
 	}
 	return exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(sessionowner.RetryAfterWait)}
 }
 
-// retryAfter is a time to come back as the settings allow it.
+// retryAfter limits a retry delay to the settings' maximum; 0 if the settings allow none.
 func (g *Gate) retryAfter(d time.Duration) time.Duration {
 	if !g.options.Policy.RetryAfter {
 		return 0
@@ -109,14 +110,14 @@
 func (g *Gate) QueryEnded(q *exchange.Query, o exchange.QueryOutcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	n := g.byQuery[q]
-	if n == nil {
+	query := g.byQuery[q]
+	if query == nil {
 		return
 	}
 	delete(g.byQuery, q)
-	delete(g.byToken, n.token)
-	in := &n.ended
-	in.Token, in.Responded = n.token, true
+	delete(g.byToken, query.token)
+	in := &query.ended
+	in.Token, in.Responded = query.token, true
 	switch {
 	case o.Served:
 		in.Outcome = sessionowner.Done
@@ -126,8 +127,8 @@
 	if !o.MayRunUntil.IsZero() {
 		in.BusyUntil = o.MayRunUntil.Sub(g.options.StartTime)
 	}
-	g.inbox, g.ended = append(g.inbox, in), append(g.ended, n)
-	if g.hasWaiting { // else the next step does: it comes with a query, or within BusyInterval
+	g.inbox, g.ended = append(g.inbox, in), append(g.ended, query)
+	if g.hasWaiting { // else the next step processes it, which comes with the next query or within BusyInterval
 		g.wakeUp()
 	}
 }
--- a/internal/fleet/sessiongate/run.go
+++ b/internal/fleet/sessiongate/run.go
@@ -29,32 +29,32 @@
 	}
 }
 
-// turn is what one step takes out of the gate's shared state.
+// stepWork is the input that one step takes from the state guarded by Gate.mu.
 type stepWork struct {
 	inputs   []sessionowner.Input
 	lease    sessionowner.Lease
 	draining bool
-	ended    int // the queries of Gate.ended of whose end the owner is notified in this turn
+	ended    int // how many queries of Gate.ended are among the inputs
 }
 
-// step gives the owner all events, and carries out what it wants. It says whether something waits or runs.
+// step passes all pending inputs to the owner and executes its outputs. It reports whether something waits or runs.
 func (g *Gate) step() (busy bool) {
 	t := g.beginStep()
 	g.stepInputs = t.inputs
 	g.options.WithLock(g.stepOwner)
-	clear(t.inputs) // what it holds is not needed any more
+	clear(t.inputs) // releases the references
 	acts := g.executeAll(g.stepOutputs, t.lease)
 	if len(acts) > 0 {
 		g.options.Propose(acts)
 	}
 	now, stats := g.now(), g.owner.Stats()
 	g.checkInvariants(now)
-	unsafe, asked := g.collectUnsafe(now)
+	unsafe, listed := g.collectUnsafe(now)
 	idle := g.collectIdle(now, t.draining)
 
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if asked {
+	if listed {
 		g.unsafe, g.unsafeAsOf = unsafe, now
 	}
 	if idle != nil && g.draining {
@@ -63,13 +63,13 @@
 	g.endStep(t)
 	g.stats, g.awaitsAgreement = stats, len(acts) > 0 || stats.Waiting > 0
 	g.hasWaiting = g.awaitsAgreement || t.draining
-	if g.hasWaiting && len(g.ended) > 0 { // they came meanwhile
+	if g.hasWaiting && len(g.ended) > 0 { // queries ended during this step
 		g.wakeUp()
 	}
 	return stats.Waiting > 0 || stats.Open > 0 || len(acts) > 0
 }
 
-// beginStep takes the inputs that have come, with the agreed state and the lease if they have changed.
+// beginStep takes the pending inputs, and adds the agreed state and the lease if they have changed.
 func (g *Gate) beginStep() stepWork {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // executeAll carries out the outputs of a step and returns the acts to be proposed. Rejections and cancellations go out before
-// the lease is published, releases after it: Begin looks at both.
+// the lease is published, releases after it: MayBegin and FinalReply check both.
 func (g *Gate) executeAll(outputs []sessionowner.Output, lease sessionowner.Lease) (acts []session.Act) {
 	for _, o := range outputs {
 		switch o := o.(type) {
@@ -110,19 +110,19 @@
 	return acts
 }
 
-// checkInvariants logs, every CheckInterval, a rule of the owner that does not hold.
+// checkInvariants checks the owner's invariants every CheckInterval and logs a violation.
 func (g *Gate) checkInvariants(now time.Duration) {
 	if now < g.checkedAt+CheckInterval {
 		return
 	}
 	g.checkedAt = now
 	if err := g.owner.Check(); err != nil {
-		g.options.Log.WithError(err).Error("a rule of the pinned sessions does not hold")
+		g.options.Log.WithError(err).Error("invariant of pinned sessions violated")
 	}
 }
 
-// collectUnsafe lists, every ReportInterval, the sessions with an open unsafe query; false between.
-func (g *Gate) collectUnsafe(now time.Duration) (unsafe []peerproto.UnsafeQuery, asked bool) {
+// collectUnsafe lists the sessions with an open unsafe query. It returns false until ReportInterval has passed since the last list.
+func (g *Gate) collectUnsafe(now time.Duration) (unsafe []peerproto.UnsafeQuery, listed bool) {
 	if now < g.unsafeListedAt+ReportInterval {
 		return nil, false
 	}
@@ -133,7 +133,8 @@
 	return unsafe, true
 }
 
-// collectIdle lists, every ReportInterval while this co-ordinator drains, the sessions without an open query; nil between.
+// collectIdle lists the sessions without an open query while this co-ordinator drains. It returns nil until ReportInterval has
+// passed since the last list.
 func (g *Gate) collectIdle(now time.Duration, draining bool) (idle []session.ID) {
 	if !draining || now < g.idleListedAt+ReportInterval {
 		return nil
@@ -146,7 +147,7 @@
 	return idle
 }
 
-// endStep keeps the memory of a turn's inputs and ended queries for their next use. g.mu is held.
+// endStep keeps the memory of the step's inputs and ended queries for reuse. The caller holds g.mu.
 func (g *Gate) endStep(t stepWork) {
 	if cap(t.inputs) <= maxPooled {
 		g.spareInbox = t.inputs
@@ -161,7 +162,7 @@
 	g.ended = g.ended[:copy(g.ended, g.ended[t.ended:])]
 }
 
-// execute carries out one output of the owner.
+// execute carries out one output of the owner. Proposals are collected by executeAll instead.
 func (g *Gate) execute(o sessionowner.Output) {
 	find := func(token uint64) *gatedQuery {
 		g.mu.Lock()
@@ -170,8 +171,8 @@
 	}
 	switch o := o.(type) {
 	case sessionowner.Run:
-		if n := find(o.Token); n != nil {
-			g.options.Exchange.Release(n.query)
+		if query := find(o.Token); query != nil {
+			g.options.Exchange.Release(query.query)
 		}
 	case sessionowner.Reject:
 		g.reject(find(o.Token), exchange.Reply{Status: exchange.Rejected, RetryAfter: g.retryAfter(o.RetryAfter), Owner: o.Owner})
@@ -184,11 +185,11 @@
 	}
 }
 
-// reject ends a query by the owner's response. From here on no served answer of it is given.
-func (g *Gate) reject(n *gatedQuery, r exchange.Reply) {
-	if n == nil {
+// reject ends a query with the owner's response. After that FinalReply no longer allows a served answer.
+func (g *Gate) reject(query *gatedQuery, r exchange.Reply) {
+	if query == nil {
 		return
 	}
-	n.responded.Store(true)
-	g.options.Exchange.Reject(n.query, r)
+	query.responded.Store(true)
+	g.options.Exchange.Reject(query.query, r)
 }
