--- a/internal/fleet/pool/pool.go
+++ b/internal/fleet/pool/pool.go
@@ -184,8 +184,8 @@
 // EachHolder calls yield with each co-ordinator that holds slots at a replica and their number, in no particular order.
 func (p *Pool) EachHolder(replica string, yield func(coordinator string, n int)) {
 	if s := p.replicas[replica]; s != nil {
-		for co, n := range s.held {
-			yield(co, n)
+		for coordinator, n := range s.held {
+			yield(coordinator, n)
 		}
 	}
 }
--- a/internal/fleet/pool/pool_test.go
+++ b/internal/fleet/pool/pool_test.go
@@ -59,10 +59,10 @@
 
 // sendRelease sends the message of a random co-ordinator about a transfer that its copy shows.
 func (w *simulation) sendRelease() {
-	co := pick(w, coordinatorNames)
-	u := w.coordinators[co]
+	coordinator := pick(w, coordinatorNames)
+	u := w.coordinators[coordinator]
 	state := w.history[u.version]
-	open := slices.DeleteFunc(state.Transfers(), func(t Transfer) bool { return t.Releaser() != co && (t.To != co || t.Stage != Lent) })
+	open := slices.DeleteFunc(state.Transfers(), func(t Transfer) bool { return t.Releaser() != coordinator && (t.To != coordinator || t.Stage != Lent) })
 	if u.leaseLost || len(open) == 0 {
 		return
 	}
@@ -76,27 +76,27 @@
 }
 
 func (w *simulation) step() {
-	co, to := pick(w, coordinatorNames), pick(w, append([]string{""}, coordinatorNames...))
+	coordinator, to := pick(w, coordinatorNames), pick(w, append([]string{""}, coordinatorNames...))
 	replica, n := pick(w, replicaNames), w.rand.IntN(6)-1
-	u := w.coordinators[co]
+	u := w.coordinators[coordinator]
 	before := w.pool.Save()
 	var err error
 	switch op := w.rand.IntN(20); op {
 	case 0:
 		err = w.pool.SetCap(replica, 2*n)
 	case 1:
-		err = w.pool.Allocate(co, replica, n)
+		err = w.pool.Allocate(coordinator, replica, n)
 	case 2: // a co-ordinator's own command, applied once; its copy is updated at once
 		if !u.leaseLost {
-			err = w.pool.Release(co, replica, n)
+			err = w.pool.Release(coordinator, replica, n)
 			u.version = len(w.history)
 		}
 	case 3:
 		w.lastFence++
-		err = w.pool.Move(w.lastFence, co, to, replica, n)
+		err = w.pool.Move(w.lastFence, coordinator, to, replica, n)
 	case 4:
 		w.lastFence++
-		err = w.pool.Lend(w.lastFence, co, to, replica, n, w.now+time.Duration(n)*time.Second)
+		err = w.pool.Lend(w.lastFence, coordinator, to, replica, n, w.now+time.Duration(n)*time.Second)
 	case 5:
 		err = w.pool.Cancel(uint64(w.rand.IntN(int(w.lastFence) + 1)))
 	case 6, 18, 19:
@@ -110,7 +110,7 @@
 		w.pool.Advance(w.now)
 	case 10: // a silent co-ordinator is removed, and restarts with a current copy
 		if u.leaseLost {
-			w.pool.RemoveCoordinator(co)
+			w.pool.RemoveCoordinator(coordinator)
 			*u = simCoordinator{returned: map[uint64]bool{}, version: len(w.history)}
 			w.history = append(w.history, w.pool.Clone())
 		}
@@ -133,16 +133,16 @@
 	}
 	for _, r := range replicaNames {
 		used, perCoordinator := 0, ""
-		for _, co := range coordinatorNames {
-			used += w.maxUse(co, r)
-			perCoordinator += fmt.Sprintf(" %s %d (copy %d)", co, w.maxUse(co, r), w.coordinators[co].version)
+		for _, coordinator := range coordinatorNames {
+			used += w.maxUse(coordinator, r)
+			perCoordinator += fmt.Sprintf(" %s %d (copy %d)", coordinator, w.maxUse(coordinator, r), w.coordinators[coordinator].version)
 		}
 		if used+w.pool.Free(r) > w.pool.Cap(r) { // free slots count too, since they may be allocated and used at any time
 			w.t.Fatalf("seed %d: %d in use at %s, which has %d:%s at %d\n%+v", w.seed, used, r, w.pool.Cap(r), perCoordinator, len(w.history), w.pool.Save())
 		}
 		sum := w.pool.Free(r)
-		for _, co := range w.pool.Holders(r) {
-			sum += w.pool.replicas[r].held[co]
+		for _, coordinator := range w.pool.Holders(r) {
+			sum += w.pool.replicas[r].held[coordinator]
 		}
 		for _, t := range w.pool.Transfers() {
 			if t.Replica == r {
@@ -176,8 +176,8 @@
 	}
 	for seed := range runs {
 		w := &simulation{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), pool: New(), coordinators: map[string]*simCoordinator{}}
-		for _, co := range coordinatorNames {
-			w.coordinators[co] = &simCoordinator{returned: map[uint64]bool{}}
+		for _, coordinator := range coordinatorNames {
+			w.coordinators[coordinator] = &simCoordinator{returned: map[uint64]bool{}}
 		}
 		w.history = append(w.history, w.pool.Clone())
 		for _, r := range replicaNames {
@@ -203,7 +203,7 @@
 	}
 	expect := func(want string) {
 		t.Helper()
-		got := fmt.Sprintf("cap %d wanted %d free %d c0 %d c1 %d", p.Cap("r"), p.TargetCap("r"), p.Free("r"), p.Held("c0", "r"), p.Held("c1", "r"))
+		got := fmt.Sprintf("cap %d target %d free %d c0 %d c1 %d", p.Cap("r"), p.TargetCap("r"), p.Free("r"), p.Held("c0", "r"), p.Held("c1", "r"))
 		if got != want {
 			t.Fatalf("%s, want %s", got, want)
 		}
@@ -211,9 +211,9 @@
 	mustSucceed(p.SetCap("r", 6))
 	mustSucceed(p.Allocate("c0", "r", 4))
 	mustSucceed(p.Lend(1, "c0", "c1", "r", 3, 10))
-	expect("cap 6 wanted 6 free 2 c0 1 c1 0")
+	expect("cap 6 target 6 free 2 c0 1 c1 0")
 	mustSucceed(p.ConfirmSource(1))
-	expect("cap 6 wanted 6 free 2 c0 1 c1 3")
+	expect("cap 6 target 6 free 2 c0 1 c1 3")
 	if err := p.ConfirmSource(1); !errors.Is(err, ErrNoTransfer) {
 		t.Fatal(err)
 	}
@@ -221,14 +221,14 @@
 		t.Fatal(err)
 	}
 	mustSucceed(p.SetCap("r", 0)) // the replica is removed
-	expect("cap 4 wanted 0 free 0 c0 1 c1 3")
+	expect("cap 4 target 0 free 0 c0 1 c1 3")
 	p.Advance(10)
-	expect("cap 4 wanted 0 free 0 c0 1 c1 0")
+	expect("cap 4 target 0 free 0 c0 1 c1 0")
 	if a := p.PendingReleases("c1"); len(a) != 1 || a[0].Fence != 1 || len(p.PendingReleases("c0")) != 0 {
 		t.Fatalf("%+v", a)
 	}
 	p.RemoveCoordinator("c0") // what c0 lent is free once c1 returns it
-	expect("cap 3 wanted 0 free 0 c0 0 c1 0")
+	expect("cap 3 target 0 free 0 c0 0 c1 0")
 	mustSucceed(p.ReturnLoan(1))
 	if p.RemoveCoordinator("") || len(p.Replicas()) != 0 || p.Cap("r") != 0 {
 		t.Fatalf("%+v", p.Save())
@@ -236,21 +236,21 @@
 	mustSucceed(p.SetCap("r", 2)) // the replica returns with fewer slots
 	mustSucceed(p.Allocate("c1", "r", 2))
 	mustSucceed(p.Move(7, "c1", "", "r", 1))
-	expect("cap 2 wanted 2 free 0 c0 0 c1 1")
+	expect("cap 2 target 2 free 0 c0 0 c1 1")
 	mustSucceed(p.ConfirmSource(7))
-	expect("cap 2 wanted 2 free 1 c0 0 c1 1")
+	expect("cap 2 target 2 free 1 c0 0 c1 1")
 	mustSucceed(p.Move(8, "c1", "c0", "r", 1))
 	p.RemoveCoordinator("c1")
-	expect("cap 2 wanted 2 free 1 c0 1 c1 0")
+	expect("cap 2 target 2 free 1 c0 1 c1 0")
 	mustSucceed(p.Lend(9, "c0", "c1", "r", 1, 30))
 	mustSucceed(p.Allocate("c1", "r", 1))
 	mustSucceed(p.Move(10, "c1", "c0", "r", 1))
 	p.Advance(30) // an unconfirmed loan stays with its lender, a permanent transfer goes on
-	expect("cap 2 wanted 2 free 0 c0 1 c1 0")
+	expect("cap 2 target 2 free 0 c0 1 c1 0")
 	p.RemoveCoordinator("c0") // the target of transfer 10
-	expect("cap 2 wanted 2 free 1 c0 0 c1 1")
+	expect("cap 2 target 2 free 1 c0 0 c1 1")
 	p.Clear()
-	expect("cap 2 wanted 2 free 2 c0 0 c1 0")
+	expect("cap 2 target 2 free 2 c0 0 c1 0")
 	mustSucceed(nil)
 }
 
@@ -280,15 +280,15 @@
 	_ = p.Allocate("c0", "r", 2)
 	_ = p.Move(5, "c0", "c1", "r", 1)
 	for name, f := range map[string]func() error{
-		"cap under 0": func() error { return p.SetCap("r", -1) }, "cap": func() error { return p.SetCap("r", MaxSlots+1) },
-		"no replica": func() error { return p.SetCap("", 1) }, "long replica": func() error { return p.SetCap(long, 1) },
-		"take more": func() error { return p.Allocate("c1", "r", 3) }, "take none": func() error { return p.Allocate("c1", "r", 0) },
-		"take by none": func() error { return p.Allocate("", "r", 1) }, "give more": func() error { return p.Release("c0", "r", 2) },
-		"move more": func() error { return p.Move(6, "c0", "c1", "r", 2) }, "move twice": func() error { return p.Move(5, "c0", "c1", "r", 1) },
-		"move to itself": func() error { return p.Move(6, "c0", "c0", "r", 1) }, "move 0": func() error { return p.Move(0, "c0", "c1", "r", 1) },
-		"lend till now": func() error { return p.Lend(6, "c0", "c1", "r", 1, 0) }, "lend to none": func() error { return p.Lend(6, "c0", "", "r", 1, 9) },
-		"move to long": func() error { return p.Move(6, "c0", long, "r", 1) },
-		"land":         func() error { return p.ConfirmSource(6) }, "back": func() error { return p.Cancel(6) }, "return moving": func() error { return p.ReturnLoan(5) },
+		"negative cap": func() error { return p.SetCap("r", -1) }, "cap above maximum": func() error { return p.SetCap("r", MaxSlots+1) },
+		"empty replica": func() error { return p.SetCap("", 1) }, "long replica": func() error { return p.SetCap(long, 1) },
+		"allocate more than free": func() error { return p.Allocate("c1", "r", 3) }, "allocate 0": func() error { return p.Allocate("c1", "r", 0) },
+		"allocate to empty name": func() error { return p.Allocate("", "r", 1) }, "release more than held": func() error { return p.Release("c0", "r", 2) },
+		"move more than held": func() error { return p.Move(6, "c0", "c1", "r", 2) }, "move with used number": func() error { return p.Move(5, "c0", "c1", "r", 1) },
+		"move to itself": func() error { return p.Move(6, "c0", "c0", "r", 1) }, "move with number 0": func() error { return p.Move(0, "c0", "c1", "r", 1) },
+		"lend until now": func() error { return p.Lend(6, "c0", "c1", "r", 1, 0) }, "lend to empty name": func() error { return p.Lend(6, "c0", "", "r", 1, 9) },
+		"move to long name": func() error { return p.Move(6, "c0", long, "r", 1) },
+		"confirm unknown":   func() error { return p.ConfirmSource(6) }, "cancel unknown": func() error { return p.Cancel(6) }, "return unconfirmed": func() error { return p.ReturnLoan(5) },
 	} {
 		before := p.Clone()
 		if err := f(); err == nil || !reflect.DeepEqual(before, p) {
@@ -297,11 +297,11 @@
 	}
 	valid := p.Save()
 	for name, corrupt := range map[string]func(*Saved){
-		"order": func(v *Saved) { v.Replicas = append(v.Replicas, v.Replicas[0]) }, "site": func(v *Saved) { v.Transfers[0].Replica = "q" },
-		"fence": func(v *Saved) { v.Transfers[0].Fence = 0 }, "none": func(v *Saved) { v.Transfers[0].Slots = 0 },
-		"stage": func(v *Saved) { v.Transfers[0].Stage = Lent }, "past": func(v *Saved) { v.Now, v.Transfers[0].Until = 9, 3 },
-		"held": func(v *Saved) { v.Replicas[0].Held[0].Slots = 0 }, "free": func(v *Saved) { v.Replicas[0].Free = -1 },
-		"wanted": func(v *Saved) { v.Replicas[0].TargetCap = 5 }, "less": func(v *Saved) { v.Replicas[0].TargetCap = 3 },
+		"replica twice": func(v *Saved) { v.Replicas = append(v.Replicas, v.Replicas[0]) }, "unknown replica": func(v *Saved) { v.Transfers[0].Replica = "q" },
+		"transfer number 0": func(v *Saved) { v.Transfers[0].Fence = 0 }, "transfer of 0 slots": func(v *Saved) { v.Transfers[0].Slots = 0 },
+		"lent without end": func(v *Saved) { v.Transfers[0].Stage = Lent }, "loan past its end": func(v *Saved) { v.Now, v.Transfers[0].Until = 9, 3 },
+		"0 slots held": func(v *Saved) { v.Replicas[0].Held[0].Slots = 0 }, "negative free slots": func(v *Saved) { v.Replicas[0].Free = -1 },
+		"target cap above cap": func(v *Saved) { v.Replicas[0].TargetCap = 5 }, "free slots above target cap": func(v *Saved) { v.Replicas[0].TargetCap = 3 },
 	} {
 		raw, _ := json.Marshal(valid)
 		var v Saved
--- a/internal/fleet/pool/save.go
+++ b/internal/fleet/pool/save.go
@@ -37,8 +37,8 @@
 	for _, name := range p.Replicas() {
 		s := p.replicas[name]
 		saved := SavedReplica{Replica: name, TargetCap: s.targetCap, Free: s.free}
-		for _, co := range p.Holders(name) {
-			saved.Held = append(saved.Held, Holding{co, s.held[co]})
+		for _, coordinator := range p.Holders(name) {
+			saved.Held = append(saved.Held, Holding{coordinator, s.held[coordinator]})
 		}
 		v.Replicas = append(v.Replicas, saved)
 	}
@@ -113,9 +113,9 @@
 	}
 	for _, name := range p.Replicas() {
 		s, held := p.replicas[name], 0
-		for _, co := range p.Holders(name) {
-			if held += s.held[co]; s.held[co] < 1 {
-				return fmt.Errorf("S2: %s holds %d slots at %s", co, s.held[co], name)
+		for _, coordinator := range p.Holders(name) {
+			if held += s.held[coordinator]; s.held[coordinator] < 1 {
+				return fmt.Errorf("S2: %s holds %d slots at %s", coordinator, s.held[coordinator], name)
 			}
 		}
 		switch {
--- a/internal/fleet/pool/transfer.go
+++ b/internal/fleet/pool/transfer.go
@@ -26,8 +26,9 @@
 	return [...]string{"moving", "lent", "returning"}[min(s, Returning)]
 }
 
-// Transfer is an open transfer or loan of slots at a replica. It ends by ConfirmSource, Cancel or ReturnLoan, at the latest when its
-// source or target is removed; a loan goes on after ConfirmSource, and after the removal of its lender once lent.
+// Transfer is an open transfer or loan of slots at a replica. A transfer ends by ConfirmSource or Cancel; a loan ends by ReturnLoan,
+// by Cancel, or at its end if the lender has not confirmed it by then. Both also end when their source or target is removed, but a
+// confirmed loan outlives its lender.
 type Transfer struct {
 	Fence   uint64        `json:"fence"`          // the number of the transfer
 	From    string        `json:"from,omitempty"` // "" for a loan whose lender was removed: the slots become free when it is returned
@@ -117,7 +118,7 @@
 		p.store(t)
 		return nil
 	}
-	p.finish(t, t.To)
+	p.close(t, t.To)
 	return nil
 }
 
@@ -125,9 +126,9 @@
 func (p *Pool) Cancel(fence uint64) error {
 	t, ok := p.transfers[fence]
 	if !ok || t.Stage != Moving {
-		return fmt.Errorf("pool: cancel transfer %d: %w", fence, ErrNoTransfer)
+		return fmt.Errorf("pool: roll back %d: %w", fence, ErrNoTransfer)
 	}
-	p.finish(t, t.From)
+	p.close(t, t.From)
 	return nil
 }
 
@@ -137,12 +138,12 @@
 	if !ok || t.Stage == Moving {
 		return fmt.Errorf("pool: return loan %d: %w", fence, ErrNoTransfer)
 	}
-	p.finish(t, t.From)
+	p.close(t, t.From)
 	return nil
 }
 
-// finish ends a transfer: its slots go to coordinator, or are free if that is "".
-func (p *Pool) finish(t Transfer, coordinator string) {
+// close ends a transfer: its slots go to coordinator, or are free if that is "".
+func (p *Pool) close(t Transfer, coordinator string) {
 	s := p.replicas[t.Replica]
 	s.outstanding -= t.Slots
 	if t.Stage == Lent {
@@ -172,14 +173,14 @@
 		found = true
 		switch {
 		case t.From == coordinator && t.Stage == Moving && t.Until == 0:
-			p.finish(t, t.To)
+			p.close(t, t.To)
 		case t.From == coordinator && t.Stage == Moving:
-			p.finish(t, "")
+			p.close(t, "")
 		case t.From == coordinator:
 			t.From = ""
 			p.transfers[t.Fence] = t
 		case t.To == coordinator:
-			p.finish(t, t.From)
+			p.close(t, t.From)
 		}
 	}
 	for _, replica := range p.Replicas() {
@@ -215,7 +216,7 @@
 		case t.Until > p.now:
 			p.store(t)
 		case t.Stage == Moving:
-			p.finish(t, t.From)
+			p.close(t, t.From)
 		default:
 			t.Stage = Returning
 			p.replicas[t.Replica].addLent(t.To, -t.Slots)
--- a/internal/fleet/sessionctl/shares.go
+++ b/internal/fleet/sessionctl/shares.go
@@ -37,8 +37,8 @@
 	for _, r := range p.Replicas() {
 		clear(held)
 		clear(incoming)
-		p.EachHolder(r, func(co string, n int) {
-			if i, ok := index[co]; ok {
+		p.EachHolder(r, func(coordinator string, n int) {
+			if i, ok := index[coordinator]; ok {
 				held[i] = n
 			}
 		})
--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -27,7 +27,7 @@
 	MaxShifts = 500
 )
 
-// Input is the input to one step of the controller.
+// Input holds the state, settings and results that one step of the controller reads.
 type Input struct {
 	Now         time.Duration // local monotonic time
 	AgreedTime  time.Duration // agreed time of the commands to propose
@@ -44,11 +44,11 @@
 	Paused          bool // whether the operators have paused moves
 	// SilentFor returns how long nothing was heard of a co-ordinator while this one leads.
 	SilentFor func(name string) time.Duration
-	// Result says what came of earlier proposals.
+	// Results are the results of earlier proposals.
 	Results []Result
 }
 
-// Result is the result of one proposal. OutcomeKnown is set if the command was applied, rejected, or never entered the log. Else the
+// Result reports the end of one proposal. OutcomeKnown is set if the command was applied, rejected, or never entered the log. Else the
 // command may be in the log and may be applied at any later time.
 type Result struct {
 	Number       uint64
@@ -80,8 +80,8 @@
 	// current limits, or until maxLeaseUntil by earlier ones.
 	maxLease, maxLeaseUntil time.Duration
 	planner                 *migrate.Planner
-	plan                    migrate.Plan // the planner's result in the last step
-	plannedAt               time.Duration
+	plan                    migrate.Plan  // the planner's result in the last step
+	plannedAt               time.Duration // local time of the planner's last step
 }
 
 // New returns a controller.
@@ -241,7 +241,7 @@
 	}
 	slots := in.Sessions.Pool()
 	for _, r := range slots.Replicas() {
-		slots.EachHolder(r, func(co string, _ int) { holds[co] = true })
+		slots.EachHolder(r, func(coordinator string, _ int) { holds[coordinator] = true })
 	}
 	for _, name := range slices.Sorted(maps.Keys(holds)) {
 		if in.SilentFor(name) >= minSilence && (holds[name] || in.Sessions.Owned(name) > 0 || in.holdsSlots(name)) {
--- a/internal/fleet/sessiongate/gate_test.go
+++ b/internal/fleet/sessiongate/gate_test.go
@@ -57,8 +57,8 @@
 }
 
 // step passes the agreed state of that log epoch and a lease of one minute to the gate, and steps it.
-func (r *rig) step(index, era uint64) {
-	r.gate.Update(index, era, time.Second, r.gate.now()+time.Minute)
+func (r *rig) step(index, logEpoch uint64) {
+	r.gate.Update(index, logEpoch, time.Second, r.gate.now()+time.Minute)
 	r.gate.step()
 }
 
@@ -104,16 +104,16 @@
 	if len(r.released) != 1 {
 		t.Fatalf("%d released, %+v", len(r.released), r.rejected)
 	}
-	if a, may := r.gate.MayBegin(q); !may {
+	if a, allowed := r.gate.MayBegin(q); !allowed {
 		t.Fatalf("rejected with a valid lease: %+v", a)
 	}
 	r.gate.leaseUntil.Store(int64(r.gate.now()))
-	if a, may := r.gate.MayBegin(q); may || a.Status != exchange.Rejected || a.RetryAfter == 0 {
-		t.Fatalf("without a lease: may begin %v, %+v", may, a)
+	if a, allowed := r.gate.MayBegin(q); allowed || a.Status != exchange.Rejected || a.RetryAfter == 0 {
+		t.Fatalf("without a lease: may begin %v, %+v", allowed, a)
 	}
 	r.gate.leaseUntil.Store(int64(r.gate.now() + time.Minute))
 	r.gate.reject(r.gate.byQuery[q], exchange.Reply{Status: exchange.Rejected})
-	if _, may := r.gate.MayBegin(q); may {
+	if _, allowed := r.gate.MayBegin(q); allowed {
 		t.Error("query may begin after the owner has responded")
 	}
 }
@@ -125,8 +125,8 @@
 }
 
 func (r *leaseCheckingRig) Release(q *exchange.Query) {
-	_, may := r.gate.MayBegin(q)
-	r.mayBegin = append(r.mayBegin, may)
+	_, allowed := r.gate.MayBegin(q)
+	r.mayBegin = append(r.mayBegin, allowed)
 }
 
 // A lease must be published before the releases that depend on it: MayBegin would reject these queries otherwise.
--- a/internal/fleet/sessionpart/lease.go
+++ b/internal/fleet/sessionpart/lease.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		if timeout := time.Duration(cfg.Classes[c].GiveUp * float64(time.Second)); timeout > remaining {
-			return fmt.Errorf("$.fleet.sessions.classes[%d]: %q stands there; its queries may take up to %v, but lease_ms and grace_ms leave only %v when a query arrives: a longer lease_ms is right",
+			return fmt.Errorf("$.fleet.sessions.classes[%d]: %q stands there; its queries may take up to %v, but lease_ms and grace_ms leave only %v when a query arrives: increase lease_ms",
 				i, name, timeout, remaining)
 		}
 	}
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -95,11 +95,11 @@
 	controller *sessionctl.Controller
 	section    *operator.Sessions // in force here
 
-	index                  uint64 // Turn.Index of the newest step
-	sequence               uint64 // of the newest SessionActions message
-	controllerAt           time.Duration
+	index                  uint64        // Turn.Index of the newest step
+	sequence               uint64        // of the newest SessionActions message
+	controllerAt           time.Duration // next step of the controller
 	controllerTerm         uint64
-	capacity               map[string]migrate.Room
+	capacity               map[string]migrate.Room // this and the next two: as last reported, by co-ordinator
 	idle                   map[string][]session.ID
 	unsafe                 map[string][]migrate.Unsafe
 	coordinators           []migrate.Coordinator // as of planIndex, rebuilt at planUntil
--- a/internal/fleet/sessionpart/part_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -82,26 +82,26 @@
 
 // A message of acts must fit into a log entry, whatever state hand-overs carry.
 func TestCountFittingStaysWithinLogEntry(t *testing.T) {
-	full := session.Act{Kind: session.HandOver, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.MaxStateBytes), Lane: 255}
-	many := make([]session.Act, session.MaxActs+1)
-	if n := countFitting(many); n != session.MaxActs {
+	largest := session.Act{Kind: session.HandOver, Epoch: 1<<64 - 1, Fence: 1<<64 - 1, Seq: 1<<64 - 1, State: make([]byte, session.MaxStateBytes), Lane: 255}
+	acts := make([]session.Act, session.MaxActs+1)
+	if n := countFitting(acts); n != session.MaxActs {
 		t.Errorf("%d claims fit", n)
 	}
-	for i := range many {
-		many[i] = full
+	for i := range acts {
+		acts[i] = largest
 		if i > 300 { // most hand-overs carry no record of queries
-			many[i].State = nil
+			acts[i].State = nil
 		}
 	}
-	n := countFitting(many)
-	body, err := json.Marshal(session.ActsBody{From: strings.Repeat("x", 64), Acts: many[:n]})
+	n := countFitting(acts)
+	body, err := json.Marshal(session.ActsBody{From: strings.Repeat("x", 64), Acts: acts[:n]})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(body) > peerproto.MaxEntrySize || n < 500 {
 		t.Errorf("%d hand-overs in %d bytes, at most %d allowed", n, len(body), peerproto.MaxEntrySize)
 	}
-	if countFitting(many[:1]) != 1 || countFitting(nil) != 0 {
+	if countFitting(acts[:1]) != 1 || countFitting(nil) != 0 {
 		t.Error("wrong count for one act, or for none")
 	}
 }
--- a/internal/fleet/sessionpart/propose.go
+++ b/internal/fleet/sessionpart/propose.go
@@ -46,7 +46,7 @@
 		raw, err = statemachine.Command{V: statemachine.Version, ID: c.id, Part: agreedstate.SessionsPart, Kind: c.kind, At: c.at, Body: raw}.Encode()
 	}
 	if err != nil {
-		p.host.Log.WithError(err).Error("encode a sessions proposal")
+		p.host.Log.WithError(err).Error("cannot encode a sessions proposal")
 		p.reportResult(c.proposalNumber, true)
 		return
 	}
