--- a/internal/fleet/sessionctl/steward.go
+++ b/internal/fleet/sessionctl/steward.go
@@ -187,7 +187,7 @@
 
 // plannerView returns the planner's input.
 func (in *Input) plannerView() migrate.View {
-	v := migrate.View{Book: in.Sessions, Slots: in.Sessions.Pool(), Coordinators: slices.Clone(in.Coordinators), PerSlot: in.SessionsPerSlot, Paused: in.Paused,
+	v := migrate.View{Book: in.Sessions, Slots: in.Sessions.Pool(), Coordinators: slices.Clone(in.Coordinators), SessionsPerSlot: in.SessionsPerSlot, Paused: in.Paused,
 		Replicas: in.Sessions.Pool().Replicas()}
 	limits, _ := in.Sessions.Limits()
 	for i := range v.Coordinators {
--- a/internal/fleet/sessionctl/steward_test.go
+++ b/internal/fleet/sessionctl/steward_test.go
@@ -208,7 +208,7 @@
 func TestReleaseWaitsForLongestLease(t *testing.T) {
 	r := newRig(t)
 	applyFleetLease := func(revision int, d time.Duration) {
-		l := maintenance.Limits{Cells: 2, Reach: 1, Shards: 1, MinHolders: 1, MaxOut: 1, MaxOutPerZone: 1, MaxPassedOver: 1, LoadAge: 1, ListAge: 1, Lease: d}
+		l := maintenance.Limits{Cells: 2, Reach: 1, Shards: 1, MinHolders: 1, MaxOut: 1, MaxOutPerZone: 1, MaxPassedOver: 1, MaxLoadAge: 1, MaxInventoryAge: 1, Lease: d}
 		if err := r.apply("takeout", "limits", maintenance.LimitsBody{Revision: revision, Limits: l}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/sessionpart/part.go
+++ b/internal/fleet/sessionpart/part.go
@@ -99,7 +99,7 @@
 	sequence               uint64        // of the newest SessionActions message
 	controllerAt           time.Duration // next step of the controller
 	controllerTerm         uint64
-	capacity               map[string]migrate.Room // this and the next two: as last reported, by co-ordinator
+	capacity               map[string]migrate.Capacity // this and the next two: as last reported, by co-ordinator
 	idle                   map[string][]session.ID
 	unsafe                 map[string][]migrate.Unsafe
 	coordinators           []migrate.Coordinator // as of planIndex, rebuilt at planUntil
@@ -120,7 +120,7 @@
 
 // New returns a part and sets its gate in the exchange. It must be called before the exchange runs. Run runs the gate.
 func New(h Host, section *operator.Sessions) *Part {
-	p := &Part{host: h, controller: sessionctl.New(), section: section, capacity: map[string]migrate.Room{},
+	p := &Part{host: h, controller: sessionctl.New(), section: section, capacity: map[string]migrate.Capacity{},
 		idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}, sequence: uint64(h.StartTime.UnixNano())}
 	p.gate = sessiongate.New(sessiongate.Options{
 		Name: h.Name, StartTime: h.StartTime, Exchange: h.Exchange, Log: h.Log, Names: h.Names, Policy: h.Policy,
@@ -270,7 +270,7 @@
 	}
 	for i := range p.coordinators {
 		c := &p.coordinators[i]
-		c.Room, c.Idle, c.Unsafe = p.capacity[c.Name], p.idle[c.Name], p.unsafe[c.Name]
+		c.Capacity, c.Idle, c.Unsafe = p.capacity[c.Name], p.idle[c.Name], p.unsafe[c.Name]
 	}
 }
 
@@ -281,13 +281,13 @@
 func (p *Part) logForecast(now time.Duration) {
 	plan := p.controller.Plan()
 	text := plan.Forecast.String()
-	if len(plan.Kept) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.forecastLoggedAt+ForecastInterval {
+	if len(plan.Deferred) == 0 && plan.Forecast.Moves == 0 || text == p.loggedForecast || now < p.forecastLoggedAt+ForecastInterval {
 		return
 	}
 	p.loggedForecast, p.forecastLoggedAt = text, now
 	p.host.Log.WithField("forecast", text).Info("forecast of session moves changed")
-	for _, k := range plan.Kept {
-		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Why, "one_is": k.Example}).Info("sessions are not moved for now")
+	for _, k := range plan.Deferred {
+		p.host.Log.WithFields(logrus.Fields{"from": k.From, "sessions": k.Sessions, "why": k.Reason, "one_is": k.Example}).Info("sessions are not moved for now")
 	}
 }
 
@@ -311,7 +311,7 @@
 	if load == nil {
 		return
 	}
-	p.capacity[poll.From] = migrate.Room{Sessions: p.section.Most, Told: load.Owned, Open: load.Open, Queries: load.Queries, Memory: 2 * load.Memory}
+	p.capacity[poll.From] = migrate.Capacity{MaxSessions: p.section.Most, OwnedAtReport: load.Owned, OpenQueries: load.Open, MaxQueries: load.Queries, FreeMemory: 2 * load.Memory}
 	p.idle[poll.From] = load.Idle
 	at, _ := p.host.Controller.Time()
 	var open []migrate.Unsafe
--- a/internal/fleet/sessionpart/part_test.go
+++ b/internal/fleet/sessionpart/part_test.go
@@ -111,7 +111,7 @@
 func TestForecastIncludesOpenUnsafeQueries(t *testing.T) {
 	state := agreedstate.New()
 	p := &Part{host: Host{Name: "b", State: state, Controller: drainctl.New(waveplan.Order)}, section: &operator.Sessions{Most: 9},
-		capacity: map[string]migrate.Room{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
+		capacity: map[string]migrate.Capacity{}, idle: map[string][]session.ID{}, unsafe: map[string][]migrate.Unsafe{}}
 	id := session.IDOf(1, []byte("k"))
 	limits := session.Limits{Revision: 1, InFlight: 9, PerMinute: 9, StepTimeout: time.Second, IdleTimeout: time.Minute, Lease: time.Second, Grace: time.Second, MaxSessions: 9, Slots: 2}
 	for kind, body := range map[string]any{session.KindLimits: session.LimitsBody{Limits: limits}} {
@@ -140,20 +140,20 @@
 			}
 			p.HandlePoll(got.(peerproto.Poll))
 		}
-		p.coordinators = []migrate.Coordinator{{Name: "a", Live: true, Leaving: true, Deadline: time.Minute}, {Name: "c", Live: true, Rank: migrate.Stays}}
+		p.coordinators = []migrate.Coordinator{{Name: "a", Live: true, Leaving: true, Deadline: time.Minute}, {Name: "c", Live: true, Rank: migrate.RankNone}}
 		p.planUntil = time.Hour
 		p.refreshPlan(0, 0)
 		v := migrate.View{Book: state.Sessions, Coordinators: p.coordinators}
-		return migrate.Foresee(0, v, 0), len(migrate.New(migrate.Options{}).Step(0, v).Body.Offers)
+		return migrate.NewForecast(0, v, 0), len(migrate.New(migrate.Options{}).Step(0, v).Body.Offers)
 	}
 	f, offers := forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Minute + 1})
-	if f.Meets || len(f.Unsure) != 1 || f.Unsure[0] != id || offers != 0 {
+	if f.MeetsDeadlines || len(f.AtRisk) != 1 || f.AtRisk[0] != id || offers != 0 {
 		t.Errorf("open beyond the deadline: %+v, %d offers", f, offers)
 	}
-	if f, offers = forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Second}); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
+	if f, offers = forecast(peerproto.UnsafeQuery{ID: id, TimeLeft: time.Second}); !f.MeetsDeadlines || len(f.AtRisk) > 0 || offers != 1 {
 		t.Errorf("open for as long as an offer: %+v, %d offers", f, offers)
 	}
-	if f, offers = forecast(); !f.Meets || len(f.Unsure) > 0 || offers != 1 {
+	if f, offers = forecast(); !f.MeetsDeadlines || len(f.AtRisk) > 0 || offers != 1 {
 		t.Errorf("no open unsafe query: %+v, %d offers", f, offers)
 	}
 }
