--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -17,7 +17,7 @@
 // supersede closes a voter in a raft group that another one, set up anew, has replaced: what this one holds counts for
 // nothing any more. It follows the new one then, and is added as any new voter.
 func (n *Node) supersede(from string, epoch uint64) {
-	if n.superseded || n.raftGroup == nil || n.raftGroup.Last() == 0 {
+	if n.superseded || n.raftGroup == nil || n.raftGroup.LastIndex() == 0 {
 		return // one that was only just added has nothing of an earlier group
 	}
 	n.superseded = true
--- a/internal/fleet/pollserver.go
+++ b/internal/fleet/pollserver.go
@@ -50,7 +50,7 @@
 	if leader == n.name {
 		leader = "" // elected, but not yet sure of all that was agreed; or about to step down
 	}
-	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.Applied(), Epoch: wireEpoch(own)})
+	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.AppliedIndex(), Epoch: wireEpoch(own)})
 	return false
 }
 
@@ -94,7 +94,7 @@
 			n.messageLog.info(n, n.now(), "what was agreed can't be handed to "+from+", which stays cut off: "+err.Error())
 			continue
 		}
-		w.Truncated = w.Index < n.raftGroup.Applied()
+		w.Truncated = w.Index < n.raftGroup.AppliedIndex()
 		n.sendReply(from, w)
 	}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -36,7 +36,7 @@
 
 // proposalOutcome is what the controller gets of a proposal's outcome; false where nobody knows whether it acts: it is repeated.
 func proposalOutcome(err error) (error, bool) {
-	var not *raftgroup.NotLeader
+	var not *raftgroup.NotLeaderError
 	if errors.Is(err, raftgroup.ErrOutcomeUnknown) || errors.As(err, &not) || errors.Is(err, raftgroup.ErrBusy) {
 		return nil, false
 	}
--- a/internal/fleet/raftgroup/change.go
+++ b/internal/fleet/raftgroup/change.go
@@ -9,9 +9,9 @@
 
 // Errors of a change of voters.
 var (
-	ErrChanging = errors.New("raftgroup: another change of voters is under way")
-	ErrMajority = errors.New("raftgroup: too few voters would answer")
-	ErrSelf     = errors.New("raftgroup: the leader cannot replace itself, hand over first")
+	ErrChangeInProgress = errors.New("raftgroup: another change of voters is under way")
+	ErrNoQuorum         = errors.New("raftgroup: too few voters would answer")
+	ErrReplaceSelf      = errors.New("raftgroup: the leader cannot replace itself, hand over first")
 )
 
 // Voters are the voters in the configuration that this one knows last.
@@ -35,11 +35,11 @@
 // one named "" adds a voter only, a new one with no name takes the old one out only. A call that was cut off half way
 // is finished by calling it again.
 func (g *Group) Replace(old string, with Voter) error {
-	if !g.changing.TryLock() {
-		return ErrChanging
+	if !g.changeMu.TryLock() {
+		return ErrChangeInProgress
 	}
-	defer g.changing.Unlock()
-	if err := g.mayChange(old); err != nil {
+	defer g.changeMu.Unlock()
+	if err := g.checkCanReplace(old); err != nil {
 		return err
 	}
 	now, err := g.Voters()
@@ -58,16 +58,16 @@
 	return nil
 }
 
-// mayChange checks that this voter leads, is not the one that is to go, and still holds the lead now.
-func (g *Group) mayChange(old string) error {
+// checkCanReplace checks that this voter leads, is not the one that is to go, and still holds the lead now.
+func (g *Group) checkCanReplace(old string) error {
 	if g.raft.State() != raft.Leader {
-		return g.notLeader()
+		return g.notLeaderError()
 	}
-	if old == g.o.Name {
-		return ErrSelf
+	if old == g.options.Name {
+		return ErrReplaceSelf
 	}
 	if err := g.raft.VerifyLeader().Error(); err != nil {
-		return g.explain(err)
+		return g.wrapRaftError(err)
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("raftgroup: %s is a voter at %s; give a new one a new name", with.Name, addr)
 	}
 	size := len(now)
-	answer, oldSilent := g.answering(addresses, old)
+	answer, oldSilent := g.countResponsive(addresses, old)
 	after := answer
 	if drop && !oldSilent {
 		after--
@@ -95,57 +95,57 @@
 	dropStep := func() error { return g.removeVoter(old) }
 	switch {
 	case add && drop && oldSilent:
-		return []func() error{dropStep, addStep}, errors.Join(quorum(size-1, after), quorum(size, after))
+		return []func() error{dropStep, addStep}, errors.Join(checkQuorum(size-1, after), checkQuorum(size, after))
 	case add && drop:
-		return []func() error{addStep, dropStep}, errors.Join(quorum(size+1, answer), quorum(size, after))
+		return []func() error{addStep, dropStep}, errors.Join(checkQuorum(size+1, answer), checkQuorum(size, after))
 	case add:
-		err := quorum(size+1, answer)
-		if err != nil && quorum(size+1, answer+1) == nil && g.answers(with.Addr) {
+		err := checkQuorum(size+1, answer)
+		if err != nil && checkQuorum(size+1, answer+1) == nil && g.canConnect(with.Addr) {
 			err = nil // a raft group of one grows, and the new one is there
 		}
 		return []func() error{addStep}, err
 	case drop:
-		return []func() error{dropStep}, quorum(size-1, after)
+		return []func() error{dropStep}, checkQuorum(size-1, after)
 	}
 	return nil, nil
 }
 
 // answering counts the voters among addresses that are not silent now, and tells whether old is silent.
-func (g *Group) answering(addresses map[string]string, old string) (answer int, oldSilent bool) {
+func (g *Group) countResponsive(addresses map[string]string, old string) (answer int, oldSilent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name := range addresses {
-		if !g.silent[name] {
+		if !g.unresponsive[name] {
 			answer++
 		}
 	}
-	return answer, g.silent[old]
+	return answer, g.unresponsive[old]
 }
 
 // quorum fails where answer voters of size are not a majority of them.
-func quorum(size, answer int) error {
+func checkQuorum(size, answer int) error {
 	if answer < size/2+1 {
-		return fmt.Errorf("%w: %d of %d, %d are needed", ErrMajority, answer, size, size/2+1)
+		return fmt.Errorf("%w: %d of %d, %d are needed", ErrNoQuorum, answer, size, size/2+1)
 	}
 	return nil
 }
 
 // addVoter adds with as a voter, on top of the configuration that was committed last.
 func (g *Group) addVoter(with Voter) error {
-	return g.step(func(prev uint64) raft.IndexFuture {
+	return g.changeConfiguration(func(prev uint64) raft.IndexFuture {
 		return g.raft.AddVoter(raft.ServerID(with.Name), raft.ServerAddress(with.Addr), prev, ChangeTimeout)
 	})
 }
 
 // removeVoter takes old out, on top of the configuration that was committed last.
 func (g *Group) removeVoter(old string) error {
-	return g.step(func(prev uint64) raft.IndexFuture {
+	return g.changeConfiguration(func(prev uint64) raft.IndexFuture {
 		return g.raft.RemoveServer(raft.ServerID(old), prev, ChangeTimeout)
 	})
 }
 
 // answers says whether an address takes a connection now.
-func (g *Group) answers(addr string) bool {
+func (g *Group) canConnect(addr string) bool {
 	conn, err := g.stream.Dial(raft.ServerAddress(addr), IOTimeout)
 	if err != nil {
 		return false
@@ -155,20 +155,20 @@
 }
 
 // step makes one change on top of the configuration that was committed last, and no other.
-func (g *Group) step(change func(prev uint64) raft.IndexFuture) error {
+func (g *Group) changeConfiguration(change func(prev uint64) raft.IndexFuture) error {
 	conf := g.raft.GetConfiguration()
 	if err := conf.Error(); err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	if err := change(conf.Index()).Error(); err != nil {
-		return g.explain(err)
+		return g.wrapRaftError(err)
 	}
 	return nil
 }
 
-// HandOver gives the lead to another voter, before this one leaves. One that does not lead has nothing to give. It takes
+// TransferLeadership gives the lead to another voter, before this one leaves. One that does not lead has nothing to give. It takes
 // ElectionTimeout at the most; if nobody can take it, this one leads on and says so.
-func (g *Group) HandOver() error {
+func (g *Group) TransferLeadership() error {
 	if g.raft.State() != raft.Leader {
 		return nil
 	}
--- a/internal/fleet/raftgroup/cluster_test.go
+++ b/internal/fleet/raftgroup/cluster_test.go
@@ -21,13 +21,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // list is a machine that keeps what was applied.
-type list struct {
+type recordingMachine struct {
 	Words   []string
 	Indexes []uint64
 	loads   int
 }
 
-func (l *list) Apply(index uint64, raw []byte) error {
+func (l *recordingMachine) Apply(index uint64, raw []byte) error {
 	switch string(raw) {
 	case "refused":
 		return errors.New("the machine refuses")
@@ -40,9 +40,9 @@
 	l.Words, l.Indexes = append(l.Words, string(raw)), append(l.Indexes, index)
 	return nil
 }
-func (l *list) Save() ([]byte, error) { return json.Marshal(l) }
-func (l *list) Load(b []byte) error {
-	n := list{loads: l.loads + 1}
+func (l *recordingMachine) Save() ([]byte, error) { return json.Marshal(l) }
+func (l *recordingMachine) Load(b []byte) error {
+	n := recordingMachine{loads: l.loads + 1}
 	if err := json.Unmarshal(b, &n); err != nil {
 		return err
 	}
@@ -52,14 +52,14 @@
 
 // links are directed; what goes over one that is cut is swallowed, as a network does it.
 type links struct {
-	mu    sync.Mutex
-	cut   map[[2]string]bool
-	conns map[*link]bool
-	bytes atomic.Int64
-	late  atomic.Int64 // each write waits for so many nanoseconds
+	mu         sync.Mutex
+	cut        map[[2]string]bool
+	conns      map[*faultyConn]bool
+	bytes      atomic.Int64
+	writeDelay atomic.Int64 // each write waits for so many nanoseconds
 }
 
-func (l *links) set(cut bool, pairs ...[2]string) {
+func (l *links) setCut(cut bool, pairs ...[2]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range pairs {
@@ -72,21 +72,21 @@
 	}
 }
 
-func (l *links) is(from, to string) bool {
+func (l *links) isCut(from, to string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut[[2]string{from, to}]
 }
 
-type faulty struct {
+type faultyLayer struct {
 	raft.StreamLayer
-	l    *links
-	from string
+	links *links
+	from  string
 }
 
-func (f *faulty) Dial(a raft.ServerAddress, wait time.Duration) (net.Conn, error) {
+func (f *faultyLayer) Dial(a raft.ServerAddress, wait time.Duration) (net.Conn, error) {
 	to := string(a)
-	if f.l.is(f.from, to) || f.l.is(to, f.from) {
+	if f.links.isCut(f.from, to) || f.links.isCut(to, f.from) {
 		time.Sleep(wait)
 		return nil, os.ErrDeadlineExceeded
 	}
@@ -94,75 +94,75 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &link{Conn: c, f: f, to: to}
-	f.l.mu.Lock()
-	f.l.conns[x] = true
-	f.l.mu.Unlock()
+	x := &faultyConn{Conn: c, layer: f, to: to}
+	f.links.mu.Lock()
+	f.links.conns[x] = true
+	f.links.mu.Unlock()
 	return x, nil
 }
 
-type link struct {
+type faultyConn struct {
 	net.Conn
-	f  *faulty
-	to string
+	layer *faultyLayer
+	to    string
 }
 
-func (c *link) Write(b []byte) (int, error) {
-	c.f.l.bytes.Add(int64(len(b)))
-	if c.f.l.is(c.f.from, c.to) {
+func (c *faultyConn) Write(b []byte) (int, error) {
+	c.layer.links.bytes.Add(int64(len(b)))
+	if c.layer.links.isCut(c.layer.from, c.to) {
 		return len(b), nil
 	}
-	time.Sleep(time.Duration(c.f.l.late.Load()))
+	time.Sleep(time.Duration(c.layer.links.writeDelay.Load()))
 	return c.Conn.Write(b)
 }
 
-func (c *link) Read(b []byte) (int, error) {
+func (c *faultyConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		c.f.l.bytes.Add(int64(n))
-		if err != nil || !c.f.l.is(c.to, c.f.from) {
+		c.layer.links.bytes.Add(int64(n))
+		if err != nil || !c.layer.links.isCut(c.to, c.layer.from) {
 			return n, err
 		}
 	}
 }
 
-func (c *link) Close() error {
-	c.f.l.mu.Lock()
-	delete(c.f.l.conns, c)
-	c.f.l.mu.Unlock()
+func (c *faultyConn) Close() error {
+	c.layer.links.mu.Lock()
+	delete(c.layer.links.conns, c)
+	c.layer.links.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // cluster is a raft group in one process.
 type cluster struct {
-	t        *testing.T
-	dir      string
-	links    *links
-	voters   []Voter
-	seats    map[string]*Group
-	machines map[string]*list
-	change   func(o *Options)
+	t         *testing.T
+	dir       string
+	links     *links
+	voters    []Voter
+	groups    map[string]*Group
+	machines  map[string]*recordingMachine
+	configure func(o *Options)
 }
 
-var seats atomic.Int64
+var addressCount atomic.Int64
 
 // free gives an address of this process's own in the loopback network, so that nobody else takes its port.
-func free(*testing.T) string {
-	n := seats.Add(1)
+func freeAddr(*testing.T) string {
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+n/250, 1+n%250, 7000+os.Getpid()%10_000)
 }
 
 func newCluster(t *testing.T, n int, change func(o *Options)) *cluster {
-	c := &cluster{t: t, dir: t.TempDir(), change: change, links: &links{cut: map[[2]string]bool{}, conns: map[*link]bool{}},
-		seats: map[string]*Group{}, machines: map[string]*list{}}
+	c := &cluster{t: t, dir: t.TempDir(), configure: change, links: &links{cut: map[[2]string]bool{}, conns: map[*faultyConn]bool{}},
+		groups: map[string]*Group{}, machines: map[string]*recordingMachine{}}
 	for i := range n {
-		c.voters = append(c.voters, Voter{fmt.Sprint("v", i), free(t)})
+		c.voters = append(c.voters, Voter{fmt.Sprint("v", i), freeAddr(t)})
 	}
 	for _, v := range c.voters {
 		c.open(v, true)
 	}
 	t.Cleanup(func() {
-		for name := range c.seats {
+		for name := range c.groups {
 			c.close(name)
 		}
 	})
@@ -172,11 +172,11 @@
 func (c *cluster) options(v Voter) Options {
 	l := logrus.New()
 	l.SetLevel(logrus.FatalLevel)
-	o := Options{Name: v.Name, Dir: filepath.Join(c.dir, v.Name), Bind: v.Addr, Voters: c.voters, Machine: &list{}, Patience: 2,
+	o := Options{Name: v.Name, Dir: filepath.Join(c.dir, v.Name), Bind: v.Addr, Voters: c.voters, Machine: &recordingMachine{}, TimeoutFactor: 2,
 		Log:    logrus.NewEntry(l),
-		Stream: func(s raft.StreamLayer) raft.StreamLayer { return &faulty{s, c.links, v.Addr} }}
-	if c.change != nil {
-		c.change(&o)
+		Stream: func(s raft.StreamLayer) raft.StreamLayer { return &faultyLayer{s, c.links, v.Addr} }}
+	if c.configure != nil {
+		c.configure(&o)
 	}
 	return o
 }
@@ -189,15 +189,15 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.seats[v.Name], c.machines[v.Name] = s, o.Machine.(*list)
+	c.groups[v.Name], c.machines[v.Name] = s, o.Machine.(*recordingMachine)
 	return s
 }
 
 func (c *cluster) close(name string) {
-	if err := c.seats[name].Close(); err != nil && c.seats[name].Failed() == nil {
+	if err := c.groups[name].Close(); err != nil && c.groups[name].Failed() == nil {
 		c.t.Error(err)
 	}
-	delete(c.seats, name)
+	delete(c.groups, name)
 }
 
 func (c *cluster) voter(name string) Voter {
@@ -211,9 +211,9 @@
 }
 
 // patience is how long a busy machine may take to what comes in seconds on a quiet one.
-const patience = 90 * time.Second
+const waitLimit = 90 * time.Second
 
-func until(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
+func waitFor(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(2 * time.Millisecond) {
 		if f() {
@@ -228,8 +228,8 @@
 // leader waits for one that leads and can propose, other than the one named.
 func (c *cluster) leader(but string) (name string, took time.Duration) {
 	c.t.Helper()
-	took = until(c.t, "a leader", patience, func() bool {
-		for n, s := range c.seats {
+	took = waitFor(c.t, "a leader", waitLimit, func() bool {
+		for n, s := range c.groups {
 			if n != but && s.raft.State() == raft.Leader && s.raft.Barrier(time.Second).Error() == nil {
 				name = n
 				return true
@@ -246,27 +246,27 @@
 	return s.Propose(ctx, []byte(word))
 }
 
-func (c *cluster) must(name string, words ...string) {
+func (c *cluster) mustPropose(name string, words ...string) {
 	c.t.Helper()
 	for _, w := range words {
-		if err := propose(c.seats[name], w); err != nil {
+		if err := propose(c.groups[name], w); err != nil {
 			c.t.Fatalf("%s: %v", w, err)
 		}
 	}
 }
 
 func (c *cluster) state(name string) (s string) {
-	c.seats[name].WithLock(func() { b, _ := c.machines[name].Save(); s = string(b) })
+	c.groups[name].WithLock(func() { b, _ := c.machines[name].Save(); s = string(b) })
 	return s
 }
 
 // same waits until all open seats have applied the same.
-func (c *cluster) same() string {
+func (c *cluster) waitUntilEqual() string {
 	c.t.Helper()
 	var first string
-	until(c.t, "all the same", patience, func() bool {
+	waitFor(c.t, "all the same", waitLimit, func() bool {
 		first = ""
-		for name := range c.seats {
+		for name := range c.groups {
 			if s := c.state(name); first == "" {
 				first = s
 			} else if s != first {
--- a/internal/fleet/raftgroup/disks_test.go
+++ b/internal/fleet/raftgroup/disks_test.go
@@ -21,7 +21,7 @@
 }
 
 // hold has a voter's store open its file by way of these.
-func (d *disks) hold(o *Options) {
+func (d *disks) trackFile(o *Options) {
 	o.Store.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
 		d.mu.Lock()
@@ -35,7 +35,7 @@
 }
 
 // fill lets each further write of a voter's store fail, until it is opened again.
-func (d *disks) fill(t *testing.T, name string) {
+func (d *disks) failWrites(t *testing.T, name string) {
 	t.Helper()
 	null, err := os.Open(os.DevNull)
 	if err != nil {
@@ -50,9 +50,9 @@
 }
 
 // names of the voters, as the one that leads has them.
-func (c *cluster) names() string {
+func (c *cluster) voterNames() string {
 	lead, _ := c.leader("")
-	voters, err := c.seats[lead].Voters()
+	voters, err := c.groups[lead].Voters()
 	if err != nil {
 		return err.Error()
 	}
@@ -65,18 +65,18 @@
 }
 
 // swap replaces a voter, and asks again until it has come to pass, whoever leads.
-func (c *cluster) swap(old string, with Voter) {
+func (c *cluster) replaceUntilDone(old string, with Voter) {
 	c.t.Helper()
-	until(c.t, with.Name+" votes in place of "+old, patience, func() bool {
+	waitFor(c.t, with.Name+" votes in place of "+old, waitLimit, func() bool {
 		lead, _ := c.leader("")
 		if lead == old {
-			_ = c.seats[lead].HandOver()
+			_ = c.groups[lead].TransferLeadership()
 			return false
 		}
-		if c.seats[lead].Replace(old, with) != nil {
+		if c.groups[lead].Replace(old, with) != nil {
 			return false
 		}
-		names := c.names()
+		names := c.voterNames()
 		return strings.Contains(names, with.Name) && !strings.Contains(names, old)
 	})
 }
@@ -84,7 +84,7 @@
 // While a voter is replaced the disk of the new one, of the old one or of the leader takes no more, or its file is torn by
 // a crash. A voter whose log failed says so, and is taken again once there is room. One whose log is torn is not taken again,
 // nor begun anew: it may have voted. Another takes its place, and in the end all have each word once.
-func TestReplaceOnBadDisks(t *testing.T) {
+func TestReplaceWithFullOrTornDisk(t *testing.T) {
 	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
 	t.Parallel()
 	for _, kind := range []string{"full", "torn"} {
@@ -92,19 +92,19 @@
 			t.Run(kind+", "+at, func(t *testing.T) {
 				t.Parallel()
 				var d disks
-				c := newCluster(t, 3, func(o *Options) { o.Patience = 4; d.hold(o) })
+				c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 4; d.trackFile(o) })
 				lead, _ := c.leader("")
-				c.must(lead, "a")
+				c.mustPropose(lead, "a")
 				old := "v0"
 				if lead == old {
 					old = "v1"
 				}
-				next, other := Voter{"v3", free(t)}, Voter{"v4", free(t)}
+				next, other := Voter{"v3", freeAddr(t)}, Voter{"v4", freeAddr(t)}
 				c.voters = append(c.voters, next, other)
 				c.open(next, false)
 				bad := map[string]string{"new": next.Name, "old": old, "leader": lead}[at]
 				if kind == "torn" {
-					if err := c.seats[lead].Replace("", next); err != nil { // half way
+					if err := c.groups[lead].Replace("", next); err != nil { // half way
 						t.Log(err)
 					}
 					c.close(bad)
@@ -117,42 +117,42 @@
 						}
 						t.Fatalf("a torn log: %v", err)
 					}
-					c.swap(old, next)
+					c.replaceUntilDone(old, next)
 					if bad != old {
 						c.open(other, false)
-						c.swap(bad, other)
+						c.replaceUntilDone(bad, other)
 					}
 				} else {
-					d.fill(t, bad)
-					if err := c.seats[lead].Replace(old, next); err != nil {
+					d.failWrites(t, bad)
+					if err := c.groups[lead].Replace(old, next); err != nil {
 						t.Log(err)
 					}
-					if err := propose(c.seats[lead], "b"); at == "leader" && err == nil {
+					if err := propose(c.groups[lead], "b"); at == "leader" && err == nil {
 						t.Error("taken on a full disk")
 					}
 					again := func() {
-						until(t, "it says so", patience, func() bool { return c.seats[bad].Failed() != nil })
+						waitFor(t, "it says so", waitLimit, func() bool { return c.groups[bad].Failed() != nil })
 						c.close(bad)
 						c.open(c.voter(bad), false)
 					}
 					if at == "leader" { // without it, and before the new one is there, too few would answer
 						again()
 					}
-					c.swap(old, next) // which needs no word of the others' bad ones
+					c.replaceUntilDone(old, next) // which needs no word of the others' bad ones
 					if at == "new" {
 						again()
 					}
 				}
-				if c.seats[old] != nil {
+				if c.groups[old] != nil {
 					c.close(old)
 				}
 				lead, _ = c.leader("")
-				until(t, "a word is taken", patience, func() bool {
+				waitFor(t, "a word is taken", waitLimit, func() bool {
 					lead, _ = c.leader("")
-					return propose(c.seats[lead], "c") == nil
+					return propose(c.groups[lead], "c") == nil
 				})
-				if s := c.same(); strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) || len(c.seats) != 3 {
-					t.Errorf("%s at %d seats", s, len(c.seats))
+				if s := c.waitUntilEqual(); strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) || len(c.groups) != 3 {
+					t.Errorf("%s at %d seats", s, len(c.groups))
 				}
 			})
 		}
@@ -161,11 +161,11 @@
 
 // A voter is replaced while clocks run 1 % apart: each voter's in turn is the slow one among fast ones. The leader is cut off
 // from all in the middle, as it was about to finish; it takes no word that the others do not have, and they finish.
-func TestReplaceWithClocksApart(t *testing.T) {
+func TestReplaceWithClockDrift(t *testing.T) {
 	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
 	t.Parallel()
-	slowest, fastest := Options{pace: 1.01}, Options{pace: 0.99}
-	if slowest.paced(LeaderLeaseTimeout) >= fastest.paced(HeartbeatTimeout) {
+	slowest, fastest := Options{clockFactor: 1.01}, Options{clockFactor: 0.99}
+	if slowest.scaleTimeout(LeaderLeaseTimeout) >= fastest.scaleTimeout(HeartbeatTimeout) {
 		t.Error("a leader that is cut off may still hold its lease when another is elected")
 	}
 	for _, slow := range []string{"leader", "old", "new"} {
@@ -173,8 +173,8 @@
 			t.Parallel()
 			role := map[string]string{}
 			c := newCluster(t, 3, func(o *Options) {
-				if o.Patience, o.pace = 4, 0.99; role[o.Name] == slow {
-					o.pace = 1.01
+				if o.TimeoutFactor, o.clockFactor = 4, 0.99; role[o.Name] == slow {
+					o.clockFactor = 1.01
 				}
 			})
 			lead, _ := c.leader("")
@@ -182,7 +182,7 @@
 			if lead == old {
 				old = "v1"
 			}
-			next := Voter{"v3", free(t)}
+			next := Voter{"v3", freeAddr(t)}
 			c.voters = append(c.voters, next)
 			role[lead], role[old], role[next.Name] = "leader", "old", "new"
 			for _, name := range []string{lead, old} { // by their new clocks
@@ -192,15 +192,15 @@
 				}
 			}
 			c.open(next, false)
-			until(t, lead+" leads again", patience, func() bool {
+			waitFor(t, lead+" leads again", waitLimit, func() bool {
 				now, _ := c.leader("")
 				if now != lead {
-					_ = c.seats[now].HandOver()
+					_ = c.groups[now].TransferLeadership()
 				}
 				return now == lead
 			})
-			c.must(lead, "a")
-			if err := c.seats[lead].Replace("", next); err != nil {
+			c.mustPropose(lead, "a")
+			if err := c.groups[lead].Replace("", next); err != nil {
 				t.Log(err)
 			}
 			var cut [][2]string
@@ -209,26 +209,26 @@
 					cut = append(cut, [2]string{c.voter(lead).Addr, v.Addr}, [2]string{v.Addr, c.voter(lead).Addr})
 				}
 			}
-			c.links.set(true, cut...)
+			c.links.setCut(true, cut...)
 			began := time.Now()
-			if err := propose(c.seats[lead], "b"); err == nil {
+			if err := propose(c.groups[lead], "b"); err == nil {
 				t.Error("a word is taken without a majority")
 			}
 			now, _ := c.leader(lead)
 			t.Logf("%s leads %v after the cut", now, time.Since(began).Round(time.Millisecond))
-			until(t, "who was cut off leads no more", patience, func() bool { return c.seats[lead].Verify() != nil })
+			waitFor(t, "who was cut off leads no more", waitLimit, func() bool { return c.groups[lead].Verify() != nil })
 			if now != old {
-				_ = c.seats[now].Replace(old, next) // before the cut is over, if they can
+				_ = c.groups[now].Replace(old, next) // before the cut is over, if they can
 			}
-			c.links.set(false, cut...)
-			c.swap(old, next)
+			c.links.setCut(false, cut...)
+			c.replaceUntilDone(old, next)
 			c.close(old)
-			until(t, "a word is taken", patience, func() bool {
+			waitFor(t, "a word is taken", waitLimit, func() bool {
 				now, _ = c.leader("")
-				return propose(c.seats[now], "c") == nil
+				return propose(c.groups[now], "c") == nil
 			})
-			if s := c.same(); strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) || c.names() != strings.Join(wanted(old), " ") {
-				t.Error(c.names(), s)
+			if s := c.waitUntilEqual(); strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) || c.voterNames() != strings.Join(votersWithout(old), " ") {
+				t.Error(c.voterNames(), s)
 			}
 		})
 	}
--- a/internal/fleet/raftgroup/failstop.go
+++ b/internal/fleet/raftgroup/failstop.go
@@ -25,14 +25,14 @@
 	return nil
 }
 
-func (g *failStopStore) Set(k, v []byte) error { return g.note(g.Store.Set(k, v)) }
+func (g *failStopStore) Set(k, v []byte) error { return g.report(g.Store.Set(k, v)) }
 
-func (g *failStopStore) StoreLog(l *raft.Log) error { return g.note(g.Store.StoreLog(l)) }
+func (g *failStopStore) StoreLog(l *raft.Log) error { return g.report(g.Store.StoreLog(l)) }
 
-func (g *failStopStore) StoreLogs(l []*raft.Log) error { return g.note(g.Store.StoreLogs(l)) }
+func (g *failStopStore) StoreLogs(l []*raft.Log) error { return g.report(g.Store.StoreLogs(l)) }
 
 func (g *failStopStore) DeleteRange(low, high uint64) error {
-	return g.note(g.Store.DeleteRange(low, high))
+	return g.report(g.Store.DeleteRange(low, high))
 }
 
 func (g *failStopStore) GetLog(index uint64, l *raft.Log) error {
@@ -44,7 +44,7 @@
 	return err
 }
 
-func (g *failStopStore) note(err error) error {
+func (g *failStopStore) report(err error) error {
 	if err != nil {
 		g.fail(err)
 	}
--- a/internal/fleet/raftgroup/fsm.go
+++ b/internal/fleet/raftgroup/fsm.go
@@ -18,23 +18,23 @@
 
 // fsm is raft's state machine: the machine, and the latest entries for those that ask what is new.
 type fsm struct {
-	most int
-
-	mu      sync.Mutex
-	machine Machine
-	ring    []Entry
-	bytes   int
-	floor   uint64 // the ring has all entries after this
-	applied uint64 // of the machine
-	saved   []byte // a snapshot at savedAt, kept while the ring goes on from it
-	savedAt uint64
-	fresh   chan struct{}
+	maxEntries int
+
+	mu                  sync.Mutex
+	machine             Machine
+	recent              []Entry
+	recentBytes         int
+	floor               uint64 // the ring has all entries after this
+	applied             uint64 // of the machine
+	cachedSnapshot      []byte // a snapshot at cachedSnapshotIndex, kept while the ring goes on from it
+	cachedSnapshotIndex uint64
+	updates             chan struct{}
 }
 
 func newFSM(o Options) *fsm {
-	s := &fsm{most: o.MaxBufferedEntries, machine: o.Machine, fresh: make(chan struct{}, 1)}
-	if s.most == 0 {
-		s.most = MaxBufferedEntries
+	s := &fsm{maxEntries: o.MaxBufferedEntries, machine: o.Machine, updates: make(chan struct{}, 1)}
+	if s.maxEntries == 0 {
+		s.maxEntries = MaxBufferedEntries
 	}
 	return s
 }
@@ -48,22 +48,22 @@
 	defer s.mu.Unlock()
 	err := s.apply(l.Index, l.Data)
 	s.applied = l.Index
-	s.ring = append(s.ring, Entry{l.Index, l.Data})
-	s.bytes += len(l.Data)
+	s.recent = append(s.recent, Entry{l.Index, l.Data})
+	s.recentBytes += len(l.Data)
 	cut := 0
-	for len(s.ring)-cut > s.most || s.bytes > MaxBufferedBytes && len(s.ring)-cut > 1 {
-		s.floor = s.ring[cut].Index
-		s.bytes -= len(s.ring[cut].Raw)
+	for len(s.recent)-cut > s.maxEntries || s.recentBytes > MaxBufferedBytes && len(s.recent)-cut > 1 {
+		s.floor = s.recent[cut].Index
+		s.recentBytes -= len(s.recent[cut].Raw)
 		cut++
 	}
 	if cut > 0 {
-		s.ring = s.ring[cut:] // append moves it to new room now and then, which frees the old
+		s.recent = s.recent[cut:] // append moves it to new room now and then, which frees the old
 	}
-	if s.savedAt < s.floor {
-		s.saved = nil
+	if s.cachedSnapshotIndex < s.floor {
+		s.cachedSnapshot = nil
 	}
 	select {
-	case s.fresh <- struct{}{}:
+	case s.updates <- struct{}{}:
 	default:
 	}
 	if err == nil {
@@ -86,7 +86,7 @@
 // the sum of the file, the machine its own.
 const snapshotVersion = 1
 
-type saved struct{ raw []byte }
+type fsmSnapshot struct{ raw []byte }
 
 // Snapshot is raft's call. The machine's state is saved at once: it is small, and applying goes on meanwhile.
 func (s *fsm) Snapshot() (raft.FSMSnapshot, error) {
@@ -96,17 +96,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("raftgroup: %w", err)
 	}
-	return saved{append(binary.BigEndian.AppendUint64([]byte{snapshotVersion}, s.applied), raw...)}, nil
+	return fsmSnapshot{append(binary.BigEndian.AppendUint64([]byte{snapshotVersion}, s.applied), raw...)}, nil
 }
 
-func (s saved) Persist(sink raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s.raw); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (saved) Release() {}
+func (fsmSnapshot) Release() {}
 
 // Restore is raft's call with a snapshot.
 func (s *fsm) Restore(r io.ReadCloser) error {
@@ -127,9 +127,9 @@
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	s.applied = binary.BigEndian.Uint64(raw[1:])
-	s.floor, s.ring, s.bytes, s.saved = s.applied, nil, 0, nil
+	s.floor, s.recent, s.recentBytes, s.cachedSnapshot = s.applied, nil, 0, nil
 	select {
-	case s.fresh <- struct{}{}:
+	case s.updates <- struct{}{}:
 	default:
 	}
 	return nil
@@ -143,26 +143,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if index < s.floor {
-		if s.saved == nil || s.savedAt < s.floor {
+		if s.cachedSnapshot == nil || s.cachedSnapshotIndex < s.floor {
 			raw, err := s.machine.Save()
 			if err != nil {
 				g.log.Errorf("no snapshot for one at %d: %v", index, err)
 				return nil, nil, index
 			}
-			s.saved, s.savedAt = raw, s.applied
+			s.cachedSnapshot, s.cachedSnapshotIndex = raw, s.applied
 		}
-		return nil, s.saved, s.savedAt
+		return nil, s.cachedSnapshot, s.cachedSnapshotIndex
 	}
 	at, bytes := index, 0
-	lo, hi := 0, len(s.ring)
+	lo, hi := 0, len(s.recent)
 	for lo < hi {
-		if mid := (lo + hi) / 2; s.ring[mid].Index <= index {
+		if mid := (lo + hi) / 2; s.recent[mid].Index <= index {
 			lo = mid + 1
 		} else {
 			hi = mid
 		}
 	}
-	for _, e := range s.ring[lo:] {
+	for _, e := range s.recent[lo:] {
 		if bytes += len(e.Raw); bytes > mostBytes && len(entries) > 0 {
 			break
 		}
@@ -172,15 +172,15 @@
 	return entries, nil, at
 }
 
-// Applied is the index of the last command that was applied here.
-func (g *Group) Applied() uint64 {
+// AppliedIndex is the index of the last command that was applied here.
+func (g *Group) AppliedIndex() uint64 {
 	g.fsm.mu.Lock()
 	defer g.fsm.mu.Unlock()
 	return g.fsm.applied
 }
 
 // Updates has a word whenever something was applied since the last was taken.
-func (g *Group) Updates() <-chan struct{} { return g.fsm.fresh }
+func (g *Group) Updates() <-chan struct{} { return g.fsm.updates }
 
 // WithLock calls f while nothing is applied, so that it may read the machine. It must not wait.
 func (g *Group) WithLock(f func()) {
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -68,10 +68,10 @@
 	ErrClosed         = errors.New("raftgroup: closed")
 )
 
-// NotLeader is returned where only the leader can do something; it names the leader, if one is known here.
-type NotLeader struct{ Name, Addr string }
+// NotLeaderError is returned where only the leader can do something; it names the leader, if one is known here.
+type NotLeaderError struct{ Name, Addr string }
 
-func (e *NotLeader) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Name == "" {
 		return "raftgroup: not the leader, and none is known"
 	}
@@ -105,11 +105,11 @@
 	// Stream may go between raft and its connections: encryption, or a test's faults.
 	Stream func(raft.StreamLayer) raft.StreamLayer
 
-	// Patience multiplies HeartbeatTimeout, ElectionTimeout and LeaderLeaseTimeout, for machines so loaded that a process waits for its turn
+	// TimeoutFactor multiplies HeartbeatTimeout, ElectionTimeout and LeaderLeaseTimeout, for machines so loaded that a process waits for its turn
 	// for long; 0 is 1. All voters must have the same.
-	Patience int
+	TimeoutFactor int
 	// pace is how much slower this voter's clock runs than others', for tests: its times are so much longer. 0 is 1.
-	pace float64
+	clockFactor float64
 
 	// SnapshotThreshold, TrailingLogs, MaxBufferedEntries: 0 for the constants.
 	SnapshotThreshold, TrailingLogs uint64
@@ -127,29 +127,29 @@
 
 // Group is this process's voter in the raft group: raft, its store, transport and state machine.
 type Group struct {
-	o           Options
-	log         *logrus.Entry
-	raft        *raft.Raft
-	store       *store.Store
-	trans       *raft.NetworkTransport
-	streamLayer *streamLayer
-	stream      raft.StreamLayer // around it
-	fsm         *fsm
-	slots       chan struct{}
-	led         chan bool
-	states      chan State
-	stop        chan struct{}
-	ready       chan struct{} // closed once raft is set, or never will be
-	done        sync.WaitGroup
-	once        sync.Once
-	down        sync.Once
-	ended       raft.Future // of raft
-
-	changing sync.Mutex // one change of voters at a time
-
-	mu     sync.Mutex
-	failed error
-	silent map[string]bool // voters that do not answer this leader
+	options        Options
+	log            *logrus.Entry
+	raft           *raft.Raft
+	store          *store.Store
+	trans          *raft.NetworkTransport
+	streamLayer    *streamLayer
+	stream         raft.StreamLayer // around it
+	fsm            *fsm
+	proposalSlots  chan struct{}
+	leaderCh       chan bool
+	stateChanges   chan State
+	stop           chan struct{}
+	ready          chan struct{} // closed once raft is set, or never will be
+	done           sync.WaitGroup
+	closeOnce      sync.Once
+	shutdownOnce   sync.Once
+	shutdownFuture raft.Future // of raft
+
+	changeMu sync.Mutex // one change of voters at a time
+
+	mu           sync.Mutex
+	failed       error
+	unresponsive map[string]bool // voters that do not answer this leader
 }
 
 // Open starts this voter in the raft group. It does not wait for a leader.
@@ -158,15 +158,15 @@
 		return nil, errors.New("raftgroup: a name, a machine and a log are needed")
 	}
 	c := &Group{
-		o: o, log: o.Log, slots: make(chan struct{}, MaxPendingProposals), led: make(chan bool, 16), states: make(chan State, 16),
-		stop: make(chan struct{}), ready: make(chan struct{}), silent: map[string]bool{}, fsm: newFSM(o),
+		options: o, log: o.Log, proposalSlots: make(chan struct{}, MaxPendingProposals), leaderCh: make(chan bool, 16), stateChanges: make(chan State, 16),
+		stop: make(chan struct{}), ready: make(chan struct{}), unresponsive: map[string]bool{}, fsm: newFSM(o),
 	}
-	p, err := prepare(o, c.fail)
+	p, err := newComponents(o, c.fail)
 	if err != nil {
 		return nil, err
 	}
 	c.store, c.trans, c.streamLayer, c.stream = p.store, p.trans, p.streamLayer, p.stream
-	p.conf.NotifyCh = c.led
+	p.conf.NotifyCh = c.leaderCh
 	if o.Bootstrap {
 		if err := bootstrap(o, p); err != nil {
 			p.close()
@@ -190,12 +190,12 @@
 	}
 	c.raft.RegisterObserver(raft.NewObserver(nil, false, c.observe))
 	c.done.Add(1)
-	go c.announce()
+	go c.watchLeadership()
 	return c, nil
 }
 
 // prepared is what a raft is made of.
-type prepared struct {
+type components struct {
 	conf          *raft.Config
 	store         *store.Store
 	failStopStore *failStopStore
@@ -205,25 +205,25 @@
 	stream        raft.StreamLayer
 }
 
-func (p *prepared) close() {
+func (p *components) close() {
 	_ = p.trans.Close()
 	_ = p.store.Close()
 }
 
-func (o *Options) paced(d time.Duration) time.Duration {
-	if o.pace == 0 {
+func (o *Options) scaleTimeout(d time.Duration) time.Duration {
+	if o.clockFactor == 0 {
 		return d
 	}
-	return time.Duration(o.pace * float64(d))
+	return time.Duration(o.clockFactor * float64(d))
 }
 
-func prepare(o Options, fail func(error)) (*prepared, error) {
+func newComponents(o Options, fail func(error)) (*components, error) {
 	log := logadapter.New(o.Log).Hclog("raft")
-	p := &prepared{conf: raft.DefaultConfig()}
+	p := &components{conf: raft.DefaultConfig()}
 	p.conf.LocalID = raft.ServerID(o.Name)
-	patience := time.Duration(max(1, o.Patience))
-	p.conf.HeartbeatTimeout, p.conf.ElectionTimeout = o.paced(patience*HeartbeatTimeout), o.paced(patience*ElectionTimeout)
-	p.conf.LeaderLeaseTimeout, p.conf.CommitTimeout = o.paced(patience*LeaderLeaseTimeout), o.paced(CommitTimeout)
+	patience := time.Duration(max(1, o.TimeoutFactor))
+	p.conf.HeartbeatTimeout, p.conf.ElectionTimeout = o.scaleTimeout(patience*HeartbeatTimeout), o.scaleTimeout(patience*ElectionTimeout)
+	p.conf.LeaderLeaseTimeout, p.conf.CommitTimeout = o.scaleTimeout(patience*LeaderLeaseTimeout), o.scaleTimeout(CommitTimeout)
 	p.conf.SnapshotThreshold, p.conf.TrailingLogs = SnapshotThreshold, TrailingLogs
 	p.conf.SnapshotInterval = SnapshotInterval
 	if o.SnapshotThreshold > 0 {
@@ -264,22 +264,22 @@
 		return fmt.Errorf("%w: %d bytes, %d at the most", ErrTooLarge, len(raw), MaxCommandSize)
 	}
 	if g.raft.State() != raft.Leader {
-		return g.notLeader()
+		return g.notLeaderError()
 	}
 	select {
-	case g.slots <- struct{}{}:
+	case g.proposalSlots <- struct{}{}:
 	default:
 		return ErrBusy
 	}
 	result := make(chan error, 1)
 	go func() {
-		defer func() { <-g.slots }()
+		defer func() { <-g.proposalSlots }()
 		f := g.raft.Apply(raw, EnqueueTimeout)
 		err := f.Error()
 		if err == nil {
 			err, _ = f.Response().(error)
 		} else {
-			err = g.explain(err)
+			err = g.wrapRaftError(err)
 		}
 		result <- err
 	}()
@@ -304,10 +304,10 @@
 	return g.Propose(ctx, raw)
 }
 
-func (g *Group) explain(err error) error {
+func (g *Group) wrapRaftError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return g.notLeader()
+		return g.notLeaderError()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return ErrBusy
 	default: // leadership lost, shut down, a write of the log failed
@@ -315,12 +315,12 @@
 	}
 }
 
-func (g *Group) notLeader() error {
+func (g *Group) notLeaderError() error {
 	name, addr := g.Leader()
-	if name == g.o.Name {
+	if name == g.options.Name {
 		name, addr = "", "" // it is about to step down
 	}
-	return &NotLeader{name, addr}
+	return &NotLeaderError{name, addr}
 }
 
 // Leader is the one that this voter believes in, or "".
@@ -329,11 +329,11 @@
 	return string(id), string(a)
 }
 
-// Last is the index of the newest entry in this voter's log, committed or not; 0 for an empty one.
-func (g *Group) Last() uint64 { return g.raft.LastIndex() }
+// LastIndex is the index of the newest entry in this voter's log, committed or not; 0 for an empty one.
+func (g *Group) LastIndex() uint64 { return g.raft.LastIndex() }
 
 // Changes tells of elections and their ends; of 16 that nobody took, the oldest goes.
-func (g *Group) Changes() <-chan State { return g.states }
+func (g *Group) Changes() <-chan State { return g.stateChanges }
 
 // Addr is the address that others are told.
 func (g *Group) Addr() string { return string(g.trans.LocalAddr()) }
@@ -345,10 +345,10 @@
 	return g.failed
 }
 
-// Close stops this voter and leaves its store as it is, without a word; see HandOver for before.
+// Close stops this voter and leaves its store as it is, without a word; see TransferLeadership for before.
 func (g *Group) Close() error {
 	var err error
-	g.once.Do(func() {
+	g.closeOnce.Do(func() {
 		close(g.stop)
 		err = g.shutdown().Error()
 		g.done.Wait()
@@ -359,9 +359,9 @@
 
 // shutdown ends raft once; each caller may wait for it.
 func (g *Group) shutdown() raft.Future {
-	g.down.Do(func() {
-		g.ended = g.raft.Shutdown()
+	g.shutdownOnce.Do(func() {
+		g.shutdownFuture = g.raft.Shutdown()
 		_ = g.streamLayer.Close() // so that nothing of raft's waits for a link
 	})
-	return g.ended
+	return g.shutdownFuture
 }
--- a/internal/fleet/raftgroup/group_test.go
+++ b/internal/fleet/raftgroup/group_test.go
@@ -11,14 +11,14 @@
 )
 
 // Not beside the others: it measures.
-func TestLeaderKilled(t *testing.T) {
+func TestElectionTimeAfterLeaderCrash(t *testing.T) {
 	for n, kills := range map[int]int{3: 5, 5: 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := newCluster(t, n, func(o *Options) { o.Patience = 1 })
+			c := newCluster(t, n, func(o *Options) { o.TimeoutFactor = 1 })
 			var took []time.Duration
 			for i := range kills {
 				old, _ := c.leader("")
-				c.must(old, fmt.Sprint("word ", i))
+				c.mustPropose(old, fmt.Sprint("word ", i))
 				c.close(old)
 				_, d := c.leader(old)
 				took = append(took, d)
@@ -31,21 +31,21 @@
 			if took[kills/2] > 3*time.Second || most > 8*time.Second {
 				t.Error("too long")
 			}
-			if s := c.same(); !strings.Contains(s, fmt.Sprintf(`"word %d"],`, kills-1)) || strings.Count(s, "word") != kills {
+			if s := c.waitUntilEqual(); !strings.Contains(s, fmt.Sprintf(`"word %d"],`, kills-1)) || strings.Count(s, "word") != kills {
 				t.Error(s)
 			}
 		})
 	}
 }
 
-func TestLeaderCutOff(t *testing.T) {
+func TestIsolatedLeaderCannotCommit(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"both", "out"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 3, nil)
 			old, _ := c.leader("")
-			c.must(old, "before")
+			c.mustPropose(old, "before")
 			var pairs [][2]string
 			for _, v := range c.voters {
 				if v.Name != old {
@@ -55,30 +55,30 @@
 					}
 				}
 			}
-			c.links.set(true, pairs...)
-			err := propose(c.seats[old], "by the one cut off")
+			c.links.setCut(true, pairs...)
+			err := propose(c.groups[old], "by the one cut off")
 			if err == nil {
 				t.Error("what the one cut off proposed was taken")
 			}
 			now, _ := c.leader(old)
-			c.must(now, "after")
-			var not *NotLeader
-			if err := propose(c.seats[old], "again"); !errors.As(err, &not) {
+			c.mustPropose(now, "after")
+			var not *NotLeaderError
+			if err := propose(c.groups[old], "again"); !errors.As(err, &not) {
 				t.Errorf("the one cut off: %v", err)
 			}
-			c.links.set(false, pairs...)
-			if s := c.same(); !strings.Contains(s, `["before","after"]`) {
+			c.links.setCut(false, pairs...)
+			if s := c.waitUntilEqual(); !strings.Contains(s, `["before","after"]`) {
 				t.Error(s)
 			}
 		})
 	}
 }
 
-func TestFarBehind(t *testing.T) {
+func TestLaggingVoterAndReaderGetSnapshot(t *testing.T) {
 	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
 	t.Parallel()
 	c := newCluster(t, 3, func(o *Options) {
-		o.SnapshotThreshold, o.TrailingLogs, o.MaxBufferedEntries, o.Patience = 200, 20, 100, 4
+		o.SnapshotThreshold, o.TrailingLogs, o.MaxBufferedEntries, o.TimeoutFactor = 200, 20, 100, 4
 	})
 	lead, _ := c.leader("")
 	behind := c.voters[0]
@@ -94,7 +94,7 @@
 		go func() {
 			defer func() { <-room; wait.Done() }()
 			for start := time.Now(); time.Since(start) < 30*time.Second; time.Sleep(time.Millisecond) {
-				for _, s := range c.seats { // the lead may pass on where the machine is loaded
+				for _, s := range c.groups { // the lead may pass on where the machine is loaded
 					if propose(s, fmt.Sprint(i)) == nil {
 						return
 					}
@@ -105,14 +105,14 @@
 	}
 	wait.Wait()
 	lead, _ = c.leader("")
-	for name, s := range c.seats {
+	for name, s := range c.groups {
 		if err := s.raft.Snapshot().Error(); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
 	s := c.open(behind, false)
-	until(t, "the one behind has all", patience, func() bool { return s.Applied() == c.seats[lead].Applied() })
-	c.same()
+	waitFor(t, "the one behind has all", waitLimit, func() bool { return s.AppliedIndex() == c.groups[lead].AppliedIndex() })
+	c.waitUntilEqual()
 	s.WithLock(func() {
 		if c.machines[behind.Name].loads == 0 {
 			t.Error("it did not get a snapshot")
@@ -120,10 +120,10 @@
 	})
 
 	// One without a vote, from nothing.
-	copied := &list{}
+	copied := &recordingMachine{}
 	at, snapshots, calls := uint64(0), 0, 0
-	for at < c.seats[lead].Applied() && calls < 100 {
-		entries, snapshot, next := c.seats[lead].Since(at, 100)
+	for at < c.groups[lead].AppliedIndex() && calls < 100 {
+		entries, snapshot, next := c.groups[lead].Since(at, 100)
 		if snapshot != nil {
 			snapshots++
 			if err := copied.Load(snapshot); err != nil {
@@ -137,8 +137,8 @@
 		}
 		at, calls = next, calls+1
 	}
-	c.must(lead, "one more")
-	entries, _, _ := c.seats[lead].Since(at, 100)
+	c.mustPropose(lead, "one more")
+	entries, _, _ := c.groups[lead].Since(at, 100)
 	for _, e := range entries {
 		if err := copied.Apply(e.Index, e.Raw); err != nil {
 			t.Fatal(err)
@@ -147,17 +147,17 @@
 	if b, _ := copied.Save(); snapshots != 1 || string(b) != c.state(lead) {
 		t.Errorf("%d snapshots; it has other than the leader", snapshots)
 	}
-	if e, s, next := c.seats[lead].Since(1<<40, 100); e != nil || s != nil || next != 1<<40 {
+	if e, s, next := c.groups[lead].Since(1<<40, 100); e != nil || s != nil || next != 1<<40 {
 		t.Error("one ahead got something")
 	}
 }
 
-func TestReplaceAndHandOver(t *testing.T) {
+func TestReplaceAndTransferLeadership(t *testing.T) {
 	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
 	t.Parallel()
-	c := newCluster(t, 3, func(o *Options) { o.Patience = 4 })
+	c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 4 })
 	lead, _ := c.leader("")
-	c.must(lead, "a")
+	c.mustPropose(lead, "a")
 	const span = 2 * time.Second
 	before := c.links.bytes.Load()
 	time.Sleep(span) // a rate can only be counted over a time
@@ -172,70 +172,70 @@
 			others = append(others, v.Name)
 		}
 	}
-	v3 := Voter{"v3", free(t)}
+	v3 := Voter{"v3", freeAddr(t)}
 	c.voters = append(c.voters, v3)
 	c.open(v3, false)
-	var not *NotLeader
-	if err := c.seats[others[0]].Replace(others[1], v3); !errors.As(err, &not) || not.Name != lead {
+	var not *NotLeaderError
+	if err := c.groups[others[0]].Replace(others[1], v3); !errors.As(err, &not) || not.Name != lead {
 		t.Errorf("by another than the leader: %v", err)
 	}
-	if err := c.seats[lead].Replace(lead, v3); !errors.Is(err, ErrSelf) {
+	if err := c.groups[lead].Replace(lead, v3); !errors.Is(err, ErrReplaceSelf) {
 		t.Error(err)
 	}
-	c.seats[lead].changing.Lock()
-	if err := c.seats[lead].Replace(others[0], v3); !errors.Is(err, ErrChanging) {
+	c.groups[lead].changeMu.Lock()
+	if err := c.groups[lead].Replace(others[0], v3); !errors.Is(err, ErrChangeInProgress) {
 		t.Error(err)
 	}
-	c.seats[lead].changing.Unlock()
-	if err := c.seats[lead].Replace(others[0], v3); err != nil {
+	c.groups[lead].changeMu.Unlock()
+	if err := c.groups[lead].Replace(others[0], v3); err != nil {
 		t.Fatal(err)
 	}
 	c.close(others[0])
-	c.must(lead, "b")
+	c.mustPropose(lead, "b")
 
 	// One is silent: another cannot be replaced then, but it can.
 	c.close(others[1])
-	until(t, "its silence is seen", patience, func() bool {
-		c.seats[lead].mu.Lock()
-		defer c.seats[lead].mu.Unlock()
-		return c.seats[lead].silent[others[1]]
+	waitFor(t, "its silence is seen", waitLimit, func() bool {
+		c.groups[lead].mu.Lock()
+		defer c.groups[lead].mu.Unlock()
+		return c.groups[lead].unresponsive[others[1]]
 	})
 	if now, _ := c.leader(""); now != lead {
 		t.Fatalf("the lead passed from %s to %s by itself: the machine is too loaded for this test", lead, now)
 	}
-	v4 := Voter{"v4", free(t)}
+	v4 := Voter{"v4", freeAddr(t)}
 	c.voters = append(c.voters, v4)
 	c.open(v4, false)
-	if err := c.seats[lead].Replace("v3", v4); !errors.Is(err, ErrMajority) {
+	if err := c.groups[lead].Replace("v3", v4); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("with one silent: %v", err)
 	}
-	if err := c.seats[lead].Replace(others[1], v4); err != nil {
+	if err := c.groups[lead].Replace(others[1], v4); err != nil {
 		t.Fatal(err)
 	}
-	c.must(lead, "c")
-	if err := c.seats[lead].HandOver(); err != nil {
+	c.mustPropose(lead, "c")
+	if err := c.groups[lead].TransferLeadership(); err != nil {
 		t.Fatal(err)
 	}
 	now, took := c.leader(lead)
 	t.Logf("handed over in %v", took)
 	c.close(lead)
-	if err := c.seats[now].Replace(lead, Voter{}); !errors.Is(err, ErrMajority) && err != nil {
+	if err := c.groups[now].Replace(lead, Voter{}); !errors.Is(err, ErrNoQuorum) && err != nil {
 		t.Error(err)
 	}
-	c.must(now, "d")
-	if s := c.same(); !strings.Contains(s, `["a","b","c","d"]`) {
+	c.mustPropose(now, "d")
+	if s := c.waitUntilEqual(); !strings.Contains(s, `["a","b","c","d"]`) {
 		t.Error(s)
 	}
 }
 
 func TestRestoreAfterLostMajority(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, 3, func(o *Options) { o.Patience = 4 })
+	c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 4 })
 	lead, _ := c.leader("")
-	c.must(lead, "a", "b")
-	c.same()
-	at, snapshot := c.seats[lead].Applied(), []byte(c.state(lead))
-	for name := range c.seats {
+	c.mustPropose(lead, "a", "b")
+	c.waitUntilEqual()
+	at, snapshot := c.groups[lead].AppliedIndex(), []byte(c.state(lead))
+	for name := range c.groups {
 		c.close(name)
 	}
 	try := func(o Options, snapshot []byte, at uint64, others ...Voter) {
@@ -248,48 +248,48 @@
 		c.leader("")
 		for _, v := range others {
 			c.open(v, false)
-			if err := c.seats[o.Name].Replace("", v); err != nil {
+			if err := c.groups[o.Name].Replace("", v); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c.must(o.Name, "c")
-		if s := c.same(); !strings.Contains(s, `["a","b","c"]`) {
+		c.mustPropose(o.Name, "c")
+		if s := c.waitUntilEqual(); !strings.Contains(s, `["a","b","c"]`) {
 			t.Error(s)
 		}
-		for name := range c.seats {
+		for name := range c.groups {
 			c.close(name)
 		}
 	}
-	try(c.options(c.voters[0]), nil, 0, Voter{"n1", free(t)}, Voter{"n2", free(t)}) // one that survived
-	try(c.options(Voter{"m0", free(t)}), snapshot, at, Voter{"m1", free(t)}, Voter{"m2", free(t)})
-	if err := Restore(c.options(Voter{"m0", free(t)}), snapshot, at); err == nil || !strings.Contains(err.Error(), "holds a raft group already") {
+	try(c.options(c.voters[0]), nil, 0, Voter{"n1", freeAddr(t)}, Voter{"n2", freeAddr(t)}) // one that survived
+	try(c.options(Voter{"m0", freeAddr(t)}), snapshot, at, Voter{"m1", freeAddr(t)}, Voter{"m2", freeAddr(t)})
+	if err := Restore(c.options(Voter{"m0", freeAddr(t)}), snapshot, at); err == nil || !strings.Contains(err.Error(), "holds a raft group already") {
 		t.Error(err)
 	}
-	if err := Restore(c.options(Voter{"e", free(t)}), []byte("torn"), at); err == nil {
+	if err := Restore(c.options(Voter{"e", freeAddr(t)}), []byte("torn"), at); err == nil {
 		t.Error("a torn snapshot was taken")
 	}
-	if err := Restore(c.options(Voter{"f", free(t)}), nil, 0); err == nil || !strings.Contains(err.Error(), "holds no raft group") {
+	if err := Restore(c.options(Voter{"f", freeAddr(t)}), nil, 0); err == nil || !strings.Contains(err.Error(), "holds no raft group") {
 		t.Error(err)
 	}
 }
 
-func TestDiskFails(t *testing.T) {
+func TestVoterLeavesGroupOnFailedWrite(t *testing.T) {
 	t.Parallel()
 	var d disks
-	c := newCluster(t, 3, d.hold)
-	breakDisk := func(name string) { d.fill(t, name) }
+	c := newCluster(t, 3, d.trackFile)
+	breakDisk := func(name string) { d.failWrites(t, name) }
 	lead, _ := c.leader("")
-	c.must(lead, "x")
+	c.mustPropose(lead, "x")
 	breakDisk(lead)
-	if err := propose(c.seats[lead], "on a broken disk"); err == nil {
+	if err := propose(c.groups[lead], "on a broken disk"); err == nil {
 		t.Error("taken")
 	}
-	until(t, "it says so", patience, func() bool { return c.seats[lead].Failed() != nil })
+	waitFor(t, "it says so", waitLimit, func() bool { return c.groups[lead].Failed() != nil })
 	now, _ := c.leader(lead)
-	c.must(now, "y")
+	c.mustPropose(now, "y")
 	c.close(lead)
 	c.open(c.voter(lead), false)
-	c.same()
+	c.waitUntilEqual()
 	// One that must note a new term and cannot, where raft itself would panic.
 	lead, _ = c.leader("")
 	other := "v0"
@@ -298,7 +298,7 @@
 	}
 	breakDisk(other)
 	c.close(lead)
-	until(t, "the other says so", patience, func() bool { return c.seats[other].Failed() != nil })
+	waitFor(t, "the other says so", waitLimit, func() bool { return c.groups[other].Failed() != nil })
 	c.close(other)
 	c.open(c.voter(other), false)
 	c.leader("")
--- a/internal/fleet/raftgroup/leadership.go
+++ b/internal/fleet/raftgroup/leadership.go
@@ -5,14 +5,14 @@
 )
 
 // announce tells of elections, once what was committed before is applied.
-func (g *Group) announce() {
+func (g *Group) watchLeadership() {
 	defer g.done.Done()
 	leading, announced := false, false
 	for {
 		select {
 		case <-g.stop:
 			return
-		case leading = <-g.led:
+		case leading = <-g.leaderCh:
 		}
 		if !leading {
 			if announced {
@@ -36,12 +36,12 @@
 func (g *Group) publish(s State) {
 	for {
 		select {
-		case g.states <- s:
+		case g.stateChanges <- s:
 			return
 		default:
 		}
 		select {
-		case <-g.states:
+		case <-g.stateChanges:
 		default:
 		}
 	}
@@ -73,11 +73,11 @@
 	defer g.mu.Unlock()
 	switch d := o.Data.(type) {
 	case raft.FailedHeartbeatObservation:
-		g.silent[string(d.PeerID)] = true
+		g.unresponsive[string(d.PeerID)] = true
 	case raft.ResumedHeartbeatObservation:
-		delete(g.silent, string(d.PeerID))
+		delete(g.unresponsive, string(d.PeerID))
 	case raft.LeaderObservation:
-		clear(g.silent)
+		clear(g.unresponsive)
 	}
 	return false
 }
--- a/internal/fleet/raftgroup/propose_test.go
+++ b/internal/fleet/raftgroup/propose_test.go
@@ -11,7 +11,7 @@
 	t.Parallel()
 	c := newCluster(t, 1, nil)
 	lead, _ := c.leader("")
-	s := c.seats[lead]
+	s := c.groups[lead]
 	if st := <-s.Changes(); !st.Leading || st.Term == 0 {
 		t.Errorf("%+v", st)
 	}
@@ -24,13 +24,13 @@
 	if err := propose(s, strings.Repeat("x", MaxCommandSize+1)); !errors.Is(err, ErrTooLarge) {
 		t.Error(err)
 	}
-	c.must(lead, "a")
+	c.mustPropose(lead, "a")
 	select {
 	case <-s.Updates():
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Error("no news")
 	}
-	if err := s.HandOver(); err == nil || !strings.Contains(err.Error(), "nobody took the lead") {
+	if err := s.TransferLeadership(); err == nil || !strings.Contains(err.Error(), "nobody took the lead") {
 		t.Error(err)
 	}
 	if _, err := Open(c.options(c.voters[0])); err == nil {
--- a/internal/fleet/raftgroup/replace_test.go
+++ b/internal/fleet/raftgroup/replace_test.go
@@ -23,14 +23,14 @@
 	for _, kind := range []string{"repeated", "cut to the new one", "cut from the new one", "cut both", "crash, disk kept", "late"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			c := newCluster(t, 3, func(o *Options) { o.Patience = 8 })
+			c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 8 })
 			lead, _ := c.leader("")
-			c.must(lead, "a")
+			c.mustPropose(lead, "a")
 			old := "v0"
 			if lead == old {
 				old = "v1"
 			}
-			next := Voter{"v3", free(t)}
+			next := Voter{"v3", freeAddr(t)}
 			c.voters = append(c.voters, next)
 			c.open(next, false)
 			at := c.voter(lead).Addr
@@ -45,35 +45,35 @@
 			case "crash, disk kept":
 				c.close(next.Name)
 			case "late":
-				c.links.late.Store(int64(150 * time.Millisecond))
+				c.links.writeDelay.Store(int64(150 * time.Millisecond))
 			}
-			c.links.set(true, cut...)
-			if err := c.seats[lead].Replace(old, next); err != nil {
+			c.links.setCut(true, cut...)
+			if err := c.groups[lead].Replace(old, next); err != nil {
 				t.Log(err)
 			}
-			if err := propose(c.seats[lead], "b"); err != nil {
+			if err := propose(c.groups[lead], "b"); err != nil {
 				t.Logf("while it fails: %v", err)
 			}
-			c.links.set(false, cut...)
-			c.links.late.Store(0)
+			c.links.setCut(false, cut...)
+			c.links.writeDelay.Store(0)
 			if kind == "crash, disk kept" {
 				c.open(next, false)
 			}
 			var names []string
-			until(t, "the voters are the wanted ones", patience, func() bool {
+			waitFor(t, "the voters are the wanted ones", waitLimit, func() bool {
 				lead, _ = c.leader("")
 				if lead == old {
-					_ = c.seats[lead].HandOver()
+					_ = c.groups[lead].TransferLeadership()
 					return false
 				}
-				err := c.seats[lead].Replace(old, next)
+				err := c.groups[lead].Replace(old, next)
 				if err == nil && kind == "repeated" {
-					err = c.seats[lead].Replace(old, next)
+					err = c.groups[lead].Replace(old, next)
 				}
 				if err != nil {
 					return false
 				}
-				voters, err := c.seats[lead].Voters()
+				voters, err := c.groups[lead].Voters()
 				names = nil
 				for _, v := range voters {
 					names = append(names, v.Name)
@@ -81,15 +81,15 @@
 				sort.Strings(names)
 				return err == nil && len(names) == 3 && !strings.Contains(fmt.Sprint(names), old)
 			})
-			if fmt.Sprint(names) != fmt.Sprint(wanted(old)) {
+			if fmt.Sprint(names) != fmt.Sprint(votersWithout(old)) {
 				t.Errorf("%v vote", names)
 			}
 			c.close(old)
-			until(t, "a word is taken", patience, func() bool {
+			waitFor(t, "a word is taken", waitLimit, func() bool {
 				lead, _ = c.leader("")
-				return propose(c.seats[lead], "c") == nil
+				return propose(c.groups[lead], "c") == nil
 			})
-			s := c.same()
+			s := c.waitUntilEqual()
 			if strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) {
 				t.Error(s)
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-func wanted(old string) (out []string) {
+func votersWithout(old string) (out []string) {
 	for _, n := range []string{"v0", "v1", "v2", "v3"} {
 		if n != old {
 			out = append(out, n)
@@ -107,25 +107,25 @@
 }
 
 // kept is what is logged.
-type kept struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (k *kept) Write(p []byte) (int, error) {
+func (k *logBuffer) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.b.Write(p)
 }
 
 // A voter whose majority is lost tries for it without end and writes at most one line of a kind in each window.
-func TestLinesWithoutAMajority(t *testing.T) {
+func TestLogRateWithoutQuorum(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it waits for over two windows of the log")
 	}
 	t.Parallel()
 	const span = 22 * time.Second
-	var out kept
+	var out logBuffer
 	log := logrus.New()
 	log.SetOutput(&out)
 	log.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
@@ -137,13 +137,13 @@
 	c.leader("")
 	c.close("v1")
 	c.close("v2")
-	until(t, "it stands for election", patience, func() bool { return c.seats["v0"].raft.State() == raft.Candidate })
+	waitFor(t, "it stands for election", waitLimit, func() bool { return c.groups["v0"].raft.State() == raft.Candidate })
 	out.mu.Lock()
 	out.b.Reset()
 	out.mu.Unlock()
 	time.Sleep(span) // lines can only be counted over a time
-	var not *NotLeader
-	if err := propose(c.seats["v0"], "alone"); !errors.As(err, &not) {
+	var not *NotLeaderError
+	if err := propose(c.groups["v0"], "alone"); !errors.As(err, &not) {
 		t.Error(err)
 	}
 	out.mu.Lock()
--- a/internal/fleet/raftgroup/restore.go
+++ b/internal/fleet/raftgroup/restore.go
@@ -30,7 +30,7 @@
 	}
 	o.Bind = "127.0.0.1:0" // nobody is talked to
 	o.Advertise, o.Stream = addr, nil
-	p, err := prepare(o, func(error) {})
+	p, err := newComponents(o, func(error) {})
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fmt.Errorf("raftgroup: %w", err)
 		}
-		if err := (saved{raw}).Persist(sink); err != nil {
+		if err := (fsmSnapshot{raw}).Persist(sink); err != nil {
 			return fmt.Errorf("raftgroup: %w", err)
 		}
 	} else if !has {
@@ -69,7 +69,7 @@
 }
 
 // bootstrap writes the first configuration where there is no council yet.
-func bootstrap(o Options, p *prepared) error {
+func bootstrap(o Options, p *components) error {
 	has, err := raft.HasExistingState(p.store, p.store, p.snaps)
 	if err != nil || has {
 		return err
--- a/internal/fleet/raftgroup/transport.go
+++ b/internal/fleet/raftgroup/transport.go
@@ -17,30 +17,30 @@
 // streamLayer is raft's TCP layer. Raft leaves its connections open when it ends; this closes them.
 type streamLayer struct {
 	net.Listener
-	addr net.Addr
-	from net.IP // where it listens
+	addr     net.Addr
+	sourceIP net.IP // where it listens
 
 	mu     sync.Mutex
-	open   map[net.Conn]bool
+	conns  map[net.Conn]bool
 	closed bool
 }
 
-type advertised string
+type advertisedAddr string
 
-func (advertised) Network() string  { return "tcp" }
-func (a advertised) String() string { return string(a) }
+func (advertisedAddr) Network() string  { return "tcp" }
+func (a advertisedAddr) String() string { return string(a) }
 
 func listen(o Options) (*streamLayer, error) {
 	l, err := net.Listen("tcp", o.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("raftgroup: listening: %w", err)
 	}
-	s := &streamLayer{Listener: l, addr: l.Addr(), open: map[net.Conn]bool{}}
+	s := &streamLayer{Listener: l, addr: l.Addr(), conns: map[net.Conn]bool{}}
 	if at, ok := l.Addr().(*net.TCPAddr); ok {
-		s.from = at.IP
+		s.sourceIP = at.IP
 	}
 	if o.Advertise != "" {
-		s.addr = advertised(o.Advertise)
+		s.addr = advertisedAddr(o.Advertise)
 	}
 	return s, nil
 }
@@ -60,7 +60,7 @@
 }
 
 func (s *streamLayer) Dial(a raft.ServerAddress, wait time.Duration) (net.Conn, error) {
-	conn, err := sourceaddr.Dial(s.from, string(a), wait)
+	conn, err := sourceaddr.Dial(s.sourceIP, string(a), wait)
 	if err != nil {
 		return nil, err
 	}
@@ -70,12 +70,12 @@
 func (s *streamLayer) track(conn net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.open) >= MaxConns {
+	if s.closed || len(s.conns) >= MaxConns {
 		conn.Close()
-		return nil, fmt.Errorf("raftgroup: %d connections are open, closing: %v", len(s.open), s.closed)
+		return nil, fmt.Errorf("raftgroup: %d connections are open, closing: %v", len(s.conns), s.closed)
 	}
 	c := &trackedConn{conn, s}
-	s.open[c] = true
+	s.conns[c] = true
 	return c, nil
 }
 
@@ -85,7 +85,7 @@
 	first := !s.closed
 	s.closed = true
 	var all []net.Conn
-	for c := range s.open {
+	for c := range s.conns {
 		all = append(all, c)
 	}
 	s.mu.Unlock()
@@ -100,12 +100,12 @@
 
 type trackedConn struct {
 	net.Conn
-	s *streamLayer
+	layer *streamLayer
 }
 
 func (h *trackedConn) Close() error {
-	h.s.mu.Lock()
-	delete(h.s.open, h)
-	h.s.mu.Unlock()
+	h.layer.mu.Lock()
+	delete(h.layer.conns, h)
+	h.layer.mu.Unlock()
 	return h.Conn.Close()
 }
--- a/internal/fleet/raftgroup/verify.go
+++ b/internal/fleet/raftgroup/verify.go
@@ -4,7 +4,7 @@
 // then; it takes one round to the voters, and LeaderLeaseTimeout at the most.
 func (g *Group) Verify() error {
 	if err := g.raft.VerifyLeader().Error(); err != nil {
-		return g.explain(err)
+		return g.wrapRaftError(err)
 	}
 	return nil
 }
--- a/internal/fleet/shutdown.go
+++ b/internal/fleet/shutdown.go
@@ -46,7 +46,7 @@
 	if group == nil {
 		return
 	}
-	if err := group.HandOver(); err != nil {
+	if err := group.TransferLeadership(); err != nil {
 		n.log.WithError(err).Warn("the lead could not be handed over")
 	}
 }
--- a/internal/fleet/store/archive_test.go
+++ b/internal/fleet/store/archive_test.go
@@ -7,7 +7,7 @@
 )
 
 // What an outlived seat leaves is kept, and no seat finds it.
-func TestASeatOfBeforeIsPutAside(t *testing.T) {
+func TestArchiveKeepsFilesUpToLimit(t *testing.T) {
 	dir := t.TempDir()
 	for range MaxArchives {
 		if err := os.WriteFile(filepath.Join(dir, "council.db"), nil, 0o600); err != nil {
--- a/internal/fleet/store/inspect.go
+++ b/internal/fleet/store/inspect.go
@@ -12,14 +12,14 @@
 // bbolt maps its file and believes the lengths that its head pages state: one that was cut short would end the process at the
 // first touch past its end. So the two head pages are read as plain bytes first.
 const (
-	headMagic  = 0xED0CDAED
-	headFormat = 2
-	pageHead   = 16
-	headLen    = 64 // magic 4, version 4, page size 4, flags 4, root 16, freelist 8, pages 8, txid 8, sum 8
+	metaMagic      = 0xED0CDAED
+	metaFormat     = 2
+	pageHeaderSize = 16
+	metaSize       = 64 // magic 4, version 4, page size 4, flags 4, root 16, freelist 8, pages 8, txid 8, sum 8
 )
 
 // inspect says whether the file is to be made (none yet), or refuses it in words.
-func inspect(path string) (fresh bool, err error) {
+func checkMetaPages(path string) (fresh bool, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return true, nil
@@ -39,17 +39,17 @@
 		if at != 0 && pageSize != 0 && uint64(at) != pageSize {
 			continue
 		}
-		b := make([]byte, headLen)
-		if _, err := f.ReadAt(b, at+pageHead); err != nil {
+		b := make([]byte, metaSize)
+		if _, err := f.ReadAt(b, at+pageHeaderSize); err != nil {
 			if errors.Is(err, io.EOF) {
 				continue
 			}
 			return false, fmt.Errorf("store: %w", err)
 		}
 		sum := fnv.New64a()
-		sum.Write(b[:headLen-8])
-		if binary.NativeEndian.Uint32(b) != headMagic || binary.NativeEndian.Uint32(b[4:]) != headFormat ||
-			sum.Sum64() != binary.NativeEndian.Uint64(b[headLen-8:]) {
+		sum.Write(b[:metaSize-8])
+		if binary.NativeEndian.Uint32(b) != metaMagic || binary.NativeEndian.Uint32(b[4:]) != metaFormat ||
+			sum.Sum64() != binary.NativeEndian.Uint64(b[metaSize-8:]) {
 			continue
 		}
 		heads++
--- a/internal/fleet/store/log.go
+++ b/internal/fleet/store/log.go
@@ -15,12 +15,12 @@
 //	version 1 | type 1 | term 8 | appended at, ns since the Unix epoch, 8 | extensions' length 4 | extensions | data | sum 4
 //
 // The sum covers key and value, so an entry under another's index is refused as well.
-const headSize = 1 + 1 + 8 + 8 + 4
+const entryHeaderSize = 1 + 1 + 8 + 8 + 4
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func encode(l *raft.Log) []byte {
-	b := make([]byte, 0, headSize+len(l.Extensions)+len(l.Data)+4)
+func encodeEntry(l *raft.Log) []byte {
+	b := make([]byte, 0, entryHeaderSize+len(l.Extensions)+len(l.Data)+4)
 	b = append(b, Version, byte(l.Type))
 	b = binary.BigEndian.AppendUint64(b, l.Term)
 	at := int64(0)
@@ -31,35 +31,35 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(len(l.Extensions)))
 	b = append(b, l.Extensions...)
 	b = append(b, l.Data...)
-	return binary.BigEndian.AppendUint32(b, crc32.Update(crc32.Checksum(key(l.Index), table), table, b))
+	return binary.BigEndian.AppendUint32(b, crc32.Update(crc32.Checksum(indexKey(l.Index), castagnoli), castagnoli, b))
 }
 
 // decode copies: what bbolt hands out is its mapped file.
-func decode(k, v []byte, l *raft.Log) error {
-	if len(k) != 8 || len(v) < headSize+4 {
+func decodeEntry(k, v []byte, l *raft.Log) error {
+	if len(k) != 8 || len(v) < entryHeaderSize+4 {
 		return fmt.Errorf("%w: an entry of %d bytes", ErrTorn, len(v))
 	}
 	index, body := binary.BigEndian.Uint64(k), v[:len(v)-4]
-	if crc32.Update(crc32.Checksum(k, table), table, body) != binary.BigEndian.Uint32(v[len(v)-4:]) {
+	if crc32.Update(crc32.Checksum(k, castagnoli), castagnoli, body) != binary.BigEndian.Uint32(v[len(v)-4:]) {
 		return fmt.Errorf("%w: the sum of entry %d is wrong", ErrTorn, index)
 	}
 	if v[0] != Version {
 		return fmt.Errorf("%w: entry %d has %d, this program knows %d", ErrNewer, index, v[0], Version)
 	}
 	ext := int(binary.BigEndian.Uint32(body[18:]))
-	if ext > len(body)-headSize {
+	if ext > len(body)-entryHeaderSize {
 		return fmt.Errorf("%w: extensions of entry %d", ErrTorn, index)
 	}
 	*l = raft.Log{Index: index, Term: binary.BigEndian.Uint64(body[2:]), Type: raft.LogType(body[1])}
 	if at := int64(binary.BigEndian.Uint64(body[10:])); at != 0 {
 		l.AppendedAt = time.Unix(0, at)
 	}
-	l.Extensions = append(l.Extensions, body[headSize:headSize+ext]...)
-	l.Data = append(l.Data, body[headSize+ext:]...)
+	l.Extensions = append(l.Extensions, body[entryHeaderSize:entryHeaderSize+ext]...)
+	l.Data = append(l.Data, body[entryHeaderSize+ext:]...)
 	return nil
 }
 
-func (s *Store) end(first bool) (index uint64, err error) {
+func (s *Store) boundaryIndex(first bool) (index uint64, err error) {
 	err = s.read(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketLog).Cursor()
 		var k []byte
@@ -77,20 +77,20 @@
 }
 
 // FirstIndex of the log, 0 for none.
-func (s *Store) FirstIndex() (uint64, error) { return s.end(true) }
+func (s *Store) FirstIndex() (uint64, error) { return s.boundaryIndex(true) }
 
 // LastIndex of the log, 0 for none.
-func (s *Store) LastIndex() (uint64, error) { return s.end(false) }
+func (s *Store) LastIndex() (uint64, error) { return s.boundaryIndex(false) }
 
 // GetLog reads one entry; raft.ErrLogNotFound if there is none, ErrTorn if its sum is wrong.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
 	return s.read(func(tx *bolt.Tx) error {
-		k := key(index)
+		k := indexKey(index)
 		v := tx.Bucket(bucketLog).Get(k)
 		if v == nil {
 			return raft.ErrLogNotFound
 		}
-		return decode(k, v, l)
+		return decodeEntry(k, v, l)
 	})
 }
 
@@ -110,12 +110,12 @@
 			if last != 0 && l.Index != last+1 {
 				return fmt.Errorf("entry %d does not follow %d", l.Index, last)
 			}
-			if err := b.Put(key(l.Index), encode(l)); err != nil {
+			if err := b.Put(indexKey(l.Index), encodeEntry(l)); err != nil {
 				return err
 			}
 			last = l.Index
 		}
-		return noteEnds(tx)
+		return recordBounds(tx)
 	})
 }
 
@@ -123,12 +123,12 @@
 func (s *Store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketLog).Cursor()
-		for k, _ := c.Seek(key(low)); len(k) == 8 && binary.BigEndian.Uint64(k) <= high; k, _ = c.Seek(key(low)) {
+		for k, _ := c.Seek(indexKey(low)); len(k) == 8 && binary.BigEndian.Uint64(k) <= high; k, _ = c.Seek(indexKey(low)) {
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
-		return noteEnds(tx)
+		return recordBounds(tx)
 	})
 }
 
@@ -137,12 +137,12 @@
 
 // Set writes one value of raft's (its votes).
 func (s *Store) Set(k, v []byte) error {
-	sum := crc32.Update(crc32.Checksum(k, table), table, v)
+	sum := crc32.Update(crc32.Checksum(k, castagnoli), castagnoli, v)
 	return s.write(func(tx *bolt.Tx) error {
 		if err := tx.Bucket(bucketStable).Put(k, binary.BigEndian.AppendUint32(append([]byte{Version}, v...), sum)); err != nil {
 			return err
 		}
-		return noteEnds(tx)
+		return recordBounds(tx)
 	})
 }
 
@@ -153,19 +153,19 @@
 		if v == nil {
 			return nil
 		}
-		out, err = value(k, v)
+		out, err = decodeValue(k, v)
 		return err
 	})
 	return out, err
 }
 
 // value checks and copies what Set wrote.
-func value(k, v []byte) ([]byte, error) {
+func decodeValue(k, v []byte) ([]byte, error) {
 	if len(v) < 5 {
 		return nil, fmt.Errorf("%w: value %q", ErrTorn, k)
 	}
 	body := v[1 : len(v)-4]
-	if crc32.Update(crc32.Checksum(k, table), table, body) != binary.BigEndian.Uint32(v[len(v)-4:]) {
+	if crc32.Update(crc32.Checksum(k, castagnoli), castagnoli, body) != binary.BigEndian.Uint32(v[len(v)-4:]) {
 		return nil, fmt.Errorf("%w: the sum of value %q is wrong", ErrTorn, k)
 	}
 	if v[0] != Version {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -55,13 +55,13 @@
 )
 
 var (
-	bucketMeta   = []byte("meta")
-	bucketLog    = []byte("log")
-	bucketStable = []byte("stable")
-	keyVersion   = []byte("version")
-	keyEnds      = []byte("ends")
-	keyValues    = []byte("values")
-	table        = crc32.MakeTable(crc32.Castagnoli)
+	bucketMeta    = []byte("meta")
+	bucketLog     = []byte("log")
+	bucketStable  = []byte("stable")
+	keyVersion    = []byte("version")
+	keyBounds     = []byte("ends")
+	keyValueCount = []byte("values")
+	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Store is raft.LogStore and raft.StableStore.
@@ -108,7 +108,7 @@
 
 func open(dir string, o Options) (*Store, error) {
 	path, temporary := filepath.Join(dir, File), filepath.Join(dir, File+".new")
-	fresh, err := inspect(path)
+	fresh, err := checkMetaPages(path)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 		}
 	}
 	if err == nil {
-		err = s.write(noteEnds)
+		err = s.write(recordBounds)
 	}
 	if err = errors.Join(err, s.Close()); err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 
 func openFile(path string, o Options, readOnly bool) (*Store, error) {
 	s := &Store{}
-	err := guard(func() (err error) {
+	err := recoverFaults(func() (err error) {
 		s.db, err = bolt.Open(path, 0o600, &bolt.Options{
 			Timeout: o.LockWait, FreelistType: bolt.FreelistMapType, OpenFile: o.OpenFile, MaxSize: o.MaxSize, ReadOnly: readOnly,
 		})
@@ -194,7 +194,7 @@
 		}
 		values := 0
 		if err := stable.ForEach(func(k, v []byte) error {
-			v, err := value(k, v)
+			v, err := decodeValue(k, v)
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 		}); err != nil {
 			return err
 		}
-		if n := meta.Get(keyValues); len(n) != 8 || binary.BigEndian.Uint64(n) != uint64(values) {
+		if n := meta.Get(keyValueCount); len(n) != 8 || binary.BigEndian.Uint64(n) != uint64(values) {
 			return fmt.Errorf("%w: it holds %d values and noted %x", ErrTorn, values, n)
 		}
 		var first, last uint64
@@ -214,7 +214,7 @@
 		}
 		if err := entries.ForEach(func(k, v []byte) error {
 			l := &raft.Log{}
-			if err := decode(k, v, l); err != nil {
+			if err := decodeEntry(k, v, l); err != nil {
 				return err
 			}
 			if last != 0 && l.Index != last+1 {
@@ -231,7 +231,7 @@
 		}); err != nil {
 			return err
 		}
-		if noted := meta.Get(keyEnds); string(noted) != string(ends(first, last)) {
+		if noted := meta.Get(keyBounds); string(noted) != string(encodeBounds(first, last)) {
 			return fmt.Errorf("%w: it holds entries %d to %d and noted others (%x)", ErrTorn, first, last, noted)
 		}
 		return flush()
@@ -239,12 +239,12 @@
 }
 
 // ends notes the first and last entry beside the log, in the same write, so that a log cut short is seen.
-func ends(first, last uint64) []byte {
+func encodeBounds(first, last uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
 }
 
-// noteEnds notes that, and how many values there are, which raft adds to once or twice.
-func noteEnds(tx *bolt.Tx) error {
+// recordBounds notes that, and how many values there are, which raft adds to once or twice.
+func recordBounds(tx *bolt.Tx) error {
 	c := tx.Bucket(bucketLog).Cursor()
 	var first, last uint64
 	if k, _ := c.First(); len(k) == 8 {
@@ -258,10 +258,10 @@
 		return err
 	}
 	meta := tx.Bucket(bucketMeta)
-	if err := meta.Put(keyValues, binary.BigEndian.AppendUint64(nil, n)); err != nil {
+	if err := meta.Put(keyValueCount, binary.BigEndian.AppendUint64(nil, n)); err != nil {
 		return err
 	}
-	return meta.Put(keyEnds, ends(first, last))
+	return meta.Put(keyBounds, encodeBounds(first, last))
 }
 
 // Failed is the first write that failed, or nil.
@@ -273,7 +273,7 @@
 
 // Close ends the use of the file.
 func (s *Store) Close() error {
-	err := guard(s.db.Close)
+	err := recoverFaults(s.db.Close)
 	if s.dirLock != nil {
 		err = errors.Join(err, s.dirLock.Close())
 	}
@@ -292,7 +292,7 @@
 	if s.failed != nil {
 		return fmt.Errorf("%w (%v)", ErrFailed, s.failed)
 	}
-	if err := guard(func() error { return s.db.Update(f) }); err != nil {
+	if err := recoverFaults(func() error { return s.db.Update(f) }); err != nil {
 		s.failed = err
 		return fmt.Errorf("store: writing: %w", err)
 	}
@@ -300,11 +300,11 @@
 }
 
 func (s *Store) read(f func(tx *bolt.Tx) error) error {
-	return guard(func() error { return s.db.View(f) })
+	return recoverFaults(func() error { return s.db.View(f) })
 }
 
 // guard makes errors of bbolt's panics and of faults in its mapped file, which a damaged file or a bad disk may raise.
-func guard(f func() error) (err error) {
+func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -25,10 +25,10 @@
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("STORE_CHILD"); dir != "" {
 		if os.Getenv("STORE_LIMIT") == "snapshot" {
-			fmt.Println(snapshotOnAFullDisk(dir))
+			fmt.Println(snapshotOnFullDisk(dir))
 			return
 		}
-		child(dir)
+		writeUntilKilled(dir)
 		return
 	}
 	goleak.VerifyTestMain(m)
@@ -40,7 +40,7 @@
 
 // child writes until it is killed and says what was acknowledged: "last first term". With a limit, it says each
 // error, and ends at a success after one.
-func child(dir string) {
+func writeUntilKilled(dir string) {
 	// Long: the child process's whole script, which the test that kills it reads line by line in this order.
 	o := Options{}
 	limit := os.Getenv("STORE_LIMIT")
@@ -107,7 +107,7 @@
 }
 
 // play runs a child, kills it after a time, and gives what it acknowledged last.
-func play(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, said string) {
+func runChild(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, said string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "STORE_CHILD="+dir, "STORE_LIMIT="+limit)
@@ -136,7 +136,7 @@
 	return last, first, term, said
 }
 
-func check(t *testing.T, dir string, last, first, term uint64) {
+func checkStore(t *testing.T, dir string, last, first, term uint64) {
 	t.Helper()
 	s, err := Open(dir, Options{})
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestKilledAtAnyMoment(t *testing.T) {
+func TestAcknowledgedWritesSurviveKill(t *testing.T) {
 	dir := t.TempDir()
 	rounds := 8
 	if testing.Short() {
@@ -165,12 +165,12 @@
 	}
 	acked := uint64(0)
 	for range rounds {
-		last, first, term, said := play(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
+		last, first, term, said := runChild(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
 		if said != "" {
 			t.Fatal(said)
 		}
 		acked = max(acked, last)
-		check(t, dir, last, first, term)
+		checkStore(t, dir, last, first, term)
 	}
 	if acked < 20 {
 		t.Errorf("only %d entries were written", acked)
@@ -178,7 +178,7 @@
 	t.Logf("%d kills, %d entries", rounds, acked)
 }
 
-func TestFullDiskAndFailedWrites(t *testing.T) {
+func TestNoWritesAfterFailedWrite(t *testing.T) {
 	failures := 0
 	limits := []string{"size:1", "size:8192", "size:32768", "size:36864", "size:49152"}
 	for step := range 8 {
@@ -186,7 +186,7 @@
 	}
 	for _, limit := range limits {
 		dir := t.TempDir()
-		last, first, term, said := play(t, dir, limit, 10*time.Second)
+		last, first, term, said := runChild(t, dir, limit, 10*time.Second)
 		if strings.Contains(said, "wrong") {
 			t.Errorf("%s: %s", limit, said)
 		}
@@ -195,12 +195,12 @@
 		} else {
 			t.Errorf("%s: no write failed: %s", limit, said)
 		}
-		check(t, dir, last, first, term)
+		checkStore(t, dir, last, first, term)
 	}
 	t.Logf("%d failures", failures)
 }
 
-func TestBounded(t *testing.T) {
+func TestFileSizeLimit(t *testing.T) {
 	s, err := Open(t.TempDir(), Options{MaxSize: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
@@ -219,7 +219,7 @@
 	}
 }
 
-func filled(t *testing.T) (dir string, whole []byte) {
+func newFilledStore(t *testing.T) (dir string, whole []byte) {
 	dir = t.TempDir()
 	s, err := Open(dir, Options{})
 	if err != nil {
@@ -240,8 +240,8 @@
 	return dir, whole
 }
 
-func TestTornAndDamaged(t *testing.T) {
-	dir, whole := filled(t)
+func TestTornOrDamagedFileIsRefused(t *testing.T) {
+	dir, whole := newFilledStore(t)
 	path := filepath.Join(dir, File)
 	for _, n := range []int{0, 1, 100, 4095, 4096, 8192, 12288, len(whole) / 2} {
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
@@ -249,7 +249,7 @@
 		}
 		if s, err := Open(dir, Options{}); err == nil && n == len(whole)/2 { // only pages that nothing used are gone
 			s.Close()
-			check(t, dir, 200, 1, 7)
+			checkStore(t, dir, 200, 1, 7)
 		} else if !errors.Is(err, ErrTorn) {
 			t.Errorf("cut to %d bytes: %v", n, err)
 		}
@@ -270,7 +270,7 @@
 			continue
 		}
 		s.Close()
-		check(t, dir, 200, 1, 7) // in pages that nothing uses, or refused: nothing else
+		checkStore(t, dir, 200, 1, 7) // in pages that nothing uses, or refused: nothing else
 	}
 	t.Logf("%d of 60 damaged files refused, the others whole", refused)
 	if refused < 8 {
@@ -278,8 +278,8 @@
 	}
 }
 
-func TestNewerVersion(t *testing.T) {
-	dir, _ := filled(t)
+func TestNewerVersionIsRefused(t *testing.T) {
+	dir, _ := newFilledStore(t)
 	db, err := bolt.Open(filepath.Join(dir, File), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -293,8 +293,8 @@
 	}
 }
 
-func TestInUse(t *testing.T) {
-	dir, _ := filled(t)
+func TestDirectoryInUseIsRefused(t *testing.T) {
+	dir, _ := newFilledStore(t)
 	s, err := Open(dir, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -305,8 +305,8 @@
 	}
 }
 
-// snapshotOnAFullDisk writes a snapshot, one more that the disk has no room for, and one after there is room again.
-func snapshotOnAFullDisk(dir string) error {
+// snapshotOnFullDisk writes a snapshot, one more that the disk has no room for, and one after there is room again.
+func snapshotOnFullDisk(dir string) error {
 	snaps, err := Snapshots(dir, hclog.NewNullLogger())
 	if err != nil {
 		return err
@@ -357,8 +357,8 @@
 }
 
 // A snapshot that the disk has no room for is an error, and leaves the one before as the newest.
-func TestSnapshotOnAFullDisk(t *testing.T) {
-	if _, _, _, said := play(t, t.TempDir(), "snapshot", time.Minute); said != "<nil>\n" {
+func TestSnapshotOnFullDisk(t *testing.T) {
+	if _, _, _, said := runChild(t, t.TempDir(), "snapshot", time.Minute); said != "<nil>\n" {
 		t.Error(said)
 	}
 }
--- a/internal/fleet/voters/voters.go
+++ b/internal/fleet/voters/voters.go
@@ -81,7 +81,7 @@
 	case old == "" && with.Name == "", with.Name == "" && missing: // nothing to do, or the new one is not there yet
 		return l
 	case old == self:
-		l.Change, l.Err = "the lead is handed over, as the file names this voter no more", group.HandOver()
+		l.Change, l.Err = "the lead is handed over, as the file names this voter no more", group.TransferLeadership()
 		return l
 	}
 	l.Change = fmt.Sprintf("voter %q goes, voter %q comes", old, with.Name)
