--- a/internal/fleet/drainctl/acknowledge.go
+++ b/internal/fleet/drainctl/acknowledge.go
@@ -11,20 +11,21 @@
 	"birchcart/internal/fleet/peerproto"
 )
 
-// poller is what a co-ordinator's newest poll said.
+// poller is the latest poll of one co-ordinator.
 type poller struct {
-	lastPollAt time.Duration // own time at which a poll of its last came
+	lastPollAt time.Duration // monotonic time at which its last poll arrived
 	sequence   uint64
-	sequenceAt time.Duration // own time at which that number came
+	sequenceAt time.Duration // monotonic time at which that sequence number arrived
 	drains     []peerproto.DrainStatus
 	peerClock
 }
 
-// handlePoll takes a poll. One that overtook is late: it shows that its sender spoke, which lengthens what is counted as its
-// lease, but of the drains only those count which both report.
+// handlePoll records a poll. A reordered poll, which has a lower sequence number than one received before, still shows that its
+// sender was alive and so extends the time for which its lease is assumed to run. Of its drains, only those that the newer poll
+// reports too are used.
 func (c *Controller) handlePoll(p Polled) {
-	h := c.pollers[p.From]
-	if h == nil {
+	peer := c.pollers[p.From]
+	if peer == nil {
 		if len(c.pollers) >= MaxPollers {
 			oldest := ""
 			for _, name := range slices.Sorted(maps.Keys(c.pollers)) {
@@ -34,42 +35,46 @@
 			}
 			delete(c.pollers, oldest)
 		}
-		h = &poller{}
-		c.pollers[p.From] = h
+		peer = &poller{}
+		c.pollers[p.From] = peer
 	}
 	drains := slices.Clone(p.Drains)
-	if p.Sequence != 0 && p.Sequence < h.sequence && c.now-h.sequenceAt < MaxReorderDelay {
-		drains = slices.DeleteFunc(drains, func(x peerproto.DrainStatus) bool { return !slices.Contains(h.drains, x) })
+	if p.Sequence != 0 && p.Sequence < peer.sequence && c.now-peer.sequenceAt < MaxReorderDelay {
+		drains = slices.DeleteFunc(drains, func(x peerproto.DrainStatus) bool { return !slices.Contains(peer.drains, x) })
 	} else {
-		h.sequence, h.sequenceAt = p.Sequence, c.now
-		h.peerClock = peerClock{offset: p.Wall - c.now, at: c.now, known: p.Wall > 0}
+		peer.sequence, peer.sequenceAt = p.Sequence, c.now
+		peer.peerClock = peerClock{offset: p.Wall - c.now, at: c.now, known: p.Wall > 0}
 	}
-	h.lastPollAt, h.drains = c.now, drains
+	peer.lastPollAt, peer.drains = c.now, drains
 }
 
-// silence is how long nothing was heard of a co-ordinator: since its last poll, or the own election, whichever is later.
+// silentFor returns how long nothing has been received from a co-ordinator: since its last poll or since this node's election,
+// whichever is later.
 func (c *Controller) silentFor(name string) time.Duration {
 	from := c.electedAt
-	if h := c.pollers[name]; h != nil {
-		from = max(from, h.lastPollAt)
+	if peer := c.pollers[name]; peer != nil {
+		from = max(from, peer.lastPollAt)
 	}
 	return c.now - from
 }
 
-// silenceLimit is the silence after which a co-ordinator's lease and grace have ended, however its clock ran.
+// silenceLimit returns the silence after which a co-ordinator's lease and grace period have ended even if its clock drifts by one
+// part in MaxDriftDivisor.
 func silenceLimit(limits maintenance.Limits) time.Duration {
-	need := limits.Lease + limits.Grace
-	return need + need/MaxDriftDivisor
+	limit := limits.Lease + limits.Grace
+	return limit + limit/MaxDriftDivisor
 }
 
-// MustAcknowledge says whether a leader of this state waits for the co-ordinator before it acknowledges, though it has never heard of it:
-// the inventory has it. Only such a one may be given a lease; a leader that dies takes with it whom else it has heard.
+// MustAcknowledge reports whether a leader with this state must wait for the co-ordinator's acknowledgement even if it has never
+// received a poll from it, which is so if the inventory lists it. Only such a co-ordinator may be given a lease: which other
+// co-ordinators have polled a leader is lost when that leader fails.
 func MustAcknowledge(s *maintenance.State, name string) bool {
 	m, ok := s.Machine(name)
 	return ok && m.Kind == maintenance.Coordinator
 }
 
-// acknowledgers are all whose word counts: the co-ordinators of the inventory, in whatever state, and all that have polled.
+// acknowledgers returns the names of all co-ordinators that must acknowledge a grant: those in the inventory, whatever their
+// status, and all that have polled this leader.
 func (c *Controller) acknowledgers() []string {
 	names := slices.Collect(maps.Keys(c.pollers))
 	for _, m := range c.state.Machines() {
@@ -81,16 +86,17 @@
 	return slices.Compact(names)
 }
 
-// proposeAcknowledged proposes, for each grant that is not acknowledged, that it is acknowledged, once each co-ordinator applies its drain or is silent
-// for so long; or that it is withdrawn, if one that is live rejects it, or takes too long, or if there is no time left.
+// proposeAcknowledged handles each grant that is not acknowledged yet. It proposes the acknowledgement once every co-ordinator
+// either applies the drain or has been silent for longer than silenceLimit. It proposes to withdraw the grant if a live
+// co-ordinator rejects it or takes too long, or if no time is left to start.
 func (c *Controller) proposeAcknowledged(limits maintenance.Limits, open []maintenance.Item) {
-	live := map[uint64]bool{}
+	granted := map[uint64]bool{}
 	var acknowledgers []string
 	for _, it := range open {
 		if it.Phase != maintenance.Granted {
 			continue
 		}
-		live[it.Fence] = true
+		granted[it.Fence] = true
 		if _, ok := c.grantedAt[it.Fence]; !ok {
 			c.grantedAt[it.Fence] = c.now
 		}
@@ -99,27 +105,28 @@
 		}
 		c.acknowledgeGrant(limits, it, acknowledgers)
 	}
-	maps.DeleteFunc(c.grantedAt, func(fence uint64, _ time.Duration) bool { return !live[fence] })
+	maps.DeleteFunc(c.grantedAt, func(fence uint64, _ time.Duration) bool { return !granted[fence] })
 }
 
+// acknowledgeGrant proposes to acknowledge or to withdraw one grant, or nothing while replies are outstanding.
 func (c *Controller) acknowledgeGrant(limits maintenance.Limits, it maintenance.Item, acknowledgers []string) {
 	body := maintenance.AcknowledgeBody{Machine: it.Machine, Fence: it.Fence}
 	var missing []string
 	for _, name := range acknowledgers {
 		silent := c.silentFor(name)
-		var says *peerproto.DrainStatus
-		if h := c.pollers[name]; h != nil {
-			if i := slices.IndexFunc(h.drains, func(x peerproto.DrainStatus) bool { return x.Fence == it.Fence && x.Machine == it.Machine }); i >= 0 {
-				says = &h.drains[i]
+		var status *peerproto.DrainStatus
+		if peer := c.pollers[name]; peer != nil {
+			if i := slices.IndexFunc(peer.drains, func(x peerproto.DrainStatus) bool { return x.Fence == it.Fence && x.Machine == it.Machine }); i >= 0 {
+				status = &peer.drains[i]
 			}
 		}
 		switch {
-		case says != nil && !says.Rejected:
+		case status != nil && !status.Rejected:
 			body.Acknowledged = append(body.Acknowledged, name)
 		case silent > silenceLimit(limits):
 			body.Silent = append(body.Silent, maintenance.Silent{Name: name, Duration: silent})
-		case says != nil:
-			c.withdraw(it, fmt.Sprintf("%s refuses: %s", name, says.Reason))
+		case status != nil:
+			c.withdraw(it, fmt.Sprintf("%s refuses: %s", name, status.Reason))
 			return
 		default:
 			missing = append(missing, name)
@@ -129,20 +136,21 @@
 	case it.Until-limits.SettleTime <= c.time:
 		c.withdraw(it, "no time is left to begin")
 	case len(missing) == 0:
-		c.propose(fmt.Sprintf("told %s %d", it.Machine, it.Fence), "told", body, c.noLongerGranted(it))
+		c.propose(fmt.Sprintf("acknowledge %s %d", it.Machine, it.Fence), "told", body, c.noLongerGranted(it))
 	case c.now-max(c.grantedAt[it.Fence], c.electedAt) > silenceLimit(limits)+AcknowledgeSlack:
 		c.withdraw(it, fmt.Sprintf("not laid in time by %s", abbreviateNames(missing)))
 	}
 }
 
-func (c *Controller) withdraw(it maintenance.Item, why string) {
-	body := maintenance.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Reason: why[:min(len(why), maintenance.MaxNameLength)]}
+// withdraw proposes to withdraw a grant that is not acknowledged.
+func (c *Controller) withdraw(it maintenance.Item, reason string) {
+	body := maintenance.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Reason: reason[:min(len(reason), maintenance.MaxNameLength)]}
 	if c.propose(fmt.Sprintf("withdraw %s %d", it.Machine, it.Fence), "withdraw", body, c.noLongerGranted(it)) {
-		c.log("the grant %d of %s is withdrawn: %s", it.Fence, it.Machine, why)
+		c.log("proposing to withdraw grant %d of %s: %s", it.Fence, it.Machine, reason)
 	}
 }
 
-// noLongerGranted says that the grant is acknowledged, or ended.
+// noLongerGranted returns a function that reports whether the grant has been acknowledged or has ended.
 func (c *Controller) noLongerGranted(it maintenance.Item) func() bool {
 	return func() bool {
 		now, ok := c.state.ActiveItem(it.Machine)
@@ -150,7 +158,7 @@
 	}
 }
 
-// abbreviateNames are the first names of many.
+// abbreviateNames joins at most three of the names and appends the number of the others.
 func abbreviateNames(names []string) string {
 	if len(names) <= 3 {
 		return strings.Join(names, ", ")
--- a/internal/fleet/drainctl/acknowledge_test.go
+++ b/internal/fleet/drainctl/acknowledge_test.go
@@ -16,28 +16,28 @@
 func TestSilenceIsMeasuredFromLastPollOrElection(t *testing.T) {
 	r := newRig(t)
 	r.silentNode = "c"
-	r.want("lease, grace and a hundredth", silenceLimit(limits), 7070*time.Millisecond)
+	r.want("lease, grace and one hundredth", silenceLimit(limits), 7070*time.Millisecond)
 	r.run(2 * sec)
-	r.inputs = append(r.inputs, Elected{Term: 1}) // said twice
-	heard := r.controller.pollers["c"].lastPollAt
+	r.inputs = append(r.inputs, Elected{Term: 1}) // repeated
+	lastPoll := r.controller.pollers["c"].lastPollAt
 	r.request(1, "r1")
 	r.runUntil("r1", maintenance.Acknowledged)
-	if gone := r.now - heard; gone <= 7070*time.Millisecond || gone > 8*sec {
-		t.Errorf("told %v after the last poll of c", gone)
+	if silentFor := r.now - lastPoll; silentFor <= 7070*time.Millisecond || silentFor > 8*sec {
+		t.Errorf("acknowledged %v after the last poll of c", silentFor)
 	}
 	r.request(2, "r1", "r5")
 	elected := r.now
 	r.inputs = append(r.inputs, Deposed{}, Elected{Term: 2})
 	r.runUntil("r5", maintenance.Acknowledged)
-	if gone := r.now - elected; gone <= 7070*time.Millisecond || gone > 8*sec {
-		t.Errorf("told %v after the election", gone)
+	if silentFor := r.now - elected; silentFor <= 7070*time.Millisecond || silentFor > 8*sec {
+		t.Errorf("acknowledged %v after the election", silentFor)
 	}
-	// One that polls and is in no inventory counts as well.
+	// A co-ordinator that polls but is not in the inventory must acknowledge too.
 	r.silentNode = ""
 	r.inputs = append(r.inputs, Polled{From: "new", Sequence: 1})
 	r.request(3, "r1", "r5", "r7")
 	r.run(3 * sec)
-	r.want("not laid by the new one", r.phases("r7"), "[granted]")
+	r.want("not acknowledged by the new co-ordinator", r.phases("r7"), "[granted]")
 }
 
 func TestRejectedGrantIsWithdrawnAndBacksOff(t *testing.T) {
@@ -47,10 +47,10 @@
 	r.runUntil("r1", maintenance.Withdrawn)
 	at := r.now
 	for _, it := range r.state.Items() {
-		r.want("why", it.Reason == "b refuses: alone" || it.Phase == maintenance.Pending, true)
+		r.want("reason", it.Reason == "b refuses: alone" || it.Phase == maintenance.Pending, true)
 	}
 	r.rejectingNode = ""
-	r.inputs = append(r.inputs, Deposed{}, Elected{Term: 2}) // the next leader waits too
+	r.inputs = append(r.inputs, Deposed{}, Elected{Term: 2}) // the next leader observes the backoff too
 	r.runUntil("r1", maintenance.Granted)
 	if took := r.now - at; took < InitialGrantBackoff-sec || took > InitialGrantBackoff+3*sec {
 		t.Errorf("granted again after %v", took)
@@ -67,18 +67,18 @@
 	if want := silenceLimit(limits) + AcknowledgeSlack; took < want || took > want+sec {
 		t.Errorf("withdrawn after %v, want %v", took, want)
 	}
-	r.want("why", strings.HasSuffix(r.logs[len(r.logs)-1], "not laid in time by b"), true)
+	r.want("reason", strings.HasSuffix(r.logs[len(r.logs)-1], "not laid in time by b"), true)
 
 	r = newRig(t)
 	r.staleNode = "b"
 	r.request(1, "r1")
 	r.runUntil("r1", maintenance.Granted)
 	r.inputs = append(r.inputs, Deposed{})
-	r.run(199 * sec) // by its time nobody leads
+	r.run(199 * sec) // no leader when the grant times out
 	r.staleNode = ""
 	r.inputs = append(r.inputs, Elected{Term: 2})
 	r.runUntil("r1", maintenance.Withdrawn)
-	r.want("why", strings.HasSuffix(r.logs[len(r.logs)-1], "no time is left to begin"), true)
+	r.want("reason", strings.HasSuffix(r.logs[len(r.logs)-1], "no time is left to begin"), true)
 }
 
 func TestMaintenanceFileRevisions(t *testing.T) {
@@ -89,21 +89,21 @@
 	other.MaxOut = 1
 	r.inputs = append(r.inputs, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: other}})
 	r.run(3 * sec)
-	r.want("asked", fmt.Sprint(r.phases("r1"), r.phases("r2")), "[told] []")
+	r.want("phases of the newer and the older file", fmt.Sprint(r.phases("r1"), r.phases("r2")), "[told] []")
 	r.request(2, "r2")
 	r.run(3 * sec)
 	r.want("an older file", r.state.Requests().Revision, 3)
-	r.want("other limits under one number", fmt.Sprint(strings.Count(strings.Join(r.logs, "\n"), "limits of revision 1")), 1)
+	r.want("lines about other limits with the same revision", fmt.Sprint(strings.Count(strings.Join(r.logs, "\n"), "limits of revision 1")), 1)
 	r.request(3)
 	r.run(30 * sec)
-	r.want("a mistake is said once in a while", strings.Count(strings.Join(r.logs, "\n"), "asks of revision 3"), 1)
-	r.want("refused", r.rejections, "[]")
+	r.want("lines about other requests with the same revision", strings.Count(strings.Join(r.logs, "\n"), "requests of revision 3"), 1)
+	r.want("rejections", r.rejections, "[]")
 	bad := maintenance.LimitsBody{Revision: 2}
 	r.inputs = append(r.inputs, MaintenanceFile{Limits: bad}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}})
 	r.run(30 * sec)
-	r.want("limits that can't be are tried once in a while", len(r.rejections), 1)
+	r.want("rejections of invalid limits", len(r.rejections), 1)
 	r.controller.order = func(*maintenance.State, time.Duration) []maintenance.Item {
-		t.Error("planned though paused")
+		t.Error("order was called while paused")
 		return nil
 	}
 	r.inputs = append(r.inputs, MaintenanceFile{Requests: maintenance.RequestsBody{Revision: 4, Paused: true, Requests: append(r.state.Requests().Requests,
@@ -130,15 +130,15 @@
 	x, y := peerproto.DrainStatus{Machine: "r1", Fence: 1}, peerproto.DrainStatus{Machine: "r2", Fence: 2}
 	r.inputs = append(r.inputs, Polled{From: "c", Sequence: 1 << 50, Drains: []peerproto.DrainStatus{y}}, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.DrainStatus{x, y}})
 	r.step(100 * time.Millisecond)
-	r.want("what both say", r.controller.pollers["c"].drains, []peerproto.DrainStatus{y})
+	r.want("drains that both polls report", r.controller.pollers["c"].drains, []peerproto.DrainStatus{y})
 	r.run(MaxReorderDelay)
 	r.inputs = append(r.inputs, Polled{From: "c", Sequence: 1 << 49, Drains: []peerproto.DrainStatus{x}})
 	r.step(100 * time.Millisecond)
-	r.want("a process whose clock went back", r.controller.pollers["c"].drains, []peerproto.DrainStatus{x})
+	r.want("drains of a process whose clock went back", r.controller.pollers["c"].drains, []peerproto.DrainStatus{x})
 	for i := range MaxPollers + 5 {
 		r.inputs = append(r.inputs, Polled{From: fmt.Sprint(i), Sequence: 1})
 	}
-	r.step(100 * time.Millisecond) // Check counts them
+	r.step(100 * time.Millisecond) // Check verifies the number of pollers
 }
 
 func TestAgreedTimeAdvancesWhileWallClockIsBehind(t *testing.T) {
@@ -149,7 +149,7 @@
 	r.replicas[1].Status = maintenance.Gone
 	r.runUntil("r1", maintenance.Out)
 	if took := r.runUntil("r1", maintenance.Expired); took < 99*sec || took > 104*sec {
-		t.Errorf("counted as failed after %v", took)
+		t.Errorf("expired after %v", took)
 	}
 }
 
@@ -159,21 +159,22 @@
 	r.runUntil("r1", maintenance.Acknowledged)
 	r.request(2, "r1", "r2", "r0")
 	r.run(3 * sec)
-	r.request(3, "r1", "r2", "r0", "r5", "r7", "r9") // three pass those that share a shard with r1
+	r.request(3, "r1", "r2", "r0", "r5", "r7", "r9") // three grants pass over the machines that share a shard with r1
 	r.runUntil("r9", maintenance.Acknowledged)
-	asks := r.state.Requests()
-	asks.Revision, asks.Requests = 4, append(asks.Requests, maintenance.Request{ID: "v", Names: []string{"r4"}, Reason: "x", MaxOutage: sec},
+	requests := r.state.Requests()
+	requests.Revision, requests.Requests = 4, append(requests.Requests, maintenance.Request{ID: "v", Names: []string{"r4"}, Reason: "x", MaxOutage: sec},
 		maintenance.Request{ID: "u", Names: []string{"r8"}, Reason: "x", MaxOutage: sec, Priority: maintenance.Urgent})
-	r.inputs = append(r.inputs, MaintenanceFile{Requests: asks})
+	r.inputs = append(r.inputs, MaintenanceFile{Requests: requests})
 	r.run(sec)
 	var got []string
 	for _, it := range ByRequestTime(r.state, 0) {
 		got = append(got, it.Machine)
 	}
-	r.want("reserved, urgent, by asking", got, "[r2 r0 r8 r4]")
+	r.want("order: reserved, urgent, then by request", got, "[r2 r0 r8 r4]")
 }
 
-// play is a seeded life: machines come and go, leaders change, co-ordinators fall silent, refuse, and the raft group is deaf.
+// runRandomised runs a seeded random history: machines go and return, leaders change, co-ordinators fall silent or reject grants,
+// and the raft group drops proposals.
 func runRandomised(t *testing.T, seed uint64) []Propose {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	r := newRig(t)
@@ -188,15 +189,15 @@
 		case m.Status == maintenance.Gone:
 			m.Status, m.Started = maintenance.Up, 5000*sec+r.now
 		}
-		one := []string{"", "", "a", "b", "c"}[rng.IntN(5)]
+		node := []string{"", "", "a", "b", "c"}[rng.IntN(5)]
 		switch rng.IntN(12) {
 		case 0:
 			term++
 			r.inputs = append(r.inputs, Deposed{}, Elected{Term: term})
 		case 1:
-			r.silentNode = one
+			r.silentNode = node
 		case 2:
-			r.rejectingNode = one
+			r.rejectingNode = node
 		case 3:
 			r.dropProposals = !r.dropProposals
 		case 4:
@@ -214,37 +215,38 @@
 	first := runRandomised(t, 3)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if again := runRandomised(t, 3); !reflect.DeepEqual(first, again) {
-		t.Error("the same life gave something else on one processor")
+		t.Error("the same seed gave different proposals on one processor")
 	}
 }
 
 func TestFastMonotonicClockDoesNotAccelerateAgreedTime(t *testing.T) {
-	l, wall, now := New(nil), 5000*sec, 1000*sec
+	controller, wall, now := New(nil), 5000*sec, 1000*sec
 	state := maintenance.New()
 	for i := range uint64(3600) {
 		wall, now = wall+sec, now+sec+sec/100
-		l.Step(now, wall, []Input{Applied{State: state, Index: i, Now: l.time}})
-		l.advanceAgreedTime(l.time)
+		controller.Step(now, wall, []Input{Applied{State: state, Index: i, Now: controller.time}})
+		controller.advanceAgreedTime(controller.time)
 	}
-	if ahead := l.time - wall; ahead < 0 || ahead > sec {
-		t.Errorf("after an hour agreed time is %v ahead", ahead)
+	if ahead := controller.time - wall; ahead < 0 || ahead > sec {
+		t.Errorf("after one hour agreed time is %v ahead", ahead)
 	}
-	l.Step(now, wall, []Input{Applied{State: state, Index: 3600, Now: wall + 10*sec}}) // of a leader whose wall's clock is ahead
-	first := l.time
+	controller.Step(now, wall, []Input{Applied{State: state, Index: 3600, Now: wall + 10*sec}}) // from a leader whose wall clock is ahead
+	first := controller.time
 	for i := range uint64(1200) {
 		wall, now = wall+sec, now+sec+sec/100
-		l.Step(now, wall, []Input{Applied{State: state, Index: 3601 + i, Now: l.time}})
-		l.advanceAgreedTime(l.time) // as proposing does
-		if i == 9 && l.time <= first {
-			t.Errorf("agreed time stands at %v", l.time)
+		controller.Step(now, wall, []Input{Applied{State: state, Index: 3601 + i, Now: controller.time}})
+		controller.advanceAgreedTime(controller.time) // as a proposal does
+		if i == 9 && controller.time <= first {
+			t.Errorf("agreed time does not advance from %v", controller.time)
 		}
 	}
-	if ahead := l.time - wall; ahead < 0 || ahead > sec {
+	if ahead := controller.time - wall; ahead < 0 || ahead > sec {
 		t.Errorf("agreed time is still %v ahead", ahead)
 	}
 }
 
-// Only whom the inventory has counts for a leader that follows: replicas, strangers and one that only polled do not.
+// Only co-ordinators in the inventory must acknowledge for a newly elected leader; replicas, unknown names and co-ordinators that
+// only polled need not.
 func TestMustAcknowledgeOnlyInventoryCoordinators(t *testing.T) {
 	r := newRig(t)
 	r.inputs = append(r.inputs, Polled{From: "d", Sequence: 1})
@@ -255,8 +257,8 @@
 			got = append(got, name)
 		}
 	}
-	r.want("counted", got, "[a b]")
+	r.want("must acknowledge", got, "[a b]")
 	r.members = append(r.members, Member{Name: "d", Status: maintenance.Up})
 	r.run(2 * sec)
-	r.want("once it was observed", MustAcknowledge(r.state, "d"), true)
+	r.want("d must acknowledge once it was observed", MustAcknowledge(r.state, "d"), true)
 }
--- a/internal/fleet/drainctl/clock.go
+++ b/internal/fleet/drainctl/clock.go
@@ -8,79 +8,86 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// The wall's clock of a leader is agreed time, which never goes back: one that is far ahead would carry it away for
-// good, and by it grants would end, machines count as warm and pauses as over long before they are. The state machine can not
-// tell: after hours at rest the first command leaps by hours and is right. The clocks of the others can. Each poll says
-// what its sender's shows. A leader that is ahead of the most of them proposes nothing, and hands over.
+// The leader's wall clock becomes agreed time, which never goes back. A clock that is far ahead would advance agreed time for
+// good: grants would end, machines count as warm and pauses as over long before they are. The state machine cannot detect this,
+// because the first command after hours without any rightly makes agreed time leap by hours. The clocks of the other
+// co-ordinators can: each poll carries its sender's wall clock. A leader that is ahead of most of them proposes nothing and
+// transfers leadership.
 //
-// Before it has heard enough of them it proposes only what does not leap: agreed time goes on as its own monotonic clock
-// does, which covers a new leader in the middle of a plan.
+// Until it knows enough of their clocks, a leader proposes only what does not make agreed time leap: agreed time advances with
+// its monotonic clock, which is enough for a new leader in the middle of a plan.
 //
-// One that is behind must not begin agreed time there: once it is mended or another leads, agreed time would leap, and by
-// the leap pauses end early and grants lapse. It goes by the clock of the most known instead. That holds up for ClockWait
-// at the longest, whoever is silent or wrong, and no election is needed.
+// A leader whose clock is behind must not start agreed time there: once the clock is corrected or another node leads, agreed time
+// would leap, and the leap would end pauses early and expire grants. Such a leader uses the clock of the majority of the known
+// nodes instead. This delays it by at most ClockWait, whichever nodes are silent or wrong, and needs no election.
 const (
-	// MaxClockLead is how far the own wall's clock may be ahead of the most of those known, or leap by itself while they are
-	// not. Twice as much: machines count as warm so much sooner than they are; half: the polls' way and what a time
-	// service lets two clocks differ by silence a good leader.
+	// MaxClockLead is how far the wall clock may be ahead of the majority of the known clocks, or may make agreed time leap while
+	// too few are known. Twice as much would count machines as warm that much too early; half as much would silence a correct
+	// leader because of network delay and the differences that time synchronisation leaves between clocks.
 	MaxClockLead = 5 * time.Second
-	// MinOtherClocks others make a majority beside the own clock, of which one may be wrong. One more: fleets of three could
-	// never be sure; one less: of two clocks none can say which is wrong.
+	// MinOtherClocks is how many other clocks make, with the local one, a majority of which one clock may be wrong. With one
+	// more, fleets of three could never decide; with one fewer, nothing shows which of two clocks is wrong.
 	MinOtherClocks = 2
-	// MaxClockAge is how long a clock that was reported is taken to run on as the own monotonic one does: it drifts by 0.6 s.
-	// Twice as long: twice that; half as long: a few lost polls, and a leader is less sure of its own.
+	// MaxClockAge is how long a reported clock is extrapolated with the local monotonic clock, which drifts by 0.6 s in that
+	// time. Twice as long would double the drift; with half as long, a few lost polls would leave a leader less sure of its own
+	// clock.
 	MaxClockAge = time.Minute
-	// ClockWait is how long a leap waits for others' clocks, which come with polls once a second, after the election or
-	// once they are too old; and for how long a leader is silent before it hands over, since polls of before a stall make
-	// it seem ahead. Twice as long: a fleet whose others are down begins later; half: one slow poll, and a wrong clock is
-	// believed. So long a leader that is behind waits too, before it takes others' clocks for right: the first that are
-	// heard need not be like the most.
+	// ClockWait is how long a leap of agreed time waits for other clocks after the election, or once the known ones are too old;
+	// they arrive with polls once a second. It is also how long a leader whose clock is ahead proposes nothing before it
+	// transfers leadership, because polls sent before a stall make it seem ahead, and how long a leader whose clock is behind
+	// waits before it adopts the others' clocks, because the first clocks received need not represent the majority. Twice as long
+	// would delay a fleet whose other nodes are down; with half as long, one slow poll would be enough for a wrong clock to be
+	// trusted.
 	ClockWait = 3 * time.Second
-	// HandOverInterval is between attempts at handing over. Half as long: twice as many elections while no clock is right.
+	// HandOverInterval is the time between attempts to transfer leadership. Half as long would double the elections while no
+	// clock is right.
 	HandOverInterval = 30 * time.Second
 )
 
-// TransferLeadership says that another voter should lead, and why. This one proposes nothing until it may again.
+// TransferLeadership requests that another voter lead, and says why. The controller proposes nothing until its clock is usable
+// again.
 type TransferLeadership struct{ Reason string }
 
 func (TransferLeadership) output() {}
 
-// peerClock is what another's wall showed, against the own monotonic time: only the difference is kept.
+// peerClock is the wall clock of another node, as its difference from the local monotonic time.
 type peerClock struct {
 	offset time.Duration
-	at     time.Duration // own time of the poll
+	at     time.Duration // monotonic time at which the poll arrived
 	known  bool
 }
 
-// clockLeads are by how much the own wall's clock is ahead of each that is known, the own among them, in rising order.
+// clockLeads returns by how much the local wall clock is ahead of each known clock, in ascending order. The local clock is one of
+// them, with a lead of 0.
 func (c *Controller) clockLeads(wall time.Duration) []time.Duration {
-	all := []time.Duration{0}
-	for name, h := range c.pollers { // in any order: sorted below
-		if clk := h.peerClock; clk.known && name != c.name && c.now-clk.at <= MaxClockAge {
-			all = append(all, wall-(clk.offset+c.now))
+	leads := []time.Duration{0}
+	for name, peer := range c.pollers { // iteration order does not matter: sorted below
+		if clk := peer.peerClock; clk.known && name != c.name && c.now-clk.at <= MaxClockAge {
+			leads = append(leads, wall-(clk.offset+c.now))
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(leads)
+	return leads
 }
 
-// medianClockLead is by how much the own wall's clock is ahead of the most known: of all clocks, the own among them, more than
-// half are behind it by so much or more; of two, the other is. Negative: behind them. others are the clocks of others that
-// are known.
-func (c *Controller) medianClockLead(wall time.Duration) (by time.Duration, others int) {
-	all := c.clockLeads(wall)
-	if len(all) == 2 { // nobody can say which of two is right: the one behind goes on, the one ahead counts the cold as warm
-		return all[0] + all[1], 1
+// medianClockLead returns by how much the local wall clock is ahead of the majority: more than half of all known clocks, itself
+// included, are behind it by that much or more. With two clocks it is the lead over the other one. A negative lead means that it
+// is behind. others is the number of other clocks known.
+func (c *Controller) medianClockLead(wall time.Duration) (lead time.Duration, others int) {
+	leads := c.clockLeads(wall)
+	if len(leads) == 2 { // nothing shows which of two is right: the one behind is safe, the one ahead would count cold machines as warm
+		return leads[0] + leads[1], 1
 	}
-	return all[(len(all)-1)/2], len(all) - 1
+	return leads[(len(leads)-1)/2], len(leads) - 1
 }
 
-// chooseClock is the wall's clock to go by: the own, or that of the most known, once the own was behind it for ClockWait: of all
-// clocks, the own among them, more than half are then ahead by over MaxClockLead. Until then it says wait if agreed time,
-// led on from pace, would be behind too. Of two clocks the own counts.
-func (c *Controller) chooseClock(wall, pace time.Duration) (by time.Duration, wait bool) {
-	all := c.clockLeads(wall)
-	behind := -all[len(all)/2]
+// chooseClock returns the wall clock to use: the local one, or the majority's once the local one has been behind it for
+// ClockWait. It is behind if more than half of all known clocks, itself included, are ahead of it by more than MaxClockLead.
+// Until ClockWait has passed, wait is true if agreed time, extrapolated to projected, would be behind as well. Of two clocks the
+// local one is used.
+func (c *Controller) chooseClock(wall, projected time.Duration) (chosen time.Duration, wait bool) {
+	leads := c.clockLeads(wall)
+	behind := -leads[len(leads)/2]
 	if !c.leading || behind <= MaxClockLead {
 		c.clockBehind = false
 		return wall, false
@@ -89,16 +96,17 @@
 		c.clockBehind, c.clockBehindAt, c.clockBehindLogged = true, c.now, false
 	}
 	if c.now < c.clockBehindAt+ClockWait {
-		return wall, max(wall, pace)+MaxClockLead < wall+behind
+		return wall, max(wall, projected)+MaxClockLead < wall+behind
 	}
 	if !c.clockBehindLogged {
 		c.clockBehindLogged = true
-		c.log("the own clock is %v behind most of the %d others known: goes by theirs", behind.Round(time.Millisecond), len(all)-1)
+		c.log("the local clock is %v behind most of the %d other known clocks: using the majority's clock", behind.Round(time.Millisecond), len(leads)-1)
 	}
 	return wall + behind, false
 }
 
-// requiredPeerClocks is how many others' clocks are waited for: of those that may be there, MinOtherClocks at most.
+// requiredPeerClocks returns how many other clocks must be known: one for each other member that is not gone, at most
+// MinOtherClocks.
 func (c *Controller) requiredPeerClocks() int {
 	if !c.membersKnown {
 		return MinOtherClocks
@@ -112,11 +120,11 @@
 	return min(n, MinOtherClocks)
 }
 
-// mayUseClock says whether the own wall's clock may be proposed, which would lead agreed time on from pace, and says why
-// it has been wrong for long.
-func (c *Controller) mayUseClock(wall, pace time.Duration) bool {
-	by, others := c.medianClockLead(wall)
-	if by <= MaxClockLead {
+// mayUseClock reports whether the wall clock may be proposed as agreed time, of which projected is the extrapolated value. Once
+// the clock has been ahead for long, it logs that and requests a transfer of leadership.
+func (c *Controller) mayUseClock(wall, projected time.Duration) bool {
+	lead, others := c.medianClockLead(wall)
+	if lead <= MaxClockLead {
 		c.clockAhead = false
 		if others >= c.requiredPeerClocks() {
 			c.clocksUnknown = false
@@ -125,17 +133,17 @@
 		if !c.clocksUnknown {
 			c.clocksUnknown, c.clocksUnknownAt = true, c.now
 		}
-		return wall <= pace+MaxClockLead || c.now >= c.clocksUnknownAt+ClockWait
+		return wall <= projected+MaxClockLead || c.now >= c.clocksUnknownAt+ClockWait
 	}
 	if !c.clockAhead {
 		c.clockAhead, c.clockAheadAt, c.handOverAt = true, c.now, c.now+ClockWait
 	}
 	if c.now >= c.handOverAt {
 		c.handOverAt = c.now + HandOverInterval
-		why := fmt.Sprintf("the own clock is %v ahead of most of the %d others known, %v is allowed: "+
-			"proposes nothing since %v, and hands over", by.Round(time.Millisecond), others, MaxClockLead, c.now-c.clockAheadAt)
-		c.log("%s", why)
-		c.out = append(c.out, TransferLeadership{why})
+		reason := fmt.Sprintf("the local clock is %v ahead of most of the %d other known clocks, %v is allowed: "+
+			"nothing proposed for %v, transferring leadership", lead.Round(time.Millisecond), others, MaxClockLead, c.now-c.clockAheadAt)
+		c.log("%s", reason)
+		c.out = append(c.out, TransferLeadership{reason})
 	}
 	return false
 }
--- a/internal/fleet/drainctl/clock_test.go
+++ b/internal/fleet/drainctl/clock_test.go
@@ -13,7 +13,7 @@
 
 const hour = 3600 * sec
 
-// five is a rig of five co-ordinators, of which a leads anew.
+// newFiveNodeRig returns a rig of five co-ordinators in which a has just been elected.
 func newFiveNodeRig(t *testing.T) *rig {
 	r := newRig(t)
 	for _, n := range []string{"d", "e"} {
@@ -24,23 +24,23 @@
 	return r
 }
 
-// An hour ahead a leader proposes nothing, agreed time stays where it was, and it hands over and says why. Right again,
-// it goes on.
+// A leader whose clock is one hour ahead proposes nothing, agreed time does not advance, and it transfers leadership with the
+// reason. Once its clock is right again it proposes again.
 func TestClockFarAheadTransfersLeadership(t *testing.T) {
 	r := newFiveNodeRig(t)
-	before, was := len(r.proposals), r.stateMachine.Now()
+	before, agreedBefore := len(r.proposals), r.stateMachine.Now()
 	r.wallBehind = -hour
 	r.request(1, "r1")
 	r.run(32 * sec)
 	r.want("proposals", len(r.proposals)-before, 0)
-	r.want("agreed time", r.stateMachine.Now(), was)
-	r.want("times handed over", len(r.transfers), 1)
-	if why := r.logs[len(r.logs)-1]; !strings.HasPrefix(why, "the own clock is 1h0m0") || why != r.transfers[0] ||
-		!strings.Contains(why, "ahead of most of the 4 others known, 5s is allowed") {
-		t.Errorf("said %q", why)
+	r.want("agreed time", r.stateMachine.Now(), agreedBefore)
+	r.want("leadership transfers", len(r.transfers), 1)
+	if reason := r.logs[len(r.logs)-1]; !strings.HasPrefix(reason, "the local clock is 1h0m0") || reason != r.transfers[0] ||
+		!strings.Contains(reason, "ahead of most of the 4 other known clocks, 5s is allowed") {
+		t.Errorf("logged %q", reason)
 	}
 	r.run(3 * sec)
-	r.want("times handed over", len(r.transfers), 2)
+	r.want("leadership transfers", len(r.transfers), 2)
 	r.wallBehind = 0
 	r.runUntil("r1", maintenance.Granted)
 	if late := r.stateMachine.Now() - (5000*sec + r.now); late > 0 {
@@ -48,27 +48,28 @@
 	}
 }
 
-// Elected after hours at rest, by a clock that is ahead, it waits until it hears others, and then says nothing.
+// A leader that is elected after hours without commands, with a clock that is ahead, waits for other clocks and then proposes
+// nothing.
 func TestClockFarAheadWhenElected(t *testing.T) {
 	r := newFiveNodeRig(t)
-	was := r.stateMachine.Now()
+	agreedBefore := r.stateMachine.Now()
 	r.now += 5 * hour
 	r.wallBehind, r.inputs = -hour, []Input{Elected{Term: 3, NodeName: "a"}}
 	r.request(1, "r1")
 	r.run(20 * sec)
-	r.want("agreed time", r.stateMachine.Now(), was)
-	r.want("times handed over", len(r.transfers), 1)
+	r.want("agreed time", r.stateMachine.Now(), agreedBefore)
+	r.want("leadership transfers", len(r.transfers), 1)
 	r.wallBehind = 0
 	r.runUntil("r1", maintenance.Granted)
 }
 
-// Two of five that are wrong change nothing, whichever way, nor do three that are behind.
+// Two wrong clocks of five change nothing, whether ahead or behind, nor do others that are behind by less than MaxClockLead.
 func TestWrongPeerClocksAreTolerated(t *testing.T) {
 	for _, clocks := range []map[string]time.Duration{
 		{"b": -hour, "c": -hour}, {"b": -hour, "c": hour}, {"b": hour, "c": hour}, {"b": -hour, "c": -hour, "d": -4 * sec},
 		{"b": -4 * sec, "c": -4 * sec, "d": -4 * sec, "e": -4 * sec}, {"a": -hour, "b": -hour},
 	} {
-		for _, silent := range []string{"", "e"} { // five clocks are known, or four
+		for _, silent := range []string{"", "e"} { // five or four clocks are known
 			r := newFiveNodeRig(t)
 			r.silentNode = silent
 			r.run(MaxClockAge + 2*sec)
@@ -76,7 +77,7 @@
 			r.run(ClockWait + sec)
 			r.request(1, "r1")
 			r.runUntil("r1", maintenance.Granted)
-			r.want(fmt.Sprint("handed over with ", clocks), len(r.transfers), 0)
+			r.want(fmt.Sprint("leadership transfers with ", clocks), len(r.transfers), 0)
 			if off := r.stateMachine.Now() - (5000*sec + r.now); off.Abs() > sec {
 				t.Errorf("with %v agreed time is %v off", clocks, off)
 			}
@@ -84,7 +85,7 @@
 	}
 }
 
-// The first command after hours at rest leaps, as soon as others' clocks are heard.
+// The first command after hours without any makes agreed time leap as soon as other clocks are known.
 func TestAgreedTimeLeapsAfterIdlePeriod(t *testing.T) {
 	r := newFiveNodeRig(t)
 	r.now += 5 * hour
@@ -94,8 +95,8 @@
 	}
 }
 
-// Without word of any clock a leader goes on at once in the middle of a plan, and after a while where it has to leap; at
-// once too if there is nobody else.
+// Without any other clock a leader proposes at once in the middle of a plan, after ClockWait if agreed time would leap, and at
+// once if there is no other node.
 func TestNoPeerClocksKnown(t *testing.T) {
 	r := newFiveNodeRig(t)
 	r.request(1, "r1")
@@ -104,7 +105,7 @@
 	r.dropPolls, r.inputs = true, []Input{Elected{Term: 3, NodeName: "a"}}
 	r.run(2 * sec)
 	if len(r.proposals) == before {
-		t.Error("the next leader waits in the middle of a plan")
+		t.Error("the next leader proposes nothing in the middle of a plan")
 	}
 
 	r = newFiveNodeRig(t)
@@ -113,10 +114,10 @@
 	r.request(1, "r1")
 	before = len(r.proposals)
 	r.run(ClockWait)
-	r.want("proposals before it has waited", len(r.proposals)-before, 0)
+	r.want("proposals before ClockWait has passed", len(r.proposals)-before, 0)
 	r.run(sec)
 	if len(r.proposals) == before {
-		t.Error("it waits for ever for those that are silent")
+		t.Error("it waits for silent nodes for longer than ClockWait")
 	}
 
 	r = &rig{t: t, controller: New(nil), state: maintenance.New(), now: 1000 * sec, dropPolls: true,
@@ -124,11 +125,11 @@
 	r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
 	r.inputs = []Input{Elected{Term: 1, NodeName: "a"}, Membership{r.members}, MaintenanceFile{Limits: maintenance.LimitsBody{Revision: 1, Limits: limits}}}
 	r.step(100 * time.Millisecond)
-	r.want("proposals of one alone", len(r.proposals), 1)
+	r.want("proposals of a single node", len(r.proposals), 1)
 }
 
-// Where only one other is heard, as by a leader that is cut off with one voter, nobody can say which of two is right: the
-// one ahead gives way, the one behind goes on.
+// If only one other clock is known, as for a leader that is cut off with one voter, nothing shows which of two is right: a leader
+// that is ahead stops proposing, one that is behind continues.
 func TestOfTwoClocksTheLeaderAheadStopsProposing(t *testing.T) {
 	for _, behind := range []time.Duration{-hour, hour} {
 		r := newFiveNodeRig(t)
@@ -137,22 +138,22 @@
 		r.wallBehind = behind
 		r.request(1, "r1")
 		r.inputs = append(r.inputs, Polled{From: "b", Sequence: 1 << 60, Wall: 5000*sec + r.now})
-		before, was := len(r.proposals), r.stateMachine.Now()
+		before, agreedBefore := len(r.proposals), r.stateMachine.Now()
 		r.run(20 * sec)
 		if behind < 0 {
-			r.want("proposals of the one ahead", len(r.proposals)-before, 0)
-			r.want("agreed time", r.stateMachine.Now(), was)
-			r.want("times handed over", len(r.transfers), 1)
+			r.want("proposals of the leader ahead", len(r.proposals)-before, 0)
+			r.want("agreed time", r.stateMachine.Now(), agreedBefore)
+			r.want("leadership transfers", len(r.transfers), 1)
 		} else if len(r.proposals) == before {
-			t.Error("the one behind proposes nothing")
+			t.Error("the leader behind proposes nothing")
 		}
 	}
 }
 
-// Behind the most, a leader waits for a moment and goes by theirs: agreed time does not begin behind, and does not leap
-// once the clock is mended, so that a pause lasts as long as it should.
+// A leader that is behind the majority waits for ClockWait and then uses the majority's clock: agreed time does not start behind
+// and does not leap once the clock is corrected, so that a pause has its full length.
 func TestLeaderFarBehindUsesMajorityClock(t *testing.T) {
-	for _, first := range []bool{true, false} { // its first command of all, or in the middle of a plan
+	for _, first := range []bool{true, false} { // the first command of the log, or in the middle of a plan
 		r := &rig{t: t, controller: New(nil), state: maintenance.New(), now: 1000 * sec}
 		if first {
 			r.stateMachine = statemachine.New(map[string]statemachine.Part{Part: r.state})
@@ -166,7 +167,7 @@
 		} else {
 			r = newFiveNodeRig(t)
 		}
-		r.wallBehind, r.clockOffsets = 3000*sec, map[string]time.Duration{"b": hour} // of the four others one is wrong too
+		r.wallBehind, r.clockOffsets = 3000*sec, map[string]time.Duration{"b": hour} // one of the four others is wrong too
 		begun := r.now
 		r.request(1, "r1", "r4")
 		if first {
@@ -181,7 +182,7 @@
 		if off := r.stateMachine.Now() - (5000*sec + r.now); off > 0 || off < -2*sec {
 			t.Errorf("agreed time is %v off", off)
 		}
-		r.replicas[9].Status = maintenance.Gone // a failure: a pause of Calm
+		r.replicas[9].Status = maintenance.Gone // a failure, which pauses grants for FailurePause
 		r.run(sec)
 		paused := r.now
 		r.request(2, "r1", "r4", "r7")
@@ -192,16 +193,16 @@
 			t.Errorf("the pause of %v was over after %v", limits.FailurePause, took)
 		}
 		if n := len(slices.DeleteFunc(slices.Clone(r.logs), func(line string) bool { return !strings.Contains(line, "50m0s behind most of the 4") })); n != 1 {
-			t.Errorf("%d lines say so, want 1: %q", n, r.logs)
+			t.Errorf("%d log lines about the clock, want 1: %q", n, r.logs)
 		}
-		r.want("times handed over", len(r.transfers), 0)
+		r.want("leadership transfers", len(r.transfers), 0)
 	}
 }
 
-// What is not known of the others holds a leader that is behind up for ClockWait, no longer.
+// Missing or wrong clocks of other nodes delay a leader that is behind by at most ClockWait.
 func TestLeaderFarBehindWaitsAtMostClockWait(t *testing.T) {
 	for what, change := range map[string]func(r *rig){
-		"nobody is heard": func(r *rig) { r.dropPolls = true },
+		"no polls arrive": func(r *rig) { r.dropPolls = true },
 		"all clocks are wrong": func(r *rig) {
 			r.clockOffsets = map[string]time.Duration{"b": hour, "c": 2 * hour, "d": -hour, "e": 3 * hour}
 		},
@@ -219,11 +220,11 @@
 		if len(r.proposals) == before {
 			t.Errorf("%s: nothing is proposed", what)
 		}
-		r.want(what+": handed over", len(r.transfers), 0)
+		r.want(what+": leadership transfers", len(r.transfers), 0)
 	}
 }
 
-// A clock that was heard too long ago is none: it would be off by the drift.
+// A clock that was reported longer than MaxClockAge ago is not used, because it may be off by the drift since then.
 func TestStalePeerClocksAreIgnored(t *testing.T) {
 	r := newFiveNodeRig(t)
 	r.dropPolls = true
@@ -231,9 +232,9 @@
 	if _, others := r.controller.medianClockLead(5000*sec + r.now); others != 0 {
 		t.Errorf("%d clocks are known", others)
 	}
-	r.inputs = append(r.inputs, Polled{From: "b", Sequence: 1 << 60}) // which does not tell
+	r.inputs = append(r.inputs, Polled{From: "b", Sequence: 1 << 60}) // without a clock
 	r.step(100 * time.Millisecond)
 	if _, others := r.controller.medianClockLead(5000*sec + r.now); others != 0 {
-		t.Errorf("%d clocks are known, none was told", others)
+		t.Errorf("%d clocks are known, none was reported", others)
 	}
 }
--- a/internal/fleet/drainctl/controller.go
+++ b/internal/fleet/drainctl/controller.go
@@ -1,6 +1,7 @@
-// Package drainctl is the drain controller of the raft group's leader: from the membership, the replica list and the polls it
-// proposes commands for the agreed maintenance order. Pure: time and events come in, proposals go out. Whatever it proposes is
-// checked again when it is applied, so a stale or wrong leader cannot grant what the agreed state forbids. At rest, with nothing requested, it proposes nothing.
+// Package drainctl implements the drain controller of the raft group's leader. From the membership, the replica list and the
+// polls it proposes commands for the agreed maintenance state. It is pure: time and events are its input, proposals its output.
+// Each command is checked again when it is applied, so that a stale or faulty leader cannot grant what the agreed state forbids.
+// While nothing is requested and nothing changes, it proposes nothing.
 package drainctl
 
 import (
@@ -13,90 +14,103 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Times and bounds of a leader.
+// Timeouts, intervals and limits of a leader.
 const (
-	// MaxDriftDivisor bounds by how much two clocks may run apart, as one part of so many: silence is counted longer by it. Half as much
-	// drift allowed for: a co-ordinator with a slow clock may keep its lease after it is counted as silent.
+	// MaxDriftDivisor bounds the drift between two clocks to one part in MaxDriftDivisor; silence limits are extended by it. If
+	// half as much drift were allowed for, a co-ordinator with a slow clock could still hold its lease after it counts as silent.
 	MaxDriftDivisor = 100
-	// MaxPendingProposals is the bound on proposals whose outcome is not known. Twice as many: more that are rejected since the state moved
-	// meanwhile; half: a slow raft group holds up words that need not wait for each other. A new one waits for a free place.
+	// MaxPendingProposals bounds the proposals whose outcome is unknown; a new one waits for a free place. Twice as many would
+	// cause more rejections, because the state changes in the meantime; with half as many, a slow raft group would delay commands
+	// that need not wait for each other.
 	MaxPendingProposals = 8
-	// MaxPendingGrants is the bound on the grants among them.
+	// MaxPendingGrants bounds the grants among the pending proposals.
 	MaxPendingGrants = 4
-	// ProposalTimeout is until a proposal of which nothing came is proposed again, by the same bytes, so that it acts once.
-	// Twice as long: a lost one costs as much more; half: a slow raft group's log has most of them twice.
+	// ProposalTimeout is the time after which a proposal without an outcome is proposed again, with the same bytes so that it
+	// takes effect once. Twice as long would make a lost proposal cost twice the time; with half as long, a slow raft group's log
+	// would contain most proposals twice.
 	ProposalTimeout = 3 * time.Second
-	// MaxProposalAttempts is how often one is proposed. After that it is given up, and what is wanted then is decided anew.
+	// MaxProposalAttempts is how often a command is proposed. After that it is dropped, and what is needed then is decided anew.
 	MaxProposalAttempts = 3
-	// RejectedBackoff is until the same is proposed again after a rejection. Half as long: twice the rejected entries in the log.
+	// RejectedBackoff is the wait before the same command is proposed again after a rejection. Half as long would double the
+	// rejected entries in the log.
 	RejectedBackoff = 2 * time.Second
-	// ConfigErrorInterval is between attempts at, and lines about, what a file says wrongly. Half as long: twice the lines of
-	// which one is enough; twice: a mended leader's state takes the file so much later.
+	// ConfigErrorInterval is the time between attempts to propose the content of an invalid file, and between log lines about it.
+	// Half as long would log twice as many lines where one is enough; twice as long would delay the acceptance of the file once
+	// the agreed state allows it.
 	ConfigErrorInterval = time.Minute
-	// MinObserveInterval is between two observations. Twice as long: a machine that went is known so much later; half as
-	// long: a flapping machine fills the log twice as fast.
+	// MinObserveInterval is the time between two observations. Twice as long would delay the detection of a machine that has
+	// gone; with half as long, a flapping machine would fill the log twice as fast.
 	MinObserveInterval = 500 * time.Millisecond
-	// ActiveTickInterval is between commands while a grant lives, as its ends are found by agreed time; PendingTickInterval while something
-	// only waits. Twice as long: ends are found so much later; half: twice the entries at rest of a plan.
+	// ActiveTickInterval is the time between commands while a grant is active, because its end is detected by agreed time;
+	// PendingTickInterval applies while items are only pending. Twice as long would detect ends that much later; half as long
+	// would double the entries of an idle plan.
 	ActiveTickInterval  = time.Second
 	PendingTickInterval = 10 * time.Second
-	// MaxObservationSize is the bytes of machines in one observation; more are observed in parts, MinObserveInterval apart. Twice
-	// as much: a link between voters is held for longer by one entry; half: an inventory of 10,000 takes twice as long to observe.
+	// MaxObservationSize is the size in bytes of the machines in one observation; larger ones are split into parts,
+	// MinObserveInterval apart. With twice as much, one entry would occupy a link between voters for longer; with half as much,
+	// observing an inventory of 10,000 machines would take twice as long.
 	MaxObservationSize = 384 << 10
-	// AcknowledgeSlack is how long, after the time in which any co-ordinator has either polled or is silent for long, a live one
-	// may take to say that it applies a drain. Then the grant is withdrawn. Half as long: a slow list costs a grant.
+	// AcknowledgeSlack is how long a live co-ordinator may take to report that it applies a drain, in addition to the time in
+	// which every co-ordinator has either polled or exceeded silenceLimit. After that the grant is withdrawn. With half as long,
+	// a slow replica list would cost a grant.
 	AcknowledgeSlack = 10 * time.Second
-	// StartTimeout is how long the site's tools have to begin, once a machine's drain is acknowledged. Twice as long: a place in the plan is
-	// held so much longer by who does not come; half as long: tools that look once a minute miss their turn.
+	// StartTimeout is how long the site's tools have to start once a machine's drain is acknowledged. With twice as long, a
+	// machine that is never taken out would occupy its place in the plan for longer; with half as long, tools that poll once a
+	// minute would miss their turn.
 	StartTimeout = 3 * time.Minute
-	// InitialGrantBackoff is until a machine whose grant ended before it was acknowledged is granted again, doubled each time after. Half
-	// as long: a cause that passes, as a list that is slow, uses up all the times that it is requested again.
+	// InitialGrantBackoff is the wait before a machine is granted again if its grant ended before it was acknowledged; each
+	// further attempt doubles it. With half as long, a transient cause such as a slow replica list would use up all attempts of
+	// the request.
 	InitialGrantBackoff = 15 * time.Second
-	// MemberDiscoveryGrace is how long after the election a co-ordinator without any news counts as unknown, not as gone: a
-	// leader that has just started does not know all members yet. Half as long: a false failure may pause the plan.
+	// MemberDiscoveryGrace is how long after the election a co-ordinator that is missing from the membership counts as unknown
+	// instead of gone, because a leader that has just started does not know all members yet. With half as long, a false failure
+	// could pause the plan.
 	MemberDiscoveryGrace = 10 * time.Second
-	// MaxReorderDelay is within how long a poll of a lower number is one that was overtaken; later it is of a new process whose
-	// clock went back. Twice as long: such a one is believed so much later; half: a very late poll is taken for the newest.
+	// MaxReorderDelay is the time within which a poll with a lower sequence number counts as reordered; a later one comes from a
+	// new process whose clock went back. Twice as long would delay trust in such a process; with half as long, a very late poll
+	// would be taken for the newest.
 	MaxReorderDelay = 3 * time.Second
-	// MaxPollers is the co-ordinators whose polls are remembered; the one silent for longest goes first.
+	// MaxPollers is the number of co-ordinators whose polls are remembered; the one that has been silent for longest is dropped
+	// first.
 	MaxPollers = 2048
-	// CatchUpDivisor: while the own wall's clock is behind agreed time, that goes on slower than the own monotonic clock, by one
-	// part of so many, so that the wall catches up though the monotonic one be fast by the drift. At its full pace it
-	// would carry agreed time ever further ahead, and machines would count as warm before they are; twice as slow, ends
-	// are found later by so much more.
+	// CatchUpDivisor slows agreed time down while the wall clock is behind it: agreed time then advances by one part in
+	// CatchUpDivisor less than the monotonic clock, so that the wall clock catches up even if the monotonic clock is fast by the
+	// maximum drift. Without the slowdown agreed time would run ever further ahead, and machines would count as warm before they
+	// are; with twice the slowdown, ends would be detected that much later.
 	CatchUpDivisor = MaxDriftDivisor / 2
-	// MinLoadCoverage is the least share of the live co-ordinators that have reported their load lately, for it to be known.
+	// MinLoadCoverage is the smallest share of the live co-ordinators that must have reported their load recently for the fleet's
+	// load to count as known.
 	MinLoadCoverage = 0.8
 )
 
-// Part is the name of the maintenance order in the state machine; it is stored, so it keeps the name of earlier versions.
+// Part is the name of the maintenance state in the state machine. It is stored, so it keeps the name of earlier versions.
 const Part = "takeout"
 
-// Member is a co-ordinator by gossip.
+// Member is a co-ordinator as gossip reports it.
 type Member struct {
 	Name      string
 	Zone      string
 	Status    maintenance.Status
-	Started   time.Duration // since the Unix epoch; 0: not known
+	Started   time.Duration // since the Unix epoch; 0: unknown
 	Voter     bool
-	Load      float64 // mean replicas that it keeps busy, if LoadKnown
+	Load      float64 // in average replicas kept busy; valid if LoadKnown
 	LoadKnown bool
 	LoadAge   time.Duration
 }
 
-// Input is an event for a Step.
+// Input is an event that Step processes.
 type Input interface{ input() }
 
 type (
-	// Elected says that this process, by the name Own, leads in the term, with its own copy caught up with all before it.
+	// Elected says that this node, named NodeName, leads in Term and that its copy of the state contains all earlier entries.
 	Elected struct {
 		Term     uint64
 		NodeName string
 	}
-	// Deposed says that it no longer does, or may not.
+	// Deposed says that this node no longer leads, or is no longer allowed to.
 	Deposed struct{}
-	// Polled is a poll that was received while leading. No orders those of one co-ordinator; 0: not known. Wall is what its
-	// sender's clock showed when it was sent, since the Unix epoch; 0: not known.
+	// Polled is a poll that was received while leading. Sequence orders the polls of one co-ordinator; 0: unknown. Wall is its
+	// sender's wall clock when it was sent, since the Unix epoch; 0: unknown.
 	Polled struct {
 		From     string
 		Sequence uint64
@@ -104,28 +118,28 @@
 		Drains   []peerproto.DrainStatus
 		Wall     time.Duration
 	}
-	// Membership is the gossip membership, whole and with the own name, as they are now.
+	// Membership is the complete gossip membership as of now, this node included.
 	Membership struct{ Members []Member }
-	// ReplicaList is the list of replicas as discovery last confirmed it, so long ago. It must come again when confirmed,
-	// though nothing changed: what is not confirmed grows old and grants nothing.
+	// ReplicaList is the list of replicas, which discovery last confirmed Age ago. It must be sent again whenever it is
+	// confirmed, even if it has not changed: an unconfirmed list ages, and an old list allows no grants.
 	ReplicaList struct {
 		Replicas []maintenance.Machine
 		Age      time.Duration
 	}
-	// MaintenanceFile is what an operators' file says, the own one or a follower's. The newest revision of either counts; of two
-	// that differ under one number, the agreed one, and a line tells.
+	// MaintenanceFile is the content of an operators' file, the local one or a follower's. The highest revision counts. If two
+	// contents have the same revision, the agreed one counts and the difference is logged.
 	MaintenanceFile struct {
 		Limits   maintenance.LimitsBody
 		Requests maintenance.RequestsBody
 	}
-	// Applied is the own copy of the agreed state. It is read in this Step and those after it.
+	// Applied is the local copy of the agreed state. It is read in this Step and in later ones.
 	Applied struct {
 		State *maintenance.State
 		Index uint64
 		Now   time.Duration
-		Epoch uint64 // of the log; an index of another era says nothing
+		Epoch uint64 // of the log; indexes of different epochs are not comparable
 	}
-	// ProposalResult says what came of a proposal: nil, or why it was rejected or failed.
+	// ProposalResult is the outcome of a proposal: Err is nil, or why it was rejected or failed.
 	ProposalResult struct {
 		ID  string
 		Err error
@@ -141,11 +155,11 @@
 func (Applied) input()         {}
 func (ProposalResult) input()  {}
 
-// Output is something to be done.
+// Output is an action for the caller.
 type Output interface{ output() }
 
 type (
-	// Propose is a command for the raft group's log. One that comes again has the same bytes.
+	// Propose is a command for the raft group's log. A repeated proposal has the same bytes.
 	Propose struct{ Command statemachine.Command }
 	// Log is a line for the log.
 	Log struct{ Text string }
@@ -154,66 +168,67 @@
 func (Propose) output() {}
 func (Log) output()     {}
 
-// Order gives the items that may be asked about, in the order in which they should go. The first that may go is granted.
+// Order returns the items to consider for a grant, in order of preference. The first one that may be granted is granted.
 type Order func(s *maintenance.State, now time.Duration) []maintenance.Item
 
-// Controller is a leader's, or one that may become it. Not for use by several goroutines at once.
+// Controller is the drain controller of a node that leads or may become leader. It is not safe for concurrent use.
 type Controller struct {
 	order Order
 	out   []Output
 
 	leading    bool
-	mayPropose bool // propose, as of the last Step
+	mayPropose bool // as of the last Step
 	name       string
 	term       uint64
-	electedAt  time.Duration // own time of the election
-	seq        uint64        // of the newest proposal in the term
+	electedAt  time.Duration // monotonic time of the election
+	seq        uint64        // number of the latest proposal in the term
 
 	state      *maintenance.State
 	index      uint64
 	epoch      uint64
-	agreedTime time.Duration // as applied
-	now        time.Duration // own monotonic, of this Step
-	time       time.Duration // agreed time as far as known: the wall's, or while that is behind, base and most of what passed since
-	base       time.Duration // the newest agreed time that was applied or proposed, first at the own time baseAt
+	agreedTime time.Duration // latest applied
+	now        time.Duration // monotonic time of this Step
+	time       time.Duration // estimate of agreed time: the wall clock or, while that is behind, base plus most of the time since baseAt
+	base       time.Duration // latest agreed time applied or proposed, first seen at the monotonic time baseAt
 	baseAt     time.Duration
 
-	replicas                 []maintenance.Machine // by name, each once
+	replicas                 []maintenance.Machine // sorted by name, without duplicates
 	replicasKnown            bool
-	inventory                []maintenance.Machine // of list and members, by name; nil: one of both came since
-	replicasAt               time.Duration         // own time at which it was confirmed
-	members                  []Member              // by name, each once
+	inventory                []maintenance.Machine // replicas and members, sorted by name; nil: to be rebuilt
+	replicasAt               time.Duration         // monotonic time at which the list was confirmed
+	members                  []Member              // sorted by name, without duplicates
 	membersAt                time.Duration
-	membersKnown             bool // members came
+	membersKnown             bool
 	limits                   maintenance.LimitsBody
 	requests                 maintenance.RequestsBody
-	verifiedRequestsRevision int // revision under which asks says what was agreed; 0: not compared yet
+	verifiedRequestsRevision int // revision whose requests were found equal to the agreed ones; 0: not compared yet
 
-	clockAhead               bool // the own wall's clock is ahead of the others', since clockAheadAt
+	clockAhead               bool // the local wall clock is ahead of the majority, since clockAheadAt
 	clockAheadAt, handOverAt time.Duration
-	clocksUnknown            bool // too few others' clocks are known, since clocksUnknownAt
+	clocksUnknown            bool // too few other clocks are known, since clocksUnknownAt
 	clocksUnknownAt          time.Duration
-	clockBehind              bool // the own wall's clock is behind the others', since clockBehindAt; a line says so
+	clockBehind              bool // the local wall clock is behind the majority, since clockBehindAt
 	clockBehindAt            time.Duration
 	clockBehindLogged        bool
 
 	pollers          map[string]*poller
-	grantedAt        map[uint64]time.Duration // by fence, own time since when a granted item is known in this term
-	pending          []pendingProposal        // those whose end is not known
-	backoffUntil     map[string]time.Duration // what was rejected, by what it is, and until when it is not proposed again
-	observed         bool                     // an observation was proposed in this term, at observedAt
+	grantedAt        map[uint64]time.Duration // by fence: monotonic time at which the granted item was first seen in this term
+	pending          []pendingProposal        // proposals whose outcome is unknown
+	backoffUntil     map[string]time.Duration // by subject: until when a rejected proposal is not repeated
+	observed         bool                     // an observation was proposed in this term, last at observedAt
 	observedAt       time.Duration
-	inventoryChanged bool        // lists, members or the agreed state came since the inventories were compared
-	lastSearch       grantSearch // of the last search for a grant that found none
+	inventoryChanged bool        // the list, members or agreed state were updated since the inventories were compared
+	lastSearch       grantSearch // last search for a grant that found none
 }
 
+// grantSearch records at which index and time a search for a grant found none.
 type grantSearch struct {
 	index uint64
 	at    time.Duration
 	valid bool
 }
 
-// New makes one. Without an order, reserved ones go first, then urgent ones, then by asking.
+// New returns a controller. Without an order it uses ByRequestTime.
 func New(order Order) *Controller {
 	if order == nil {
 		order = ByRequestTime
@@ -221,18 +236,18 @@
 	return &Controller{order: order}
 }
 
-// Step takes events at the own monotonic time now, when the wall's clock shows wall since the Unix epoch, and returns what
-// to propose. The result holds until the next call. The agreed state of the newest Applied must not change meanwhile.
+// Step processes events at the monotonic time now, when the wall clock shows wall since the Unix epoch, and returns what to do.
+// The result is valid until the next call. The agreed state of the latest Applied must not change during the call.
 func (c *Controller) Step(now, wall time.Duration, in []Input) []Output {
 	c.out = c.out[:0]
 	c.now = max(now, c.now)
 	for _, i := range in {
 		c.handle(i)
 	}
-	pace := max(c.base+(c.now-c.baseAt)-(c.now-c.baseAt)/CatchUpDivisor, 0)
-	wall, wait := c.chooseClock(wall, pace)
-	c.time = max(wall, pace)
-	if c.mayPropose = c.leading && c.state != nil && !wait && c.mayUseClock(wall, pace); !c.mayPropose {
+	projected := max(c.base+(c.now-c.baseAt)-(c.now-c.baseAt)/CatchUpDivisor, 0)
+	wall, wait := c.chooseClock(wall, projected)
+	c.time = max(wall, projected)
+	if c.mayPropose = c.leading && c.state != nil && !wait && c.mayUseClock(wall, projected); !c.mayPropose {
 		return c.out
 	}
 	c.retryProposals()
@@ -260,7 +275,7 @@
 		}
 		c.reset()
 		c.leading, c.term, c.name, c.electedAt = true, in.Term, in.NodeName, c.now
-		c.log("leads in term %d", in.Term)
+		c.log("leading in term %d", in.Term)
 	case Deposed:
 		if c.leading {
 			c.log("leads no more; %d proposals may still act", len(c.pending))
@@ -299,14 +314,14 @@
 	}
 }
 
-// advanceAgreedTime takes an agreed time that was applied or proposed.
+// advanceAgreedTime records an agreed time that was applied or proposed.
 func (c *Controller) advanceAgreedTime(agreed time.Duration) {
 	if agreed > c.base {
 		c.base, c.baseAt = agreed, c.now
 	}
 }
 
-// reset forgets what holds for one term only.
+// reset clears what is valid for one term only.
 func (c *Controller) reset() {
 	c.pollers = map[string]*poller{}
 	c.grantedAt = map[uint64]time.Duration{}
@@ -319,17 +334,18 @@
 	c.out = append(c.out, Log{fmt.Sprintf(format, a...)})
 }
 
-// Check names what does not hold: P1 one that does not lead waits for proposals or counts silence, P2 more proposals
-// wait than may, P3 more polls are remembered than may, P4 a proposal's id is not of this term.
+// Check returns an error if an invariant is violated: P1 a controller that does not lead has no pending proposals and no pollers,
+// P2 the number of pending proposals is within its limits, P3 the number of pollers is within its limit, P4 each pending proposal
+// is of the current term.
 func (c *Controller) Check() error {
 	if !c.leading && (len(c.pending) > 0 || len(c.pollers) > 0) {
-		return fmt.Errorf("P1: leads no more, and waits for %d proposals and counts the silence of %d", len(c.pending), len(c.pollers))
+		return fmt.Errorf("P1: not leading, but has %d pending proposals and %d pollers", len(c.pending), len(c.pollers))
 	}
 	if n := c.countPending("grant "); len(c.pending) > MaxPendingProposals || n > MaxPendingGrants {
-		return fmt.Errorf("P2: %d proposals wait, %d of grants; %d and %d at most", len(c.pending), n, MaxPendingProposals, MaxPendingGrants)
+		return fmt.Errorf("P2: %d proposals are pending, %d of them grants; at most %d and %d are allowed", len(c.pending), n, MaxPendingProposals, MaxPendingGrants)
 	}
 	if len(c.pollers) > MaxPollers {
-		return fmt.Errorf("P3: the polls of %d are remembered, %d at most", len(c.pollers), MaxPollers)
+		return fmt.Errorf("P3: the polls of %d co-ordinators are remembered, at most %d are allowed", len(c.pollers), MaxPollers)
 	}
 	for _, p := range c.pending {
 		if p.term != c.term {
@@ -339,9 +355,10 @@
 	return nil
 }
 
-// Time is the agreed time for a command that is proposed beside those of Step, as of the newest Step; false while nothing
-// may be proposed: this one does not lead, or its clock is not one to go by.
+// Time returns the agreed time for a command that is proposed outside Step, as of the latest Step. It returns false while nothing
+// may be proposed because this node does not lead or its clock is not usable.
 func (c *Controller) Time() (time.Duration, bool) { return c.time, c.leading && c.mayPropose }
 
-// SilentFor is how long nothing was heard of a co-ordinator while this one leads: since its last poll, or the own election.
+// SilentFor returns how long nothing has been received from a co-ordinator while this node leads: since its last poll or since
+// the election.
 func (c *Controller) SilentFor(name string) time.Duration { return c.silentFor(name) }
--- a/internal/fleet/drainctl/controller_test.go
+++ b/internal/fleet/drainctl/controller_test.go
@@ -18,26 +18,25 @@
 var limits = maintenance.Limits{Cells: 16, Reach: 2, Shards: 16, MinHolders: 1, MaxOutPerZone: 8, MaxOut: 8, Headroom: 0.1, MaxLoadAge: 10 * sec,
 	MaxInventoryAge: 10 * sec, WarmUp: 20 * sec, Lease: 5 * sec, Grace: 2 * sec, SettleTime: 10 * sec, FailurePause: 30 * sec, MaxPassedOver: 3, MinVoters: 2}
 
-// rig steps a leader every 100 ms over a state machine that takes what it proposes, with sixteen replicas and three
-
-// co-ordinators that poll once a second and lay what is granted.
+// rig steps a controller every 100 ms over a state machine that applies its proposals, with sixteen replicas and three
+// co-ordinators that poll once a second and apply the granted drains.
 type rig struct {
 	t               *testing.T
 	controller      *Controller
 	state           *maintenance.State
 	stateMachine    *statemachine.Machine
 	now             time.Duration
-	wallBehind      time.Duration            // of the wall's clock
-	clockOffsets    map[string]time.Duration // by how much others' are ahead of the true time
-	dropPolls       bool                     // nobody polls
+	wallBehind      time.Duration            // by how much the controller's wall clock is behind the true time
+	clockOffsets    map[string]time.Duration // by node: how far its wall clock is ahead of the true time
+	dropPolls       bool                     // no polls are delivered
 	transfers       []string
 	index           uint64
-	dropProposals   bool          // the raft group takes nothing
-	listConfirmedAt time.Duration // since when the list is not confirmed any more
-	dropResults     bool          // nothing is said of what came of a proposal
+	dropProposals   bool          // proposals are not applied
+	listConfirmedAt time.Duration // if set, when the list was last confirmed
+	dropResults     bool          // outcomes of proposals are not delivered
 	silentNode      string
 	rejectingNode   string
-	staleNode       string // polls, and says only old grants laid
+	staleNode       string // polls, but reports only drains of other grants
 	members         []Member
 	replicas        []maintenance.Machine
 	inputs          []Input
@@ -143,7 +142,7 @@
 	return p
 }
 
-// phases are those of a machine's items, in order.
+// phases returns the phases of the machine's items, in order.
 func (r *rig) phases(name string) (all []string) {
 	for _, it := range r.state.Items() {
 		if it.Machine == name {
@@ -156,11 +155,11 @@
 func (r *rig) want(what string, got, want any) {
 	r.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		r.t.Errorf("at %v %s: %v, want %v (refused: %v)", r.now, what, got, want, r.rejections)
+		r.t.Errorf("at %v %s: %v, want %v (rejections: %v)", r.now, what, got, want, r.rejections)
 	}
 }
 
-// until steps on until an item of the machine is in the phase, and says how long that took.
+// runUntil steps until an item of the machine is in the phase, and returns how long that took.
 func (r *rig) runUntil(name string, p maintenance.Phase) time.Duration {
 	r.t.Helper()
 	from := r.now
@@ -170,7 +169,7 @@
 		}
 		r.step(100 * time.Millisecond)
 	}
-	r.t.Fatalf("%s never was %s: %v; refused %v; %v", name, p, r.phases(name), r.rejections, r.logs)
+	r.t.Fatalf("%s never was %s: %v; rejections %v; %v", name, p, r.phases(name), r.rejections, r.logs)
 	return 0
 }
 
@@ -185,12 +184,12 @@
 	r := newRig(t)
 	r.request(1, "r1", "r2", "r5")
 	if took := r.runUntil("r1", maintenance.Acknowledged); took > 2*sec {
-		t.Errorf("told after %v", took)
+		t.Errorf("acknowledged after %v", took)
 	}
 	r.run(sec)
-	r.want("with a shard in common, and with none", fmt.Sprint(r.phases("r2"), r.phases("r5")), "[asked] [told]")
+	r.want("phases with and without a shared shard", fmt.Sprint(r.phases("r2"), r.phases("r5")), "[asked] [told]")
 	it, _ := r.state.ActiveItem("r1")
-	r.want("time to go", it.Until-it.GrantedAt, silenceLimit(limits)+AcknowledgeSlack+StartTimeout+limits.SettleTime)
+	r.want("time until the machine must be out", it.Until-it.GrantedAt, silenceLimit(limits)+AcknowledgeSlack+StartTimeout+limits.SettleTime)
 	r.replicas[1].Status = maintenance.Gone
 	r.replicas[5].Status = maintenance.Terminating
 	r.runUntil("r1", maintenance.Out)
@@ -205,11 +204,11 @@
 		t.Errorf("warm after %v", took)
 	}
 	r.runUntil("r2", maintenance.Acknowledged)
-	r.want("refused", r.rejections, "[]")
+	r.want("rejections", r.rejections, "[]")
 }
 
-// Two requests name one machine, and the first may not go yet: the state is asked which is meant, or the first would be
-// proposed and refused for ever.
+// Two requests name the same machine and the first is not eligible yet. The state must choose the request, or the first one would
+// be proposed and rejected for ever.
 func TestEligibleRequestIsProposed(t *testing.T) {
 	r := newRig(t)
 	at := maintenance.Request{ID: "later", Names: []string{"r1"}, Reason: "disk", MaxOutage: 100 * sec, Earliest: 5000*sec + r.now + 3600*sec}
@@ -227,18 +226,18 @@
 	n := len(r.proposals)
 	r.request(1, "r1")
 	r.run(8 * sec)
-	r.want("proposed", len(r.proposals)-n, MaxProposalAttempts)
-	r.want("the same", fmt.Sprint(r.proposals[n+1], r.proposals[n+2]), fmt.Sprint(r.proposals[n], r.proposals[n]))
+	r.want("proposals", len(r.proposals)-n, MaxProposalAttempts)
+	r.want("repeated proposals", fmt.Sprint(r.proposals[n+1], r.proposals[n+2]), fmt.Sprint(r.proposals[n], r.proposals[n]))
 	r.run(2 * sec)
-	r.want("then anew", r.proposals[n+3].Command.ID != r.proposals[n].Command.ID, true)
-	r.dropProposals, r.dropResults = false, true // the state alone shows what came of them
+	r.want("a new ID after the last attempt", r.proposals[n+3].Command.ID != r.proposals[n].Command.ID, true)
+	r.dropProposals, r.dropResults = false, true // only the state shows their effect
 	r.runUntil("r1", maintenance.Acknowledged)
 	r.run(4 * sec)
-	r.want("not repeated", strings.Contains(fmt.Sprint(r.rejections), "before"), false)
+	r.want("repeated after it took effect", strings.Contains(fmt.Sprint(r.rejections), "before"), false)
 	for i := range 20 {
 		r.controller.propose(fmt.Sprint(i), "tick", nil, func() bool { return false })
 	}
-	r.want("waiting at most", len(r.controller.pending), MaxPendingProposals)
+	r.want("pending proposals", len(r.controller.pending), MaxPendingProposals)
 
 	r = newRig(t)
 	r.request(1, "r0", "r10", "r11", "r12", "r14", "r2", "r4", "r6", "a", "b")
@@ -253,16 +252,16 @@
 			grants = append(grants, w.subject[6:])
 		}
 	}
-	r.want("waiting, none with a shard in common", grants, "[r0 r10 r12 r14]")
+	r.want("pending grants, without shared shards", grants, "[r0 r10 r12 r14]")
 	r.dropProposals = false
 	r.inputs = append(r.inputs, ProposalResult{r.controller.pending[0].command.ID, errors.New("no")})
 	n = len(r.proposals)
 	r.run(sec)
 	for _, p := range r.proposals[n:] {
-		r.want("proposed again right after a refusal", strings.Contains(string(p.Command.Body), `"r0"`), false)
+		r.want("proposed again right after a rejection", strings.Contains(string(p.Command.Body), `"r0"`), false)
 	}
 	r.run(5 * sec)
-	r.want("later", r.phases("r0"), "[told]")
+	r.want("phases later", r.phases("r0"), "[told]")
 
 	r = newRig(t)
 	r.request(1, "a", "b")
@@ -271,7 +270,7 @@
 	}
 	r.dropProposals = true
 	r.run(2 * sec)
-	r.want("of co-ordinators", r.controller.countPending("grant "), 1)
+	r.want("pending grants of co-ordinators", r.controller.countPending("grant "), 1)
 }
 
 func TestDeposedLeaderProposesNothing(t *testing.T) {
@@ -281,11 +280,11 @@
 	r.request(1, "r1")
 	r.replicas[4].Status = maintenance.Gone
 	r.run(20 * sec)
-	r.want("proposed", len(r.proposals), n)
+	r.want("proposals", len(r.proposals), n)
 	r.replicas[4].Status = maintenance.Up
 	r.inputs = append(r.inputs, Elected{Term: 7})
 	r.runUntil("r1", maintenance.Acknowledged)
-	r.want("ids of the term", r.proposals[n].Command.ID, "7-1")
+	r.want("ID of the term", r.proposals[n].Command.ID, "7-1")
 	r.controller.Step(r.now, 0, []Input{Applied{State: maintenance.New(), Index: 0, Now: 0}})
-	r.want("a state of before", r.controller.state == r.state, true)
+	r.want("an older state is ignored", r.controller.state == r.state, true)
 }
--- a/internal/fleet/drainctl/grant.go
+++ b/internal/fleet/drainctl/grant.go
@@ -8,7 +8,8 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// ByRequestTime is an order without a plan: those that have reserved their turn, then urgent ones, then in the order of asking.
+// ByRequestTime is an order without a plan: first machines whose turn is reserved, then urgent ones, then in the order of the
+// requests.
 func ByRequestTime(s *maintenance.State, _ time.Duration) []maintenance.Item {
 	limits, _ := s.Limits()
 	urgent := map[string]bool{}
@@ -24,13 +25,13 @@
 		}
 		return 2
 	}
-	asked := slices.DeleteFunc(s.Open(), func(it maintenance.Item) bool { return it.Phase != maintenance.Pending })
-	slices.SortStableFunc(asked, func(a, b maintenance.Item) int { return cmp.Compare(rank(a), rank(b)) })
-	return asked
+	pending := slices.DeleteFunc(s.Open(), func(it maintenance.Item) bool { return it.Phase != maintenance.Pending })
+	slices.SortStableFunc(pending, func(a, b maintenance.Item) int { return cmp.Compare(rank(a), rank(b)) })
+	return pending
 }
 
-// grantBackoffUntil is until when a machine is not granted again whose grant ended before it was acknowledged. It follows from the agreed state
-// alone, so that a new leader holds it too.
+// grantBackoffUntil returns until when a machine is not granted again if its grant ended before it was acknowledged. It depends
+// on the agreed state alone, so a new leader observes the same backoff.
 func grantBackoffUntil(it maintenance.Item) time.Duration {
 	if it.Attempt == 0 {
 		return 0
@@ -38,32 +39,31 @@
 	return it.RequestedAt + InitialGrantBackoff<<min(it.Attempt-1, 8)
 }
 
-// grantDeadline is by when a machine granted now has to be gone: the time until all have acknowledged, the tools' time, and SettleTime, which the
-// tools are asked to leave.
+// grantDeadline returns the time by which a machine granted now must be out.
 func (c *Controller) grantDeadline(limits maintenance.Limits) time.Duration {
 	return c.time + MaxGrantDuration(limits)
 }
 
-// MaxGrantDuration is from a grant until its machine has to be gone.
+// MaxGrantDuration returns the time from a grant until its machine must be out: the time in which all co-ordinators acknowledge,
+// the time for the tools to start, and SettleTime, which the tools are asked to leave as a margin.
 func MaxGrantDuration(limits maintenance.Limits) time.Duration {
 	return silenceLimit(limits) + AcknowledgeSlack + StartTimeout + limits.SettleTime
 }
 
-// proposeGrant proposes at most one grant: the first in the order that the agreed state would let go now, and that shares
-// no shard with one whose end is not known. Where none was found it looks again when the state has moved or a second
-// has passed.
+// proposeGrant proposes at most one grant: the first one in the order that the agreed state allows now and that does not conflict
+// with a pending grant. If it finds none it searches again once the state has changed or ActiveTickInterval has passed.
 func (c *Controller) proposeGrant(limits maintenance.Limits, open []maintenance.Item) {
 	if !slices.ContainsFunc(open, func(it maintenance.Item) bool { return it.Phase == maintenance.Pending }) ||
 		c.countPending("grant ") >= MaxPendingGrants || c.lastSearch.valid && c.lastSearch.index == c.index && c.now < c.lastSearch.at+ActiveTickInterval {
 		return
 	}
-	if stop, _ := c.state.Paused(c.time); !stop {
+	if paused, _ := c.state.Paused(c.time); !paused {
 		for _, it := range c.order(c.state, c.time) {
 			if it.Phase != maintenance.Pending || c.conflictsWithPending(limits, it.Machine) {
 				continue
 			}
-			// Of several requests for the machine the state says which: another may be rejected for ever, as one that
-			// leaves room for a turn which the next has reserved.
+			// If several requests name the machine, the state chooses one: another could be rejected for ever, for example
+			// because it takes a place that is reserved for the next request.
 			it, _, err := c.state.NextGrant(c.time, it.Machine)
 			if err != nil || c.time < grantBackoffUntil(it) {
 				continue
@@ -81,18 +81,18 @@
 	c.lastSearch = grantSearch{c.index, c.now, true}
 }
 
-// conflictsWithPending says that a grant whose end is not known is of the same machine, of one that shares a shard with it, or, like it,
-// of a co-ordinator.
+// conflictsWithPending reports whether a pending grant is for the same machine, for a replica that shares a shard with it, or, if
+// the machine is a co-ordinator, for another co-ordinator.
 func (c *Controller) conflictsWithPending(limits maintenance.Limits, name string) bool {
 	m, _ := c.state.Machine(name)
 	for _, p := range c.pending {
 		if p.command.Kind != "grant" {
 			continue
 		}
-		o, _ := c.state.Machine(p.subject[len("grant "):])
-		apart := max(m.Cell-o.Cell, o.Cell-m.Cell)
-		if m.Name == o.Name || m.Kind == maintenance.Coordinator && o.Kind == m.Kind ||
-			m.Kind == maintenance.Replica && o.Kind == m.Kind && min(apart, limits.Cells-apart) < limits.Reach {
+		other, _ := c.state.Machine(p.subject[len("grant "):])
+		distance := max(m.Cell-other.Cell, other.Cell-m.Cell)
+		if m.Name == other.Name || m.Kind == maintenance.Coordinator && other.Kind == m.Kind ||
+			m.Kind == maintenance.Replica && other.Kind == m.Kind && min(distance, limits.Cells-distance) < limits.Reach {
 			return true
 		}
 	}
--- a/internal/fleet/drainctl/observe.go
+++ b/internal/fleet/drainctl/observe.go
@@ -9,21 +9,22 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// sortedMachines is the list by name, each once: the first said counts.
+// sortedMachines returns the list sorted by name. Of duplicates the first one in the list is kept.
 func sortedMachines(in []maintenance.Machine) []maintenance.Machine {
 	out := slices.Clone(in)
 	slices.SortStableFunc(out, func(a, b maintenance.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(out, func(a, b maintenance.Machine) bool { return a.Name == b.Name })
 }
 
+// sortedMembers returns the members sorted by name. Of duplicates the first one in the list is kept.
 func sortedMembers(in []Member) []Member {
 	out := slices.Clone(in)
 	slices.SortStableFunc(out, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(out, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// mergedInventory is the inventory as it is seen now, by name. What the agreed one has and the list has not is gone; a
-// co-ordinator of which nothing was heard is unknown at first.
+// mergedInventory returns the inventory as it is seen now, sorted by name. A machine that is in the agreed inventory but not in
+// the lists is gone; a missing co-ordinator is unknown at first.
 func (c *Controller) mergedInventory() []maintenance.Machine {
 	if c.inventory == nil {
 		for _, m := range c.replicas {
@@ -57,8 +58,8 @@
 
 func byName(m maintenance.Machine, name string) int { return cmp.Compare(m.Name, name) }
 
-// differsFromAgreed says whether the agreed inventory has the machine otherwise. A start that is not known is no difference, nor is
-// a machine that is gone and not in the inventory.
+// differsFromAgreed reports whether the agreed inventory has a different entry for the machine. An unknown start is no
+// difference, nor is a gone machine that is not in the agreed inventory.
 func (c *Controller) differsFromAgreed(m maintenance.Machine) bool {
 	old, ok := c.state.Machine(m.Name)
 	if m.Status == maintenance.Unknown || m.Started == 0 && m.Status != maintenance.Up {
@@ -67,21 +68,22 @@
 	return ok && m != old || !ok && m.Status != maintenance.Gone
 }
 
-// fleetLoad is the sum of what the co-ordinators reported theirs lately, scaled to all that may be serving: those that are not
-// gone, though nothing is known of them, as a cut-off one goes on serving. Unknown if too few reported.
-func (c *Controller) fleetLoad(age time.Duration) (load float64, known bool) {
+// fleetLoad returns the sum of the loads that the co-ordinators reported within maxAge, scaled to all that may be serving. These
+// are all that are not gone, even if nothing is known of them, because a partitioned co-ordinator goes on serving. The load is
+// unknown if too few reported.
+func (c *Controller) fleetLoad(maxAge time.Duration) (load float64, known bool) {
 	serving, reported := 0, 0
 	for _, m := range c.members {
 		if m.Status == maintenance.Gone {
 			continue
 		}
 		serving++
-		if m.Status == maintenance.Up && m.LoadKnown && m.LoadAge+c.now-c.membersAt <= age {
+		if m.Status == maintenance.Up && m.LoadKnown && m.LoadAge+c.now-c.membersAt <= maxAge {
 			reported++
 			load += m.Load
 		}
 	}
-	for _, m := range c.state.Machines() { // of whom this leader has heard nothing
+	for _, m := range c.state.Machines() { // those that are not in the membership
 		if m.Kind != maintenance.Coordinator || m.Status == maintenance.Gone {
 			continue
 		}
@@ -95,16 +97,16 @@
 	return load * float64(serving) / float64(reported), true
 }
 
-// proposeObserve proposes what changed against the agreed inventory, or all of it if that is wanted; while something is open
-// also when the last observation is half as old as it may be. It is said to be of when the older of the two lists was
-// confirmed, so that what is not confirmed any more grows old in the agreed state too.
+// proposeObserve proposes the differences from the agreed inventory, or all of it if the state needs that. While items are open
+// it also proposes an observation when the last one has reached half of its maximum age. The observation has the time at which
+// the older of the two lists was confirmed, so that an unconfirmed list ages in the agreed state too.
 func (c *Controller) proposeObserve(limits maintenance.Limits, open []maintenance.Item) {
 	if !c.replicasKnown || !c.membersKnown || c.observed && c.now < c.observedAt+MinObserveInterval {
 		return
 	}
 	at := max(c.time-(c.now-min(c.replicasAt, c.membersAt)), 0)
-	last, ever := c.state.ObservedAt()
-	if ever && at < last || !c.inventoryChanged {
+	last, observedBefore := c.state.ObservedAt()
+	if observedBefore && at < last || !c.inventoryChanged {
 		return
 	}
 	c.inventoryChanged = false
@@ -115,7 +117,7 @@
 			body.Machines = append(body.Machines, m)
 		}
 	}
-	if cut := countFitting(body.Machines); cut < len(body.Machines) {
+	if fitting := countFitting(body.Machines); fitting < len(body.Machines) {
 		c.limitObservation(&body, last)
 	}
 	body.Load, body.LoadKnown = c.fleetLoad(limits.MaxLoadAge)
@@ -137,25 +139,25 @@
 	}
 }
 
-// limitObservation makes a part of an observation that is too large for one command: changes that fit, or, once there are none left of
-// a whole one, the word that all is as agreed. A part is of the time of the observation before it, so that it makes nothing of
-// what is not known yet look newer than it is.
+// limitObservation reduces an observation that is too large for one command to a part: changes that fit or, once a complete
+// observation has none left, the digest that confirms the agreed inventory. A part has the time of the previous observation, so
+// that it does not make machines that are not covered yet look newer than they are.
 func (c *Controller) limitObservation(body *maintenance.ObserveBody, last time.Duration) {
-	whole := body.Complete
+	complete := body.Complete
 	body.Complete, body.Machines = false, c.changedMachines(body.Machines)
-	cut := countFitting(body.Machines)
+	fitting := countFitting(body.Machines)
 	switch {
-	case whole && len(body.Machines) == 0:
+	case complete && len(body.Machines) == 0:
 		body.Complete, body.Digest = true, c.state.InventoryDigest()
-	case whole || cut < len(body.Machines):
-		body.Machines = body.Machines[:cut]
+	case complete || fitting < len(body.Machines):
+		body.Machines = body.Machines[:fitting]
 		if last > 0 {
 			body.ObservedAt = last
 		}
 	}
 }
 
-// countFitting is how many of the machines go into MaxObservationSize bytes, one at the least.
+// countFitting returns how many of the machines fit in MaxObservationSize bytes, at least one.
 func countFitting(ms []maintenance.Machine) int {
 	size := 0
 	for i, m := range ms {
@@ -167,7 +169,7 @@
 	return len(ms)
 }
 
-// changedMachines are those that the agreed inventory does not have as they are.
+// changedMachines returns the machines that differ from the agreed inventory.
 func (c *Controller) changedMachines(ms []maintenance.Machine) []maintenance.Machine {
 	return slices.DeleteFunc(slices.Clone(ms), func(m maintenance.Machine) bool { return !c.differsFromAgreed(m) })
 }
--- a/internal/fleet/drainstore/store.go
+++ b/internal/fleet/drainstore/store.go
@@ -1,5 +1,5 @@
-// Package drainstore applies the view's drains to the exchange's endpoint list and keeps them on disk before they are reported, so
-// that a process that takes this one's place starts with them, before it takes its first query.
+// Package drainstore applies the view's drains to the exchange's endpoint list and writes them to disk before they are reported,
+// so that a process that replaces this one starts with them before it takes its first query.
 package drainstore
 
 import (
@@ -16,55 +16,55 @@
 	"birchcart/internal/fleet/view"
 )
 
-// RetryInterval is between attempts to write drains that the disk did not take. Twice as long: a grant is acknowledged so much
-// later once the disk has room again; half: twice the attempts at a full one.
+// RetryInterval is the time between attempts to write drains after a failed write. Twice as long would delay the acknowledgement
+// of a grant by that much once the disk has space again; half as long would double the attempts on a full disk.
 const RetryInterval = time.Second
 
-// Options of a store. Functions must not block.
+// Options configures a store. Its functions must not block.
 type Options struct {
-	Dir   string // of the start: another one in the operators' file counts at the next
+	Dir   string // as configured at the start: a change in the operators' file takes effect at the next start
 	State *agreedstate.Copy
 	Log   *logrus.Entry
-	// Apply has the exchange go by a set of drains, which it confirms by a call of Applied in the store's goroutine.
+	// Apply makes the exchange use a set of drains. The exchange confirms it by a call of Applied in the store's goroutine.
 	Apply func(machines []string)
-	// Warn logs a line, a limited number of times.
+	// Warn logs a line. It suppresses repetitions beyond a limit.
 	Warn func(text string)
 }
 
-// Store is used by one goroutine, which reads Saved and calls HandleSaved.
+// Store applies and saves the drains of a node. It is used by one goroutine, which receives from Saved and calls HandleSaved.
 type Store struct {
 	options Options
-	saved   chan error // the newest set is on disk, or can't be
+	saved   chan error // outcomes of writes
 
-	wanted   []string // as the view wants them
-	pending  int      // applications and writes without an end
-	previous []drain  // of the process before, until this one has caught up
-	onDisk   []drain  // the newest set that the disk took
-	writing  []drain  // the set that it was asked for, at writeAt
+	wanted   []string // machines that the view wants drained
+	pending  int      // unconfirmed applications and unfinished writes
+	previous []drain  // drains of the previous process, until this one has caught up
+	onDisk   []drain  // latest set that was written
+	writing  []drain  // latest set whose write was started, at writeAt
 	writeAt  time.Duration
-	unsaved  bool // something may not be reported, since the disk does not have it
+	unsaved  bool // a drain was withheld from a report because it is not on disk
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New(o Options) *Store { return &Store{options: o, saved: make(chan error, 1)} }
 
-// Path of the file.
+// Path returns the path of the file.
 func (s *Store) Path() string { return filepath.Join(s.options.Dir, FileName) }
 
-// Busy says that a set is not applied or written yet. The owner makes no step meanwhile.
+// Busy reports whether a set is not applied or written yet. The owner must not step meanwhile.
 func (s *Store) Busy() bool { return s.pending > 0 }
 
-// Applied is the exchange's confirmation that it goes by the newest set.
+// Applied records the exchange's confirmation that it uses the latest set.
 func (s *Store) Applied() { s.pending-- }
 
-// Saved gives the outcome of each write, for HandleSaved.
+// Saved returns the channel that delivers the outcome of each write, for HandleSaved.
 func (s *Store) Saved() <-chan error { return s.saved }
 
-// Restore applies what the process before had applied, until this one knows what was agreed.
+// Restore applies the drains of the previous process until this one knows the agreed state.
 func (s *Store) Restore() {
 	previous, err := read(s.Path(), time.Duration(time.Now().UnixNano()))
 	if err != nil {
-		s.options.Log.WithError(err).Warn("the drains of the process before can't be read")
+		s.options.Log.WithError(err).Warn("cannot read the drains of the previous process")
 	}
 	if s.previous = previous; len(previous) > 0 {
 		s.options.Log.WithField("drains", len(previous)).Info("the drains of the process before stay until this one knows what was agreed")
@@ -73,8 +73,8 @@
 	}
 }
 
-// Set has the exchange go by a set of drains, and the disk keep it. The owner makes no step before both were tried. What the disk
-// did not take is applied all the same, but not reported as applied.
+// Set makes the exchange use a set of drains and writes it to disk. The owner must not step before both have been tried. Drains
+// that cannot be written are applied all the same, but not reported as applied.
 func (s *Store) Set(now time.Duration, machines []string) {
 	s.wanted = machines
 	s.pending += 2
@@ -91,7 +91,7 @@
 	}()
 }
 
-// grantsOf gives the machines' drains with their grants, and those of the process before.
+// grantsOf returns the machines' drains with their grants, and the drains of the previous process.
 func (s *Store) grantsOf(machines []string) []drain {
 	drains := []drain{}
 	s.options.State.WithLock(func() {
@@ -99,17 +99,17 @@
 			if it, ok := s.options.State.Maintenance.ActiveItem(name); ok {
 				drains = append(drains, drain{name, it.Until, s.options.State.Machine.Epoch(), it.StartedAt, it.Fence})
 			} else if i := slices.IndexFunc(s.writing, func(d drain) bool { return d.Machine == name }); i >= 0 {
-				drains = append(drains, s.writing[i]) // of an earlier epoch
+				drains = append(drains, s.writing[i]) // granted in an earlier epoch
 			}
 		}
 	})
 	return append(drains, s.previous...)
 }
 
-// HandleSaved takes the outcome of a write.
+// HandleSaved processes the outcome of a write.
 func (s *Store) HandleSaved(err error) {
 	s.pending--
-	if err != nil { // the file of before may be there still, or not
+	if err != nil { // the previous file may or may not still exist
 		s.onDisk = nil
 		s.options.Warn("the drains can't be kept on disk, and are not reported as applied: " + err.Error())
 		return
@@ -117,41 +117,43 @@
 	s.onDisk = s.writing
 }
 
-// Reportable leaves out of what may be reported as applied what would be lost by a restart: the disk does not have it yet.
+// Reportable removes the drains that must not be reported as applied because they are not on disk yet and a restart would lose
+// them.
 func (s *Store) Reportable(statuses []view.DrainStatus) []view.DrainStatus {
 	return slices.DeleteFunc(statuses, func(status view.DrainStatus) bool {
-		lost := !status.Rejected && slices.Contains(s.wanted, status.Machine) && !slices.ContainsFunc(s.onDisk, func(d drain) bool {
+		unsaved := !status.Rejected && slices.Contains(s.wanted, status.Machine) && !slices.ContainsFunc(s.onDisk, func(d drain) bool {
 			return d.Machine == status.Machine && d.fence == status.Fence
 		})
-		s.unsaved = s.unsaved || lost
-		return lost
+		s.unsaved = s.unsaved || unsaved
+		return unsaved
 	})
 }
 
-// Retry asks the disk again for what it did not take.
+// Retry writes the drains again after a failed write.
 func (s *Store) Retry(now time.Duration) {
 	if s.unsaved && s.pending == 0 && now >= s.writeAt+RetryInterval {
 		s.Set(now, s.wanted)
 	}
 }
 
-// DropPrevious lets the drains of the process before go once this one has caught up with what was agreed, or their time is over.
+// DropPrevious drops the drains of the previous process once this one has caught up with the agreed state, or once they have
+// expired.
 func (s *Store) DropPrevious(now time.Duration, caughtUp bool) {
 	if len(s.previous) == 0 || s.pending > 0 {
 		return
 	}
 	wall := time.Duration(time.Now().UnixNano())
-	left := slices.DeleteFunc(slices.Clone(s.previous), func(d drain) bool {
+	remaining := slices.DeleteFunc(slices.Clone(s.previous), func(d drain) bool {
 		return caughtUp && s.canDrop(d) || d.Until <= wall
 	})
-	if len(left) != len(s.previous) {
-		s.previous = left
+	if len(remaining) != len(s.previous) {
+		s.previous = remaining
 		s.Set(now, s.wanted)
 	}
 }
 
-// canDrop says that the agreed state knows of the drain's grant, or that its machine has come back. Of an earlier epoch the raft
-// group of now can't say when its drain may go.
+// canDrop reports whether the drain may be dropped: the agreed state knows its grant, or its machine has returned. The current
+// raft group cannot decide when a drain of an earlier epoch may end.
 func (s *Store) canDrop(d drain) (over bool) {
 	state := s.options.State
 	state.WithLock(func() {
@@ -161,7 +163,7 @@
 	return over
 }
 
-// withPrevious is a set of drains with those of the process before.
+// withPrevious returns the machines together with those of the previous process's drains.
 func (s *Store) withPrevious(machines []string) []string {
 	all := slices.Clone(machines)
 	for _, d := range s.previous {
--- a/internal/fleet/drainstore/store_test.go
+++ b/internal/fleet/drainstore/store_test.go
@@ -9,7 +9,7 @@
 	"birchcart/internal/fleet/atomicfile"
 )
 
-// What the process before had applied is taken over while its time runs; another version and a torn file are reported.
+// Drains of the previous process are read until they expire; another version and a truncated file are reported as errors.
 func TestReadUnexpiredDrains(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "laid.json")
 	if got, err := read(path, 0); err != nil || len(got) > 0 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A file as the version of 7c55f5a wrote it is read.
+// A file written by an earlier version (7c55f5a) is read, and is written in the same form.
 func TestFileFormatOfEarlierVersion(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName)
 	old := `{
--- a/internal/fleet/waveplan/order.go
+++ b/internal/fleet/waveplan/order.go
@@ -6,16 +6,16 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// FromState is the problem of what waits in an agreed state at an agreed time: the asked items whose earliest time has
-// come and whose latest has not passed. What is granted, told, out or back, or settles after its grant's end, has its place
-// in the first wave and is taken to come back; what is cold outside the plan is no holder in the first wave; what is gone
-// or unknown outside the plan is none in any.
+// FromState returns the planning problem of an agreed state at an agreed time. It contains the pending items whose earliest time
+// has come and whose latest time has not passed. Machines that are granted, acknowledged, out or returned, or that settle after
+// their grant has ended, take a place in the first wave and are expected to return. Machines that are cold outside the plan are
+// no holders in the first wave, and machines that are gone or unknown outside the plan are no holders in any wave.
 func FromState(s *maintenance.State, now time.Duration) Problem {
 	p, _ := fromState(s, now)
 	return p
 }
 
-// fromState gives beside the problem the item of each ask.
+// fromState returns the problem and the item of each of its requests.
 func fromState(s *maintenance.State, now time.Duration) (Problem, []maintenance.Item) {
 	var p Problem
 	p.Limits, _ = s.Limits()
@@ -25,16 +25,16 @@
 	for _, r := range s.Requests().Requests {
 		requests[r.ID] = r
 	}
-	busy := map[string]bool{}
+	inProgress := map[string]bool{}
 	var items []maintenance.Item
 	for _, it := range s.Items() {
 		switch it.Phase {
 		case maintenance.Granted, maintenance.Acknowledged, maintenance.Out, maintenance.Returned:
-			busy[it.Machine] = true
+			inProgress[it.Machine] = true
 		case maintenance.Expired, maintenance.Withdrawn:
-			// Only one that was granted settles, and only a while: until then it may still go.
+			// Only an item that was granted settles, and only for SettleTime: until then its machine may still go out.
 			if it.Fence > 0 && now < it.EndedAt+p.Limits.SettleTime {
-				busy[it.Machine] = true
+				inProgress[it.Machine] = true
 			}
 		case maintenance.Pending:
 			r, standing := requests[it.Request]
@@ -56,17 +56,17 @@
 		replica, up := m.Kind == maintenance.Replica, m.Status == maintenance.Up
 		p.Machines = append(p.Machines, Machine{
 			Name: m.Name, Zone: m.Zone, Replica: replica, Voter: m.Voter, Cell: m.Cell, Size: m.Size,
-			Serving: up || busy[m.Name], InProgress: busy[m.Name], Cold: replica && up && now < m.Started+p.Limits.WarmUp,
+			Serving: up || inProgress[m.Name], InProgress: inProgress[m.Name], Cold: replica && up && now < m.Started+p.Limits.WarmUp,
 		})
 	}
 	return p, items
 }
 
-// Order says who to grant next, in this order, each if maintenance.State.MayGrant allows it then: the machines of the first wave of
-// a plan around what is out now, then those of the next ones. It waits for no wave: asked anew when a machine is done, it
-// puts in that machine's place what the plan of that moment holds. Of several requests for one machine it names
-// the first by class. Nothing while all grants are paused. It costs a plan, so it is worth asking only after the
-// state or the time for a wait has changed.
+// Order returns the items to grant next, in this order, each if maintenance.State.MayGrant allows it: the machines of the first
+// wave of a plan around what is out now, then those of the following waves. It does not wait for a wave to end: called again when
+// a machine is done, it fills that machine's place from a new plan. Of several requests for one machine it returns the first by
+// class. It returns nothing while all grants are paused. Each call computes a plan, so call it only after the state has changed
+// or a waiting time has passed.
 func Order(s *maintenance.State, now time.Duration) []maintenance.Item {
 	if paused, _ := s.Paused(now); paused {
 		return nil
@@ -74,7 +74,7 @@
 	p, items := fromState(s, now)
 	first := make(map[string]int, len(items))
 	for i, a := range p.Requests {
-		if k, twice := first[a.Machine]; !twice || a.Class < p.Requests[k].Class {
+		if k, duplicate := first[a.Machine]; !duplicate || a.Class < p.Requests[k].Class {
 			first[a.Machine] = i
 		}
 	}
--- a/internal/fleet/waveplan/order_test.go
+++ b/internal/fleet/waveplan/order_test.go
@@ -13,14 +13,14 @@
 
 const sec = time.Second
 
-// site is an agreed state with its machines, and tools that act at once on what is told.
+// site is an agreed state with its machines, and tools that act at once on an acknowledged grant.
 type site struct {
 	t        *testing.T
 	state    *maintenance.State
 	now      time.Duration
 	fence    uint64
 	machines []maintenance.Machine
-	returnAt []time.Duration // by machine: when it comes back, 0 while it is not away
+	returnAt []time.Duration // by machine: when it returns, 0 while it is not away
 	load     float64
 }
 
@@ -63,8 +63,9 @@
 		SettleTime: 10 * sec, FailurePause: 60 * sec, MaxPassedOver: 8, MinVoters: 3}
 }
 
-// swap lets all go, as Order says and MayGo allows, each away for about a minute, and tells how long it took.
-func (s *site) runSwap(jitter float64) (took time.Duration, most int) {
+// runSwap takes all machines out in the order that Order gives and MayGrant allows, each for about a minute, and returns how long
+// that took and how many were away at most.
+func (s *site) runSwap(jitter float64) (took time.Duration, maxAway int) {
 	rng, began, busy := rand.New(rand.NewPCG(1, 1)), s.now, 0
 	for changed := true; s.now < began+3*time.Hour; s.now += sec {
 		for i := range s.machines {
@@ -89,53 +90,53 @@
 		changed = false
 		order := Order(s.state, s.now)
 		if again := Order(s.state, s.now); !reflect.DeepEqual(order, again) {
-			s.t.Fatal("two orders of one state")
+			s.t.Fatal("the same state gave two orders")
 		}
 		for _, it := range order {
 			if _, err := s.state.MayGrant(s.now, it.Machine); err != nil {
 				continue
 			}
 			s.apply("grant", maintenance.GrantBody{Request: it.Request, Machine: it.Machine, Until: s.now + 10*time.Minute})
-			var said []string
+			var acknowledged []string
 			for _, m := range s.machines {
 				if m.Kind == maintenance.Coordinator {
-					said = append(said, m.Name)
+					acknowledged = append(acknowledged, m.Name)
 				}
 			}
-			s.apply("told", maintenance.AcknowledgeBody{Machine: it.Machine, Fence: s.fence, Acknowledged: said})
+			s.apply("told", maintenance.AcknowledgeBody{Machine: it.Machine, Fence: s.fence, Acknowledged: acknowledged})
 		}
 		open := s.state.Open()
 		if busy = 0; len(open) == 0 {
-			return s.now - began, most
+			return s.now - began, maxAway
 		}
 		for _, it := range open {
 			if it.Phase != maintenance.Pending {
 				busy++
 			}
 		}
-		most = max(most, busy)
+		maxAway = max(maxAway, busy)
 	}
-	return s.now - began, most
+	return s.now - began, maxAway
 }
 
-// A swap of 200 replicas, one of each after the other as places come free, against what no order goes below: the bound's
-// number of times that one is away and cold.
+// A swap of 200 replicas that fills places as they become free takes little longer than the bound allows: the bound times the
+// period in which a machine is away and cold.
 func TestSwapDurationIsNearBound(t *testing.T) {
 	for _, jitter := range []float64{0, 0.1} {
 		all := maintenance.Request{ID: "swap", Kind: maintenance.Replica, Reason: "new hardware", MaxOutage: 10 * time.Minute}
 		s := newSite(t, 200, 7, limits(200), all)
 		plan := Plan(FromState(s.state, s.now))
-		took, most := s.runSwap(jitter)
+		took, maxAway := s.runSwap(jitter)
 		done := 0
 		for _, it := range s.state.Items() {
 			if it.Phase == maintenance.Done {
 				done++
 			}
 		}
-		floor := time.Duration(plan.Bound) * (60 + 40) * sec
-		t.Logf("times that differ by %v: %v; took %v, %.2f times %v, %d away at once",
-			jitter, plan, took, float64(took)/float64(floor), floor, most)
-		if done != 200 || float64(took) > 1.2*float64(floor) {
+		bound := time.Duration(plan.Bound) * (60 + 40) * sec
+		t.Logf("outages that vary by %v: %v; took %v, %.2f times %v, %d away at once",
+			jitter, plan, took, float64(took)/float64(bound), bound, maxAway)
+		if done != 200 || float64(took) > 1.2*float64(bound) {
 			t.Errorf("%d done", done)
 		}
 	}
@@ -155,24 +156,24 @@
 	s.apply("grant", maintenance.GrantBody{Request: "soon", Machine: "r004", Until: s.now + time.Minute})
 	p := FromState(s.state, s.now)
 	if plan := Plan(p); len(plan.Waves[0]) != 2 || violation(p, true, plan.Waves[0]) != "" {
-		t.Errorf("beside one that is out already: %v", plan.Waves)
+		t.Errorf("plan with one machine out already: %v", plan.Waves)
 	}
 	for _, it := range Order(s.state, s.now) {
 		if it.Machine == "r004" || it.Machine == "c003" {
 			t.Errorf("%s is in the order", it.Machine)
 		}
 	}
-	s.machines[0].Started = s.now - sec // it broke, and is cold
+	s.machines[0].Started = s.now - sec // it has restarted and is cold
 	s.observe()
 	if s.now += 70 * sec; Order(s.state, s.now) != nil {
-		t.Error("an order from an old inventory")
+		t.Error("an order was given for an old inventory")
 	}
 	s.observe()
 	if len(Order(s.state, s.now)) == 0 {
-		t.Error("nothing goes after the calm")
+		t.Error("nothing is granted after the pause")
 	}
 	s.apply("asks", maintenance.RequestsBody{Revision: 2, Paused: true, Requests: []maintenance.Request{work}})
 	if Order(s.state, s.now) != nil {
-		t.Error("an order while paused")
+		t.Error("an order was given while paused")
 	}
 }
--- a/internal/fleet/waveplan/plan.go
+++ b/internal/fleet/waveplan/plan.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// baseTries and triesPerMachine bound the search for a plan of a given number of waves: a placing for each machine, so many
-	// more for each to take wrong ones back, and a free number that makes plans of a few machines exact. Twice as many: a
-	// plan that can not be had is given up later, by as much time. Half: a wave more where the limits are tight.
+	// triesPerMachine and baseTries bound the search for a plan with a given number of waves: one assignment for each machine and
+	// triesPerMachine-1 more for each to undo wrong ones, plus baseTries, which makes plans of a few machines exact. Twice as
+	// many would double the time until an impossible number of waves is given up; half as many would cost one more wave where the
+	// limits are tight.
 	triesPerMachine = 3
 	baseTries       = 2000
 )
 
-// Plan makes a plan. It tries as many waves as the bound says, and then more, until all machines have their place.
-// Looking ahead, it always places next the one with the fewest waves left that can take it, of these the one whose
-// shards are the most asked for, in the first wave that can take it; a placing that leaves another machine none is taken
-// back. Full waves first are what operators want, but can leave what is alike for the last ones, so that level ones are
-// tried too.
+// Plan computes a plan. It tries the number of waves that the bound allows, and then larger numbers, until every machine has a
+// wave. The search assigns next the machine with the fewest waves left that can take it, of these the one that shares shards with
+// the most other requested machines, to the first wave that can take it; an assignment that leaves another machine without a wave
+// is undone. Operators want full waves first, but filling them can leave machines with the same constraints for the last waves,
+// so balanced waves are tried too.
 func Plan(p Problem) Result {
 	f := newFleet(p)
 	r := Result{Excluded: f.excluded}
@@ -32,7 +33,7 @@
 	}
 	var s *search
 	for w, step := min(r.Bound, n+1), 1; ; w, step = min(w+step, n+1), step+w-r.Bound {
-		// With a wave for each and one to spare there is always an empty one for the next, so this ends.
+		// With one wave for each machine and one more, an empty wave is always left for the next machine, so the loop ends.
 		s = newSearch(f, w)
 		if s.place(0) {
 			break
@@ -52,25 +53,26 @@
 	return r
 }
 
-// search places the machines of a fleet in a number of waves. Its tables are by machine, shard or zone, then wave.
+// search assigns the machines of a fleet to a number of waves. Its tables are indexed by machine, shard or zone, then by wave.
 type search struct {
 	*fleet
 	waves           int
-	balanced        bool // routine ones go in the emptiest wave that can take them, not in the first
+	balanced        bool // routine machines go in the emptiest wave that can take them, not in the first one
 	tries           int
-	assigned        []int // of each machine, -1 while it has none
-	allowed         []bool
-	openWaves       []int // by machine: waves that can take it
-	waveHoldersAway []int // by shard: holders away
-	waveZoneOut     []int // by zone: places taken
-	waveOut         []int // places taken
+	assigned        []int  // by machine: its wave, or -1
+	allowed         []bool // by machine and wave: the wave can take the machine
+	openWaves       []int  // by machine: number of waves that can take it
+	waveHoldersAway []int  // by shard and wave: holders away
+	waveZoneOut     []int  // by zone and wave: machines out
+	waveOut         []int  // by wave: machines out
 	waveVotersOut   []int
 	waveSizeAway    []float64
-	maxSize         float64 // the largest size asked
-	neighbours      [][]int // by machine: those that share a shard with it
-	zoneMembers     [][]int // by zone: machines
+	maxSize         float64 // the largest size of a candidate
+	neighbours      [][]int // by machine: the candidates that share a shard with it
+	zoneMembers     [][]int // by zone: its candidates
 }
 
+// newSearch returns a search in which no machine is assigned yet.
 func newSearch(f *fleet, waves int) *search {
 	n := len(f.candidates)
 	s := &search{
@@ -104,7 +106,7 @@
 				}
 			}
 		}
-		for w := 1; w < waves; w++ { // empty, and each can go alone
+		for w := 1; w < waves; w++ { // later waves are empty, and each candidate can go alone
 			s.allowed[i*waves+w] = true
 		}
 		s.openWaves[i] = waves - 1
@@ -114,60 +116,60 @@
 	return s
 }
 
-// takes is how many holders, and what size, a machine takes from a wave.
-func (c *candidate) usage(w int) (own int, size float64) {
+// usage returns how many holders and what size the machine takes from wave w.
+func (c *candidate) usage(w int) (holders int, size float64) {
 	if c.cold && w == 0 {
 		return 0, 0
 	}
 	return c.holders, c.size
 }
 
-// look says anew whether a wave can take a machine.
+// updateAllowed recomputes whether wave w can take machine i.
 func (s *search) updateAllowed(i, w int) {
-	was, c := s.allowed[i*s.waves+w], &s.candidates[i]
-	own, size := c.usage(w)
-	is := s.waveOut[w] < s.limits.MaxOut && s.waveZoneOut[c.zone*s.waves+w] < s.limits.MaxOutPerZone && !(c.voter && s.waveVotersOut[w] > 0) &&
+	wasAllowed, c := s.allowed[i*s.waves+w], &s.candidates[i]
+	holders, size := c.usage(w)
+	isAllowed := s.waveOut[w] < s.limits.MaxOut && s.waveZoneOut[c.zone*s.waves+w] < s.limits.MaxOutPerZone && !(c.voter && s.waveVotersOut[w] > 0) &&
 		(!s.loadKnown || !c.replica || s.waveSizeAway[w]+size <= s.sizeBudget+sizeTolerance)
-	for k := 0; is && k < len(c.shards); k++ {
+	for k := 0; isAllowed && k < len(c.shards); k++ {
 		sh := c.shards[k]
-		is = s.waveHoldersAway[sh*s.waves+w]+own <= s.spare[sh]
+		isAllowed = s.waveHoldersAway[sh*s.waves+w]+holders <= s.spare[sh]
 	}
-	if is == was {
+	if isAllowed == wasAllowed {
 		return
 	}
-	s.allowed[i*s.waves+w] = is
-	if is {
+	s.allowed[i*s.waves+w] = isAllowed
+	if isAllowed {
 		s.openWaves[i]++
 	} else {
 		s.openWaves[i]--
 	}
 }
 
-// put places a machine in a wave, by +1, or takes it back, by -1, and looks again at those that it matters to.
-func (s *search) assign(i, w, by int) {
+// assign assigns machine i to wave w if delta is +1, or undoes that if delta is -1, and updates the candidates that are affected.
+func (s *search) assign(i, w, delta int) {
 	c := &s.candidates[i]
-	own, size := c.usage(w)
+	holders, size := c.usage(w)
 	s.assigned[i] = w
-	if by < 0 {
+	if delta < 0 {
 		s.assigned[i] = -1
 	}
-	s.waveOut[w] += by
-	s.waveZoneOut[c.zone*s.waves+w] += by
+	s.waveOut[w] += delta
+	s.waveZoneOut[c.zone*s.waves+w] += delta
 	for _, sh := range c.shards {
-		s.waveHoldersAway[sh*s.waves+w] += by * own
+		s.waveHoldersAway[sh*s.waves+w] += delta * holders
 	}
 	before := s.waveSizeAway[w]
-	s.waveSizeAway[w] += float64(by) * size
+	s.waveSizeAway[w] += float64(delta) * size
 	if c.voter {
-		s.waveVotersOut[w] += by
+		s.waveVotersOut[w] += delta
 	}
-	full := func(n, most int) bool { return n == most || n-by == most }
+	atLimit := func(n, limit int) bool { return n == limit || n-delta == limit }
 	switch {
-	case full(s.waveOut[w], s.limits.MaxOut) || c.voter || s.loadKnown && max(before, s.waveSizeAway[w])+s.maxSize > s.sizeBudget:
+	case atLimit(s.waveOut[w], s.limits.MaxOut) || c.voter || s.loadKnown && max(before, s.waveSizeAway[w])+s.maxSize > s.sizeBudget:
 		for k := range s.candidates {
 			s.updateAllowed(k, w)
 		}
-	case full(s.waveZoneOut[c.zone*s.waves+w], s.limits.MaxOutPerZone):
+	case atLimit(s.waveZoneOut[c.zone*s.waves+w], s.limits.MaxOutPerZone):
 		for _, k := range s.zoneMembers[c.zone] {
 			s.updateAllowed(k, w)
 		}
@@ -179,8 +181,8 @@
 	}
 }
 
-// next is the machine to place: the first class, then the fewest waves left, then the most conflicted, then the first
-// asked. ok is false if one is left without a wave.
+// next returns the machine to assign next: the first by class, then the one with the fewest waves left, then the one with the
+// most neighbours, then the first by request. ok is false if a machine has no wave left.
 func (s *search) next() (best int, ok bool) {
 	best = -1
 	for i := range s.candidates {
@@ -198,7 +200,8 @@
 	return best, true
 }
 
-// place places what has no wave yet, done says how many have; false: not in so many waves, or not found in time.
+// place assigns the machines that have no wave yet; done is the number of those that have one. It returns false if the number of
+// waves is too small or no plan was found within the allowed tries.
 func (s *search) place(done int) bool {
 	if done == len(s.candidates) {
 		return true
@@ -210,7 +213,7 @@
 	order := make([]int, 0, s.waves)
 	for w, empty := 0, false; w < s.waves; w++ {
 		if !s.allowed[i*s.waves+w] || empty && s.waveOut[w] == 0 {
-			continue // of empty ones the first does for all
+			continue // empty waves are equivalent: only the first is tried
 		}
 		empty = empty || w > 0 && s.waveOut[w] == 0
 		order = append(order, w)
--- a/internal/fleet/waveplan/plan_test.go
+++ b/internal/fleet/waveplan/plan_test.go
@@ -10,11 +10,11 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// legal says what is wrong with machines being away together, the first wave beside those that are away already. It
-// counts holders anew for each shard and shares no code with the plan.
+// violation returns which rule is violated if the machines of a wave are away together, the first wave in addition to those that
+// are away already. It counts the holders of each shard itself and shares no code with the planner.
 func violation(p Problem, first bool, wave []string) string {
 	l, gone, out, voters, size, places := p.Limits, 0, len(wave), 0, 0.0, map[string]int{}
-	holds := func(is func(Machine) bool) bool {
+	waveHas := func(is func(Machine) bool) bool {
 		return slices.ContainsFunc(p.Machines, func(m Machine) bool { return is(m) && slices.Contains(wave, m.Name) })
 	}
 	for _, m := range p.Machines {
@@ -39,21 +39,21 @@
 		return ""
 	}
 	for z, n := range places {
-		if n > l.MaxOutPerZone && holds(func(m Machine) bool { return m.Zone == z }) {
+		if n > l.MaxOutPerZone && waveHas(func(m Machine) bool { return m.Zone == z }) {
 			return fmt.Sprint("zone ", z)
 		}
 	}
-	up, member := 0, false
+	up, hasVoter := 0, false
 	for _, m := range p.Machines {
 		if m.Voter && m.Serving {
 			up++
 		}
-		member = member || m.Voter && slices.Contains(wave, m.Name)
+		hasVoter = hasVoter || m.Voter && slices.Contains(wave, m.Name)
 	}
-	takesSize := holds(func(m Machine) bool { return m.Replica })
-	short := takesSize && p.LoadKnown && size+1e-6 < p.Load*(1+l.Headroom)
-	if out > l.MaxOut || member && (voters > 1 || up-gone < l.MinVoters) || short {
-		return "all, voters or size"
+	takesSize := waveHas(func(m Machine) bool { return m.Replica })
+	lacksCapacity := takesSize && p.LoadKnown && size+1e-6 < p.Load*(1+l.Headroom)
+	if out > l.MaxOut || hasVoter && (voters > 1 || up-gone < l.MinVoters) || lacksCapacity {
+		return "total, voters or size"
 	}
 	for s := range l.Shards {
 		left, concerned := 0, false
@@ -76,7 +76,7 @@
 	return ""
 }
 
-// least is the fewest waves by trying all.
+// fewestWaves returns the smallest number of waves by trying all plans.
 func fewestWaves(p Problem, names []string) int {
 	best := len(names) + 1
 	var waves [][]string
@@ -100,7 +100,7 @@
 			}
 		}
 	}
-	waves = [][]string{nil} // the first may stay empty, where what is out takes its room
+	waves = [][]string{nil} // the first wave may stay empty if the machines that are out take its places
 	try(0)
 	return best
 }
@@ -127,35 +127,35 @@
 	return p
 }
 
-// Plans of up to seven machines against the best of all that are possible.
+// Plans of up to seven machines have as few waves as the best of all possible plans.
 func TestSmallPlansAreOptimal(t *testing.T) {
-	tight, kept, long := 0, 0, 0
+	exactBounds, excluded, longPlans := 0, 0, 0
 	for seed := range uint64(3000) {
 		p := randomProblem(rand.New(rand.NewPCG(seed, 3)))
 		r := Plan(p)
 		var names []string
 		for i, w := range r.Waves {
-			if why := violation(p, i == 0, w); why != "" {
-				t.Fatalf("seed %d: wave %d of %v: %s\n%+v", seed, i, r.Waves, why, p)
+			if reason := violation(p, i == 0, w); reason != "" {
+				t.Fatalf("seed %d: wave %d of %v: %s\n%+v", seed, i, r.Waves, reason, p)
 			}
 			names = append(names, w...)
 		}
-		asked := map[string]bool{}
+		requested := map[string]bool{}
 		for _, a := range p.Requests {
 			if i := slices.IndexFunc(p.Machines, func(m Machine) bool { return m.Name == a.Machine }); !p.Machines[i].InProgress {
-				asked[a.Machine] = true
+				requested[a.Machine] = true
 			}
 		}
 		for _, k := range r.Excluded {
-			kept++
+			excluded++
 			if violation(p, false, []string{k.Machine}) == "" {
-				t.Fatalf("seed %d: %s is kept (%s) and could go alone\n%+v", seed, k.Machine, k.Reason, p)
+				t.Fatalf("seed %d: %s is excluded (%s) but could go alone\n%+v", seed, k.Machine, k.Reason, p)
 			}
-			delete(asked, k.Machine)
+			delete(requested, k.Machine)
 		}
 		slices.Sort(names)
-		if len(slices.Compact(slices.Clone(names))) != len(names) || len(names) != len(asked) {
-			t.Fatalf("seed %d: %v planned of %v", seed, r.Waves, asked)
+		if len(slices.Compact(slices.Clone(names))) != len(names) || len(names) != len(requested) {
+			t.Fatalf("seed %d: planned %v, requested %v", seed, r.Waves, requested)
 		}
 		if len(names) == 0 {
 			continue
@@ -165,23 +165,23 @@
 			t.Fatalf("seed %d: %v, the best has %d\n%+v", seed, r, best, p)
 		}
 		if r.Bound == best {
-			tight++
+			exactBounds++
 		}
 		if best > 2 {
-			long++
+			longPlans++
 		}
 	}
-	t.Logf("the bound is the best in %d, %d need more than two waves, %d machines kept", tight, long, kept)
-	if tight < 2400 || long < 500 || kept < 100 {
-		t.Errorf("too few of a kind to tell anything, or a bound that says little")
+	t.Logf("the bound is exact in %d, %d need more than two waves, %d machines excluded", exactBounds, longPlans, excluded)
+	if exactBounds < 2400 || longPlans < 500 || excluded < 100 {
+		t.Errorf("too few cases of one kind, or the bound is rarely exact")
 	}
 }
 
-// swap is a site of replicas, one a cell, and co-ordinators over four zones, of which all replicas, and with all set the
-// co-ordinators too, are to go.
-func swapProblem(replicas, coordinators, reach, least, byZone, most int, all bool) Problem {
-	p := Problem{Limits: maintenance.Limits{Cells: replicas, Reach: reach, Shards: replicas, MinHolders: least,
-		MaxOutPerZone: byZone, MaxOut: most, Headroom: 0.25, MinVoters: 3}, Load: 0.5 * float64(replicas), LoadKnown: true}
+// swapProblem returns the problem of a site with one replica for each cell, and co-ordinators, over four zones. All replicas are
+// requested, and if all is set the co-ordinators too.
+func swapProblem(replicas, coordinators, reach, minHolders, maxPerZone, maxOut int, all bool) Problem {
+	p := Problem{Limits: maintenance.Limits{Cells: replicas, Reach: reach, Shards: replicas, MinHolders: minHolders,
+		MaxOutPerZone: maxPerZone, MaxOut: maxOut, Headroom: 0.25, MinVoters: 3}, Load: 0.5 * float64(replicas), LoadKnown: true}
 	for i := range replicas {
 		m := Machine{Name: fmt.Sprintf("r%03d", i), Zone: fmt.Sprint("z", i%4), Replica: true, Cell: i, Serving: true}
 		p.Machines, p.Requests = append(p.Machines, m), append(p.Requests, Request{m.Name, Routine})
@@ -196,18 +196,18 @@
 }
 
 func TestSwapPlansAreNearBound(t *testing.T) {
-	for _, c := range []struct{ reach, least, byZone, most int }{
+	for _, c := range []struct{ reach, minHolders, maxPerZone, maxOut int }{
 		{3, 2, 100, 500}, {3, 1, 100, 500}, {2, 1, 100, 500}, {4, 3, 100, 500}, {3, 2, 5, 20}, {3, 2, 4, 13}, {3, 2, 1, 1}, {5, 3, 11, 40},
 	} {
 		for _, all := range []bool{false, true} {
-			p := swapProblem(200, 300, c.reach, c.least, c.byZone, c.most, all)
+			p := swapProblem(200, 300, c.reach, c.minHolders, c.maxPerZone, c.maxOut, all)
 			r := Plan(p)
 			t.Logf("%+v, co-ordinators too: %v: %v", c, all, r)
 			n := 0
 			for i, w := range r.Waves {
 				n += len(w)
-				if why := violation(p, i == 0, w); why != "" {
-					t.Fatalf("wave %d: %s", i, why)
+				if reason := violation(p, i == 0, w); reason != "" {
+					t.Fatalf("wave %d: %s", i, reason)
 				}
 			}
 			if n != len(p.Requests) || float64(len(r.Waves)) > 1.2*float64(r.Bound) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// The plan hangs on the asks and their order alone, not on that of the inventory, and each run gives the same.
+// A plan depends on the requests and their order, not on the order of the inventory, and is the same in each run.
 func TestPlanIgnoresInventoryOrder(t *testing.T) {
 	p := swapProblem(200, 300, 3, 2, 5, 20, true)
 	want := Plan(p)
@@ -230,7 +230,8 @@
 	}
 }
 
-// Reserved machines go before urgent ones, these before routine ones; what shares nothing with them goes beside them.
+// Reserved machines go before urgent ones, and these before routine ones; machines that share no shard with them go in the same
+// wave.
 func TestClassOrder(t *testing.T) {
 	p := swapProblem(12, 0, 2, 1, 12, 3, false)
 	p.Requests[7].Class, p.Requests[4].Class, p.Requests[5].Class = Reserved, Urgent, Urgent
@@ -253,9 +254,9 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	for _, c := range []struct{ byZone, most int }{{100, 500}, {5, 20}, {1, 1}} {
-		p := swapProblem(200, 300, 3, 2, c.byZone, c.most, true)
-		b.Run(fmt.Sprintf("200+300, %d at once", c.most), func(b *testing.B) {
+	for _, c := range []struct{ maxPerZone, maxOut int }{{100, 500}, {5, 20}, {1, 1}} {
+		p := swapProblem(200, 300, 3, 2, c.maxPerZone, c.maxOut, true)
+		b.Run(fmt.Sprintf("200+300, %d at once", c.maxOut), func(b *testing.B) {
 			for range b.N {
 				Plan(p)
 			}
--- a/internal/fleet/waveplan/problem.go
+++ b/internal/fleet/waveplan/problem.go
@@ -1,7 +1,7 @@
-// Package waveplan plans in which order machines go out for work. Machines that may be away together go in one wave; beside
-// the plan stands a number of waves that no plan can go below. It is pure: no clock, goroutine, I/O or random number, and
-// the same problem gives the same plan. A plan is only a proposal: the rules of package maintenance are checked again when a
-// grant is applied, and nothing here can loosen them.
+// Package waveplan plans the order in which machines are taken out for maintenance. Machines that may be away together go in one
+// wave; each plan comes with a lower bound on the number of waves. The package is pure: it uses no clock, goroutine, I/O or
+// random number, and the same problem gives the same plan. A plan is only a proposal: the rules of package maintenance are
+// checked again when a grant is applied, and nothing here can loosen them.
 package waveplan
 
 import (
@@ -13,62 +13,62 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// MaxPlanned asked machines are planned at once, by rank; the rest is counted in Result.Rest and planned as those are done.
-// A plan of so many takes some tens of milliseconds. Twice as many take four times as long; half as many shorten how
-// far ahead the order looks, which is still many waves.
+// MaxPlanned is the number of requested machines that are planned at once, by rank; the others are counted in Result.Deferred and
+// planned once those are done. A plan of that size takes some tens of milliseconds. Twice as many would take four times as long;
+// half as many would plan fewer waves ahead, though still many.
 const MaxPlanned = 1000
 
-// Class of an asked machine: the lower goes in the earlier waves.
+// Class is the urgency of a request: lower classes go in earlier waves.
 type Class int
 
-// Classes, in the order of the waves.
+// Classes in the order of the waves.
 const (
-	Reserved Class = iota // passed over too often: its turn is reserved (W5)
+	Reserved Class = iota // passed over too often, so its turn is reserved (W5)
 	Urgent
 	Routine
 )
 
-// Machine is one line of the inventory as the plan sees it.
+// Machine is an entry of the inventory as the plan sees it.
 type Machine struct {
 	Name, Zone string
 	Replica    bool
 	Voter      bool
 	Cell       int     // of a replica
-	Size       float64 // of a replica, in mean ones; 0 counts as 1
-	Serving    bool    // a replica that is up and warm, or will be by itself: it counts as a holder from the second wave on
-	Cold       bool    // serves, but not yet: no holder in the first wave
-	InProgress bool    // in the plan already: it has a place in the first wave, and is no holder there
+	Size       float64 // of a replica, relative to the average replica; 0 counts as 1
+	Serving    bool    // up and warm, or will be so without intervention: a replica counts as a holder from the second wave on
+	Cold       bool    // serving, but not warm yet: no holder in the first wave
+	InProgress bool    // its maintenance is in progress: it takes a place in the first wave and is no holder there
 }
 
-// Request is one machine that waits to go. Several asks of one machine count as the first by class.
+// Request is a request to take a machine out. Of several requests for one machine the first by class counts.
 type Request struct {
 	Machine string
 	Class   Class
 }
 
-// Problem is what a plan is made for.
+// Problem is the input of a plan.
 type Problem struct {
 	Limits    maintenance.Limits
 	Machines  []Machine
-	Requests  []Request // in the order of asking
-	Load      float64   // in mean replicas kept busy
-	LoadKnown bool      // false: the plan looks away from W3, by which nothing is granted until it is known
+	Requests  []Request // in the order in which they were made
+	Load      float64   // in average replicas kept busy
+	LoadKnown bool      // false: the plan ignores W3, under which nothing is granted until the load is known
 }
 
-// Exclusion is an asked machine that no wave can take while the fleet is as it is, and the rule that keeps it.
+// Exclusion is a requested machine that no wave can take in the fleet's current condition, and the rule that prevents it.
 type Exclusion struct{ Machine, Reason string }
 
-// Result is a plan. The first wave may go now, beside what is out already; it is empty where that leaves no room. Each
-// next one may go once all before it are back and warm.
+// Result is a plan. The first wave may go now, in addition to what is out already; it is empty if there is no room. Each further
+// wave may go once all machines of the earlier ones are back and warm.
 type Result struct {
-	Waves       [][]string // names: by class, then in the order of asking
-	Bound       int        // no plan has fewer waves
+	Waves       [][]string // machine names: by class, then in the order of the requests
+	Bound       int        // a lower bound: no plan has fewer waves
 	BoundReason string     // the limit that the bound comes from
 	Excluded    []Exclusion
-	Deferred    int // asked beyond Most, not in the waves; the bound counts them
+	Deferred    int // requested beyond MaxPlanned: not in the waves, but counted in the bound
 }
 
-// String is the line for the log: the number of waves and the bound beside it.
+// String returns a summary for the log: the number of waves and the bound.
 func (r Result) String() string {
 	n := 0
 	for _, w := range r.Waves {
@@ -88,45 +88,46 @@
 	return b.String()
 }
 
-// fleet is the problem in numbers: what each shard, zone and the whole can spare.
+// fleet is the problem in numbers: what each shard, each zone and the whole can spare.
 type fleet struct {
 	limits      maintenance.Limits
 	reach       int
-	spare       []int       // by shard: serving holders beyond those that must stay
-	awayInFirst []int       // by shard: of these, how many do not serve in the first wave
+	spare       []int       // by shard: serving holders beyond MinHolders
+	awayInFirst []int       // by shard: serving holders that are away or cold in the first wave
 	zones       []string    // sorted
-	outByZone   []int       // by zone: places taken in the first wave
-	out         int         // places taken in the first wave
+	outByZone   []int       // by zone: machines out in the first wave
+	out         int         // machines out in the first wave
 	votersOut   int         // voters out in the first wave
-	loadKnown   bool        // W3: there is a limit on the size that may be away,
-	sizeBudget  float64     // this
-	sizeAway    float64     // W3: size that is away in the first wave
+	loadKnown   bool        // W3 limits the size that may be away to sizeBudget
+	sizeBudget  float64     // W3: size that may be away
+	sizeAway    float64     // W3: size that is away or cold in the first wave
 	candidates  []candidate // by rank
 	excluded    []Exclusion
 }
 
-// candidate is an asked machine that some wave can take.
+// candidate is a requested machine that some wave can take.
 type candidate struct {
 	name     string
 	class    Class
-	position int // in the order of asking
+	position int // in the order of the requests
 	shards   []int
 	zone     int
-	size     float64 // that it takes from what is up and warm
+	size     float64 // taken from the size that is up and warm
 	holders  int     // 1 if it counts as a holder
-	cold     bool    // in the first wave it counts as none, and is away already
+	cold     bool    // not a holder in the first wave, where its size is already away
 	voter    bool
 	replica  bool
 }
 
-// slip is what sums of sizes may miss by in adding them up.
+// sizeTolerance is the allowed rounding error of a sum of sizes.
 const sizeTolerance = 1e-9
 
+// newFleet computes the numbers of a problem.
 func newFleet(p Problem) *fleet {
 	f := &fleet{limits: p.Limits, loadKnown: p.LoadKnown}
 	l := &f.limits
 	f.reach = min(l.Reach, l.Cells)
-	shards := max(0, min(l.Shards, l.Cells)) // shard s has the holders of s mod Cells
+	shards := max(0, min(l.Shards, l.Cells)) // more shards than cells repeat: shard s has the holders of shard s mod Cells
 	f.spare, f.awayInFirst = make([]int, shards), make([]int, shards)
 	for s := range f.spare {
 		f.spare[s] = -l.MinHolders
@@ -171,15 +172,16 @@
 	return f
 }
 
-// rank puts the asked machines in order, by class, then as they were asked for, and keeps back those that can not go.
+// rankCandidates sorts the requested machines by class, then in the order of the requests, and excludes those that no wave can
+// take.
 func (f *fleet) rankCandidates(p Problem, byName map[string]*Machine, votersUp int) {
 	at := map[string]int{}
 	for i, a := range p.Requests {
 		m := byName[a.Machine]
 		if m == nil || m.InProgress {
-			continue // not in the inventory yet, or on its way
+			continue // not in the inventory yet, or already in progress
 		}
-		if k, twice := at[a.Machine]; twice {
+		if k, duplicate := at[a.Machine]; duplicate {
 			f.candidates[k].class = min(f.candidates[k].class, a.Class)
 			continue
 		}
@@ -194,18 +196,18 @@
 		f.candidates = append(f.candidates, c)
 	}
 	f.candidates = slices.DeleteFunc(f.candidates, func(c candidate) bool {
-		why := f.exclusionReason(&c, byName[c.name], votersUp)
-		if why != "" {
-			f.excluded = append(f.excluded, Exclusion{c.name, why})
+		reason := f.exclusionReason(&c, byName[c.name], votersUp)
+		if reason != "" {
+			f.excluded = append(f.excluded, Exclusion{c.name, reason})
 		}
-		return why != ""
+		return reason != ""
 	})
 	slices.SortStableFunc(f.candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.position, b.position))
 	})
 }
 
-// never says why no wave can take a machine, or nothing.
+// exclusionReason returns why no wave can take a machine, or an empty string.
 func (f *fleet) exclusionReason(c *candidate, m *Machine, votersUp int) string {
 	l := &f.limits
 	if m.Replica && (m.Cell < 0 || m.Cell >= l.Cells) {
@@ -223,21 +225,22 @@
 	}
 	switch {
 	case l.MaxOut < 1 || l.MaxOutPerZone < 1:
-		return "W2: none may be out"
+		return "W2: no machine may be out"
 	case m.Voter && left < l.MinVoters:
 		return fmt.Sprintf("W2: %d voters would be left up, %d wanted", left, l.MinVoters)
 	case f.loadKnown && m.Replica && c.size > f.sizeBudget+sizeTolerance:
-		return fmt.Sprintf("W3: %.2f of the size may be away, this is %.2f", f.sizeBudget, c.size)
+		return fmt.Sprintf("W3: a size of %.2f may be away, the machine has %.2f", f.sizeBudget, c.size)
 	}
 	return ""
 }
 
+// zone returns the index of a zone.
 func (f *fleet) zone(name string) int {
 	i, _ := slices.BinarySearch(f.zones, name)
 	return i
 }
 
-// shards are those that a cell holds.
+// shards returns the shards that a cell holds.
 func (f *fleet) shards(cell int) []int {
 	if cell < 0 || cell >= f.limits.Cells {
 		return nil
@@ -251,6 +254,7 @@
 	return out
 }
 
+// size returns the size of a replica, 1 if it is not set.
 func (m *Machine) size() float64 {
 	if m.Size == 0 {
 		return 1
