--- a/internal/fleet/drainctl/acknowledge.go
+++ b/internal/fleet/drainctl/acknowledge.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// withdraw proposes to withdraw a grant that is not acknowledged.
+// withdraw proposes to withdraw a grant that is not acknowledged. The reason is stored in the agreed state.
 func (c *Controller) withdraw(it maintenance.Item, reason string) {
 	body := maintenance.WithdrawBody{Machine: it.Machine, Fence: it.Fence, Reason: reason[:min(len(reason), maintenance.MaxNameLength)]}
 	if c.propose(fmt.Sprintf("withdraw %s %d", it.Machine, it.Fence), "withdraw", body, c.noLongerGranted(it)) {
--- a/internal/fleet/drainstore/store.go
+++ b/internal/fleet/drainstore/store.go
@@ -27,7 +27,7 @@
 	Log   *logrus.Entry
 	// Apply makes the exchange use a set of drains. The exchange confirms it by a call of Applied in the store's goroutine.
 	Apply func(machines []string)
-	// Warn logs a line. It suppresses repetitions beyond a limit.
+	// Warn logs a line. The number of lines is limited.
 	Warn func(text string)
 }
 
