--- a/internal/fleet/fleetsim/pinned/canon.go
+++ b/internal/fleet/fleetsim/pinned/canon.go
@@ -47,7 +47,7 @@
 	"sessionowner.sessionEntry.nextSlot": name, "sessionowner.slot.head": name, "sessionowner.slot.tail": name,
 	"session.State.limits": none, "session.State.limitsAt": none, "session.State.offerCounts": none, "session.State.nextExpiry": none, "session.State.refusals": none,
 	"session.State.refusalCount": none, "session.endedSession.reason": none, "session.coordinator.lastKnownAt": none, "session.State.now": ahead,
-	"pool.Pool.next": none, "pool.Pool.now": ahead,
+	"pool.Pool.nextExpiry": none, "pool.Pool.now": ahead,
 	"history.Checker.rules": none, "history.Checker.now": none, "history.Checker.Figures": none, "history.Checker.places": none,
 	"history.Checker.begins": none, "history.request.place": rank, "history.request.order": rank, "history.session.last": rank,
 	"history.session.lastHard": rank, "history.session.open": name, "history.session.queued": name,
