--- a/internal/fleet/migrate/attempts.go
+++ b/internal/fleet/migrate/attempts.go
@@ -6,21 +6,22 @@
 	"birchcart/internal/fleet/session"
 )
 
-// tried is a session that came back from an attempt.
+// failureRecord is the history of failed attempts to move a session.
 type failureRecord struct {
 	failures      int
-	retryAt       time.Duration // until then it is left alone
-	excluded      [4]string     // targets that are not asked until excludedUntil
+	retryAt       time.Duration // the session is not offered before
+	excluded      [4]string     // targets that the session is not offered to until excludedUntil
 	excludedUntil [4]time.Duration
 }
 
+// clearFailures resets the record of a session. It is kept in failureOrder until it is dropped there.
 func (p *Planner) clearFailures(id session.ID) {
 	if t := p.failures[id]; t != nil {
 		*t = failureRecord{}
 	}
 }
 
-// failed remembers that a session came back from an attempt, and from whom.
+// recordFailure records that an attempt to move a session to f.to failed.
 func (p *Planner) recordFailure(now time.Duration, v *View, f *move, r session.Record) {
 	t := p.failures[f.id]
 	if t == nil {
@@ -44,24 +45,24 @@
 		}
 	}
 	t.excluded[at], t.excludedUntil[at] = f.to, now+TargetRetryDelay
-	if f.phaseUntil == 0 || r.Since < f.phaseUntil { // before the offer's time was over: it was declined
+	if f.phaseUntil == 0 || r.Since < f.phaseUntil { // before the offer expired: it was declined
 		p.targetBackoff[f.to] = now + TargetBackoff
 	}
 }
 
-// rested says why a session is left alone now, or nothing.
+// backoffReason returns why a session is in backoff, or "" if it is not.
 func (p *Planner) backoffReason(now time.Duration, id session.ID) string {
 	t := p.failures[id]
 	if t == nil || now >= t.retryAt {
 		return ""
 	}
 	if t.failures >= StuckAttempts {
-		return "many attempts to move it failed, it rests"
+		return "many attempts to move it failed, in backoff"
 	}
-	return "an attempt to move it failed, it rests"
+	return "an attempt to move it failed, in backoff"
 }
 
-// barred says that a target is not asked for a session now.
+// isExcluded reports whether a session is not offered to a target now because an earlier attempt there failed.
 func (p *Planner) isExcluded(now time.Duration, id session.ID, to string) bool {
 	if t := p.failures[id]; t != nil {
 		for i, n := range t.excluded {
--- a/internal/fleet/migrate/cmd/sessionplots/main.go
+++ b/internal/fleet/migrate/cmd/sessionplots/main.go
@@ -1,5 +1,5 @@
-// Command sessionplots plays rolling swaps of co-ordinators in virtual time, by the planner and by ways that know less, prints
-// a table and draws it.
+// Command sessionplots simulates rolling swaps of co-ordinators in virtual time, with the planner and with baselines that know
+// less, prints a table of the results and draws plots.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	Procs int    `default:"2" help:"Swaps played at once."`
 }
 
-// way of choosing a receiver.
+// strategy is a way of choosing a receiver.
 type strategy struct {
 	name   string
 	prefer migrate.Prefer
@@ -42,7 +42,7 @@
 	{"next in the ring", baseline.Ring},
 }
 
-// site is one drawing: so many sessions, laid out so.
+// scenario is one plot: a number of sessions and their layout.
 type scenario struct {
 	name, title string
 	configure   func(*swap.Settings)
@@ -93,26 +93,28 @@
 	return nil
 }
 
+// lowerBound returns the lower bound on moves per session.
 func lowerBound(r swap.Result) float64 { return float64(r.Bound) / float64(r.Sessions) }
 
+// zoneShare returns the share of sessions that end in the zone where they began.
 func zoneShare(r swap.Result) float64 { return float64(r.SameZone) / float64(r.Sessions) }
 
-// play gives the results by size, then by way.
+// runScenario returns the results of a scenario by number of co-ordinators, then by strategy.
 func runScenario(s scenario) ([]swap.Result, error) {
 	results, errs := make([]swap.Result, len(flags.Sizes)*len(strategies)), make([]error, len(flags.Sizes)*len(strategies))
-	var all sync.WaitGroup
-	places := make(chan struct{}, max(1, flags.Procs))
+	var runs sync.WaitGroup
+	semaphore := make(chan struct{}, max(1, flags.Procs))
 	for i := range results {
-		set := swap.Settings{Coordinators: flags.Sizes[i/len(strategies)], Sessions: 2000, CapacityFactor: 2, WaveSize: 1, Zones: 3, Outage: 30 * time.Second,
+		settings := swap.Settings{Coordinators: flags.Sizes[i/len(strategies)], Sessions: 2000, CapacityFactor: 2, WaveSize: 1, Zones: 3, Outage: 30 * time.Second,
 			InFlight: 200, PerMinute: 6000, IdlePercent: 60, Prefer: strategies[i%len(strategies)].prefer}
-		s.configure(&set)
-		all.Go(func() {
-			places <- struct{}{}
-			results[i], errs[i] = swap.Run(set)
-			<-places
+		s.configure(&settings)
+		runs.Go(func() {
+			semaphore <- struct{}{}
+			results[i], errs[i] = swap.Run(settings)
+			<-semaphore
 		})
 	}
-	all.Wait()
+	runs.Wait()
 	for i, err := range errs {
 		if err != nil {
 			return nil, fmt.Errorf("%s, %d co-ordinators, %s: %w", s.title, flags.Sizes[i/len(strategies)], strategies[i%len(strategies)].name, err)
@@ -121,7 +123,7 @@
 	return results, nil
 }
 
-// sizes are the ticks of the axis: those that were played.
+// sizeTicks puts the ticks of the axis at the simulated numbers of co-ordinators.
 type sizeTicks []int
 
 func (s sizeTicks) Ticks(_, _ float64) []plot.Tick {
--- a/internal/fleet/migrate/forecast.go
+++ b/internal/fleet/migrate/forecast.go
@@ -10,28 +10,29 @@
 	"birchcart/internal/fleet/session"
 )
 
-// DefaultMoveDuration is what one move is taken to need from its offer to its adoption while none has been seen: two rounds of polls.
-// Twice as much: a forecast is late by as much where sessions in flight are the limit; half: it is early.
+// DefaultMoveDuration is the assumed duration of a move, from its offer to its adoption, until one has been observed: two rounds
+// of polls. Where the limit on sessions in flight determines the rate, twice as long makes a forecast too late by the same factor,
+// and half of it makes it too early.
 const DefaultMoveDuration = 2 * time.Second
 
-// MaxRequiredChanges lines say what would have to give; the rest are counted in the last.
+// MaxRequiredChanges limits the entries of Forecast.RequiredChanges; the last entry counts the ones left out.
 const MaxRequiredChanges = 16
 
-// Forecast is what a swap comes to, from now on, if nobody opens or ends a session meanwhile.
+// Forecast estimates the rest of a swap, assuming that no session is opened or ended meanwhile.
 type Forecast struct {
-	Moves           int // this plan makes
-	Bound           int // no plan makes fewer, see bound
+	Moves           int // moves of this plan
+	Bound           int // lower bound on the moves of any plan, see minMoves
 	Waves           int
-	Unplaced        int           // sessions for which there will be no room anywhere when their owner goes
+	Unplaced        int           // sessions that no other co-ordinator has capacity for when their owner goes out
 	End             time.Duration // agreed time by which the last machine is back; 0: never
-	MeetsDeadlines  bool          // all deadlines are met, by this forecast
-	RequiredChanges []string      // what would have to give, in words
-	// AtRisk are sessions with an unsafe query that may be open longer than their owner's deadline, or the swap's: no limit
-	// that gives changes that. The first MaxRequiredChanges.
+	MeetsDeadlines  bool          // whether all deadlines are met
+	RequiredChanges []string      // what would have to change to meet the deadlines
+	// AtRisk lists the first MaxRequiredChanges sessions with an unsafe query that may be open past the deadline of their owner or
+	// of the swap. No change of a limit helps them.
 	AtRisk []session.ID
 }
 
-// String is the line for the log.
+// String returns the line for the log.
 func (f Forecast) String() string {
 	s := fmt.Sprintf("%d moves in %d waves, at least %d", f.Moves, f.Waves, f.Bound)
 	if f.End > 0 {
@@ -43,19 +44,20 @@
 	return s
 }
 
+// requireChange records that a deadline is missed or sessions are unplaced, and what would have to change.
 func (f *Forecast) requireChange(format string, args ...any) {
 	f.MeetsDeadlines = false
 	f.RequiredChanges = append(f.RequiredChanges, fmt.Sprintf(format, args...))
 }
 
-// turn is what goes out together.
+// wave is a group of co-ordinators that go out together.
 type wave struct {
 	rank    int
 	members []int // indexes of co-ordinators
 	moves   int
 }
 
-// turns are the waves still to come, in order; those that leave now are the first.
+// remainingWaves returns the waves still to come, in order. The co-ordinators that are leaving now form the first wave.
 func remainingWaves(cs []Coordinator) []wave {
 	var out []wave
 	at := map[int]int{}
@@ -77,35 +79,39 @@
 	return out
 }
 
-// bound is a number of moves that no plan goes below. Each session whose owner goes has to move at least once: that is their
-// sum. A move to one that goes later is followed by another; a move to one that stays or is back need not be. Look at the time
-// at which a wave is out: the sessions of all owners that went by then are elsewhere, at most as many as there is room for at those
-// that stay or are back; each of the others sits at one that goes later, has made a move there, and has one more before
-// it. So to the sum comes, for the wave where that is the most, what was off by then less that room. Before the first wave
-// nobody is back: without one that stays, all of the first wave's sessions move twice.
+// minMoves returns a lower bound on the number of moves of any plan.
+//
+// Each session whose owner goes out has to move at least once. A session that moves to a co-ordinator that goes out later has to
+// move again; one that moves to a co-ordinator that stays or is back does not. Consider the moment at which a wave is out. The
+// sessions of all owners that have gone out so far are at other co-ordinators, and those that stay or are back hold at most as
+// many of them as they have capacity for. Each of the others has moved to a co-ordinator that goes out later and has another move
+// ahead of it. The bound is therefore the number of sessions to move, plus the largest excess over all waves: the sessions moved
+// off so far minus that capacity. Before the first wave no co-ordinator is back, so without one that stays all sessions of the
+// first wave move twice.
 func minMoves(cs []Coordinator, waves []wave, owned []int) int {
-	sum, safe, extra := 0, 0, 0
+	sum, availableCapacity, extra := 0, 0, 0
 	for i := range cs {
 		if c := &cs[i]; c.Live && c.Rank < 0 && !c.Leaving {
-			safe += max(0, c.maxSessions()-owned[i])
+			availableCapacity += max(0, c.maxSessions()-owned[i])
 		}
 	}
 	for _, w := range waves {
 		for _, i := range w.members {
 			sum += owned[i]
 		}
-		extra = max(extra, sum-safe)
+		extra = max(extra, sum-availableCapacity)
 		for _, i := range w.members {
-			safe += cs[i].maxSessions()
+			availableCapacity += cs[i].maxSessions()
 		}
 	}
 	return sum + extra
 }
 
-// NewForecast plays the whole order by numbers of sessions. takes is how long a move was seen to take; 0: DefaultMoveDuration.
-func NewForecast(now time.Duration, v View, takes time.Duration) Forecast {
-	if takes <= 0 {
-		takes = DefaultMoveDuration
+// NewForecast simulates all remaining waves with counts of sessions. moveDuration is the observed duration of a move; 0:
+// DefaultMoveDuration.
+func NewForecast(now time.Duration, v View, moveDuration time.Duration) Forecast {
+	if moveDuration <= 0 {
+		moveDuration = DefaultMoveDuration
 	}
 	cs := v.Coordinators
 	waves, owned := remainingWaves(cs), make([]int, len(cs))
@@ -120,52 +126,52 @@
 	f.findAtRisk(v)
 	f.checkSlots(v, owned)
 	f.simulateMoves(cs, waves, owned)
-	f.estimateTimes(now, v, waves, takes)
+	f.estimateTimes(now, v, waves, moveDuration)
 	if n := len(f.RequiredChanges); n > MaxRequiredChanges {
-		f.RequiredChanges = append(f.RequiredChanges[:MaxRequiredChanges-1], fmt.Sprintf("%d more of the kind", n-MaxRequiredChanges+1))
+		f.RequiredChanges = append(f.RequiredChanges[:MaxRequiredChanges-1], fmt.Sprintf("%d more required changes", n-MaxRequiredChanges+1))
 	}
 	return f
 }
 
-// play moves each wave's sessions to those that stay or are back, the rest to those that go last.
+// simulateMoves moves the sessions of each wave to co-ordinators that stay or are back, and the rest to those that go out last.
 func (f *Forecast) simulateMoves(cs []Coordinator, waves []wave, owned []int) {
-	safe := 0
+	available := 0
 	for i := range cs {
 		if c := &cs[i]; c.Live && c.Rank < 0 && !c.Leaving {
-			safe += c.spareSessions(owned[i], 0, 0)
+			available += c.spareSessions(owned[i], 0, 0)
 		}
 	}
 	for k := range waves {
-		load := 0
+		leaving := 0
 		for _, i := range waves[k].members {
-			load += owned[i]
+			leaving += owned[i]
 		}
-		fits := min(load, safe)
-		safe -= fits
-		left := load - fits
-		for l := len(waves) - 1; l > k && left > 0; l-- {
+		placed := min(leaving, available)
+		available -= placed
+		unplaced := leaving - placed
+		for l := len(waves) - 1; l > k && unplaced > 0; l-- {
 			for _, i := range waves[l].members {
 				if c := &cs[i]; c.Live {
-					n := min(left, c.spareSessions(owned[i], 0, 0))
+					n := min(unplaced, c.spareSessions(owned[i], 0, 0))
 					owned[i] += n
-					left -= n
+					unplaced -= n
 				}
 			}
 		}
-		if left > 0 {
-			f.Unplaced += left
+		if unplaced > 0 {
+			f.Unplaced += unplaced
 			first := cs[waves[k].members[0]].Name
-			f.requireChange("room for %d more sessions at the others while %s is away", left, first)
+			f.requireChange("capacity for %d more sessions at the other co-ordinators while %s is out", unplaced, first)
 		}
-		waves[k].moves = load - left
-		f.Moves += load - left
+		waves[k].moves = leaving - unplaced
+		f.Moves += leaving - unplaced
 		for _, i := range waves[k].members {
-			safe += cs[i].maxSessions()
+			available += cs[i].maxSessions()
 		}
 	}
 }
 
-// unsure names what can not be promised.
+// findAtRisk lists the sessions that may not be movable by their deadline because of an unsafe query.
 func (f *Forecast) findAtRisk(v View) {
 	for i := range v.Coordinators {
 		c := &v.Coordinators[i]
@@ -179,14 +185,14 @@
 		for _, u := range c.Unsafe[:min(len(c.Unsafe), MaxUnsafe)] {
 			if u.Due > until && len(f.AtRisk) < MaxRequiredChanges {
 				f.AtRisk = append(f.AtRisk, u.ID)
-				f.requireChange("session %s at %s: no move can be promised by %s, an unsafe query of it may be open until %s", u.ID, c.Name,
+				f.requireChange("session %s at %s: may not be movable by %s because an unsafe query may be open until %s", u.ID, c.Name,
 					formatTime(until), formatTime(u.Due))
 			}
 		}
 	}
 }
 
-// slots says at which replicas the slots are fewer than all sessions need, each co-ordinator for itself.
+// checkSlots records the replicas that have fewer slots than all sessions need, with the need rounded up for each co-ordinator.
 func (f *Forecast) checkSlots(v View, owned []int) {
 	if v.SessionsPerSlot <= 0 || v.Slots == nil {
 		return
@@ -202,22 +208,22 @@
 	}
 }
 
-// times says when each wave ends, and what would make the deadlines.
-func (f *Forecast) estimateTimes(now time.Duration, v View, waves []wave, takes time.Duration) {
+// estimateTimes estimates the end of each wave, and records what would have to change to meet the deadlines.
+func (f *Forecast) estimateTimes(now time.Duration, v View, waves []wave, moveDuration time.Duration) {
 	limits, _ := v.Book.Limits()
-	rate := min(float64(limits.PerMinute)/60, float64(limits.InFlight)/takes.Seconds()) // in a second
+	rate := min(float64(limits.PerMinute)/60, float64(limits.InFlight)/moveDuration.Seconds()) // moves a second
 	if rate <= 0 && f.Moves > 0 {
-		f.requireChange("a limit of more than none: %d in flight, %d a minute", limits.InFlight, limits.PerMinute)
+		f.requireChange("limits above zero: %d in flight, %d a minute", limits.InFlight, limits.PerMinute)
 		return
 	}
 	at := now
 	for k := range waves {
 		if waves[k].moves > 0 {
-			at += max(takes, time.Duration(float64(waves[k].moves)/rate*float64(time.Second)))
+			at += max(moveDuration, time.Duration(float64(waves[k].moves)/rate*float64(time.Second)))
 		}
 		for _, i := range waves[k].members {
 			if c := &v.Coordinators[i]; c.Leaving && c.Deadline > 0 && at > c.Deadline {
-				f.requireFaster(c.Name, limits, waves[k].moves, c.Deadline-now, at, takes)
+				f.requireFaster(c.Name, limits, waves[k].moves, c.Deadline-now, at, moveDuration)
 			}
 		}
 		at += v.Outage
@@ -225,37 +231,38 @@
 	f.End = at
 	if v.Deadline > 0 && at > v.Deadline {
 		if left := v.Deadline - now - time.Duration(len(waves))*v.Outage; left > 0 {
-			f.requireFaster("the swap", limits, f.Moves, left, at, takes)
+			f.requireFaster("the swap", limits, f.Moves, left, at, moveDuration)
 		} else {
-			f.requireChange("a deadline of %s or later for the swap, or more out at once: %d waves of %v are longer than what is left",
+			f.requireChange("a deadline of %s or later for the swap, or more out at once: %d waves of %v take longer than the time left",
 				formatTime(at), len(waves), v.Outage)
 		}
 	}
 }
 
-// faster says what would get so many moves done in what is left.
-func (f *Forecast) requireFaster(what string, l session.Limits, moves int, left, at, takes time.Duration) {
-	if left < takes {
-		f.requireChange("a deadline of %s or later for %s", formatTime(at), what)
+// requireFaster records which limits would allow the given number of moves in the time left, or which deadline would be met as it
+// is.
+func (f *Forecast) requireFaster(subject string, l session.Limits, moves int, left, end, moveDuration time.Duration) {
+	if left < moveDuration {
+		f.requireChange("a deadline of %s or later for %s", formatTime(end), subject)
 		return
 	}
-	need, words := float64(moves)/left.Seconds(), ""
-	if n := int(math.Ceil(need * takes.Seconds())); n > l.InFlight {
-		words = fmt.Sprintf("%d in flight instead of %d", n, l.InFlight)
+	rate, change := float64(moves)/left.Seconds(), ""
+	if n := int(math.Ceil(rate * moveDuration.Seconds())); n > l.InFlight {
+		change = fmt.Sprintf("%d in flight instead of %d", n, l.InFlight)
 	}
-	if n := int(math.Ceil(need * 60)); n > l.PerMinute {
-		if words != "" {
-			words += " and "
+	if n := int(math.Ceil(rate * 60)); n > l.PerMinute {
+		if change != "" {
+			change += " and "
 		}
-		words += fmt.Sprintf("%d a minute instead of %d", n, l.PerMinute)
+		change += fmt.Sprintf("%d a minute instead of %d", n, l.PerMinute)
 	}
-	if words == "" {
-		words = "waves that move more evenly"
+	if change == "" {
+		change = "more even waves"
 	}
-	f.requireChange("%s, or a deadline of %s or later for %s", words, formatTime(at), what)
+	f.requireChange("%s, or a deadline of %s or later for %s", change, formatTime(end), subject)
 }
 
-// clock is an agreed time as people read it: UTC, rounded up to the second.
+// formatTime formats an agreed time in UTC, rounded up to the second.
 func formatTime(at time.Duration) string {
 	return time.Unix(0, int64(at+time.Second-1)).UTC().Format(time.RFC3339)
 }
--- a/internal/fleet/migrate/forecast_test.go
+++ b/internal/fleet/migrate/forecast_test.go
@@ -11,7 +11,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-// owned is a book of numbers only.
+// countBook is a Book that only has the numbers of sessions and the limits.
 type countBook struct {
 	Book
 	owned  map[string]int
@@ -21,25 +21,27 @@
 func (o *countBook) Owned(co string) int           { return o.owned[co] }
 func (o *countBook) Limits() (session.Limits, int) { return o.limits, 1 }
 
-// order is n co-ordinators that go one wave after the other, each with so many sessions and room for most.
-func rollingView(n, each, most, wave int) View {
+// rollingView returns a view of n co-ordinators that go out in waves of waveSize, each with owned sessions and capacity for
+// maxSessions.
+func rollingView(n, owned, maxSessions, waveSize int) View {
 	o := &countBook{owned: map[string]int{}, limits: session.Limits{InFlight: 100, PerMinute: 6000}}
 	v := View{Book: o, Outage: time.Minute}
 	for i := range n {
 		name := fmt.Sprintf("c%03d", i)
-		o.owned[name] = each
-		v.Coordinators = append(v.Coordinators, Coordinator{Name: name, Zone: fmt.Sprintf("z%d", i%3), Live: true, Rank: i / wave,
-			Capacity: Capacity{MaxSessions: most, OwnedAtReport: each, MaxQueries: 1 << 20, FreeMemory: 1 << 40}})
+		o.owned[name] = owned
+		v.Coordinators = append(v.Coordinators, Coordinator{Name: name, Zone: fmt.Sprintf("z%d", i%3), Live: true, Rank: i / waveSize,
+			Capacity: Capacity{MaxSessions: maxSessions, OwnedAtReport: owned, MaxQueries: 1 << 20, FreeMemory: 1 << 40}})
 	}
 	return v
 }
 
+// The forecast gives the number of moves and the end of a swap, and names limits that would meet a missed deadline.
 func TestForecast(t *testing.T) {
 	const s = time.Second
 	slow := rollingView(10, 200, 300, 1)
 	slow.Book.(*countBook).limits, slow.Deadline = session.Limits{InFlight: 4, PerMinute: 60}, 1200*s
-	one := rollingView(10, 200, 300, 1)
-	one.Coordinators[3].Leaving, one.Coordinators[3].Deadline = true, 1001*s
+	leaving := rollingView(10, 200, 300, 1)
+	leaving.Coordinators[3].Leaving, leaving.Coordinators[3].Deadline = true, 1001*s
 	spare := rollingView(10, 200, 300, 1)
 	spare.Coordinators[9].Rank = RankNone
 	full := rollingView(4, 100, 100, 1)
@@ -54,9 +56,9 @@
 		{"nobody is back: the first wave moves twice", rollingView(10, 200, 300, 1), 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0, ""},
 		{"two at once", rollingView(10, 200, 300, 2), 2400, 2400, 1000*s + 5*time.Minute + 48*s, 0, ""},
 		{"one that stays has room for half of them", spare, 1900, 1900, 1000*s + 9*time.Minute + 38*s, 0, ""},
-		{"no room anywhere", full, 300, 500, 1000*s + 4*time.Minute + 6*s, 100, "room for 100 more sessions at the others while c000 is away"},
-		{"too slow", slow, 2200, 2200, 1000*s + 10*time.Minute + 2200*s, 0, "or more out at once: 10 waves of 1m0s are longer than what is left"},
-		{"its own deadline", one, 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0,
+		{"no room anywhere", full, 300, 500, 1000*s + 4*time.Minute + 6*s, 100, "capacity for 100 more sessions at the other co-ordinators while c000 is out"},
+		{"too slow", slow, 2200, 2200, 1000*s + 10*time.Minute + 2200*s, 0, "or more out at once: 10 waves of 1m0s take longer than the time left"},
+		{"its own deadline", leaving, 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0,
 			"a deadline of 1970-01-01T00:16:44Z or later for c003"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,11 +67,11 @@
 				t.Errorf("%+v, ends %v", f, f.End)
 			}
 			if !strings.Contains(strings.Join(f.RequiredChanges, "; "), c.gives) {
-				t.Errorf("gives %q", f.RequiredChanges)
+				t.Errorf("required changes %q", f.RequiredChanges)
 			}
 		})
 	}
-	slow.Deadline = 1000*s + 20*time.Minute // half of it for moves
+	slow.Deadline = 1000*s + 20*time.Minute // half of this time is left for moves
 	f := NewForecast(1000*s, slow, 2*s)
 	want := "8 in flight instead of 4 and 220 a minute instead of 60, or a deadline of 1970-01-01T01:03:20Z or later for the swap"
 	if len(f.RequiredChanges) != 1 || f.RequiredChanges[0] != want {
@@ -77,31 +79,30 @@
 	}
 	slow.Book.(*countBook).limits = session.Limits{InFlight: 8, PerMinute: 220}
 	if f := NewForecast(1000*s, slow, 2*s); !f.MeetsDeadlines {
-		t.Errorf("what was to give does not do: %v", f.RequiredChanges)
+		t.Errorf("the required changes do not meet the deadline: %v", f.RequiredChanges)
 	}
 }
 
-// No way of placing sessions, tried at random wave by wave, makes fewer moves than the bound, and the forecast's is none that
-// is below it.
+// No random placement of the sessions, wave by wave, needs fewer moves than the bound, and neither does the forecast.
 func TestNoPlacementNeedsFewerMovesThanBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "n")
 		v := rollingView(n, 0, 0, 1)
-		have := v.Book.(*countBook).owned
+		owned := v.Book.(*countBook).owned
 		for i := range v.Coordinators {
 			c := &v.Coordinators[i]
 			c.Rank = rapid.IntRange(RankNone, n-1).Draw(t, "rank")
 			c.Capacity.MaxSessions = rapid.IntRange(0, 12).Draw(t, "room")
-			have[c.Name] = rapid.IntRange(0, c.Capacity.MaxSessions).Draw(t, "sessions")
-			c.Capacity.OwnedAtReport = have[c.Name]
+			owned[c.Name] = rapid.IntRange(0, c.Capacity.MaxSessions).Draw(t, "sessions")
+			c.Capacity.OwnedAtReport = owned[c.Name]
 		}
 		f := NewForecast(0, v, 0)
 		if f.Unplaced == 0 && f.Moves < f.Bound {
 			t.Fatalf("forecast of %d moves, bound %d", f.Moves, f.Bound)
 		}
-		at := make([]int, n) // sessions by place
+		at := make([]int, n) // sessions by co-ordinator
 		for i := range at {
-			at[i] = have[v.Coordinators[i].Name]
+			at[i] = owned[v.Coordinators[i].Name]
 		}
 		moves := 0
 		for _, w := range remainingWaves(v.Coordinators) {
@@ -114,7 +115,7 @@
 						}
 					}
 					if len(to) == 0 {
-						return // this way leads nowhere
+						return // this placement cannot be completed
 					}
 					at[rapid.SampledFrom(to).Draw(t, "to")]++
 					moves++
--- a/internal/fleet/migrate/offer.go
+++ b/internal/fleet/migrate/offer.go
@@ -9,10 +9,11 @@
 	"birchcart/internal/fleet/session"
 )
 
-// reasonAwaitingSlots is why a session is kept that goes once slots have come.
+// reasonAwaitingSlots is the reason of a session that is offered once slots have arrived at its target.
 const reasonAwaitingSlots = "slots are on their way to where it goes"
 
-// offer makes offers: by lane, in it idle sessions first, in each those of the one whose deadline is the first.
+// planOffers makes the offers of a step, lane by lane. Within a lane idle sessions go first, and among these the sources with the
+// earliest deadline.
 func (p *Planner) planOffers(now time.Duration, v *View, plan *Plan) {
 	var sources []*candidate
 	for i := range p.site.candidates {
@@ -30,7 +31,7 @@
 	p.site.sources = sources
 	for _, s := range sources {
 		if s.owned > r.remaining {
-			s.reservedSlots = 1 // what stays for now goes on there
+			s.reservedSlots = 1 // for the sessions that stay for now
 		}
 	}
 	if r.remaining <= 0 {
@@ -48,6 +49,7 @@
 	}
 }
 
+// deadline returns the deadline of a leaving co-ordinator, or the maximum if it has none.
 func (s *candidate) deadline() time.Duration {
 	if s.c.Deadline == 0 {
 		return 1<<63 - 1
@@ -55,23 +57,24 @@
 	return s.c.Deadline
 }
 
-// reason of a session's being kept, by source.
+// deferReason groups the deferred sessions of a step by source and reason.
 type deferReason struct{ from, reason string }
 
-// round is the making of the offers of one step.
+// offerRound is the state of making the offers of one step.
 type offerRound struct {
 	p             *Planner
 	now           time.Duration
 	v             *View
 	plan          *Plan
-	remaining     int    // offers that may still be made
-	limitReason   string // what would keep the next one once left is 0
-	deferredIndex map[deferReason]int
+	remaining     int                 // offers that may still be made
+	limitReason   string              // the limit that applies once remaining is 0
+	deferredIndex map[deferReason]int // index in plan.Deferred
 	considered    map[session.ID]bool
 	unsafe        map[session.ID]time.Duration
 }
 
-// budget is what the limits leave. What was planned and is not seen yet counts as both in flight and begun.
+// budget computes how many offers the limits allow. Offers that were planned and have not appeared in the book count both as in
+// flight and as offered within the last minute.
 func (r *offerRound) budget() {
 	l, _ := r.v.Book.Limits()
 	unseen := 0
@@ -80,20 +83,20 @@
 			unseen++
 		}
 	}
-	flying, minute := l.InFlight-r.v.Book.Moving()-unseen, l.PerMinute-r.v.Book.RecentOffers()-unseen
-	r.remaining, r.limitReason = MaxOffers, "so many are offered in a step"
-	if flying < r.remaining {
-		r.remaining, r.limitReason = flying, fmt.Sprintf("%d are in flight", l.InFlight)
+	inFlight, perMinute := l.InFlight-r.v.Book.Moving()-unseen, l.PerMinute-r.v.Book.RecentOffers()-unseen
+	r.remaining, r.limitReason = MaxOffers, "the limit on offers in a step is reached"
+	if inFlight < r.remaining {
+		r.remaining, r.limitReason = inFlight, fmt.Sprintf("the limit of %d sessions in flight is reached", l.InFlight)
 	}
-	if minute < r.remaining {
-		r.remaining, r.limitReason = minute, fmt.Sprintf("%d were offered within a minute", l.PerMinute)
-		if minute <= 0 && r.now >= r.v.Book.Now()+time.Second {
+	if perMinute < r.remaining {
+		r.remaining, r.limitReason = perMinute, fmt.Sprintf("the limit of %d offers a minute is reached", l.PerMinute)
+		if perMinute <= 0 && r.now >= r.v.Book.Now()+time.Second {
 			r.plan.Tick = true
 		}
 	}
 }
 
-// none says that all sessions wait for the limits.
+// deferAll records that all sessions wait because a limit is reached.
 func (r *offerRound) deferAll(sources []*candidate) {
 	for _, s := range sources {
 		if s.owned > 0 {
@@ -102,14 +105,15 @@
 	}
 }
 
-// idle reads the sources' last words, and gives the lanes there are, in order.
+// readIdle reads the idle and unsafe sessions from the last reports of the sources, and returns the lanes of all sessions in
+// order.
 func (r *offerRound) readIdle(sources []*candidate) []uint8 {
 	var has [256]bool
 	r.unsafe = map[session.ID]time.Duration{}
 	for _, s := range sources {
 		q := r.p.queues[s.c.Name]
 		q.idle = q.idle[:0]
-		if q.readAt < 0 { // not read yet, so that nothing is known of what goes first
+		if q.readAt < 0 { // not read yet: it is not known which session goes first
 			continue
 		}
 		for _, id := range s.c.Idle[:min(len(s.c.Idle), MaxExamined)] {
@@ -134,13 +138,13 @@
 	return lanes
 }
 
-// some offers the sessions of one lane out of a list.
+// offerLane offers the sessions of one lane from a list.
 func (r *offerRound) offerLane(s *candidate, list []entry, lane uint8, idle bool) {
 	at := 0
-	if !idle { // in order of lanes
+	if !idle { // the list is sorted by lane
 		at, _ = slices.BinarySearchFunc(list, lane, func(e entry, l uint8) int { return cmp.Compare(e.lane, l) })
 	}
-	looked := 0
+	examined := 0
 	for _, e := range list[at:] {
 		if e.lane != lane {
 			if idle {
@@ -148,8 +152,8 @@
 			}
 			break
 		}
-		if looked >= MaxExamined {
-			r.deferSession(s, e.id, "so many are looked at in a step")
+		if examined >= MaxExamined {
+			r.deferSession(s, e.id, "the limit on sessions examined in a step is reached")
 			break
 		}
 		if r.remaining <= 0 {
@@ -157,40 +161,41 @@
 			break
 		}
 		if !r.considered[e.id] && r.offerSession(s, e.id) {
-			looked++
+			examined++
 		}
 	}
 }
 
-// one offers a session, or keeps it and says why; false: it is no more the source's, or on its way.
+// offerSession offers a session or records why it is deferred. It returns false if the source no longer owns the session or the
+// session is already moving.
 func (r *offerRound) offerSession(s *candidate, id session.ID) bool {
 	p := r.p
 	rec, ok := r.v.Book.Get(id)
 	if !ok || rec.Phase != session.Pinned || rec.Owner != s.c.Name {
 		return false
 	}
-	if _, flying := p.index[id]; flying {
+	if _, moving := p.index[id]; moving {
 		return false
 	}
 	r.considered[id] = true
-	if why := p.backoffReason(r.now, id); why != "" {
-		r.deferSession(s, id, why)
+	if reason := p.backoffReason(r.now, id); reason != "" {
+		r.deferSession(s, id, reason)
 		return true
 	}
 	limits, _ := r.v.Book.Limits()
 	if due := r.unsafe[id]; due > r.now+limits.StepTimeout {
-		r.deferSession(s, id, "an unsafe query of it may be open until "+formatTime(due))
+		r.deferSession(s, id, "an unsafe query may be open until "+formatTime(due))
 		return true
 	}
-	to, wait, why := p.pick(r.now, r.v, s, id)
+	to, wait, reason := p.pick(r.now, r.v, s, id)
 	if to == nil {
-		r.deferSession(s, id, why)
+		r.deferSession(s, id, reason)
 		return true
 	}
 	to.plannedInbound++
 	if wait {
 		r.deferSession(s, id, reasonAwaitingSlots)
-		r.remaining-- // its place, while what comes after it could take the room
+		r.remaining-- // keeps a place in flight for it, so that later sessions do not use up the limit
 		return true
 	}
 	r.remaining--
@@ -200,22 +205,22 @@
 	return true
 }
 
-// keep counts a session that stays, by source and reason.
-func (r *offerRound) deferSession(s *candidate, id session.ID, why string) {
-	k := deferReason{s.c.Name, why}
+// deferSession counts a session that is not offered, by source and reason.
+func (r *offerRound) deferSession(s *candidate, id session.ID, reason string) {
+	k := deferReason{s.c.Name, reason}
 	i, ok := r.deferredIndex[k]
 	if !ok {
 		i = len(r.plan.Deferred)
 		r.deferredIndex[k] = i
-		r.plan.Deferred = append(r.plan.Deferred, Deferred{From: s.c.Name, Reason: why, Example: id})
+		r.plan.Deferred = append(r.plan.Deferred, Deferred{From: s.c.Name, Reason: reason, Example: id})
 	}
 	r.plan.Deferred[i].Sessions++
 }
 
-// read takes the sessions of one that leaves out of the book, at most one such in a step.
+// rescan reads the sessions of leaving co-ordinators from the book, those of at most one co-ordinator in a step.
 func (p *Planner) rescan(now time.Duration, v *View, sources []*candidate) {
 	var next *queue
-	var who *candidate
+	var source *candidate
 	for _, s := range sources {
 		q := p.queues[s.c.Name]
 		if q == nil {
@@ -223,10 +228,10 @@
 			p.queues[s.c.Name] = q
 		}
 		if s.owned > 0 && now >= q.readAt+RescanInterval && (next == nil || q.readAt < next.readAt) {
-			next, who = q, s
+			next, source = q, s
 		}
 	}
-	for name := range p.queues { // in any order: each is on its own
+	for name := range p.queues { // the order does not matter: entries are independent
 		if s := p.site.find(name); s == nil || !s.c.Leaving {
 			delete(p.queues, name)
 		}
@@ -235,7 +240,7 @@
 		return
 	}
 	next.readAt, next.sessions = now, next.sessions[:0]
-	v.Book.ByOwner(who.c.Name, func(r session.Record) bool {
+	v.Book.ByOwner(source.c.Name, func(r session.Record) bool {
 		if r.Phase == session.Pinned {
 			next.sessions = append(next.sessions, entry{r.ID, r.Lane})
 		}
--- a/internal/fleet/migrate/order.go
+++ b/internal/fleet/migrate/order.go
@@ -7,9 +7,9 @@
 	"birchcart/internal/fleet/waveplan"
 )
 
-// FromState is what the agreed order of work says of the co-ordinators, by name: ranks by the waves of a plan, who leaves and
-// until when. Live and Room are left to be filled in: Live is what the inventory says, leases are not looked at. It costs a plan
-// of waves, so it is worth asking only after the state, or the time for a wait, has changed.
+// FromState returns the co-ordinators of the agreed order of work, sorted by name: their ranks by the waves of a plan, which of
+// them are leaving, and their deadlines. Live follows the inventory only; the caller has to check leases and to fill in Capacity.
+// A call computes a plan of waves, so it should be made only after the state has changed or the time of a wait is over.
 func FromState(s *maintenance.State, now time.Duration) []Coordinator {
 	plan := waveplan.Plan(waveplan.FromState(s, now))
 	rank := map[string]int{}
@@ -21,7 +21,7 @@
 	limits, _ := s.Limits()
 	var out []Coordinator
 	at := map[string]int{}
-	for _, m := range s.Machines() { // by name
+	for _, m := range s.Machines() { // sorted by name
 		if m.Kind == maintenance.Coordinator {
 			at[m.Name] = len(out)
 			out = append(out, Coordinator{Name: m.Name, Zone: m.Zone, Live: m.Status == maintenance.Up, Rank: RankNone})
@@ -41,12 +41,12 @@
 		case maintenance.Pending:
 			if w, planned := rank[it.Machine]; planned {
 				c.Rank = max(c.Rank, w)
-			} else { // not yet to go, kept, or beyond what is planned: after all that is
+			} else { // too early, held back or beyond the planned waves: goes after all of them
 				c.Rank = len(plan.Waves)
 			}
 		case maintenance.Expired, maintenance.Withdrawn:
 			if it.Fence > 0 && now < it.EndedAt+limits.SettleTime {
-				c.Rank = max(c.Rank, 0) // its tools may still be on their way
+				c.Rank = max(c.Rank, 0) // maintenance tools may still be about to take it out
 			}
 		}
 	}
--- a/internal/fleet/migrate/pick.go
+++ b/internal/fleet/migrate/pick.go
@@ -8,49 +8,49 @@
 	"birchcart/internal/fleet/session"
 )
 
-// ShortListSize is how many receivers in a zone are looked at for one session. Twice as many: sessions spread over as many more,
-// and a step takes so much longer; half: with many slots missing, fewer offers a step.
+// ShortListSize is how many receivers in a zone are considered for one session. With twice as many, sessions spread over more
+// receivers and a step takes correspondingly longer; with half as many, a step makes fewer offers when many slots are missing.
 const ShortListSize = 16
 
-// MaxShortListRebuilds short lists are made anew in a step because all of one were full. Twice as many: a step takes so much longer;
-// half: offers wait for the next step.
+// MaxShortListRebuilds limits how many short lists are rebuilt in a step because all receivers of a list were full. With twice as
+// many a step takes correspondingly longer; with half as many, offers wait for the next step.
 const MaxShortListRebuilds = 16
 
-// Tier of a receiver in the order of work: the lower is better.
+// Tier ranks a receiver by its place in the order of work; lower is better.
 type Tier uint8
 
-// Tiers of receivers, the best first.
+// Tiers of receivers, best first.
 const (
 	Staying   Tier = iota // stays, or is back: a session that moves there moves once
-	LateWave              // goes in the later half of the waves still to come
-	EarlyWave             // goes before: only while nobody else has room
+	LateWave              // goes out in the later half of the waves still to come
+	EarlyWave             // goes out earlier: used only while no other receiver has capacity
 )
 
-// Receiver is one that may get a session.
+// Receiver is a co-ordinator that may take a session.
 type Receiver struct {
-	Index       int // its place among the co-ordinators by name
-	Count       int // how many there are
+	Index       int // its index among the co-ordinators, which are sorted by name
+	Count       int // number of co-ordinators
 	Name        string
 	Zone        string
 	Rank        int
 	Tier        Tier
-	Load        int  // sessions, with those on their way to it
-	MaxSessions int  // sessions
+	Load        int  // sessions that it owns or that are offered to it
+	MaxSessions int  // sessions that it may own
 	NeedsSlots  bool // one more session needs slots that it does not have yet
-	Distance    int  // in the ring of names from the one that leaves
+	Distance    int  // from the leaving co-ordinator in the ring of names
 }
 
-// Prefer puts two receivers in order for a session of one that leaves: negative if a is the better.
+// Prefer compares two receivers for a session of a leaving co-ordinator. It returns a negative number if a is better.
 type Prefer func(id session.ID, from *Coordinator, a, b *Receiver) int
 
-// LookAhead prefers who is back or stays, then who goes late; in each the session's zone; of those that go the last;
-// who needs no more slots; who is the least full.
+// LookAhead prefers receivers that stay or are back, then those that go out late. Within a tier it prefers the zone of the
+// session's owner, then the receivers that go out last, then those that need no more slots, then the least full.
 func LookAhead(_ session.ID, from *Coordinator, a, b *Receiver) int {
 	return cmp.Or(cmp.Compare(a.Tier, b.Tier), compareBool(b.Zone == from.Zone, a.Zone == from.Zone), cmp.Compare(b.Rank, a.Rank),
 		compareBool(a.NeedsSlots, b.NeedsSlots), CompareLoad(a, b), cmp.Compare(a.Index, b.Index))
 }
 
-// truth puts false before true.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	if a == b {
 		return 0
@@ -60,37 +60,37 @@
 	return -1
 }
 
-// CompareLoad puts the one first of which less is taken.
+// CompareLoad orders receivers by the used share of their capacity, lowest first.
 func CompareLoad(a, b *Receiver) int { return cmp.Compare(a.Load*b.MaxSessions, b.Load*a.MaxSessions) }
 
-// place is a co-ordinator in one step.
+// candidate is a co-ordinator and its state in one step.
 type candidate struct {
 	Receiver
 	c              *Coordinator
 	owned          int
-	inbound        int    // offered to it
-	plannedInbound int    // offered to it, or put down for it, in this step
-	eligible       bool   // may get sessions at all
-	slotCapacity   int    // sessions that its slots are enough for, with those on their way to it
-	heldCapacity   int    // sessions that the slots in its hand are enough for
-	reservedSlots  int    // slots at each replica, while it leaves
-	slotsByReplica []int  // slots by replica, with those on their way; nil: not read yet
-	lackingReplica string // a replica at which no more slots are to be had for it now
+	inbound        int    // sessions offered to it
+	plannedInbound int    // sessions that this step plans to move to it
+	eligible       bool   // may take sessions at all
+	slotCapacity   int    // sessions that its slots suffice for, including slots in transfer to it
+	heldCapacity   int    // sessions that the slots it holds suffice for
+	reservedSlots  int    // slots that it keeps at each replica while it is leaving
+	slotsByReplica []int  // includes slots in transfer to it; nil: not read yet
+	lackingReplica string // a replica that has no more slots for it now
 }
 
-// site is all of them, made anew in each step.
+// site holds the state of all co-ordinators in one step. It is rebuilt in each step.
 type site struct {
 	candidates     []candidate
 	byName         map[string]int
-	sources        []*candidate    // live ones that leave, by deadline
-	inTransfer     map[slotKey]int // slots in transfer, by their target
-	arriving       map[slotKey]int // these, and those that were asked for
-	spare          map[slotKey]int // that those who leave, or for "" nobody holds, can give
+	sources        []*candidate    // live co-ordinators that are leaving, by deadline
+	inTransfer     map[slotKey]int // slots in transfer, by target
+	arriving       map[slotKey]int // inTransfer, and slots in proposed shifts that have not appeared yet
+	spare          map[slotKey]int // slots that a leaving co-ordinator can give up, or free slots if the name is ""
 	shiftCounts    map[shiftKey]int
 	shiftOrder     []shiftKey
-	shortLists     map[string][]*candidate // by zone
-	rebuilds       int                     // short lists that ran out in this step
-	openPerSession map[string]float64      // of one that leaves: open queries of a session
+	shortLists     map[string][]*candidate // by listKey
+	rebuilds       int                     // short lists rebuilt in this step
+	openPerSession map[string]float64      // open queries per session, by leaving co-ordinator
 }
 
 func (s *site) find(name string) *candidate {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// count puts together who owns and awaits how many.
+// reset rebuilds the site from the view: how many sessions each co-ordinator owns and is about to receive.
 func (s *site) reset(p *Planner, now time.Duration, v *View) {
 	n := len(v.Coordinators)
 	*s = site{candidates: s.candidates[:0], byName: make(map[string]int, n), inTransfer: map[slotKey]int{}, arriving: map[slotKey]int{},
@@ -138,14 +138,14 @@
 		}
 	}
 	s.countTransfers(p, now, v)
-	for name, until := range p.targetBackoff { // in any order: each is on its own
+	for name, until := range p.targetBackoff { // the order does not matter: entries are independent
 		if now >= until {
 			delete(p.targetBackoff, name)
 		}
 	}
 }
 
-// listKey: by LookAhead the list is the same for all of a zone.
+// listKey returns the key of the short list for sessions of from. With LookAhead all co-ordinators of a zone share a list.
 func (s *site) listKey(p *Planner, from *candidate) string {
 	if p.lookAhead {
 		return "zone " + from.c.Zone
@@ -153,7 +153,8 @@
 	return from.c.Name
 }
 
-// shortList is who may get sessions of one that leaves: of each zone apart, since that is looked at before what is in it.
+// shortList returns the receivers that may take sessions of a leaving co-ordinator. With LookAhead the list is sorted and
+// truncated to ShortListSize; there is one for each zone, since the order depends on the zone of the owner.
 func (s *site) shortList(p *Planner, from *candidate) []*candidate {
 	key := s.listKey(p, from)
 	if l, ok := s.shortLists[key]; ok {
@@ -174,14 +175,15 @@
 	return l
 }
 
-// pick is the best receiver for a session, or why there is none. wait: it is to have the session once its slots are there.
-func (p *Planner) pick(now time.Duration, v *View, from *candidate, id session.ID) (best *candidate, wait bool, why string) {
-	s, lack := &p.site, ""
-	why = "no other has room"
+// pick returns the best receiver for a session, or the reason why there is none. If wait is set, the session is offered to the
+// receiver only once slots for it have arrived there.
+func (p *Planner) pick(now time.Duration, v *View, from *candidate, id session.ID) (best *candidate, wait bool, reason string) {
+	s, slotReason := &p.site, ""
+	reason = "no other has room"
 	for {
-		list, again := s.shortList(p, from), false
-		if best, again = p.best(now, v, from, id, list); again {
-			why = "who has room did not take it of late"
+		list, barred := s.shortList(p, from), false
+		if best, barred = p.best(now, v, from, id, list); barred {
+			reason = "co-ordinators with capacity did not take it recently"
 		}
 		switch {
 		case best == nil && len(list) == ShortListSize && s.rebuilds < MaxShortListRebuilds:
@@ -190,18 +192,19 @@
 			if next := s.shortList(p, from); len(next) > 0 && next[0] != list[0] {
 				continue
 			}
-			return nil, false, cmp.Or(lack, why)
+			return nil, false, cmp.Or(slotReason, reason)
 		case best == nil:
-			return nil, false, cmp.Or(lack, why)
+			return nil, false, cmp.Or(slotReason, reason)
 		case best.NeedsSlots && !s.requestSlots(p, v, best):
-			lack = "who has room lacks slots at " + best.lackingReplica
+			slotReason = "co-ordinators with capacity lack slots at " + best.lackingReplica
 			continue
 		}
 		return best, v.SessionsPerSlot > 0 && best.owned+best.inbound+best.plannedInbound+1 > best.heldCapacity, ""
 	}
 }
 
-// best of a list, by the preference. barred: one with room was left out since it did not take the session of late.
+// best returns the best receiver of a list by the preference. barred reports that a receiver with capacity was left out because it
+// recently failed to take the session.
 func (p *Planner) best(now time.Duration, v *View, from *candidate, id session.ID, list []*candidate) (best *candidate, barred bool) {
 	s, n := &p.site, len(p.site.candidates)
 	for _, to := range list {
--- a/internal/fleet/migrate/planner.go
+++ b/internal/fleet/migrate/planner.go
@@ -8,52 +8,59 @@
 )
 
 const (
-	// MaxOffers in one plan. Twice as many: an entry of the log has 400 kB; half: at 20,000 moves a minute the limit is met.
+	// MaxOffers limits the offers in one plan. With twice as many a log entry has 400 kB; with half as many the step becomes the
+	// limit at 20,000 moves a minute.
 	MaxOffers = 1000
-	// MaxExamined of a co-ordinator's idle sessions, and as many of what is not idle, are looked at in one step. Half: with
-	// long queries in them, fewer offers than could be; twice: a step takes so much longer.
+	// MaxExamined limits how many idle sessions of a co-ordinator, and how many others, are examined in one step. With half as
+	// many, long queries in them lead to fewer offers than possible; with twice as many a step takes correspondingly longer.
 	MaxExamined = 2048
-	// MaxUnsafe of a co-ordinator's open unsafe queries are looked at.
+	// MaxUnsafe limits how many open unsafe queries of a co-ordinator are examined.
 	MaxUnsafe = 1024
-	// RescanInterval is how often the sessions of one that leaves are read anew: those that were opened since, with lanes of
-	// late. Half: twice the cost of reading a book of 100,000; twice: the last ones wait so long before they move.
+	// RescanInterval is how often the sessions of a leaving co-ordinator are read from the book again, to find the sessions opened
+	// since and lanes that changed. Half of it doubles the cost of reading a book of 100,000 sessions; with twice as long the last
+	// sessions wait that much longer before they move.
 	RescanInterval = 5 * time.Second
-	// ProposalTimeout is how long a plan may take to be seen in the book. After it what was not seen is taken for lost and is
-	// planned again. Twice: a lost plan costs as long; half: a slow council is asked twice, and refuses.
+	// ProposalTimeout is how long a proposed plan may take to appear in the book. After it, what has not appeared counts as lost
+	// and is planned again. With twice as long a lost plan costs twice the time; with half of it a slow raft group gets the same
+	// plan twice and refuses the second one.
 	ProposalTimeout = 5 * time.Second
-	// TargetRetryDelay is how long a target that declined a session, or let the offer's time pass, is not asked again for it. Twice:
-	// one that has room again is left out; half: a full one is asked so much more often.
+	// TargetRetryDelay is how long a session is not offered again to a target that declined it or let the offer expire. With twice
+	// as long a target that has capacity again is passed over; with half of it a full target is asked twice as often.
 	TargetRetryDelay = 30 * time.Second
-	// TargetBackoff is how long a target that declined for lack of room gets no offer at all: its next word of its room is
-	// there by then. Half: it declines again by an old word; twice: a small slip costs so much of its room.
+	// TargetBackoff is how long a target that declined a session for lack of capacity gets no offer at all: its next report of its
+	// capacity arrives within that time. With half of it the target declines again because the planner still uses the old report;
+	// with twice as long a small error costs that much of the target's capacity.
 	TargetBackoff = 2 * time.Second
-	// InitialBackoff is how long a session rests after its first attempt that failed, twice as long after each further one, up to
-	// StuckAttempts of them, from where on it rests MaxBackoff.
+	// InitialBackoff is how long a session is left alone after its first failed attempt. The time doubles with each further
+	// failure until StuckAttempts of them; from then on it is MaxBackoff.
 	InitialBackoff = 500 * time.Millisecond
-	// StuckAttempts before a session is named as one that does not move. One more: its client meets one more freeze.
+	// StuckAttempts is the number of failed attempts after which a session is reported as one that does not move. With one more,
+	// its client is subjected to one more freeze.
 	StuckAttempts = 8
-	// MaxBackoff is the rest of such a one. Half: half a minute later two more places in flight are wasted on it.
+	// MaxBackoff is the backoff of a session that does not move. With half of it, two more places in flight are wasted on the
+	// session every half minute.
 	MaxBackoff = time.Minute
-	// MaxFailureRecords sessions are remembered that came back from an attempt; the oldest is forgotten and may be asked again.
+	// MaxFailureRecords limits the number of sessions whose failed attempts are remembered. The oldest record is dropped, and its
+	// session may be offered again.
 	MaxFailureRecords = 20_000
-	// ForecastInterval is how often the forecast is made anew.
+	// ForecastInterval is the time between two forecasts.
 	ForecastInterval = 5 * time.Second
 )
 
-// Plan is what a step wants.
+// Plan is the result of a step.
 type Plan struct {
-	Body     session.PlanBody // to be proposed, unless it is empty
-	Tick     bool             // agreed time is to be moved on: what waits for it in the book is over by now
+	Body     session.PlanBody // to be proposed unless it is empty
+	Tick     bool             // agreed time has to advance, because a wait in the book has ended
 	Deferred []Deferred
-	Forecast Forecast // of the last ForecastInterval; zero if nothing goes out
+	Forecast Forecast // the last one, at most ForecastInterval old; zero if nothing goes out
 }
 
-// Empty says that there is nothing to propose.
+// Empty reports whether there is nothing to propose.
 func (p *Plan) Empty() bool {
 	return len(p.Body.Offers)+len(p.Body.Withdrawals)+len(p.Body.Shifts)+len(p.Body.CancelledTransfers) == 0
 }
 
-// Unplaced are sessions that should move and were not offered, looked at in this step, by reason.
+// Deferred counts the sessions that should move but were not offered in this step, by owner and reason.
 type Deferred struct {
 	From     string
 	Sessions int
@@ -61,31 +68,31 @@
 	Example  session.ID
 }
 
-// Options of a planner.
+// Options configures a planner.
 type Options struct {
-	// Prefer puts two receivers in order for a session, the better one first; nil: LookAhead.
+	// Prefer compares two receivers for a session, the better one first; nil: LookAhead.
 	Prefer Prefer
 }
 
-// flight is a move that was offered, by this planner or one before it.
+// move is an offered move of a session, offered by this planner or by an earlier one.
 type move struct {
 	id          session.ID
 	from, to    string
 	epoch       uint64
-	phaseSince  time.Duration // of the session's phase when it was offered
+	phaseSince  time.Duration // start of the session's phase when the move was offered
 	offeredAt   time.Duration
-	phaseUntil  time.Duration // of the phase, once seen
-	fence       uint64        // of the offer, once seen
-	phase       session.Phase // as last seen; Free: not yet
-	withdrawnAt time.Duration // when it was called off; 0: not
-	seen        bool          // seen in this step
+	phaseUntil  time.Duration // end of the phase, once the move was seen in the book
+	fence       uint64        // of the offer, once the move was seen in the book
+	phase       session.Phase // as last seen; Free: not seen yet
+	withdrawnAt time.Duration // when its withdrawal was planned; 0: not withdrawn
+	seen        bool          // found in the book in this step
 }
 
-// queue is what one that leaves owned when that was last read, by lane, then by id.
+// queue holds the sessions that a leaving co-ordinator owned when they were last read.
 type queue struct {
 	readAt   time.Duration
-	sessions []entry
-	idle     []entry // in this step, of its last word
+	sessions []entry // sorted by lane, then by ID
+	idle     []entry // idle sessions from its last report; read again in each step
 }
 
 type entry struct {
@@ -93,30 +100,30 @@
 	lane uint8
 }
 
-// Planner remembers only what makes plans better: what it offered, what came back, which targets declined. One that
-// starts anew finds what is in flight in the book, which holds the limits too. Not for two goroutines at once.
+// Planner keeps only state that improves its plans: what it offered, which moves failed and which targets declined. A new planner
+// reads the moves in flight from the book, which also enforces the limits. A Planner must not be used concurrently.
 type Planner struct {
 	prefer             Prefer
-	lookAhead          bool // the preference is LookAhead
+	lookAhead          bool // prefer is LookAhead
 	moves              []move
-	index              map[session.ID]int
+	index              map[session.ID]int // indexes in moves
 	failures           map[session.ID]*failureRecord
-	failureOrder       []session.ID // of tried, oldest first
-	targetBackoff      map[string]time.Duration
+	failureOrder       []session.ID             // keys of failures, oldest first
+	targetBackoff      map[string]time.Duration // end of the backoff, by target
 	queues             map[string]*queue
 	incomingShifts     map[slotKey]pendingSlots
 	outgoingShifts     map[slotKey]pendingSlots
-	openTransfers      map[uint64]time.Duration // transfers that are open, since when they were seen
-	cancelledTransfers map[uint64]time.Duration // those that were called back, when
-	supplyCursor       int                      // whose slots are looked at next
-	moveDuration       time.Duration            // that a move takes, as seen of late; 0: none yet
+	openTransfers      map[uint64]time.Duration // open transfers by fence, with the time at which they were first seen
+	cancelledTransfers map[uint64]time.Duration // by fence, with the time at which their cancellation was planned
+	supplyCursor       int                      // index of the candidate whose slots were checked last
+	moveDuration       time.Duration            // moving average of the observed durations of moves; 0: none observed yet
 	forecast           Forecast
 	forecastAt         time.Duration
 	hasForecast        bool
 	site               site
 }
 
-// New makes a planner that knows nothing yet.
+// New returns a planner without state.
 func New(o Options) *Planner {
 	p := &Planner{
 		prefer: o.Prefer, index: map[session.ID]int{}, failures: map[session.ID]*failureRecord{}, targetBackoff: map[string]time.Duration{},
@@ -129,7 +136,7 @@
 	return p
 }
 
-// Step plans what to do now. now is the leader's agreed time, at least that of the book.
+// Step plans the next moves. now is the leader's agreed time; if the book is ahead of it, the book's time is used.
 func (p *Planner) Step(now time.Duration, v View) Plan {
 	now = max(now, v.Book.Now())
 	var plan Plan
@@ -146,7 +153,7 @@
 	return plan
 }
 
-// look finds in the book what is in flight, and takes over what an earlier planner left.
+// readMoves finds the moves in flight in the book and takes over those of an earlier planner.
 func (p *Planner) readMoves(now time.Duration, v *View) {
 	for i := range p.moves {
 		p.moves[i].seen = false
@@ -167,29 +174,29 @@
 			if f.fence != r.Fence {
 				f.withdrawnAt = 0
 			}
-			f.from, f.to, f.epoch, f.fence = from, to, r.Epoch, r.Fence // it may be another leader's
+			f.from, f.to, f.epoch, f.fence = from, to, r.Epoch, r.Fence // the offer may be another leader's
 		}
 		f.phaseUntil, f.phase, f.seen = r.Until, r.Phase, true
 		return true
 	})
 }
 
-// settle sees what came of the offers that are no more in flight.
+// resolveMoves handles the results of the offers that are no longer in flight.
 func (p *Planner) resolveMoves(now time.Duration, v *View) {
-	keep := p.moves[:0]
+	pending := p.moves[:0]
 	for _, f := range p.moves {
 		if f.seen || p.stillPending(now, v, &f) {
-			keep = append(keep, f)
+			pending = append(pending, f)
 		} else {
 			delete(p.index, f.id)
 		}
 	}
-	p.moves = keep
+	p.moves = pending
 	for i := range p.moves {
 		p.index[p.moves[i].id] = i
 	}
 	n := 0
-	for n < len(p.failureOrder) { // the oldest go once nothing of theirs counts, or there are too many
+	for n < len(p.failureOrder) { // drops the oldest records once they no longer matter or there are too many
 		t := p.failures[p.failureOrder[n]]
 		if t != nil && len(p.failureOrder)-n <= MaxFailureRecords && now < t.retryAt+4*TargetRetryDelay {
 			break
@@ -200,7 +207,8 @@
 	p.failureOrder = p.failureOrder[n:]
 }
 
-// came says whether an offer that the book does not show still counts: it may not have been applied yet.
+// stillPending reports whether an offer that is not in the book may still be applied. If not, it records whether the move
+// succeeded or failed.
 func (p *Planner) stillPending(now time.Duration, v *View, f *move) bool {
 	r, ok := v.Book.Get(f.id)
 	switch {
@@ -208,11 +216,11 @@
 		p.clearFailures(f.id)
 	case r.Owner == f.to:
 		p.clearFailures(f.id)
-		took := min(max(r.Since-f.offeredAt, 0), time.Minute)
+		duration := min(max(r.Since-f.offeredAt, 0), time.Minute)
 		if p.moveDuration == 0 {
-			p.moveDuration = took
+			p.moveDuration = duration
 		}
-		p.moveDuration += (took - p.moveDuration) / 8
+		p.moveDuration += (duration - p.moveDuration) / 8
 	case r.Owner != f.from:
 	case f.phase == session.Free && r.Since == f.phaseSince && r.Epoch == f.epoch:
 		return now < f.offeredAt+ProposalTimeout
@@ -223,8 +231,8 @@
 	return false
 }
 
-// withdrawOffers withdraws open offers that should not go on: the operators stopped the work or took the request back, the
-// target is gone or goes itself, the source can not hand any more. What is handed stays.
+// withdrawOffers withdraws open offers that should not proceed because the operators paused the work or cancelled the request, the
+// target is gone or leaving itself, or the source can no longer hand sessions over. Moves that are already handed over continue.
 func (p *Planner) withdrawOffers(now time.Duration, v *View, plan *Plan) {
 	for i := range p.moves {
 		f := &p.moves[i]
@@ -238,8 +246,8 @@
 			continue
 		}
 		from, to := p.site.find(f.from), p.site.find(f.to)
-		goes := from != nil && from.c.Live && from.c.Leaving && to != nil && to.c.Live && !to.c.Leaving
-		if (v.Paused || !goes) && (f.withdrawnAt == 0 || now >= f.withdrawnAt+ProposalTimeout) && len(plan.Body.Withdrawals) < MaxOffers {
+		valid := from != nil && from.c.Live && from.c.Leaving && to != nil && to.c.Live && !to.c.Leaving
+		if (v.Paused || !valid) && (f.withdrawnAt == 0 || now >= f.withdrawnAt+ProposalTimeout) && len(plan.Body.Withdrawals) < MaxOffers {
 			f.withdrawnAt = now
 			plan.Body.Withdrawals = append(plan.Body.Withdrawals, session.Withdrawal{ID: f.id, Epoch: f.epoch, Fence: f.fence})
 		}
@@ -247,10 +255,10 @@
 	p.cancelTransfers(now, v, plan)
 }
 
-// foresee makes the forecast anew now and then, while something goes out.
+// updateForecast makes a new forecast every ForecastInterval while a co-ordinator is leaving or scheduled to leave.
 func (p *Planner) updateForecast(now time.Duration, v *View, plan *Plan) {
-	out := slices.ContainsFunc(v.Coordinators, func(c Coordinator) bool { return c.Leaving || c.Rank >= 0 })
-	if !out {
+	leaving := slices.ContainsFunc(v.Coordinators, func(c Coordinator) bool { return c.Leaving || c.Rank >= 0 })
+	if !leaving {
 		p.forecast, p.hasForecast = Forecast{}, false
 		return
 	}
--- a/internal/fleet/migrate/slots.go
+++ b/internal/fleet/migrate/slots.go
@@ -8,34 +8,37 @@
 	"birchcart/internal/fleet/session"
 )
 
-// MaxShifts in one plan. Twice as many: an entry of the log has as much more; half: a receiver without slots at 1,000
-// replicas waits for two plans.
+// MaxShifts limits the shifts in one plan. With twice as many a log entry grows accordingly; with half as many, a receiver without
+// slots at 1,000 replicas waits for two plans.
 const MaxShifts = 1000
 
-// MaxSupplyChecks at slots of one co-ordinator at one replica are made in a step to deal free ones. Half: in a site of 300 with
-// 200 replicas a new one waits twice as long for its first; twice: a step takes so much longer.
+// MaxSupplyChecks limits how many pairs of a co-ordinator and a replica are checked in a step to distribute free slots. With half
+// as many, a new co-ordinator in a site of 300 with 200 replicas waits twice as long for its first slots; with twice as many a
+// step takes correspondingly longer.
 const MaxSupplyChecks = 2000
 
-// SlotTransferTimeout is how long slots may be on their way before they are called back and looked for elsewhere: their giver waits
-// for queries of its own. Twice: sessions wait so long for one query of another; half: slow queries are never waited for.
+// SlotTransferTimeout is how long a transfer of slots may take before it is cancelled and the slots are requested elsewhere: the
+// co-ordinator that gives them up waits for its own queries. With twice as long, sessions wait that long for one query of another
+// co-ordinator; with half of it, slow queries are never waited for.
 const SlotTransferTimeout = 10 * time.Second
 
 type slotKey struct{ co, replica string }
 
 type shiftKey struct{ from, to, replica string }
 
-// pendingSlots is a shift that was planned: until what was there changes, or its time is over, it is taken to come.
+// pendingSlots is a planned shift of n slots at a place that had before slots. It counts as pending until that number changes or
+// its time is over.
 type pendingSlots struct {
 	before, n int
 	until     time.Duration
 }
 
-// slotsFor is how many slots at each replica so many sessions need.
+// slotsFor returns how many slots at each replica the given number of sessions needs.
 func (v *View) slotsFor(sessions int) int {
 	return (sessions + v.SessionsPerSlot - 1) / v.SessionsPerSlot
 }
 
-// needsSlots says that one more session needs more slots than the receiver has, and are on their way.
+// needsSlots reports whether one more session needs more slots than the receiver has, including those in transfer to it.
 func (s *site) needsSlots(v *View, to *candidate) bool {
 	if v.SessionsPerSlot <= 0 || v.Slots == nil {
 		to.heldCapacity = math.MaxInt
@@ -45,7 +48,7 @@
 	return to.owned+to.inbound+to.plannedInbound+1 > to.slotCapacity
 }
 
-// load reads a co-ordinator's slots, once in a step.
+// loadSlots reads the slots of a co-ordinator, once in a step.
 func (s *site) loadSlots(v *View, to *candidate) {
 	if to.slotsByReplica != nil {
 		return
@@ -59,7 +62,7 @@
 	}
 }
 
-// transfers counts the slots on their way, and those that were asked for and are not seen yet.
+// countTransfers counts the slots in transfer, and those in proposed shifts that have not appeared yet.
 func (s *site) countTransfers(p *Planner, now time.Duration, v *View) {
 	if v.Slots == nil {
 		return
@@ -76,27 +79,27 @@
 			s.arriving[slotKey{t.To, t.Replica}] += t.Slots
 		}
 	}
-	for fence := range p.cancelledTransfers { // in any order: each is on its own
+	for fence := range p.cancelledTransfers { // the order does not matter: entries are independent
 		if _, ok := open[fence]; !ok {
 			delete(p.cancelledTransfers, fence)
 		}
 	}
 	p.openTransfers = open
-	for k, q := range p.incomingShifts { // in any order: each is on its own
+	for k, q := range p.incomingShifts { // the order does not matter: entries are independent
 		if v.Slots.Held(k.co, k.replica)+s.inTransfer[k] != q.before || now >= q.until {
 			delete(p.incomingShifts, k)
 			continue
 		}
 		s.arriving[k] += q.n
 	}
-	for k, q := range p.outgoingShifts { // in any order, too
+	for k, q := range p.outgoingShifts { // the order does not matter here either
 		if v.slotsAt(k) != q.before || now >= q.until {
 			delete(p.outgoingShifts, k)
 		}
 	}
 }
 
-// there is how many slots are in a hand, or free.
+// slotsAt returns how many slots a co-ordinator holds at a replica, or how many are free there if the co-ordinator is "".
 func (v *View) slotsAt(k slotKey) int {
 	if k.co == "" {
 		return v.Slots.Free(k.replica)
@@ -104,12 +107,14 @@
 	return v.Slots.Held(k.co, k.replica)
 }
 
-// ask finds the slots that a receiver lacks for one more session: free ones first, then of those that leave.
+// requestSlots plans shifts of the slots that a receiver lacks for one more session: free slots first, then slots of leaving
+// co-ordinators.
 func (s *site) requestSlots(p *Planner, v *View, to *candidate) bool {
 	return s.reserveSlots(p, v, to, v.slotsFor(to.owned+to.inbound+to.plannedInbound+1), true)
 }
 
-// want finds all that a co-ordinator lacks to have so many at each replica, or nothing.
+// reserveSlots plans shifts of all slots that a co-ordinator lacks to have need slots at each replica, or none. leaving allows
+// slots of leaving co-ordinators to be used.
 func (s *site) reserveSlots(p *Planner, v *View, to *candidate, need int, leaving bool) bool {
 	var found []shiftKey
 	undo := func(replica string) bool {
@@ -140,6 +145,7 @@
 	return true
 }
 
+// addShift adds n slots to a planned shift.
 func (s *site) addShift(k shiftKey, n int) {
 	if s.shiftCounts[k] == 0 {
 		s.shiftOrder = append(s.shiftOrder, k)
@@ -147,7 +153,7 @@
 	s.shiftCounts[k] += n
 }
 
-// giver is who can give a slot at a replica: "" if one is free.
+// findGiver returns the co-ordinator that can give up a slot at a replica, or "" if a slot is free.
 func (s *site) findGiver(p *Planner, v *View, replica string, leaving bool) (string, bool) {
 	if s.spareSlots(p, v, slotKey{"", replica}, 0) > 0 {
 		return "", true
@@ -163,7 +169,7 @@
 	return "", false
 }
 
-// spares are what is there to give, less what it keeps and what was planned of it already.
+// spareSlots returns the slots that can be given up, without those that are kept and those in shifts that are already planned.
 func (s *site) spareSlots(p *Planner, v *View, k slotKey, keeps int) int {
 	n, ok := s.spare[k]
 	if !ok {
@@ -173,8 +179,8 @@
 	return n
 }
 
-// supply deals free slots to those who stay: enough for their sessions, and at least one each; and frees those of who leaves
-// and has no session any more. In each step some are looked at, in turn.
+// supplySlots distributes free slots to co-ordinators that stay, enough for their sessions and at least one each, and frees the
+// slots of leaving co-ordinators that have no sessions left. Each step checks some of the co-ordinators, in rotation.
 func (p *Planner) supplySlots(v *View) {
 	s := &p.site
 	if v.SessionsPerSlot <= 0 || v.Slots == nil || len(v.Replicas) == 0 {
@@ -199,7 +205,7 @@
 	}
 }
 
-// shift puts into the plan what was found.
+// planShifts adds the collected shifts to the plan.
 func (s *site) planShifts(p *Planner, now time.Duration, v *View, plan *Plan) {
 	for _, k := range s.shiftOrder {
 		n := s.shiftCounts[k]
@@ -212,8 +218,8 @@
 	}
 }
 
-// cancelTransfers calls slots back that are on their way to one that takes no more, or have been for too long: what their giver
-// still uses may be open for long.
+// cancelTransfers cancels transfers of slots to co-ordinators that take no more sessions, and transfers that take too long: the
+// slots may be in use by a query of the giving co-ordinator that stays open for long.
 func (p *Planner) cancelTransfers(now time.Duration, v *View, plan *Plan) {
 	if v.Slots == nil {
 		return
--- a/internal/fleet/migrate/swap/bench_test.go
+++ b/internal/fleet/migrate/swap/bench_test.go
@@ -10,23 +10,25 @@
 	"birchcart/internal/fleet/migrate"
 )
 
-// BenchmarkStep is one step of the planner at 100,000 sessions: of one that begins anew, so that it reads the book, and of one in
-// the middle of a swap, of which the worst is told beside the mean. Time is that of the CPU: a busy machine changes it little.
+// threadCPUTime returns the CPU time of the calling thread.
 func threadCPUTime() time.Duration {
 	var u syscall.Rusage
-	if err := syscall.Getrusage(1, &u); err != nil { // of this thread
+	if err := syscall.Getrusage(1, &u); err != nil { // 1 is RUSAGE_THREAD
 		panic(err)
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// BenchmarkStep measures one step of the planner at 100,000 sessions: a step of a new planner, which reads the book, and steps in
+// the middle of a swap, for which the maximum is reported beside the mean. It measures CPU time, which depends little on other
+// load on the machine.
 func BenchmarkStep(b *testing.B) {
 	for _, c := range []struct{ n, wave, replicas int }{{300, 1, 0}, {300, 1, 200}, {300, 10, 200}, {10, 1, 200}} {
 		s := settings(c.n, 100_000)
 		s.WaveSize, s.Replicas, s.SessionsPerSlot, s.InFlight, s.PerMinute = c.wave, c.replicas, 8, 1000, 20_000
 		name := fmt.Sprintf("%d_wave_%d_replicas_%d", c.n, c.wave, c.replicas)
 		b.Run("anew_"+name, func(b *testing.B) {
-			runtime.LockOSThread() // each runs in a goroutine of its own
+			runtime.LockOSThread() // each benchmark runs in its own goroutine
 			p, err := New(s)
 			if err != nil {
 				b.Fatal(err)
@@ -42,7 +44,7 @@
 			b.ReportMetric(float64(offers), "offers")
 		})
 		b.Run("swap_"+name, func(b *testing.B) {
-			runtime.LockOSThread() // each runs in a goroutine of its own
+			runtime.LockOSThread() // each benchmark runs in its own goroutine
 			p, err := New(s)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/fleet/migrate/swap/hard_test.go
+++ b/internal/fleet/migrate/swap/hard_test.go
@@ -11,7 +11,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-// lay is a site where nobody goes out yet.
+// newStayingSite returns a site in which no co-ordinator goes out yet.
 func newStayingSite(t *testing.T, s Settings) *Site {
 	t.Helper()
 	p, err := New(s)
@@ -24,7 +24,7 @@
 	return p
 }
 
-// run plays until something is so, for some minutes at most.
+// runUntil runs steps until a condition holds, and fails the test if that takes longer than the given number of minutes.
 func (p *Site) runUntil(t *testing.T, minutes int, until func() bool) {
 	t.Helper()
 	for end := p.Now + time.Duration(minutes)*time.Minute; !until(); {
@@ -37,24 +37,30 @@
 	}
 }
 
+// startLeaving makes a co-ordinator leave by a deadline; 0: none.
 func (p *Site) startLeaving(i int, deadline time.Duration) *migrate.Coordinator {
 	c := &p.View.Coordinators[i]
 	c.Leaving, c.Deadline = true, deadline
 	return c
 }
 
+// ownNoSessions returns a condition that holds once none of the named co-ordinators owns a session.
 func (p *Site) ownNoSessions(names ...string) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(names, func(n string) bool { return p.Book.Owned(n) > 0 })
 	}
 }
 
+// smallSettings returns the settings of a site in one zone with n co-ordinators. Each owns the given number of sessions and has
+// capacity for room times as many.
 func smallSettings(n, each int, room float64) Settings {
 	s := settings(n, n*each)
 	s.CapacityFactor, s.Zones = room, 1
 	return s
 }
 
+// Sessions whose targets are all full stay with their owner, and the forecast names the missing capacity. When capacity for five
+// appears, exactly five move.
 func TestAllTargetsFull(t *testing.T) {
 	p := newStayingSite(t, smallSettings(3, 20, 1))
 	p.startLeaving(0, p.Now+time.Hour)
@@ -67,10 +73,10 @@
 	if k := p.LastPlan.Deferred; len(k) != 1 || k[0].Sessions != 20 || k[0].Reason != "no other has room" || p.Book.Owned("c000") != 20 {
 		t.Errorf("kept %+v", k)
 	}
-	if f := p.LastPlan.Forecast; f.Unplaced != 20 || f.MeetsDeadlines || !strings.Contains(fmt.Sprint(f.RequiredChanges), "room for 20 more sessions at the others while c000 is away") {
+	if f := p.LastPlan.Forecast; f.Unplaced != 20 || f.MeetsDeadlines || !strings.Contains(fmt.Sprint(f.RequiredChanges), "capacity for 20 more sessions at the other co-ordinators while c000 is out") {
 		t.Errorf("forecast %+v", f)
 	}
-	p.View.Coordinators[2].Capacity.MaxSessions = 25 // room for five: they go, the others stay
+	p.View.Coordinators[2].Capacity.MaxSessions = 25 // capacity for five: these move, the others stay
 	p.runUntil(t, 2, func() bool { return p.Book.Owned("c000") == 15 })
 	for range 20 {
 		_ = p.Step()
@@ -80,7 +86,8 @@
 	}
 }
 
-// Two leave at once: neither gets the other's, and the one whose deadline is the first goes first in each lane.
+// Two co-ordinators leave at once: neither gets sessions of the other, and in each lane the one with the earlier deadline goes
+// first.
 func TestTwoCoordinatorsLeaveAtOnce(t *testing.T) {
 	s := smallSettings(5, 30, 3)
 	s.InFlight = 10
@@ -100,7 +107,7 @@
 	})
 	for lane := range 3 {
 		if last[fmt.Sprint(lane, "c001")] > last[fmt.Sprint(lane, "c000")] {
-			t.Errorf("lane %d: the later deadline was done first: %v", lane, last)
+			t.Errorf("lane %d: the co-ordinator with the later deadline finished first: %v", lane, last)
 		}
 	}
 	if p.Result.Moves != 60 {
@@ -108,19 +115,19 @@
 	}
 }
 
-// maxOffersPerPlan is more than one plan of these tests has.
+// maxOffersPerPlan is more than any plan of these tests contains.
 const maxOffersPerPlan = 1000
 
-// A target dies: what it had adopted is free with its release, what was handed to it comes back and goes elsewhere, what was offered
-// to it is withdrawn, and it gets nothing more.
+// A target dies. The sessions that it had adopted are freed when it is released, those handed over to it return and move to
+// another target, those offered to it are withdrawn, and it gets no further offers.
 func TestTargetDies(t *testing.T) {
 	s := smallSettings(3, 30, 3)
 	s.InFlight = 8
 	p := newStayingSite(t, s)
 	p.startLeaving(0, 0)
-	dead := &p.View.Coordinators[2]
+	target := &p.View.Coordinators[2]
 	p.runUntil(t, 1, func() bool { return p.Book.Owned("c002") > 34 && len(p.pendingHandOvers()) == 8 })
-	dead.Live, p.LastPlan = false, migrate.Plan{}
+	target.Live, p.LastPlan = false, migrate.Plan{}
 	owned := p.Book.Owned("c002")
 	if err := p.apply(session.KindActs, session.ActsBody{From: "c000", Acts: p.pendingHandOvers()[:4]}); err != nil {
 		t.Fatal(err)
@@ -132,17 +139,17 @@
 	p.runUntil(t, 5, func() bool {
 		for _, o := range p.LastPlan.Body.Offers {
 			if o.To == "c002" {
-				t.Fatalf("%+v is offered to a dead one", o)
+				t.Fatalf("%+v is offered to a dead co-ordinator", o)
 			}
 		}
 		return p.ownNoSessions("c000")()
 	})
 	if n := p.Book.Len(); n != 90-owned || p.Book.Owned("c001") != n {
-		t.Errorf("%d sessions are left, %d at c001, the dead one owned %d", n, p.Book.Owned("c001"), owned)
+		t.Errorf("%d sessions are left, %d at c001, the dead co-ordinator owned %d", n, p.Book.Owned("c001"), owned)
 	}
 }
 
-// hands of all that is offered.
+// pendingHandOvers returns the acts that hand over all offered sessions.
 func (p *Site) pendingHandOvers() (acts []session.Act) {
 	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
@@ -153,7 +160,8 @@
 	return acts
 }
 
-// A deadline that can not be met is told before the first move, with what would have to give; with that given it is met.
+// A deadline that cannot be met is reported before the first move together with the limits that would meet it; with these limits
+// it is met. A session whose unsafe query may outlast the deadline is reported and not moved.
 func TestForecastNamesChangesThatMeetTheDeadline(t *testing.T) {
 	s := smallSettings(4, 500, 2)
 	s.InFlight, s.PerMinute = 2, 60
@@ -172,7 +180,7 @@
 	}
 	p.runUntil(t, 3, p.ownNoSessions("c000"))
 	if p.Now > c.Deadline {
-		t.Errorf("%v too late", p.Now-c.Deadline)
+		t.Errorf("finished %v after the deadline", p.Now-c.Deadline)
 	}
 
 	p.View.Coordinators[1].Leaving, p.View.Coordinators[1].Deadline = true, p.Now+time.Hour
@@ -189,8 +197,8 @@
 	}
 }
 
-// 2,000 moves while the leader changes every few steps, one in four times with the plan of the old one applied after the new one has
-// planned: each session moves once, and the limits hold.
+// 2,000 sessions move while the leader changes every few steps. At every fourth change, the plan of the old leader is applied
+// after the new leader has planned. Each session moves once, and the limits hold.
 func TestLeaderChangesDoNotRepeatMoves(t *testing.T) {
 	s := smallSettings(4, 2000, 2)
 	s.InFlight, s.PerMinute = 50, 3000
@@ -223,7 +231,7 @@
 			_ = p.apply(session.KindPlan, plan.Body)
 		}
 		if l, _ := p.Book.Limits(); p.Book.Moving() > l.InFlight || p.Book.RecentOffers() > l.PerMinute || p.Result.Steps > 2000 {
-			t.Fatalf("%d in flight, %d begun, %d steps", p.Book.Moving(), p.Book.RecentOffers(), p.Result.Steps)
+			t.Fatalf("%d in flight, %d offered within a minute, %d steps", p.Book.Moving(), p.Book.RecentOffers(), p.Result.Steps)
 		}
 	}
 	if len(moved) != 2000 || p.Book.Len() != 8000 {
@@ -237,7 +245,8 @@
 	t.Logf("2,000 moves in %v", time.Duration(p.Result.Steps)*TickInterval)
 }
 
-// On the operators' word open offers are withdrawn, and what has moved stays where it is.
+// When the operators pause the work or cancel the request, open offers are withdrawn, and sessions that have moved stay where they
+// are.
 func TestPauseOrCancelWithdrawsOpenOffers(t *testing.T) {
 	for name, stop := range map[string]func(*Site, bool){
 		"paused":    func(p *Site, on bool) { p.View.Paused = on },
@@ -251,7 +260,7 @@
 			p.runUntil(t, 1, func() bool { return p.Result.Moves >= 20 && len(p.pendingHandOvers()) > 0 })
 			stop(p, true)
 			p.Now += TickInterval
-			plan := p.Planner.Step(p.Now, p.View) // before a co-ordinator acts
+			plan := p.Planner.Step(p.Now, p.View) // before any co-ordinator acts
 			if len(plan.Body.Withdrawals) != len(p.pendingHandOvers()) || len(plan.Body.Offers) > 0 {
 				t.Fatalf("%d offers are open, %+v", len(p.pendingHandOvers()), plan.Body)
 			}
--- a/internal/fleet/migrate/swap/property_test.go
+++ b/internal/fleet/migrate/swap/property_test.go
@@ -12,12 +12,12 @@
 	"birchcart/internal/fleet/session"
 )
 
-// judge looks at each plan from outside: by the book, and by what it saw itself.
+// planChecker checks each plan against the book and against its own record of earlier plans.
 type planChecker struct {
 	t             *rapid.T
 	p             *Site
-	offerTimes    []time.Duration     // offers seen in the book
-	offeredBefore map[session.ID]bool // offered before
+	offerTimes    []time.Duration     // times of the offers that were applied
+	offeredBefore map[session.ID]bool // sessions with an earlier offer
 	unsafe        map[session.ID]bool
 }
 
@@ -30,41 +30,41 @@
 	return nil
 }
 
-// before the plan is applied.
+// checkPlan checks a plan before it is applied.
 func (j *planChecker) checkPlan(plan migrate.Plan) {
 	t, p := j.t, j.p
-	coming, open := map[string]int{}, map[string]float64{}
+	inbound, openPerSession := map[string]int{}, map[string]float64{}
 	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
-			coming[r.To]++
+			inbound[r.To]++
 		}
 		return true
 	})
-	least, offered := map[string]uint8{}, map[session.ID]bool{}
+	highestLane, offered := map[string]uint8{}, map[session.ID]bool{}
 	for _, o := range plan.Body.Offers {
 		r, ok := p.Book.Get(o.ID)
 		from, to := j.coordinator(o.From), j.coordinator(o.To)
 		if !ok || r.Phase != session.Pinned || r.Owner != o.From || r.Epoch != o.Epoch {
-			t.Fatalf("offer of %v, it is %+v", o, r)
+			t.Fatalf("offer of %v, whose record is %+v", o, r)
 		}
 		if !from.Leaving || !from.Live || to == nil || to.Leaving || !to.Live || to == from || p.View.Paused {
 			t.Fatalf("offer from %+v to %+v", from, to)
 		}
 		if j.unsafe[o.ID] {
-			t.Fatalf("offer of %v, of which an unsafe query is open", o.ID)
+			t.Fatalf("offer of %v, which has an open unsafe query", o.ID)
 		}
-		coming[o.To]++
-		open[o.To] = max(open[o.To], float64(from.Capacity.OpenQueries)/float64(max(1, p.Book.Owned(o.From))))
-		least[o.From] = max(least[o.From], r.Lane)
+		inbound[o.To]++
+		openPerSession[o.To] = max(openPerSession[o.To], float64(from.Capacity.OpenQueries)/float64(max(1, p.Book.Owned(o.From))))
+		highestLane[o.From] = max(highestLane[o.From], r.Lane)
 		offered[o.ID] = true
 	}
 	for _, c := range p.View.Coordinators {
-		n := p.Book.Owned(c.Name) + coming[c.Name]
-		if _, asked := open[c.Name]; !asked {
+		n := p.Book.Owned(c.Name) + inbound[c.Name]
+		if _, offers := openPerSession[c.Name]; !offers {
 			continue
 		}
 		if n > c.Capacity.MaxSessions {
-			t.Fatalf("%s would own %d sessions, room for %d", c.Name, n, c.Capacity.MaxSessions)
+			t.Fatalf("%s would own %d sessions, its limit is %d", c.Name, n, c.Capacity.MaxSessions)
 		}
 		for _, r := range p.View.Replicas {
 			if held := p.Book.Pool().Held(c.Name, r); n > held*p.View.SessionsPerSlot {
@@ -72,8 +72,8 @@
 			}
 		}
 	}
-	slots := slices.ContainsFunc(plan.Deferred, func(k migrate.Deferred) bool { return len(p.View.Replicas) > 0 })
-	for name, lane := range least {
+	slotsMayDelay := slices.ContainsFunc(plan.Deferred, func(k migrate.Deferred) bool { return len(p.View.Replicas) > 0 })
+	for name, lane := range highestLane {
 		idle := map[session.ID]bool{}
 		for _, id := range j.coordinator(name).Idle {
 			idle[id] = true
@@ -84,10 +84,10 @@
 		})
 		p.Book.ByOwner(name, func(r session.Record) bool {
 			if r.Since > p.Now-migrate.RescanInterval-time.Duration(len(p.View.Coordinators))*TickInterval {
-				return true // it came after the book was read
+				return true // the session was opened or moved here after the book was read
 			}
-			before := r.Lane < lane || r.Lane == lane && busy && idle[r.ID]
-			if before && r.Phase == session.Pinned && !offered[r.ID] && !j.offeredBefore[r.ID] && !j.unsafe[r.ID] && !slots {
+			goesEarlier := r.Lane < lane || r.Lane == lane && busy && idle[r.ID]
+			if goesEarlier && r.Phase == session.Pinned && !offered[r.ID] && !j.offeredBefore[r.ID] && !j.unsafe[r.ID] && !slotsMayDelay {
 				t.Fatalf("lane %d of %s is offered, and %v of lane %d, idle %v, is not", lane, name, r.ID, r.Lane, idle[r.ID])
 			}
 			return true
@@ -98,11 +98,12 @@
 	}
 }
 
-// after it was applied at once, by a planner that sees all: nothing of it is refused, and the limits hold.
+// checkApplied checks a plan that was just applied: a planner with an up-to-date view has no part of it refused, and the limits
+// hold. fresh means that the planner is new.
 func (j *planChecker) checkApplied(plan migrate.Plan, fresh bool) {
 	l, _ := j.p.Book.Limits()
-	if why, n := j.p.Book.Refusals(); n > 0 && !plan.Empty() && !fresh {
-		j.t.Fatalf("%d parts of a plan are refused: %v", n, why)
+	if reasons, n := j.p.Book.Refusals(); n > 0 && !plan.Empty() && !fresh {
+		j.t.Fatalf("%d parts of a plan were refused: %v", n, reasons)
 	}
 	for range plan.Body.Offers {
 		j.offerTimes = append(j.offerTimes, j.p.Now)
@@ -118,8 +119,9 @@
 	}
 }
 
-// Whatever happens to co-ordinators, words and leaders, each plan keeps to room, limits and order, and is the same when it is made
-// again; and once nothing happens any more, all that should go are emptied.
+// Random faults of co-ordinators, delayed reports and changes of the leader must not break the rules of a plan: it respects
+// capacity, limits and order, and a second planner with the same input makes the same plan. Once the faults end, the co-ordinator
+// that leaves loses all its sessions.
 func TestPlansKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, each := rapid.IntRange(3, 7).Draw(t, "co-ordinators"), rapid.IntRange(1, 12).Draw(t, "sessions each")
@@ -132,10 +134,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		twin := migrate.New(migrate.Options{})
+		secondPlanner := migrate.New(migrate.Options{})
 		j := &planChecker{t: t, p: p, offeredBefore: map[session.ID]bool{}, unsafe: map[session.ID]bool{}}
 		all := p.View.Coordinators
-		step := func(meddle bool) migrate.Plan {
+		step := func(faults bool) migrate.Plan {
 			p.Now += TickInterval
 			for i := range all {
 				all[i].Capacity.OwnedAtReport = p.Book.Owned(all[i].Name)
@@ -148,23 +150,23 @@
 				})
 			}
 			lost, fresh := false, false
-			if meddle {
+			if faults {
 				j.perturb(all)
 				lost = rapid.IntRange(0, 9).Draw(t, "lost") == 0
 				if fresh = rapid.IntRange(0, 19).Draw(t, "a new leader") == 0; fresh {
-					p.Planner, twin = migrate.New(migrate.Options{}), migrate.New(migrate.Options{})
+					p.Planner, secondPlanner = migrate.New(migrate.Options{}), migrate.New(migrate.Options{})
 					clear(j.offeredBefore)
 				}
 			} else if err := p.runCoordinators(); err != nil {
 				t.Fatal(err)
 			}
 			plan := p.Planner.Step(p.Now, p.View)
-			if again := twin.Step(p.Now, p.View); !reflect.DeepEqual(plan, again) {
-				t.Fatalf("the same view gives\n%+v\nand\n%+v", plan, again)
+			if again := secondPlanner.Step(p.Now, p.View); !reflect.DeepEqual(plan, again) {
+				t.Fatalf("two planners with the same view made\n%+v\nand\n%+v", plan, again)
 			}
 			j.checkPlan(plan)
 			switch {
-			case lost: // it is seen as lost only later
+			case lost: // the planner notices the loss only later
 				return plan
 			case !plan.Empty():
 				if err := p.apply(session.KindPlan, plan.Body); err != nil {
@@ -179,7 +181,7 @@
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			step(true)
 		}
-		// quiet again: one leaves, all others have room
+		// the faults end: one co-ordinator leaves, all others have capacity
 		clear(j.unsafe)
 		for i := range all {
 			c := &all[i]
@@ -197,7 +199,7 @@
 	})
 }
 
-// meddle lets co-ordinators act, decline, die, leave and stay, and the operators stop the work.
+// perturb makes co-ordinators act, decline, die, leave and stay at random, and lets the operators pause the work.
 func (j *planChecker) perturb(all []migrate.Coordinator) {
 	t, p := j.t, j.p
 	p.Book.Moves(func(r session.Record) bool {
@@ -207,7 +209,7 @@
 			if r.Phase == session.HandedOver {
 				a.Kind = session.Adopt
 			} else if j.unsafe[r.ID] {
-				return true // its owner freezes nothing of which an unsafe query is open
+				return true // its owner does not freeze a session with an open unsafe query
 			}
 			_ = p.apply(session.KindActs, session.ActsBody{From: r.Owner, Acts: []session.Act{a}})
 		case 2:
@@ -237,7 +239,7 @@
 			delete(j.unsafe, u.ID)
 		}
 		c.Unsafe = nil
-		idle := slices.DeleteFunc(slices.Clone(c.Idle), func(id session.ID) bool { // what it does not own any more begins nothing there
+		idle := slices.DeleteFunc(slices.Clone(c.Idle), func(id session.ID) bool { // a session that it no longer owns starts no query there
 			r, ok := p.Book.Get(id)
 			return !ok || r.Owner != c.Name || r.Phase != session.Pinned && r.Phase != session.Offered
 		})
--- a/internal/fleet/migrate/swap/swap.go
+++ b/internal/fleet/migrate/swap/swap.go
@@ -1,6 +1,6 @@
-// Package swap plays a rolling swap of co-ordinators with pinned sessions in virtual time, with the real book and planner and
-// co-ordinators that do what they are asked within a tick. It says how often sessions moved, and how long it took. It is pure:
-// the same settings give the same result.
+// Package swap simulates a rolling swap of co-ordinators with pinned sessions in virtual time. It uses the real book and planner,
+// and co-ordinators that carry out each request within a tick. It reports how often sessions moved and how long the swap took. The
+// package is pure: the same settings give the same result.
 package swap
 
 import (
@@ -13,44 +13,45 @@
 	"birchcart/internal/fleet/session"
 )
 
-// TickInterval is the time between two steps of the planner, and what a word needs from a co-ordinator into the book.
+// TickInterval is the time between two steps of the planner, and the time that an act of a co-ordinator takes to reach the book.
 const TickInterval = 500 * time.Millisecond
 
-// MaxDuration is the virtual time after which a swap that does not end is given up.
+// MaxDuration is the virtual time after which a swap that has not ended is aborted.
 const MaxDuration = 48 * time.Hour
 
-// Settings of a swap.
+// Settings configures a swap.
 type Settings struct {
 	Coordinators    int
 	Sessions        int
-	CapacityFactor  float64 // of each, in its even share of the sessions
-	WaveSize        int     // co-ordinators that go out at once
+	CapacityFactor  float64 // capacity of each co-ordinator, as a multiple of its even share of the sessions
+	WaveSize        int     // co-ordinators that go out together
 	Zones           int
-	Replicas        int // with slots; 0: slots are not looked at
+	Replicas        int // replicas with slots; 0: slots are ignored
 	SessionsPerSlot int
-	Outage          time.Duration // that each is out for
+	Outage          time.Duration // how long each co-ordinator is out
 	InFlight        int
 	PerMinute       int
-	IdlePercent     int // of 100 sessions, those without an open query
-	// Uneven: at the outset co-ordinators have from half to one and a half of their even share, in no order.
+	IdlePercent     int // percentage of sessions without an open query
+	// Uneven gives each co-ordinator between half and one and a half of its even share of sessions at the start, in scrambled
+	// order.
 	Uneven bool
 	Prefer migrate.Prefer
 }
 
-// Result of a swap.
+// Result is the outcome of a swap.
 type Result struct {
 	Sessions        int
-	Moves           int     // adopted
-	MovesPerSession float64 // moves a session
-	Bound           int     // no plan makes fewer
+	Moves           int // moves that were adopted
+	MovesPerSession float64
+	Bound           int // lower bound on the moves of any plan
 	Duration        time.Duration
-	Forecast        migrate.Forecast // before the first move
-	SameZone        int              // sessions that are in the zone where they began
+	Forecast        migrate.Forecast // made before the first move
+	SameZone        int              // sessions that end in the zone where they began
 	Steps           int
-	Lost            int // sessions that were lost: 0
+	Lost            int // sessions that were lost; 0 is correct
 }
 
-// Site is what is played: for tests that meddle with it between two ticks.
+// Site is the simulated site. Its fields are exported so that tests can change them between two ticks.
 type Site struct {
 	Now      time.Duration
 	Book     *session.State
@@ -58,24 +59,25 @@
 	View     migrate.View
 	LastPlan migrate.Plan
 	Result   Result
-	WrapStep func(step func()) // runs each step of the planner, to measure it; nil: it just runs
+	WrapStep func(step func()) // called with each step of the planner, for measurements; must run it; nil: steps run directly
 
 	settings    Settings
 	fence       uint64
-	initialZone map[session.ID]string // zone
-	backAt      map[string]time.Duration
-	busy        func(session.ID) bool
+	initialZone map[session.ID]string    // zone in which each session began
+	backAt      map[string]time.Duration // when each co-ordinator that is out will be back
+	busy        func(session.ID) bool    // whether a session has an open query
 }
 
-// New lays out a site: the sessions evenly at the co-ordinators, which go out in the order of their names, zone after zone.
+// New lays out a site: the sessions are distributed over the co-ordinators, which go out in the order of their names, zone by
+// zone.
 func New(s Settings) (*Site, error) {
 	p := &Site{Now: time.Hour, Book: session.New(), Planner: migrate.New(migrate.Options{Prefer: s.Prefer}), settings: s,
 		initialZone: map[session.ID]string{}, backAt: map[string]time.Duration{}}
-	caps, share := map[string]int{}, (s.Sessions+s.Coordinators-1)/s.Coordinators
+	caps, evenShare := map[string]int{}, (s.Sessions+s.Coordinators-1)/s.Coordinators
 	for i := range s.Replicas {
 		name := fmt.Sprintf("r%04d", i)
 		p.View.Replicas = append(p.View.Replicas, name)
-		caps[name] = s.Coordinators*((share+s.SessionsPerSlot-1)/s.SessionsPerSlot) + s.Coordinators
+		caps[name] = s.Coordinators*((evenShare+s.SessionsPerSlot-1)/s.SessionsPerSlot) + s.Coordinators
 		p.View.SessionsPerSlot = s.SessionsPerSlot
 	}
 	p.View.Book, p.View.Slots, p.View.Outage = p.Book, p.Book.Pool(), s.Outage
@@ -88,7 +90,7 @@
 	begin := s.firstSessions()
 	for i := range s.Coordinators {
 		c := migrate.Coordinator{Name: fmt.Sprintf("c%03d", i), Zone: fmt.Sprintf("z%d", i*s.Zones/s.Coordinators), Live: true,
-			Rank: i / s.WaveSize, Capacity: migrate.Capacity{MaxSessions: int(s.CapacityFactor * float64(share)), MaxQueries: 1 << 20, FreeMemory: 1 << 40}}
+			Rank: i / s.WaveSize, Capacity: migrate.Capacity{MaxSessions: int(s.CapacityFactor * float64(evenShare)), MaxQueries: 1 << 20, FreeMemory: 1 << 40}}
 		var acts []session.Act
 		for k := begin[i]; k < begin[i+1]; k++ {
 			id := session.IDOf(1, fmt.Append(nil, k))
@@ -117,13 +119,13 @@
 	return p, nil
 }
 
-// begin is the number of each co-ordinator's first session, and that of all behind them.
+// firstSessions returns the number of the first session of each co-ordinator, followed by the number of sessions.
 func (s *Settings) firstSessions() []int {
 	sum, sums := 0, make([]int, 1, s.Coordinators+1)
 	for i := range s.Coordinators {
 		weight := 2 * s.Coordinators
 		if s.Uneven {
-			weight = s.Coordinators + (i*7919)%s.Coordinators*2 // 7919 is prime: each once
+			weight = s.Coordinators + (i*7919)%s.Coordinators*2 // 7919 is prime, so that each remainder occurs once
 		}
 		sum += weight
 		sums = append(sums, sum)
@@ -134,7 +136,7 @@
 	return sums
 }
 
-// Run plays a whole swap.
+// Run simulates a whole swap.
 func Run(s Settings) (Result, error) {
 	p, err := New(s)
 	if err != nil {
@@ -143,7 +145,7 @@
 	begin := p.Now
 	for !p.Done() {
 		if p.Now > begin+MaxDuration {
-			return p.Result, fmt.Errorf("not over after %v: %+v", MaxDuration, p.LastPlan.Deferred)
+			return p.Result, fmt.Errorf("swap not finished after %v, deferred sessions: %+v", MaxDuration, p.LastPlan.Deferred)
 		}
 		if err := p.Step(); err != nil {
 			return p.Result, err
@@ -165,12 +167,12 @@
 	return *r, nil
 }
 
-// Done says that all have been out and are back.
+// Done reports whether all co-ordinators have been out and are back.
 func (p *Site) Done() bool {
 	return !slices.ContainsFunc(p.View.Coordinators, func(c migrate.Coordinator) bool { return c.Rank >= 0 || !c.Live })
 }
 
-// Step is one tick: the order of work goes on, co-ordinators act, the planner plans, and the plan is applied.
+// Step simulates one tick: the order of work advances, co-ordinators act, the planner makes a plan and the plan is applied.
 func (p *Site) Step() error {
 	p.Now += TickInterval
 	if p.Result.Steps == 0 {
@@ -193,8 +195,8 @@
 		if err := p.apply(session.KindPlan, p.LastPlan.Body); err != nil {
 			return err
 		}
-		if why, n := p.Book.Refusals(); n > 0 {
-			return fmt.Errorf("at %v %d parts of a plan are refused: %v", p.Now, n, why)
+		if reasons, n := p.Book.Refusals(); n > 0 {
+			return fmt.Errorf("at %v: %d parts of a plan were refused: %v", p.Now, n, reasons)
 		}
 	case p.LastPlan.Tick:
 		return p.apply(session.KindTick, session.TickBody{})
@@ -202,14 +204,14 @@
 	return nil
 }
 
-// order lets the next wave go once the one before is back, and each be out once it has no session any more.
+// advanceWaves starts the next wave once the previous one is back, and takes co-ordinators out once they have no sessions left.
 func (p *Site) advanceWaves() {
 	next, all := -1, p.View.Coordinators
 	for i := range all {
 		c := &all[i]
 		c.Capacity.OwnedAtReport = p.Book.Owned(c.Name)
-		switch at, away := p.backAt[c.Name]; {
-		case away && p.Now >= at:
+		switch at, out := p.backAt[c.Name]; {
+		case out && p.Now >= at:
 			delete(p.backAt, c.Name)
 			c.Live, c.Leaving, c.Rank = true, false, migrate.RankNone
 		case c.Leaving && c.Live && c.Capacity.OwnedAtReport == 0 && p.holdsNoSlots(c.Name):
@@ -224,7 +226,7 @@
 		if c.Rank == next && next >= 0 && !c.Leaving {
 			c.Leaving = true
 		}
-		if c.Leaving && c.Live && (len(c.Idle) == 0 || p.Now%(2*time.Second) == 0) { // it tells now and then
+		if c.Leaving && c.Live && (len(c.Idle) == 0 || p.Now%(2*time.Second) == 0) { // it reports every two seconds, or at once if it has reported no idle session
 			c.Idle = c.Idle[:0]
 			p.Book.ByOwner(c.Name, func(r session.Record) bool {
 				if !p.busy(r.ID) && len(c.Idle) < migrate.MaxExamined {
@@ -236,7 +238,7 @@
 	}
 }
 
-// free says that one holds no slots, and gives none away.
+// holdsNoSlots reports whether a co-ordinator holds no slots and has no pending releases.
 func (p *Site) holdsNoSlots(co string) bool {
 	for _, r := range p.View.Replicas {
 		if p.Book.Pool().Held(co, r) > 0 {
@@ -246,7 +248,7 @@
 	return len(p.Book.Pool().PendingReleases(co)) == 0
 }
 
-// act lets each co-ordinator hand and adopt what is its to, and let slots go.
+// runCoordinators lets each co-ordinator hand over and adopt its sessions and release slots.
 func (p *Site) runCoordinators() error {
 	acts := map[string][]session.Act{}
 	p.Book.Moves(func(r session.Record) bool {
--- a/internal/fleet/migrate/swap/swap_test.go
+++ b/internal/fleet/migrate/swap/swap_test.go
@@ -13,7 +13,8 @@
 		InFlight: 200, PerMinute: 6000, IdlePercent: 60}
 }
 
-// A whole swap stays at the bound: each session moves once, and the first wave's twice, since nobody was back yet.
+// A whole swap needs no more moves than the lower bound: each session moves once, and those of the first wave twice, since no
+// co-ordinator is back yet.
 func TestSwapMovesSessionsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,13 +38,13 @@
 				t.Errorf("%+v, %v", r, err)
 			}
 			if late := r.Duration - (r.Forecast.End - time.Hour); late > time.Duration(r.Forecast.Waves)*6*time.Second {
-				t.Errorf("it took %v, %v longer than was foreseen", r.Duration, late)
+				t.Errorf("it took %v, %v longer than the forecast", r.Duration, late)
 			}
 		})
 	}
 }
 
-// The ways that know less move sessions more often.
+// The baselines, which ignore the order of work, move sessions more often than the planner.
 func TestBaselinesMoveSessionsMoreOften(t *testing.T) {
 	for name, p := range map[string]migrate.Prefer{"random": baseline.Random(1), "ring": baseline.Ring, "emptiest": baseline.Emptiest} {
 		s := settings(10, 2000)
