--- a/internal/fleet/migrate/forecast.go
+++ b/internal/fleet/migrate/forecast.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// findAtRisk lists the sessions that may not be movable by their deadline because of an unsafe query.
+// findAtRisk records the sessions that may not be movable by their deadline because of an unsafe query.
 func (f *Forecast) findAtRisk(v View) {
 	for i := range v.Coordinators {
 		c := &v.Coordinators[i]
@@ -239,8 +239,8 @@
 	}
 }
 
-// requireFaster records which limits would allow the given number of moves in the time left, or which deadline would be met as it
-// is.
+// requireFaster records which limits would allow the given number of moves in the time left, and the deadline that would be met
+// without a change.
 func (f *Forecast) requireFaster(subject string, l session.Limits, moves int, left, end, moveDuration time.Duration) {
 	if left < moveDuration {
 		f.requireChange("a deadline of %s or later for %s", formatTime(end), subject)
--- a/internal/fleet/migrate/forecast_test.go
+++ b/internal/fleet/migrate/forecast_test.go
@@ -49,24 +49,24 @@
 		name         string
 		v            View
 		moves, bound int
-		ends         time.Duration
-		kept         int
-		gives        string
+		end          time.Duration
+		unplaced     int
+		change       string
 	}{
-		{"nobody is back: the first wave moves twice", rollingView(10, 200, 300, 1), 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0, ""},
+		{"no co-ordinator is back yet: the first wave moves twice", rollingView(10, 200, 300, 1), 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0, ""},
 		{"two at once", rollingView(10, 200, 300, 2), 2400, 2400, 1000*s + 5*time.Minute + 48*s, 0, ""},
-		{"one that stays has room for half of them", spare, 1900, 1900, 1000*s + 9*time.Minute + 38*s, 0, ""},
-		{"no room anywhere", full, 300, 500, 1000*s + 4*time.Minute + 6*s, 100, "capacity for 100 more sessions at the other co-ordinators while c000 is out"},
+		{"a co-ordinator that stays has capacity for half of them", spare, 1900, 1900, 1000*s + 9*time.Minute + 38*s, 0, ""},
+		{"no capacity anywhere", full, 300, 500, 1000*s + 4*time.Minute + 6*s, 100, "capacity for 100 more sessions at the other co-ordinators while c000 is out"},
 		{"too slow", slow, 2200, 2200, 1000*s + 10*time.Minute + 2200*s, 0, "or more out at once: 10 waves of 1m0s take longer than the time left"},
-		{"its own deadline", leaving, 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0,
+		{"deadline of one co-ordinator", leaving, 2200, 2200, 1000*s + 10*time.Minute + 44*s, 0,
 			"a deadline of 1970-01-01T00:16:44Z or later for c003"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := NewForecast(1000*s, c.v, 2*s)
-			if f.Moves != c.moves || f.Bound != c.bound || f.End != c.ends || f.Unplaced != c.kept || f.MeetsDeadlines != (c.gives == "") {
+			if f.Moves != c.moves || f.Bound != c.bound || f.End != c.end || f.Unplaced != c.unplaced || f.MeetsDeadlines != (c.change == "") {
 				t.Errorf("%+v, ends %v", f, f.End)
 			}
-			if !strings.Contains(strings.Join(f.RequiredChanges, "; "), c.gives) {
+			if !strings.Contains(strings.Join(f.RequiredChanges, "; "), c.change) {
 				t.Errorf("required changes %q", f.RequiredChanges)
 			}
 		})
--- a/internal/fleet/migrate/pick.go
+++ b/internal/fleet/migrate/pick.go
@@ -93,6 +93,7 @@
 	openPerSession map[string]float64      // open queries per session, by leaving co-ordinator
 }
 
+// find returns the candidate of that name, or nil if there is none.
 func (s *site) find(name string) *candidate {
 	if i, ok := s.byName[name]; ok {
 		return &s.candidates[i]
--- a/internal/fleet/migrate/slots.go
+++ b/internal/fleet/migrate/slots.go
@@ -22,12 +22,14 @@
 // co-ordinator; with half of it, slow queries are never waited for.
 const SlotTransferTimeout = 10 * time.Second
 
+// slotKey identifies the slots of a co-ordinator at a replica; co is "" for free slots.
 type slotKey struct{ co, replica string }
 
+// shiftKey identifies a shift of slots; from and to are "" for free slots.
 type shiftKey struct{ from, to, replica string }
 
-// pendingSlots is a planned shift of n slots at a place that had before slots. It counts as pending until that number changes or
-// its time is over.
+// pendingSlots is a planned shift of n slots. before is the number of slots there when the shift was planned: the shift counts as
+// pending until that number changes or until its time is over.
 type pendingSlots struct {
 	before, n int
 	until     time.Duration
@@ -170,10 +172,10 @@
 }
 
 // spareSlots returns the slots that can be given up, without those that are kept and those in shifts that are already planned.
-func (s *site) spareSlots(p *Planner, v *View, k slotKey, keeps int) int {
+func (s *site) spareSlots(p *Planner, v *View, k slotKey, reserved int) int {
 	n, ok := s.spare[k]
 	if !ok {
-		n = v.slotsAt(k) - keeps - p.outgoingShifts[k].n
+		n = v.slotsAt(k) - reserved - p.outgoingShifts[k].n
 		s.spare[k] = n
 	}
 	return n
--- a/internal/fleet/migrate/swap/hard_test.go
+++ b/internal/fleet/migrate/swap/hard_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if p.Now > end {
-			t.Fatalf("not after %d minutes: %+v, %v", minutes, p.LastPlan.Deferred, p.LastPlan.Forecast)
+			t.Fatalf("condition not met after %d minutes, deferred: %+v, forecast: %v", minutes, p.LastPlan.Deferred, p.LastPlan.Forecast)
 		}
 	}
 }
@@ -51,11 +51,11 @@
 	}
 }
 
-// smallSettings returns the settings of a site in one zone with n co-ordinators. Each owns the given number of sessions and has
-// capacity for room times as many.
-func smallSettings(n, each int, room float64) Settings {
-	s := settings(n, n*each)
-	s.CapacityFactor, s.Zones = room, 1
+// smallSettings returns the settings of a site in one zone with n co-ordinators, each with owned sessions and capacity for
+// capacityFactor times as many.
+func smallSettings(n, owned int, capacityFactor float64) Settings {
+	s := settings(n, n*owned)
+	s.CapacityFactor, s.Zones = capacityFactor, 1
 	return s
 }
 
@@ -82,7 +82,7 @@
 		_ = p.Step()
 	}
 	if p.Book.Owned("c000") != 15 || p.Book.Owned("c002") != 25 {
-		t.Errorf("%d and %d", p.Book.Owned("c000"), p.Book.Owned("c002"))
+		t.Errorf("c000 owns %d sessions, want 15; c002 owns %d, want 25", p.Book.Owned("c000"), p.Book.Owned("c002"))
 	}
 }
 
--- a/internal/fleet/migrate/swap/property_test.go
+++ b/internal/fleet/migrate/swap/property_test.go
@@ -124,8 +124,8 @@
 // that leaves loses all its sessions.
 func TestPlansKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, each := rapid.IntRange(3, 7).Draw(t, "co-ordinators"), rapid.IntRange(1, 12).Draw(t, "sessions each")
-		s := Settings{Coordinators: n, Sessions: n * each, CapacityFactor: float64(rapid.IntRange(10, 40).Draw(t, "room")) / 10, WaveSize: 1, Zones: 3,
+		n, owned := rapid.IntRange(3, 7).Draw(t, "co-ordinators"), rapid.IntRange(1, 12).Draw(t, "sessions each")
+		s := Settings{Coordinators: n, Sessions: n * owned, CapacityFactor: float64(rapid.IntRange(10, 40).Draw(t, "room")) / 10, WaveSize: 1, Zones: 3,
 			PerMinute: rapid.IntRange(1, 40).Draw(t, "a minute"), InFlight: rapid.IntRange(1, 8).Draw(t, "in flight"), IdlePercent: 50}
 		if rapid.Bool().Draw(t, "slots") {
 			s.Replicas, s.SessionsPerSlot = 2, rapid.IntRange(1, 5).Draw(t, "sessions a slot")
--- a/internal/fleet/migrate/swap/swap_test.go
+++ b/internal/fleet/migrate/swap/swap_test.go
@@ -23,10 +23,10 @@
 	}{
 		{"ten", func(*Settings) {}, 1.1},
 		{"with slots", func(s *Settings) { s.Replicas, s.SessionsPerSlot = 5, 8 }, 1.1},
-		{"two at once", func(s *Settings) { s.WaveSize = 2 }, 1.2},
+		{"two go out at once", func(s *Settings) { s.WaveSize = 2 }, 1.2},
 		{"a hundred", func(s *Settings) { s.Coordinators = 100 }, 1.01},
 		{"uneven", func(s *Settings) { s.Uneven, s.CapacityFactor = true, 2 }, 1.06},
-		{"little room", func(s *Settings) { s.CapacityFactor = 1.15 }, 1.1},
+		{"little spare capacity", func(s *Settings) { s.CapacityFactor = 1.15 }, 1.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings(10, 2000)
