--- a/internal/fleet/migrate/swap/swap_test.go
+++ b/internal/fleet/migrate/swap/swap_test.go
@@ -13,7 +13,8 @@
 		InFlight: 200, PerMinute: 6000, IdlePercent: 60}
 }
 
-// A whole swap stays at the bound: each session moves once, and the first wave's twice, since nobody was back yet.
+// A whole swap needs no more moves than the lower bound: each session moves once, and those of the first wave twice, since no
+// co-ordinator is back yet.
 func TestSwapMovesSessionsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -22,10 +23,10 @@
 	}{
 		{"ten", func(*Settings) {}, 1.1},
 		{"with slots", func(s *Settings) { s.Replicas, s.SessionsPerSlot = 5, 8 }, 1.1},
-		{"two at once", func(s *Settings) { s.WaveSize = 2 }, 1.2},
+		{"two go out at once", func(s *Settings) { s.WaveSize = 2 }, 1.2},
 		{"a hundred", func(s *Settings) { s.Coordinators = 100 }, 1.01},
 		{"uneven", func(s *Settings) { s.Uneven, s.CapacityFactor = true, 2 }, 1.06},
-		{"little room", func(s *Settings) { s.CapacityFactor = 1.15 }, 1.1},
+		{"little spare capacity", func(s *Settings) { s.CapacityFactor = 1.15 }, 1.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings(10, 2000)
@@ -37,13 +38,13 @@
 				t.Errorf("%+v, %v", r, err)
 			}
 			if late := r.Duration - (r.Forecast.End - time.Hour); late > time.Duration(r.Forecast.Waves)*6*time.Second {
-				t.Errorf("it took %v, %v longer than was foreseen", r.Duration, late)
+				t.Errorf("it took %v, %v longer than the forecast", r.Duration, late)
 			}
 		})
 	}
 }
 
-// The ways that know less move sessions more often.
+// The baselines, which ignore the order of work, move sessions more often than the planner.
 func TestBaselinesMoveSessionsMoreOften(t *testing.T) {
 	for name, p := range map[string]migrate.Prefer{"random": baseline.Random(1), "ring": baseline.Ring, "emptiest": baseline.Emptiest} {
 		s := settings(10, 2000)
