--- a/internal/fleet/fleetsim/pinned/council.go
+++ b/internal/fleet/fleetsim/pinned/council.go
@@ -204,7 +204,7 @@
 }
 
 func unpack[B any](w *World, cmd statemachine.Command) (body B) {
-	w.fail(statemachine.Strict(cmd.Body, &body))
+	w.fail(statemachine.DecodeStrict(cmd.Body, &body))
 	return body
 }
 
--- a/internal/fleet/laneconfig/agreed.go
+++ b/internal/fleet/laneconfig/agreed.go
@@ -52,7 +52,7 @@
 		return fmt.Errorf("laneconfig: command kind %.40q: %w", kind, statemachine.ErrUnknown)
 	}
 	var b SetBody
-	if err := statemachine.Strict(body, &b); err != nil {
+	if err := statemachine.DecodeStrict(body, &b); err != nil {
 		return fmt.Errorf("laneconfig: %w", err)
 	}
 	if b.Revision < 1 || b.Revision > MaxRevision {
--- a/internal/fleet/laneconfig/save.go
+++ b/internal/fleet/laneconfig/save.go
@@ -44,7 +44,7 @@
 		return fmt.Errorf("laneconfig: saved state has version %d, this program reads version %d: %w", head.V, savedVersion, statemachine.ErrUnknown)
 	}
 	var state saved
-	if err := statemachine.Strict(raw, &state); err != nil {
+	if err := statemachine.DecodeStrict(raw, &state); err != nil {
 		return fmt.Errorf("laneconfig: cannot decode saved state: %w", err)
 	}
 	loaded := State{current: state.Current, previous: state.Previous}
--- a/internal/fleet/laneconfig/text.go
+++ b/internal/fleet/laneconfig/text.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	var l operator.Lanes
-	if err := statemachine.Strict(text, &l); err != nil {
+	if err := statemachine.DecodeStrict(text, &l); err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", b.Revision, err)
 	}
 	return &l, nil
--- a/internal/fleet/maintenance/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -33,7 +33,7 @@
 
 func decodeAndApply[B any](body []byte, apply func(B) error) error {
 	var b B
-	if err := statemachine.Strict(body, &b); err != nil {
+	if err := statemachine.DecodeStrict(body, &b); err != nil {
 		return fmt.Errorf("maintenance: cannot decode the command body: %w", err)
 	}
 	return apply(b)
--- a/internal/fleet/maintenance/snapshot.go
+++ b/internal/fleet/maintenance/snapshot.go
@@ -79,7 +79,7 @@
 		return fmt.Errorf("maintenance: saved state has version %d, this program reads version %d: %w", head.V, Version, statemachine.ErrUnknown)
 	}
 	var v savedState
-	if err := statemachine.Strict(raw, &v); err != nil {
+	if err := statemachine.DecodeStrict(raw, &v); err != nil {
 		return fmt.Errorf("maintenance: cannot decode saved state: %w", err)
 	}
 	n := New()
--- a/internal/fleet/peerproto/compat_test.go
+++ b/internal/fleet/peerproto/compat_test.go
@@ -9,9 +9,9 @@
 	"birchcart/internal/fleet/session"
 )
 
-// TestMessagesKeepTheirForm holds the bytes on the wire to those that the version of 7c55f5a wrote, so that co-ordinators of
+// TestWireFormatIsUnchanged holds the bytes on the wire to those that the version of 7c55f5a wrote, so that co-ordinators of
 // both versions understand each other.
-func TestMessagesKeepTheirForm(t *testing.T) {
+func TestWireFormatIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		message Message
--- a/internal/fleet/peerproto/peerproto.go
+++ b/internal/fleet/peerproto/peerproto.go
@@ -243,18 +243,18 @@
 	}
 	switch raw[1] {
 	case kindPoll:
-		return read[Poll](raw, "poll", MaxPollSize)
+		return decodeBody[Poll](raw, "poll", MaxPollSize)
 	case kindReply:
-		return read[Reply](raw, "reply", MaxReplySize)
+		return decodeBody[Reply](raw, "reply", MaxReplySize)
 	case kindFileReport:
-		return read[FileReport](raw, "ask", MaxPollSize)
+		return decodeBody[FileReport](raw, "ask", MaxPollSize)
 	case kindSessionActions:
-		return read[SessionActions](raw, "message of acts", MaxPollSize)
+		return decodeBody[SessionActions](raw, "message of acts", MaxPollSize)
 	}
 	return nil, fmt.Errorf("unknown kind of message: %q", raw[1])
 }
 
-func read[M Message](raw []byte, name string, limit int) (Message, error) {
+func decodeBody[M Message](raw []byte, name string, limit int) (Message, error) {
 	if len(raw) > limit {
 		return nil, fmt.Errorf("a %s has %d bytes, %d at most", name, len(raw), limit)
 	}
--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -14,7 +14,7 @@
 	"birchcart/internal/fleet/session"
 )
 
-var good = []Message{
+var validMessages = []Message{
 	Poll{From: "a", Sequence: math.MaxUint64, Index: 3, Drains: []DrainStatus{{"r1", 4, false, ""}, {"r2", 5, true, "alone"}}, Load: 1.5, LoadKnown: true, Wall: 1 << 60,
 		Sessions: &SessionLoad{Owned: 3, Open: 2, Queries: 9, Memory: 1 << 20, Idle: []session.ID{session.IDOf(0, nil)}}},
 	Reply{Sequence: 9, From: "b", Leader: "b", Term: 2, FromLeader: true, After: 3, Index: 9, Entries: []Entry{{5, []byte{0, 255}}, {9, []byte("x")}}},
@@ -27,8 +27,8 @@
 	SessionActions{From: "a", Sequence: 3, Actions: []session.Act{{Kind: session.HandOver, ID: session.IDOf(1, []byte("k")), Epoch: 2, Fence: 7, Seq: 9, State: []byte{1}}}},
 }
 
-func TestWhatIsEncodedIsReadBack(t *testing.T) {
-	for _, m := range good {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	for _, m := range validMessages {
 		raw, err := Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestBoundsAreKeptByBothSides(t *testing.T) {
+func TestEncodeAndDecodeEnforceLimits(t *testing.T) {
 	// Long: one table with a row for each bound.
 	long := strings.Repeat("x", MaxNameLength+1)
 	for _, c := range []struct {
@@ -100,14 +100,14 @@
 			t.Errorf("%.30q was to say %q, said %v", raw, says, err)
 		}
 	}
-	raw, _ := Encode(good[0])
+	raw, _ := Encode(validMessages[0])
 	raw[0] = Version + 1
 	if _, err := Decode(raw); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), "known is 1") {
 		t.Errorf("a newer version gave %v", err)
 	}
 }
 
-func TestAWordIsCutShortInOrder(t *testing.T) {
+func TestReplyIsTruncatedInOrder(t *testing.T) {
 	var all []Entry
 	for i := range 10 {
 		all = append(all, Entry{uint64(i + 1), make([]byte, MaxEntriesSize/4)})
@@ -145,7 +145,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range good {
+	for _, m := range validMessages {
 		raw, _ := Encode(m)
 		f.Add(raw)
 	}
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -75,7 +75,7 @@
 
 func decodeAndApply[B any](raw []byte, apply func(B) error) error {
 	var body B
-	if err := statemachine.Strict(raw, &body); err != nil {
+	if err := statemachine.DecodeStrict(raw, &body); err != nil {
 		return fmt.Errorf("session: cannot decode the command body: %w", err)
 	}
 	return apply(body)
--- a/internal/fleet/session/save.go
+++ b/internal/fleet/session/save.go
@@ -149,14 +149,14 @@
 		return fmt.Errorf("session: the saved state has version %d, this program reads version %d: %w", header.V, Version, statemachine.ErrUnknown)
 	}
 	var o envelope
-	if err := statemachine.Strict(raw, &o); err != nil {
+	if err := statemachine.DecodeStrict(raw, &o); err != nil {
 		return fmt.Errorf("session: cannot decode the saved state: %w", err)
 	}
 	if crc32.Checksum(o.State, castagnoli) != o.Sum {
 		return errors.New("session: the saved state is damaged: its checksum does not match")
 	}
 	var v savedState
-	if err := statemachine.Strict(o.State, &v); err != nil {
+	if err := statemachine.DecodeStrict(o.State, &v); err != nil {
 		return fmt.Errorf("session: cannot decode the saved state: %w", err)
 	}
 	n := New()
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -74,11 +74,11 @@
 	Z []byte `json:"z"`
 }
 
-var packedBegin = fmt.Appendf(nil, `{"v":%d,"z":"`, versionPacked)
+var packedPrefix = fmt.Appendf(nil, `{"v":%d,"z":"`, versionPacked)
 
 // Encode gives the bytes for the log, packed if they are many. It fails for a command that Decode would refuse.
 func (c Command) Encode() ([]byte, error) {
-	if err := c.valid(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	raw, err := json.Marshal(c)
@@ -113,9 +113,9 @@
 	if len(raw) > MaxCommandSize {
 		return Command{}, fmt.Errorf("statemachine: a command of %d bytes, %d are allowed", len(raw), MaxCommandSize)
 	}
-	if bytes.HasPrefix(raw, packedBegin) {
+	if bytes.HasPrefix(raw, packedPrefix) {
 		var p packed
-		err := Strict(raw, &p)
+		err := DecodeStrict(raw, &p)
 		if err == nil {
 			raw, err = compress.Unpack(p.Z, MaxCommandSize)
 		}
@@ -127,7 +127,7 @@
 		}
 	}
 	var c Command
-	if err := Strict(raw, &c); err != nil {
+	if err := DecodeStrict(raw, &c); err != nil {
 		var head struct {
 			V int `json:"v"`
 		}
@@ -139,10 +139,10 @@
 		}
 		return Command{}, fmt.Errorf("statemachine: command can not be read: %w", err)
 	}
-	return c, c.valid()
+	return c, c.validate()
 }
 
-func (c Command) valid() error {
+func (c Command) validate() error {
 	switch {
 	case c.V != Version:
 		return fmt.Errorf("%w: command version %d, this program reads %d", ErrVersion, c.V, Version)
@@ -156,9 +156,9 @@
 	return nil
 }
 
-// Strict reads the whole of raw into into. A field that into does not have gives ErrUnknown: who wrote it knows more
+// DecodeStrict reads the whole of raw into into. A field that into does not have gives ErrUnknown: who wrote it knows more
 // than this program.
-func Strict(raw []byte, into any) error {
+func DecodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
--- a/internal/fleet/statemachine/compat_test.go
+++ b/internal/fleet/statemachine/compat_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine, _ := one()
+	machine, _ := newTestMachine()
 	if err := machine.Load(old); err != nil {
 		t.Fatalf("snapshot of the earlier version refused: %v", err)
 	}
@@ -29,9 +29,9 @@
 	if !bytes.Equal(again, old) {
 		t.Errorf("saved again, the snapshot differs from the earlier version's:\n%s\n%s", again, old)
 	}
-	replayed, _ := one()
+	replayed, _ := newTestMachine()
 	for i, id := range []string{"a", "b", "c"} {
-		if err := replayed.Apply(uint64(i+1), put(id, "put", time.Duration(i+1)*time.Second)); err != nil {
+		if err := replayed.Apply(uint64(i+1), encodeBookCommand(id, "put", time.Duration(i+1)*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/statemachine/epoch.go
+++ b/internal/fleet/statemachine/epoch.go
@@ -32,6 +32,6 @@
 			p.Renew(until)
 		}
 	}
-	l.forget()
+	l.dropExpiredIDs()
 	return nil
 }
--- a/internal/fleet/statemachine/epoch_test.go
+++ b/internal/fleet/statemachine/epoch_test.go
@@ -16,7 +16,7 @@
 
 // A new epoch has its number, fences above any of before, and agreed time, and goes on by snapshots. Snapshots of the first
 // have no number, as those of programs that know of no epoch.
-func TestANewEra(t *testing.T) {
+func TestRenewBeginsNewEpoch(t *testing.T) {
 	p := &renewable{Part: &book{}}
 	l := New(map[string]Part{"book": p})
 	first, err := l.Save()
--- a/internal/fleet/statemachine/machine.go
+++ b/internal/fleet/statemachine/machine.go
@@ -38,9 +38,9 @@
 	epoch  uint64 // see Epoch
 	halted error
 
-	ids  map[string]bool
-	seen []id          // in the order of application, so by time
-	over time.Duration // commands of this time and before are refused, since an id was dropped for room
+	ids       map[string]bool
+	seen      []id          // in the order of application, so by time
+	staleUpTo time.Duration // commands of this time and before are refused, since an id was dropped for room
 }
 
 // id is a remembered command and the agreed time at which it was applied, never before its own At.
@@ -51,7 +51,7 @@
 
 // New makes an empty state machine over the parts by name.
 func New(parts map[string]Part) *Machine {
-	l := &Machine{parts: make(map[string]Part, len(parts)), ids: map[string]bool{}, over: -1, epoch: 1}
+	l := &Machine{parts: make(map[string]Part, len(parts)), ids: map[string]bool{}, staleUpTo: -1, epoch: 1}
 	for name, p := range parts {
 		l.parts[name] = p
 		l.names = append(l.names, name)
@@ -95,7 +95,7 @@
 		l.index = index
 		return fmt.Errorf("%w: %w", ErrRejected, err)
 	}
-	return l.act(index, c)
+	return l.applyCommand(index, c)
 }
 
 // ApplyDecoded is Apply for what Decode gave of the entry, where several copies in one process apply the same log.
@@ -106,15 +106,15 @@
 	if index <= l.index {
 		return fmt.Errorf("%w: %d, applied up to %d", ErrIndex, index, l.index)
 	}
-	return l.act(index, c)
+	return l.applyCommand(index, c)
 }
 
-func (l *Machine) act(index uint64, c Command) error {
+func (l *Machine) applyCommand(index uint64, c Command) error {
 	part := l.parts[c.Part]
 	if part == nil {
 		return l.halt(index, fmt.Errorf("%w: part %q", ErrVersion, c.Part))
 	}
-	if c.At < l.now-IDRetention || c.At <= l.over {
+	if c.At < l.now-IDRetention || c.At <= l.staleUpTo {
 		l.index = index
 		return fmt.Errorf("%w: %s is %v behind agreed time", ErrStale, c.ID, l.now-c.At)
 	}
@@ -122,7 +122,7 @@
 	for _, name := range l.names {
 		l.parts[name].Tick(l.now)
 	}
-	l.forget()
+	l.dropExpiredIDs()
 	if l.ids[c.ID] {
 		l.index = index
 		return fmt.Errorf("%w: %s", ErrDuplicate, c.ID)
@@ -134,8 +134,8 @@
 	}
 	l.index = index
 	if len(l.seen) >= MaxRetainedIDs {
-		l.over = l.seen[0].At
-		l.drop(1)
+		l.staleUpTo = l.seen[0].At
+		l.dropOldestIDs(1)
 	}
 	l.ids[c.ID] = true
 	l.seen = append(l.seen, id{c.ID, l.now})
@@ -153,15 +153,15 @@
 }
 
 // forget drops ids that are older than IDRetention.
-func (l *Machine) forget() {
+func (l *Machine) dropExpiredIDs() {
 	n := 0
 	for n < len(l.seen) && l.seen[n].At < l.now-IDRetention {
 		n++
 	}
-	l.drop(n)
+	l.dropOldestIDs(n)
 }
 
-func (l *Machine) drop(n int) {
+func (l *Machine) dropOldestIDs(n int) {
 	for _, old := range l.seen[:n] {
 		delete(l.ids, old.ID)
 	}
--- a/internal/fleet/statemachine/machine_test.go
+++ b/internal/fleet/statemachine/machine_test.go
@@ -37,13 +37,15 @@
 	return fmt.Errorf("kind %q: %w", kind, ErrUnknown)
 }
 
-func (b *book) Check() error                       { return nil }
-func (b *book) Save() ([]byte, error)              { return json.Marshal(b) }
-func (b *book) Load(raw []byte) error              { *b = book{}; return json.Unmarshal(raw, b) }
-func one() (*Machine, *book)                       { b := &book{}; return New(map[string]Part{"book": b}), b }
-func put(id, kind string, at time.Duration) []byte { return raw(Version, id, "book", kind, at) }
+func (b *book) Check() error            { return nil }
+func (b *book) Save() ([]byte, error)   { return json.Marshal(b) }
+func (b *book) Load(raw []byte) error   { *b = book{}; return json.Unmarshal(raw, b) }
+func newTestMachine() (*Machine, *book) { b := &book{}; return New(map[string]Part{"book": b}), b }
+func encodeBookCommand(id, kind string, at time.Duration) []byte {
+	return encodeCommand(Version, id, "book", kind, at)
+}
 
-func raw(v int, id, part, kind string, at time.Duration) []byte {
+func encodeCommand(v int, id, part, kind string, at time.Duration) []byte {
 	b, err := json.Marshal(Command{V: v, ID: id, Part: part, Kind: kind, At: at, Body: json.RawMessage(`"` + id + `"`)})
 	if err != nil {
 		panic(err)
@@ -54,14 +56,14 @@
 // The same commands, with any repetition and with snapshots at any point, leave the same state.
 func TestRepetitionAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain, _ := one()
-		other, _ := one()
+		plain, _ := newTestMachine()
+		other, _ := newTestMachine()
 		var log [][]byte
 		now, at := time.Hour, uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += time.Duration(rapid.Int64Range(-int64(time.Minute), int64(3*time.Minute)).Draw(t, "step"))
 			kind := rapid.SampledFrom([]string{"put", "put", "refuse"}).Draw(t, "kind")
-			log = append(log, put(fmt.Sprint(i), kind, now))
+			log = append(log, encodeBookCommand(fmt.Sprint(i), kind, now))
 			want := plain.Apply(uint64(i+1), log[i])
 			at++
 			got := other.Apply(at, log[i])
@@ -84,7 +86,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				other, _ = one()
+				other, _ = newTestMachine()
 				if err := other.Load(b); err != nil {
 					t.Fatal(err)
 				}
@@ -102,7 +104,7 @@
 	})
 }
 
-func want(t *testing.T, err error, is error, words string) {
+func wantError(t *testing.T, err error, is error, words string) {
 	t.Helper()
 	if !errors.Is(err, is) || !strings.Contains(err.Error(), words) {
 		t.Fatalf("%v, want %v with %q", err, is, words)
@@ -110,54 +112,54 @@
 }
 
 func TestOrderTimeAndFence(t *testing.T) {
-	l, b := one()
-	if err := l.Apply(3, put("a", "put", time.Hour)); err != nil {
+	l, b := newTestMachine()
+	if err := l.Apply(3, encodeBookCommand("a", "put", time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	want(t, l.Apply(3, put("b", "put", time.Hour)), ErrIndex, "3, applied up to 3")
-	want(t, l.Apply(4, put("c", "refuse", 2*time.Hour)), ErrRejected, "not now")
+	wantError(t, l.Apply(3, encodeBookCommand("b", "put", time.Hour)), ErrIndex, "3, applied up to 3")
+	wantError(t, l.Apply(4, encodeBookCommand("c", "refuse", 2*time.Hour)), ErrRejected, "not now")
 	if l.Index() != 4 || l.Now() != 2*time.Hour || l.Fence() != 1 {
 		t.Fatalf("index %d, now %v, fence %d", l.Index(), l.Now(), l.Fence())
 	}
-	if err := l.Apply(5, put("d", "put", 2*time.Hour-IDRetention)); err != nil { // late, not stale
+	if err := l.Apply(5, encodeBookCommand("d", "put", 2*time.Hour-IDRetention)); err != nil { // late, not stale
 		t.Fatal(err)
 	}
-	want(t, l.Apply(6, put("e", "put", 2*time.Hour-IDRetention-1)), ErrStale, "e is 10m0.000000001s behind")
-	want(t, l.Apply(7, []byte("{")), ErrRejected, "can not be read")
-	want(t, l.Apply(8, put("", "put", 3*time.Hour)), ErrRejected, "id has 1 to")
-	want(t, l.Apply(9, put("f", "put", MaxTime+1)), ErrRejected, "since the epoch")
+	wantError(t, l.Apply(6, encodeBookCommand("e", "put", 2*time.Hour-IDRetention-1)), ErrStale, "e is 10m0.000000001s behind")
+	wantError(t, l.Apply(7, []byte("{")), ErrRejected, "can not be read")
+	wantError(t, l.Apply(8, encodeBookCommand("", "put", 3*time.Hour)), ErrRejected, "id has 1 to")
+	wantError(t, l.Apply(9, encodeBookCommand("f", "put", MaxTime+1)), ErrRejected, "since the epoch")
 	if got := strings.Join(b.Lines, ", "); got != `"a" 1 1h0m0s, "d" 2 2h0m0s` || l.Index() != 9 {
 		t.Fatal(got)
 	}
 }
 
 // Full of ids, the oldest goes, and nothing as old as it can act again.
-func TestRoomForIDs(t *testing.T) {
-	l, _ := one()
+func TestOldestIDIsDroppedAtLimit(t *testing.T) {
+	l, _ := newTestMachine()
 	for i := range MaxRetainedIDs + 1 {
-		if err := l.Apply(uint64(i+1), put(fmt.Sprint(i), "put", time.Hour+time.Duration(i/2))); err != nil {
+		if err := l.Apply(uint64(i+1), encodeBookCommand(fmt.Sprint(i), "put", time.Hour+time.Duration(i/2))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := l.Check(); err != nil {
 		t.Fatal(err)
 	}
-	want(t, l.Apply(1<<20, put("0", "put", time.Hour)), ErrStale, "")
-	want(t, l.Apply(1<<20+1, put("2", "put", time.Hour+1)), ErrDuplicate, "")
+	wantError(t, l.Apply(1<<20, encodeBookCommand("0", "put", time.Hour)), ErrStale, "")
+	wantError(t, l.Apply(1<<20+1, encodeBookCommand("2", "put", time.Hour+1)), ErrDuplicate, "")
 }
 
 func TestUnknownHalts(t *testing.T) {
 	for words, entry := range map[string][]byte{
-		"command version 2, this program reads 1": raw(2, "x", "book", "put", 1),
-		`part "pool"`:              raw(1, "x", "pool", "put", 1),
+		"command version 2, this program reads 1": encodeCommand(2, "x", "book", "put", 1),
+		`part "pool"`:              encodeCommand(1, "x", "pool", "put", 1),
 		"command version 7":        []byte(`{"v":7,"id":5,"deadline":2}`),
-		`kind "new"`:               raw(1, "x", "book", "new", 1),
+		`kind "new"`:               encodeCommand(1, "x", "book", "new", 1),
 		`unknown field "deadline"`: []byte(`{"v":1,"id":"x","part":"book","kind":"put","at":1,"deadline":2}`),
 	} {
-		l, _ := one()
+		l, _ := newTestMachine()
 		kept, _ := l.Save()
-		want(t, l.Apply(1, entry), ErrVersion, words)
-		want(t, l.Apply(2, put("y", "put", 1)), ErrVersion, "entry 1")
+		wantError(t, l.Apply(1, entry), ErrVersion, words)
+		wantError(t, l.Apply(2, encodeBookCommand("y", "put", 1)), ErrVersion, "entry 1")
 		if l.Halted() == nil || l.Index() != 0 {
 			t.Fatalf("halted: %v at %d", l.Halted(), l.Index())
 		}
@@ -171,12 +173,12 @@
 }
 
 func TestTornSnapshots(t *testing.T) {
-	l, b := one()
-	if err := l.Apply(1, put("a", "put", 1)); err != nil {
+	l, b := newTestMachine()
+	if err := l.Apply(1, encodeBookCommand("a", "put", 1)); err != nil {
 		t.Fatal(err)
 	}
 	good, _ := l.Save()
-	into, kept := one()
+	into, kept := newTestMachine()
 	*kept = *b
 	before := into.Digest()
 	for n := range good {
@@ -190,9 +192,9 @@
 		}
 	}
 	newer := bytes.Replace(good, []byte("birchcart-ledger 1 "), []byte("birchcart-ledger 2 "), 1)
-	want(t, into.Load(newer), ErrVersion, "snapshot version 2, this program reads 1")
+	wantError(t, into.Load(newer), ErrVersion, "snapshot version 2, this program reads 1")
 	two := New(map[string]Part{"book": &book{}, "pool": &book{}})
-	want(t, two.Load(good), ErrVersion, "without \"pool\", which this program has")
+	wantError(t, two.Load(good), ErrVersion, "without \"pool\", which this program has")
 	if into.Digest() != before {
 		t.Fatal("a refused snapshot changed the state")
 	}
@@ -202,25 +204,25 @@
 func TestLoadTakesAllOrNothing(t *testing.T) {
 	from := New(map[string]Part{"a": &book{Lines: []string{"new"}}, "b": &book{}})
 	kept := &book{Lines: []string{"old"}}
-	into := New(map[string]Part{"a": kept, "b": &picky{}})
+	into := New(map[string]Part{"a": kept, "b": &rejectingPart{}})
 	b, _ := from.Save()
 	if into.Load(b) == nil || kept.Lines[0] != "old" {
 		t.Fatalf("kept %v", kept.Lines)
 	}
 }
 
-type picky struct{ book }
+type rejectingPart struct{ book }
 
 // latecomer is a part that came to the state machine after "book".
-type latecomer struct{ book }
+type optionalPart struct{ book }
 
-func (l *latecomer) Empty() bool { return len(l.Lines) == 0 }
-func (l *latecomer) Clear()      { l.book = book{} }
+func (l *optionalPart) Empty() bool { return len(l.Lines) == 0 }
+func (l *optionalPart) Clear()      { l.book = book{} }
 
 // A part that came later is left out of snapshots until it holds something, and emptied by one without it; when another part
 // refuses its bytes it is as it was. Programs without it refuse those with it.
-func TestALaterPart(t *testing.T) {
-	late := &latecomer{}
+func TestOptionalPartIsOmittedWhileEmpty(t *testing.T) {
+	late := &optionalPart{}
 	older, newer := New(map[string]Part{"book": &book{}}), New(map[string]Part{"book": &book{}, "a": late})
 	plain, _ := older.Save()
 	if same, _ := newer.Save(); !bytes.Equal(plain, same) || older.Digest() != newer.Digest() {
@@ -228,12 +230,12 @@
 	}
 	late.Lines = []string{"something"}
 	with, _ := newer.Save()
-	want(t, older.Load(with), ErrVersion, "part \"a\", which this program does not have")
-	again := &latecomer{}
+	wantError(t, older.Load(with), ErrVersion, "part \"a\", which this program does not have")
+	again := &optionalPart{}
 	if err := New(map[string]Part{"book": &book{}, "a": again}).Load(with); err != nil || len(again.Lines) != 1 {
 		t.Error(err, again.Lines)
 	}
-	if picky := New(map[string]Part{"a": late, "book": &picky{}}); picky.Load(plain) == nil || len(late.Lines) != 1 {
+	if picky := New(map[string]Part{"a": late, "book": &rejectingPart{}}); picky.Load(plain) == nil || len(late.Lines) != 1 {
 		t.Error("a refused snapshot without the part has emptied it")
 	}
 	if err := newer.Load(plain); err != nil || !late.Empty() {
@@ -241,7 +243,7 @@
 	}
 }
 
-func (*picky) Load([]byte) error { return errors.New("not this") }
+func (*rejectingPart) Load([]byte) error { return errors.New("not this") }
 
 // A large command goes into the log packed and acts as it would; a packed one that is torn, or holds too much, is refused
 // alike everywhere, and one of a later form halts.
@@ -250,10 +252,10 @@
 	body, _ := json.Marshal(large)
 	c := Command{V: Version, ID: "1", Part: "book", Kind: "put", At: time.Hour, Body: body}
 	raw, err := c.Encode()
-	if err != nil || len(raw) > CompressAbove/4 || !bytes.HasPrefix(raw, packedBegin) {
+	if err != nil || len(raw) > CompressAbove/4 || !bytes.HasPrefix(raw, packedPrefix) {
 		t.Fatalf("%d bytes: %v", len(raw), err)
 	}
-	l, b := one()
+	l, b := newTestMachine()
 	if err := l.Apply(1, raw); err != nil || len(b.Lines) != 1 || !strings.HasPrefix(b.Lines[0], string(body)) {
 		t.Fatalf("%v, %d lines", err, len(b.Lines))
 	}
@@ -281,7 +283,7 @@
 		}
 	}
 	for _, raw := range [][]byte{hold(raw), []byte(`{"v":2,"z":"AAAA","y":1}`), []byte(`{"v":2,"part":"book"}`), hold(bytes.Replace(mustEncode(t, "9"), []byte(`"v":1`), []byte(`"v":3`), 1))} {
-		l, _ := one()
+		l, _ := newTestMachine()
 		if err := l.Apply(1, raw); !errors.Is(err, ErrVersion) || l.Halted() == nil || l.Index() != 0 {
 			t.Errorf("%.60s: %v", raw, err)
 		}
--- a/internal/fleet/statemachine/snapshot.go
+++ b/internal/fleet/statemachine/snapshot.go
@@ -24,21 +24,21 @@
 }
 
 type state struct {
-	Now   time.Duration `json:"now"`
-	Fence uint64        `json:"fence"`
-	Over  time.Duration `json:"over"`
-	Epoch uint64        `json:"era,omitempty"` // 0, as in older ones: the first
-	Seen  []id          `json:"seen,omitempty"`
-	Parts []saved       `json:"parts"`
+	Now       time.Duration `json:"now"`
+	Fence     uint64        `json:"fence"`
+	StaleUpTo time.Duration `json:"over"`
+	Epoch     uint64        `json:"era,omitempty"` // 0, as in older ones: the first
+	Seen      []id          `json:"seen,omitempty"`
+	Parts     []savedPart   `json:"parts"`
 }
 
-type saved struct {
+type savedPart struct {
 	Name string          `json:"name"`
 	Raw  json.RawMessage `json:"raw"`
 }
 
 func (l *Machine) state() (state, error) {
-	st := state{Now: l.now, Fence: l.fence, Over: l.over, Seen: l.seen}
+	st := state{Now: l.now, Fence: l.fence, StaleUpTo: l.staleUpTo, Seen: l.seen}
 	if l.epoch > 1 {
 		st.Epoch = l.epoch
 	}
@@ -50,7 +50,7 @@
 		if err != nil {
 			return state{}, fmt.Errorf("statemachine: part %s: %w", name, err)
 		}
-		st.Parts = append(st.Parts, saved{name, raw})
+		st.Parts = append(st.Parts, savedPart{name, raw})
 	}
 	return st, nil
 }
@@ -77,12 +77,12 @@
 // Load takes a snapshot's state in place of its own and ends a halt. One that is torn, not one, or of another version is
 // refused in words and changes nothing.
 func (l *Machine) Load(raw []byte) error {
-	body, err := open(raw)
+	body, err := checkHeader(raw)
 	if err != nil {
 		return err
 	}
 	var snap snapshot
-	if err := Strict(body, &snap); err != nil {
+	if err := DecodeStrict(body, &snap); err != nil {
 		return fmt.Errorf("statemachine: snapshot can not be read: %w", err)
 	}
 	if len(snap.Seen) > MaxRetainedIDs {
@@ -92,24 +92,24 @@
 	for _, s := range snap.Seen {
 		ids[s.ID] = true
 	}
-	if err := l.known(snap.Parts); err != nil {
+	if err := l.checkPartNames(snap.Parts); err != nil {
 		return err
 	}
 	before, err := l.state()
 	if err != nil {
 		return err
 	}
-	if err := l.fill(snap.Parts); err != nil {
-		return errors.Join(err, l.fill(before.Parts))
+	if err := l.loadParts(snap.Parts); err != nil {
+		return errors.Join(err, l.loadParts(before.Parts))
 	}
-	l.index, l.now, l.fence, l.over, l.seen, l.ids = snap.Index, snap.Now, snap.Fence, snap.Over, snap.Seen, ids
+	l.index, l.now, l.fence, l.staleUpTo, l.seen, l.ids = snap.Index, snap.Now, snap.Fence, snap.StaleUpTo, snap.Seen, ids
 	l.epoch = max(snap.Epoch, 1)
 	l.halted = nil
 	return nil
 }
 
 // known refuses a snapshot's parts if one is not a part here, or one of here that is no Optional is missing.
-func (l *Machine) known(parts []saved) error {
+func (l *Machine) checkPartNames(parts []savedPart) error {
 	for i, p := range parts {
 		if l.parts[p.Name] == nil || i > 0 && parts[i-1].Name >= p.Name {
 			return fmt.Errorf("%w: snapshot of part %q, which this program does not have in that place", ErrVersion, p.Name)
@@ -117,7 +117,7 @@
 	}
 	for _, name := range l.names {
 		_, later := l.parts[name].(Optional)
-		if !later && !slices.ContainsFunc(parts, func(p saved) bool { return p.Name == name }) {
+		if !later && !slices.ContainsFunc(parts, func(p savedPart) bool { return p.Name == name }) {
 			return fmt.Errorf("%w: snapshot of %d parts without %q, which this program has", ErrVersion, len(parts), name)
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // fill loads parts that are known; a Optional that is not among them is emptied.
-func (l *Machine) fill(parts []saved) error {
+func (l *Machine) loadParts(parts []savedPart) error {
 	for _, name := range l.names {
 		if len(parts) == 0 || parts[0].Name != name {
 			l.parts[name].(Optional).Clear()
@@ -140,7 +140,7 @@
 }
 
 // open checks the line before the body.
-func open(raw []byte) ([]byte, error) {
+func checkHeader(raw []byte) ([]byte, error) {
 	line, body, ok := bytes.Cut(raw, []byte("\n"))
 	words := strings.Fields(string(line[:min(len(line), 256)]))
 	if !ok || len(words) != 4 || words[0] != magic {
