--- a/internal/fleet/agreedstate/copy.go
+++ b/internal/fleet/agreedstate/copy.go
@@ -1,5 +1,5 @@
-// Package agreedstate is one co-ordinator's copy of the agreed state: a voter's raft group applies commands to it; without a vote
-// the replies to its polls do.
+// Package agreedstate holds one co-ordinator's copy of the agreed state. On a voter the raft group applies commands to it; on any other
+// co-ordinator the leader's replies to polls update it.
 package agreedstate
 
 import (
@@ -15,29 +15,29 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Copy is the state machine with its parts, and the raft group that applies to it.
+// Copy is the state machine with its parts, and the raft group that applies commands to it.
 type Copy struct {
 	mu          sync.Mutex
-	group       *raftgroup.Group // nil: without a vote
+	group       *raftgroup.Group // nil on a co-ordinator without a vote
 	Machine     *statemachine.Machine
 	Maintenance *maintenance.State
 	Sessions    *session.State
 	Lanes       *laneconfig.State
 }
 
-// Names of the parts in the state machine; they are stored, so they keep the words of earlier versions.
+// Names of the parts in the state machine. They are stored, so they must not change.
 const (
 	MaintenancePart = "takeout"
 	SessionsPart    = "sessions"
 )
 
-// New makes the empty copy of a co-ordinator without a vote.
+// New returns an empty copy without a raft group.
 func New() *Copy {
-	s, b, l := maintenance.New(), session.New(), laneconfig.New()
-	return &Copy{Maintenance: s, Sessions: b, Lanes: l, Machine: statemachine.New(map[string]statemachine.Part{MaintenancePart: s, SessionsPart: b, laneconfig.Part: l})}
+	s, b, machine := maintenance.New(), session.New(), laneconfig.New()
+	return &Copy{Maintenance: s, Sessions: b, Lanes: machine, Machine: statemachine.New(map[string]statemachine.Part{MaintenancePart: s, SessionsPart: b, laneconfig.Part: machine})}
 }
 
-// WithLock calls do while no command is applied; do must not wait.
+// WithLock calls do while no command is applied; do must not block.
 func (c *Copy) WithLock(do func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,61 +48,63 @@
 	do()
 }
 
-// Attach gives the copy to a raft group; nil takes it back, and the group must not apply any more then.
-func (c *Copy) Attach(seat *raftgroup.Group) {
+// Attach hands the copy over to a raft group, which alone applies commands from then on. nil detaches it; the group must have
+// stopped applying by then.
+func (c *Copy) Attach(group *raftgroup.Group) {
 	c.mu.Lock()
-	c.group = seat
+	c.group = group
 	c.mu.Unlock()
 }
 
-// Group is the raft group that applies to the copy, nil for none.
+// Group returns the raft group that applies commands to the copy, or nil.
 func (c *Copy) Group() *raftgroup.Group {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.group
 }
 
-// Epoch of the log that the copy is of.
+// Epoch returns the epoch of the log that the copy was built from.
 func (c *Copy) Epoch() (epoch uint64) {
 	c.WithLock(func() { epoch = c.Machine.Epoch() })
 	return epoch
 }
 
-// ApplyReply applies what a reply of the leader brought, unless a raft group applies to this copy. It says why the copy can't go
-// on from it: entries that follow on what is missing here, or a snapshot that can't be read.
-func (c *Copy) ApplyReply(w peerproto.Reply) error {
+// ApplyReply applies the entries or the snapshot of a reply of the leader, unless a raft group applies commands to this copy. It
+// returns an error if the reply can't be applied: it is of another epoch, entries before its own are missing here, or its snapshot
+// can't be decoded.
+func (c *Copy) ApplyReply(reply peerproto.Reply) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.Machine
-	if c.group != nil || l.Halted() != nil {
+	machine := c.Machine
+	if c.group != nil || machine.Halted() != nil {
 		return nil
 	}
-	epoch := max(w.Epoch, 1)
-	if epoch < l.Epoch() {
-		return fmt.Errorf("replies of epoch %d, this copy is of %d", epoch, l.Epoch())
+	epoch := max(reply.Epoch, 1)
+	if epoch < machine.Epoch() {
+		return fmt.Errorf("the reply is of epoch %d, this copy of epoch %d", epoch, machine.Epoch())
 	}
-	if epoch == l.Epoch() && w.Index <= l.Index() {
-		w.Snapshot, w.Packed = nil, nil // nothing new
+	if epoch == machine.Epoch() && reply.Index <= machine.Index() {
+		reply.Snapshot, reply.Packed = nil, nil // the copy is already at this index
 	}
-	state, err := w.DecodeSnapshot()
+	state, err := reply.DecodeSnapshot()
 	if err != nil {
 		return err
 	}
-	if epoch > l.Epoch() && len(state) == 0 {
-		return fmt.Errorf("entries of epoch %d, this copy is of %d", epoch, l.Epoch())
+	if epoch > machine.Epoch() && len(state) == 0 {
+		return fmt.Errorf("the entries are of epoch %d, this copy of epoch %d", epoch, machine.Epoch())
 	}
 	if len(state) > 0 {
-		return l.Load(state)
+		return machine.Load(state)
 	}
-	if len(w.Entries) > 0 && w.After > l.Index() {
-		return fmt.Errorf("entries follow on %d, this copy stands at %d", w.After, l.Index())
+	if len(reply.Entries) > 0 && reply.After > machine.Index() {
+		return fmt.Errorf("the entries follow index %d, this copy is at index %d", reply.After, machine.Index())
 	}
-	for _, e := range w.Entries {
-		if e.Index <= l.Index() {
+	for _, e := range reply.Entries {
+		if e.Index <= machine.Index() {
 			continue
 		}
-		if err := l.Apply(e.Index, e.Raw); errors.Is(err, statemachine.ErrVersion) {
-			return nil // halted; the next step sees it
+		if err := machine.Apply(e.Index, e.Raw); errors.Is(err, statemachine.ErrVersion) {
+			return nil // the machine has halted; callers check Halted
 		}
 	}
 	return nil
--- a/internal/fleet/agreedstate/copy_test.go
+++ b/internal/fleet/agreedstate/copy_test.go
@@ -12,6 +12,7 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
+// tick returns the encoded tick command of an agreed time.
 func tick(t *testing.T, at time.Duration) []byte {
 	t.Helper()
 	raw, err := statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(at), Part: MaintenancePart, Kind: "tick", At: at, Body: []byte("{}")}.Encode()
@@ -21,26 +22,26 @@
 	return raw
 }
 
-// A copy without a seat goes on from words: entries in order, none twice, none after a gap, a snapshot only forwards. One
-// that can't be understood halts it.
+// A copy without a raft group applies replies: entries in order, none twice, none after a gap, and a snapshot only if it is newer. A
+// command of an unknown version halts it.
 func TestCopyAppliesRepliesInOrder(t *testing.T) {
 	c := New()
 	entry := func(index uint64) peerproto.Entry {
 		return peerproto.Entry{Index: index, Raw: tick(t, time.Duration(index))}
 	}
 	for _, step := range []struct {
-		w     peerproto.Reply
+		reply peerproto.Reply
 		index uint64
-		wrong bool
+		fails bool
 	}{
 		{peerproto.Reply{After: 0, Index: 5, Entries: []peerproto.Entry{entry(3), entry(5)}}, 5, false},
-		{peerproto.Reply{After: 3, Index: 7, Entries: []peerproto.Entry{entry(5), entry(7)}}, 7, false}, // of a poll before
+		{peerproto.Reply{After: 3, Index: 7, Entries: []peerproto.Entry{entry(5), entry(7)}}, 7, false}, // reply to an earlier poll, overlapping
 		{peerproto.Reply{After: 9, Index: 11, Entries: []peerproto.Entry{entry(11)}}, 7, true},
 		{peerproto.Reply{After: 7, Index: 9}, 7, false},
 		{peerproto.Reply{Index: 20, Snapshot: []byte("torn")}, 7, true},
 	} {
-		if err := c.ApplyReply(step.w); (err != nil) != step.wrong || c.Machine.Index() != step.index {
-			t.Errorf("%+v: %v, stands at %d", step.w, err, c.Machine.Index())
+		if err := c.ApplyReply(step.reply); (err != nil) != step.fails || c.Machine.Index() != step.index {
+			t.Errorf("%+v: %v, index %d", step.reply, err, c.Machine.Index())
 		}
 	}
 	snapshot, err := c.Machine.Save()
@@ -49,7 +50,7 @@
 	}
 	d := New()
 	if err := d.ApplyReply(peerproto.Reply{Index: 7, Snapshot: snapshot}); err != nil || d.Machine.Digest() != c.Machine.Digest() {
-		t.Errorf("%v, another state", err)
+		t.Errorf("%v, or the loaded state differs", err)
 	}
 	if err := d.ApplyReply(peerproto.Reply{After: 7, Index: 8, Entries: []peerproto.Entry{{Index: 8, Raw: []byte(`{"v":9}`)}}}); err != nil {
 		t.Error(err)
@@ -59,7 +60,7 @@
 	}
 }
 
-// A copy takes the state of a newer era in place of its own, however far its own index is, and nothing more of an older one.
+// A copy replaces its state by that of a newer epoch, even if its own index is higher, and then refuses replies of the older epoch.
 func TestCopyLoadsStateOfNewerEpoch(t *testing.T) {
 	c, behind := New(), New()
 	entry := func(index uint64) peerproto.Entry {
@@ -74,25 +75,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	era := behind.Epoch()
-	if err := c.ApplyReply(peerproto.Reply{Index: 10, Epoch: era, Entries: []peerproto.Entry{entry(10)}}); err == nil || c.Machine.Index() != 9 {
-		t.Errorf("entries of a newer era were taken: %v", err)
+	epoch := behind.Epoch()
+	if err := c.ApplyReply(peerproto.Reply{Index: 10, Epoch: epoch, Entries: []peerproto.Entry{entry(10)}}); err == nil || c.Machine.Index() != 9 {
+		t.Errorf("entries of a newer epoch were applied: %v", err)
 	}
-	if err := c.ApplyReply(peerproto.Reply{Index: 4, Epoch: era, Snapshot: snapshot}); err != nil || c.Machine.Index() != 4 || c.Epoch() != era {
-		t.Errorf("%v: stands at %d of era %d", err, c.Machine.Index(), c.Epoch())
+	if err := c.ApplyReply(peerproto.Reply{Index: 4, Epoch: epoch, Snapshot: snapshot}); err != nil || c.Machine.Index() != 4 || c.Epoch() != epoch {
+		t.Errorf("%v: index %d of epoch %d", err, c.Machine.Index(), c.Epoch())
 	}
 	old, err := New().Machine.Save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range []peerproto.Reply{{Index: 12, Entries: []peerproto.Entry{entry(12)}}, {Index: 12, Snapshot: old}} {
-		if err := c.ApplyReply(w); err == nil || c.Machine.Index() != 4 || c.Epoch() != era {
-			t.Errorf("a word of an older era was taken: %v", err)
+	for _, reply := range []peerproto.Reply{{Index: 12, Entries: []peerproto.Entry{entry(12)}}, {Index: 12, Snapshot: old}} {
+		if err := c.ApplyReply(reply); err == nil || c.Machine.Index() != 4 || c.Epoch() != epoch {
+			t.Errorf("a reply of an older epoch was applied: %v", err)
 		}
 	}
 }
 
-// What programs without lanes have saved is read, and what is saved while there are none is read by them.
+// A state saved by a program without lanes can be loaded, and a state saved while no lanes are set can be loaded by such a program.
 func TestStateWithoutLanesIsCompatible(t *testing.T) {
 	older := statemachine.New(map[string]statemachine.Part{MaintenancePart: maintenance.New(), SessionsPart: session.New()})
 	if err := older.Apply(3, tick(t, 5)); err != nil {
--- a/internal/fleet/agreedstate/restored.go
+++ b/internal/fleet/agreedstate/restored.go
@@ -6,19 +6,20 @@
 	"birchcart/internal/fleet/drainctl"
 )
 
-// Restored is a copy whose snapshot, the one that a restored raft group goes on from, begins a new epoch.
+// Restored is a copy that begins a new epoch when it is saved. A restored raft group starts from that snapshot.
 type Restored struct {
 	*Copy
-	StoppedBy time.Time // when the voters of the raft group before had stopped at the latest
+	StoppedBy time.Time // latest time at which a voter of the replaced raft group was running
 }
 
-// Apply implements raftgroup's machine.
+// Apply implements the state machine of package raftgroup.
 func (r *Restored) Apply(index uint64, raw []byte) error { return r.Machine.Apply(index, raw) }
 
-// Load implements raftgroup's machine.
+// Load implements the state machine of package raftgroup.
 func (r *Restored) Load(raw []byte) error { return r.Machine.Load(raw) }
 
-// Save implements raftgroup's machine: nothing is granted in the new epoch before all that was granted in the old one is over.
+// Save implements the state machine of package raftgroup. It begins the new epoch, in which nothing is granted until all grants of
+// the old epoch have expired.
 func (r *Restored) Save() ([]byte, error) {
 	limits, _ := r.Maintenance.Limits()
 	now := time.Duration(time.Now().UnixNano())
--- a/internal/fleet/atomicfile/atomicfile.go
+++ b/internal/fleet/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile replaces files as a whole, so that a reader or a crash sees the old content or the new one.
+// Package atomicfile replaces files atomically: a reader, or a start after a crash, sees either the old content or the new one.
 package atomicfile
 
 import (
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// WriteJSON replaces a file by the JSON of content, as a whole or not at all: it writes beside it first, syncs, and renames.
+// WriteJSON atomically replaces a file by the JSON encoding of content: it writes a temporary file in the same folder, syncs and renames it.
 func WriteJSON(path string, content any) error {
 	raw, err := json.MarshalIndent(content, "", " ")
 	if err != nil {
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // gone already if it took its place
+	defer os.Remove(f.Name()) // fails harmlessly after the rename
 	_, err = f.Write(append(raw, '\n'))
 	err = errors.Join(err, f.Chmod(0o644), f.Sync(), f.Close())
 	if err != nil {
--- a/internal/fleet/compress/compress.go
+++ b/internal/fleet/compress/compress.go
@@ -1,5 +1,5 @@
-// Package compress is compression of large agreed commands and states, for the log and for links: the same bytes in give the same bytes out, and
-// what comes out of an unpacking is bounded before it is made. Pure.
+// Package compress compresses large agreed commands and states for the log and for the network. The output is deterministic, and the size
+// of unpacked data is limited before memory is allocated for it.
 package compress
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Window is how far back a repetition is found: a machine's name in an item after the whole inventory. Twice as much: memory
-// of whoever packs; half: names of a large fleet are written twice.
+// Window is the distance, in bytes, within which a repetition is found; it covers a machine's name in an item that follows the whole
+// inventory. Twice as much costs memory when packing; with half, the names of a large fleet are stored twice.
 const Window = 8 << 20
 
-// untold: frames of fewer bytes do not tell how many they hold.
+// maxUnstatedSize bounds the content of frames whose header does not state its size: only frames of less content omit it.
 const maxUnstatedSize = 256
 
 var encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(Window), zstd.WithEncoderLevel(zstd.SpeedDefault))
 })
 
-// Pack gives raw as one frame with a checksum.
+// Pack compresses raw to one frame with a checksum.
 func Pack(raw []byte) ([]byte, error) {
 	e, err := encoder()
 	if err != nil {
@@ -29,28 +29,28 @@
 	return e.EncodeAll(raw, nil), nil
 }
 
-// Unpack gives what Pack was given. A frame that is torn, damaged or holds over most bytes is refused, without room made
-// for more than that.
-func Unpack(packed []byte, most int) ([]byte, error) {
-	var head zstd.Header
-	if err := head.Decode(packed); err != nil {
+// Unpack returns the content that Pack compressed. It refuses a frame that is truncated, damaged or holds more than maxSize bytes,
+// without allocating memory for more than that.
+func Unpack(packed []byte, maxSize int) ([]byte, error) {
+	var header zstd.Header
+	if err := header.Decode(packed); err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
-	size := head.FrameContentSize
-	if !head.HasFCS {
+	size := header.FrameContentSize
+	if !header.HasFCS {
 		size = maxUnstatedSize
 	}
-	if head.Skippable || !head.HasCheckSum || head.HasFCS && size > uint64(most) {
-		return nil, fmt.Errorf("pack: a frame of %d bytes (with a checksum: %v), %d at most", size, head.HasCheckSum, most)
+	if header.Skippable || !header.HasCheckSum || header.HasFCS && size > uint64(maxSize) {
+		return nil, fmt.Errorf("pack: frame of %d bytes (checksum present: %v), limit %d", size, header.HasCheckSum, maxSize)
 	}
-	// The window counts as memory too; it is at least 1 KB in any frame.
-	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(max(most, 1<<10))),
+	// The memory limit includes the window, which is at least 1 KB in any frame.
+	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(max(maxSize, 1<<10))),
 		zstd.WithDecoderMaxWindow(Window), zstd.WithDecodeAllCapLimit(true))
 	if err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
 	defer d.Close()
-	raw, err := d.DecodeAll(packed, make([]byte, 0, min(size, uint64(most))))
+	raw, err := d.DecodeAll(packed, make([]byte, 0, min(size, uint64(maxSize))))
 	if err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
--- a/internal/fleet/compress/compress_test.go
+++ b/internal/fleet/compress/compress_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// What is packed comes back, and any frame that was changed, cut or holds more than is allowed is refused.
+// Unpack returns what was packed, and refuses any frame that was changed, truncated or holds more than allowed.
 func TestPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := bytes.Repeat(rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "raw"), rapid.IntRange(1, 2000).Draw(t, "times"))
@@ -15,24 +15,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back, err := Unpack(packed, len(raw)); err != nil || !bytes.Equal(back, raw) {
-			t.Fatalf("%d bytes came back as %d: %v", len(raw), len(back), err)
+		if unpacked, err := Unpack(packed, len(raw)); err != nil || !bytes.Equal(unpacked, raw) {
+			t.Fatalf("%d bytes were unpacked as %d: %v", len(raw), len(unpacked), err)
 		}
 		if _, err := Unpack(packed, len(raw)-1); err == nil {
-			t.Fatal("more than allowed was taken")
+			t.Fatal("a frame that holds more than allowed was unpacked")
 		}
 		if _, err := Unpack(packed[:rapid.IntRange(0, len(packed)-1).Draw(t, "cut")], len(raw)); err == nil {
-			t.Fatal("a torn frame was taken")
+			t.Fatal("a truncated frame was unpacked")
 		}
 		at := rapid.IntRange(0, len(packed)-1).Draw(t, "at")
 		packed[at] ^= byte(1 + rapid.IntRange(0, 254).Draw(t, "flip"))
-		if back, err := Unpack(packed, len(raw)); err == nil && !bytes.Equal(back, raw) {
-			t.Fatal("a damaged frame gave something else")
+		if unpacked, err := Unpack(packed, len(raw)); err == nil && !bytes.Equal(unpacked, raw) {
+			t.Fatal("a damaged frame was unpacked to other content")
 		}
 	})
 }
 
-// A frame that says little and holds much makes no room for it.
+// A small frame with a large content is refused without allocating memory for the content.
 func TestUnpackBoundsMemory(t *testing.T) {
 	packed, err := Pack(make([]byte, 64<<20))
 	if err != nil {
--- a/internal/fleet/drains_test.go
+++ b/internal/fleet/drains_test.go
@@ -9,13 +9,13 @@
 	"birchcart/internal/operator"
 )
 
-// The folder of the start counts until the end, whatever a file that is read again says.
+// The drain store stays in the folder configured at start, even if a reloaded operators' file names another folder.
 func TestDrainStoreKeepsStartDirAfterReload(t *testing.T) {
 	file := func(dir string) *operator.File { return &operator.File{Fleet: &operator.Fleet{Dir: dir}} }
 	n := &Node{dir: "a", file: file("a")}
 	drains := n.newDrainStore()
 	n.file = file("b")
 	if got := drains.Path(); got != filepath.Join("a", drainstore.FileName) {
-		t.Errorf("the drains are kept in %s", got)
+		t.Errorf("the drains are stored in %s", got)
 	}
 }
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -6,7 +6,7 @@
 	"birchcart/internal/fleet/store"
 )
 
-// wireEpoch is an epoch as it is sent: the first is left out, as by programs that know of none.
+// wireEpoch returns an epoch as it is sent. The first epoch is sent as 0, which is also what programs without epochs send.
 func wireEpoch(epoch uint64) uint64 {
 	if epoch <= 1 {
 		return 0
@@ -14,21 +14,21 @@
 	return epoch
 }
 
-// supersede closes a voter in a raft group that another one, set up anew, has replaced: what this one holds counts for
-// nothing any more. It follows the new one then, and is added as any new voter.
+// supersede closes the own voter when a restored raft group of a newer epoch has replaced its raft group; the state of the
+// old group is no longer valid. This co-ordinator then follows the new group and is added to it like any new voter.
 func (n *Node) supersede(from string, epoch uint64) {
 	if n.superseded || n.raftGroup == nil || n.raftGroup.Last() == 0 {
-		return // one that was only just added has nothing of an earlier group
+		return // a voter that was only just added holds no log of an earlier group
 	}
 	n.superseded = true
-	n.log.WithField("from", from).WithField("era", epoch).Warn("the raft group was set up anew without this voter: its own log is of before, and is put aside")
+	n.log.WithField("from", from).WithField("era", epoch).Warn("a raft group of a newer epoch replaced the one of this voter: its log is obsolete and is put aside")
 	if n.term != 0 {
 		n.stepDown()
 	}
 	n.closeVoter()
 }
 
-// archiveLog moves the files of a superseded voter to where no voter opens them again. They are kept.
+// archiveLog moves the files of a superseded voter to an archive folder, so that no voter opens them again. They are not deleted.
 func (n *Node) archiveLog() {
 	if !n.superseded {
 		return
@@ -37,7 +37,7 @@
 	dir := n.file.Fleet.Dir
 	if err := store.Archive(dir, fmt.Sprintf("era-%d", n.state.Epoch())); err != nil {
 		n.storeLost = true
-		n.log.WithError(err).Error("the log of before can't be put aside: this co-ordinator follows without a vote")
+		n.log.WithError(err).Error("archiving the obsolete raft log failed: this co-ordinator follows without a vote")
 		return
 	}
 	n.storeLost = false
--- a/internal/fleet/fleetfile/fleetfile.go
+++ b/internal/fleet/fleetfile/fleetfile.go
@@ -1,5 +1,5 @@
-// Package fleetfile turns the fleet section of the operators' file into what is agreed: limits, maintenance requests and warnings.
-// Pure.
+// Package fleetfile converts the fleet section of the operators' file to the limits and maintenance requests that the fleet agrees on, and
+// finds requests that can't be granted. Its functions have no side effects.
 package fleetfile
 
 import (
@@ -14,10 +14,10 @@
 	"birchcart/policy"
 )
 
-// Milliseconds is a setting's number of milliseconds as a duration.
+// Milliseconds converts a setting in milliseconds to a duration.
 func Milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// Limits are what the agreed maintenance order keeps to, from the section, placement and settings.
+// Limits returns the limits that the agreed maintenance order observes, from the fleet section, the placement section and the settings.
 func Limits(f *operator.File, cfg *policy.Config) maintenance.LimitsBody {
 	fl := f.Fleet
 	return maintenance.LimitsBody{Revision: fl.Revision, Limits: maintenance.Limits{
@@ -29,7 +29,7 @@
 	}}
 }
 
-// Requests is all that the operators request, in the file's order.
+// Requests returns all maintenance requests of the file, in its order.
 func Requests(f *operator.File) maintenance.RequestsBody {
 	fl := f.Fleet
 	out := maintenance.RequestsBody{Revision: fl.Revision, Paused: fl.Paused, Requests: make([]maintenance.Request, len(fl.Work))}
@@ -39,9 +39,10 @@
 	return out
 }
 
-// request is the agreed form of one item of work; its ID is a digest of all the rest.
+// request converts one item of work to its agreed form. Its ID is a digest of all other fields, so that every co-ordinator derives the
+// same ID.
 func request(w *operator.Work) maintenance.Request {
-	at := func(text string) time.Duration {
+	moment := func(text string) time.Duration {
 		t, err := operator.Moment(text)
 		if err != nil || t.IsZero() {
 			return 0
@@ -50,14 +51,14 @@
 	}
 	r := maintenance.Request{
 		Names: slices.Sorted(slices.Values(w.Names)), Kind: maintenance.Kind(w.Kind), Zone: w.Zone, Prefix: w.Prefix, Reason: w.Reason,
-		MaxOutage: time.Duration(w.For * float64(time.Second)), Earliest: at(w.Earliest), Latest: at(w.Latest),
+		MaxOutage: time.Duration(w.For * float64(time.Second)), Earliest: moment(w.Earliest), Latest: moment(w.Latest),
 	}
 	if w.Priority == "urgent" {
 		r.Priority = maintenance.Urgent
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // texts, numbers and lists of texts
+		panic(err) // can't happen: strings, numbers and lists of strings
 	}
 	sum := sha256.Sum256(raw)
 	r.ID = hex.EncodeToString(sum[:12])
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -11,6 +11,7 @@
 	"birchcart/policy"
 )
 
+// file returns an operators' file with five voters and the given work.
 func file(t *testing.T, work string) *operator.File {
 	t.Helper()
 	f, err := operator.Read([]byte(`{"version":1,"placement":{"holders_least":2},"fleet":{"revision":7,"voters":{` +
@@ -23,7 +24,7 @@
 	return f
 }
 
-// What is agreed is what the files say, with the file's units made into times and the usual where it says nothing.
+// Limits converts the file's units to durations and applies the defaults of settings that are absent.
 func TestLimitsFromFileAndSettings(t *testing.T) {
 	got := Limits(file(t, `[]`), &policy.Config{Cells: 6, Reach: 2, Shards: 12, WarmUp: 1.5})
 	want := maintenance.LimitsBody{Revision: 7, Limits: maintenance.Limits{
@@ -36,13 +37,13 @@
 	}
 }
 
-// One request from many instances: its number says what it says, whatever the order of its names; anything else makes
-// another number. The agreed state takes all of them.
+// The same request gets the same ID from every co-ordinator, whatever the order of its names and keys; any other difference gives
+// another ID. The agreed state accepts all of these requests.
 func TestRequestIDDependsOnContent(t *testing.T) {
 	const base = `{"names":["r1","r2"],"reason":"disk","for_s":60}`
 	id := func(work string) string { return Requests(file(t, "["+work+"]")).Requests[0].ID }
 	if id(base) != id(`{"for_s":60.0,"reason":"disk","names":["r2","r1"],"priority":"routine"}`) {
-		t.Error("the same request has two numbers")
+		t.Error("the same request has two IDs")
 	}
 	seen := map[string]string{id(base): base}
 	var all []string
@@ -58,23 +59,23 @@
 		`{"kind":"replica","zone":"z","reason":"disk","for_s":60}`,
 		`{"prefix":"z","reason":"disk","for_s":60}`,
 	} {
-		n := id(other)
-		if seen[n] != "" {
-			t.Errorf("%s and %s have one number", other, seen[n])
+		requestID := id(other)
+		if seen[requestID] != "" {
+			t.Errorf("%s and %s have the same ID", other, seen[requestID])
 		}
-		seen[n] = other
+		seen[requestID] = other
 		all = append(all, other)
 	}
-	asks := Requests(file(t, "["+strings.Join(all, ",")+"]"))
-	if r := asks.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.MaxOutage != time.Minute {
+	requests := Requests(file(t, "["+strings.Join(all, ",")+"]"))
+	if r := requests.Requests[5]; r.Latest != time.Duration(time.Date(2026, 12, 2, 21, 0, 0, 0, time.UTC).UnixNano()) || r.MaxOutage != time.Minute {
 		t.Errorf("%+v", r)
 	}
-	if err := applyRequests(asks); err != nil {
+	if err := applyRequests(requests); err != nil {
 		t.Error(err)
 	}
 }
 
-// Work on a voter of a raft group of three is warned of; of five it is not, nor is work on others.
+// Work on a voter causes a warning if the raft group has three voters, but not if it has five. Work on other machines never does.
 func TestWarningsForWorkOnNeededVoters(t *testing.T) {
 	f := file(t, `[{"names":["a","r1"],"reason":"disk","for_s":60},{"kind":"co-ordinator","reason":"disk","for_s":60},
 		{"prefix":"r","reason":"disk","for_s":60},{"kind":"replica","reason":"disk","for_s":60},{"names":["x"],"reason":"disk","for_s":60},
@@ -95,12 +96,13 @@
 		t.Errorf("%q", got)
 	}
 	if Warnings(nil) != nil || Warnings(&operator.File{}) != nil {
-		t.Error("warned of no fleet")
+		t.Error("warnings for a file without a fleet section")
 	}
 }
 
-func applyRequests(asks maintenance.RequestsBody) error {
-	body, err := json.Marshal(asks)
+// applyRequests applies requests to an empty maintenance state.
+func applyRequests(requests maintenance.RequestsBody) error {
+	body, err := json.Marshal(requests)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/grantsfile/grantsfile.go
+++ b/internal/fleet/grantsfile/grantsfile.go
@@ -1,4 +1,4 @@
-// Package grantsfile writes the file with grants that the site's tools read.
+// Package grantsfile writes the file of maintenance grants that the site's tools read.
 package grantsfile
 
 import (
@@ -15,40 +15,40 @@
 )
 
 const (
-	// Version of the file.
+	// Version is the format version of the file.
 	Version = 1
-	// MaxItems in the file; those that ended longest ago are left out first.
+	// MaxItems is the most items in the file; the items that ended longest ago are left out first.
 	MaxItems = 4096
-	// ItemRetention is how long, in agreed time, an ended item stays in the file. Twice as long: twice the file at the end of
-	// a large swap; half: tools that look every few minutes miss an end.
+	// ItemRetention is how long, in agreed time, an ended item stays in the file. Twice as long doubles the file at the
+	// end of a large swap; with half, tools that read it every few minutes miss ended items.
 	ItemRetention = 10 * time.Minute
-	// WriteInterval is between two writings. Twice as long: tools see a grant so much later; half: twice the fsyncs.
+	// WriteInterval is the least time between writes. Twice as long delays grants by as much; half doubles the fsyncs.
 	WriteInterval = 100 * time.Millisecond
 )
 
-// File is what the site's tools read. Grants are those that may be begun; Items show the state of all.
+// File is the content of the file. Grants are those whose work may begin; Items show the state of all work.
 type File struct {
 	Version int                `json:"version"`
 	Name    string             `json:"name"`             // of the co-ordinator that wrote it
-	Leader  string             `json:"leader,omitempty"` // as far as it is known here
-	CutOff  bool               `json:"cut_off"`          // nothing was heard of the raft group for the lease: no grants are listed
-	Index   uint64             `json:"index"`            // of what was agreed
+	Leader  string             `json:"leader,omitempty"` // last known leader
+	CutOff  bool               `json:"cut_off"`          // the lease expired without a reply of the raft group: no grants are listed
+	Index   uint64             `json:"index"`            // index of the agreed state
 	Now     time.Duration      `json:"now"`              // agreed time
 	Grants  []Grant            `json:"grants"`
 	Items   []maintenance.Item `json:"items"`
 }
 
-// Grant is one machine that may be worked on, once the work has begun before StartBefore.
+// Grant allows work on one machine until Until, if the work begins before StartBefore.
 type Grant struct {
 	Machine     string    `json:"machine"`
-	Fence       uint64    `json:"fence"` // of one machine's grants it grows: a tool that saw a higher one of that machine must not act on a lower
+	Fence       uint64    `json:"fence"` // increases with each grant of a machine: a tool that saw a higher fence of that machine must not act on a lower one
 	Request     string    `json:"request"`
 	Reason      string    `json:"reason"`
 	StartBefore time.Time `json:"start_before"`
 	Until       time.Time `json:"until"`
 }
 
-// NewGrant is the line of a grant.
+// NewGrant converts a grant of the view to its form in the file.
 func NewGrant(g view.Grant, reason string) Grant {
 	return Grant{
 		Machine: g.Machine, Fence: g.Fence, Request: g.Request, Reason: reason,
@@ -56,7 +56,7 @@
 	}
 }
 
-// RecentItems are the items for the file: the open ones and those that ended lately.
+// RecentItems returns the items for the file: the open ones and those that ended within ItemRetention, MaxItems at most.
 func RecentItems(items []maintenance.Item, now time.Duration) []maintenance.Item {
 	out := slices.DeleteFunc(items, func(it maintenance.Item) bool { return it.EndedAt > 0 && now-it.EndedAt > ItemRetention })
 	for i := 0; len(out) > MaxItems && i < len(out); {
@@ -69,7 +69,7 @@
 	return out[:min(len(out), MaxItems)]
 }
 
-// Writer replaces the grants file in a goroutine of its own: of several contents that wait the newest is written.
+// Writer replaces the grants file in a separate goroutine. If several contents wait, only the newest is written.
 type Writer struct {
 	path string
 	log  *logrus.Entry
@@ -77,7 +77,7 @@
 	done sync.WaitGroup
 }
 
-// NewWriter makes a writer of the file at a path; "" for none.
+// NewWriter returns a writer of the file at path; with an empty path it writes nothing.
 func NewWriter(path string, log *logrus.Entry) *Writer {
 	w := &Writer{path: path, log: log, next: make(chan File, 1)}
 	if path != "" {
@@ -86,7 +86,7 @@
 	return w
 }
 
-// Put has a content written; it does not wait. It is called by one goroutine.
+// Put queues a content to be written, without blocking. Only one goroutine may call it.
 func (w *Writer) Put(f File) {
 	if w.path == "" {
 		return
@@ -98,7 +98,7 @@
 	w.next <- f
 }
 
-// Close waits until the newest content is written. Nothing may be put after it.
+// Close waits until the newest content is written. Put must not be called after it.
 func (w *Writer) Close() {
 	close(w.next)
 	w.done.Wait()
@@ -109,7 +109,7 @@
 	for f := range w.next {
 		err := atomicfile.WriteJSON(w.path, f)
 		if err != nil && !failed {
-			w.log.WithError(err).Error("the grants file can't be written; it is tried again with the next change")
+			w.log.WithError(err).Error("the grants file can't be written; the next change retries it")
 		}
 		failed = err != nil
 		time.Sleep(WriteInterval)
--- a/internal/fleet/grantsfile/grantsfile_test.go
+++ b/internal/fleet/grantsfile/grantsfile_test.go
@@ -15,12 +15,12 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// The file is whole whenever it is read, and the newest of what waits is written. What can't be written is told of once.
+// The file is replaced atomically, the newest waiting content is written, and a failure to write is logged once.
 func TestGrantsFileIsReplacedAtomically(t *testing.T) {
 	dir := t.TempDir()
-	var said strings.Builder
+	var output strings.Builder
 	log := logrus.New()
-	log.SetOutput(&said)
+	log.SetOutput(&output)
 	w := NewWriter(filepath.Join(dir, "grants"), logrus.NewEntry(log))
 	for i := range 500 {
 		w.Put(File{Version: Version, Index: uint64(i), Items: []maintenance.Item{{Machine: "r", Reason: strings.Repeat("x", i)}}})
@@ -32,13 +32,13 @@
 		t.Errorf("%v, index %d", err, f.Index)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 1 {
-		t.Errorf("%v are left", left)
+		t.Errorf("%v remain in the folder", left)
 	}
 	w = NewWriter(filepath.Join(dir, "none", "grants"), logrus.NewEntry(log))
 	w.Put(File{})
 	w.Close()
-	if strings.Count(said.String(), "can't be written") != 1 {
-		t.Error(said.String())
+	if strings.Count(output.String(), "can't be written") != 1 {
+		t.Error(output.String())
 	}
 }
 
@@ -48,7 +48,7 @@
 		all = append(all, maintenance.Item{Machine: fmt.Sprint(i), EndedAt: time.Duration(i%2) * time.Hour})
 	}
 	if out := RecentItems(slices.Clone(all), time.Hour); len(out) != MaxItems || slices.ContainsFunc(out[:100], func(it maintenance.Item) bool { return it.EndedAt > 0 }) {
-		t.Errorf("%d items, the first ended ones among them", len(out))
+		t.Errorf("%d items, or the items that ended first are among them", len(out))
 	}
 	if out := RecentItems(all, time.Hour+ItemRetention+1); len(out) != MaxItems/2+50 {
 		t.Errorf("%d items", len(out))
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,4 +1,5 @@
-// Package inventory turns the endpoint list and the gossip membership into the machines that the drain controller observes. Pure.
+// Package inventory turns the endpoint list and the gossip membership into the machines that the drain controller observes.
+// Its functions have no side effects.
 package inventory
 
 import (
@@ -13,7 +14,7 @@
 
 var replicaStatus = map[policy.Readiness]maintenance.Status{policy.Up: maintenance.Up, policy.Draining: maintenance.Terminating, policy.Removed: maintenance.Gone}
 
-// Machines is discovery's list as machines.
+// Machines converts the endpoint list of discovery to machines.
 func Machines(list []exchange.Endpoint) []maintenance.Machine {
 	out := make([]maintenance.Machine, len(list))
 	for i, e := range list {
@@ -26,13 +27,13 @@
 	return out
 }
 
-// MemberStatus is the status of a member by its state. One that is suspected may be healthy or not: nothing is known of it.
+// MemberStatus maps the gossip state of a member to its status. A suspected member may be healthy or not, so its status is unknown.
 var MemberStatus = map[member.State]maintenance.Status{
 	member.Alive: maintenance.Up, member.Suspect: maintenance.Unknown, member.Unknown: maintenance.Unknown, member.Dead: maintenance.Gone, member.Left: maintenance.Gone,
 }
 
-// Coordinators is the gossip membership as the drain controller takes it. Incarnations are times of start. Loads are those that
-// came with polls: they come more often than gossip brings them.
+// Coordinators converts the gossip membership to the members that the drain controller observes. A member's incarnation is its time of
+// start. Loads are taken from polls, which report them more often than gossip does.
 func Coordinators(list []member.Member, loads map[string]LoadReport, voters map[string]bool, now time.Duration) []drainctl.Member {
 	out := make([]drainctl.Member, len(list))
 	for i, m := range list {
@@ -45,10 +46,10 @@
 	return out
 }
 
-// LoadReport is the load of one co-ordinator as it last reported it, in mean replicas that it keeps busy.
+// LoadReport is the load of one co-ordinator as it last reported it, as the mean number of replicas that it keeps busy.
 type LoadReport struct {
 	Load  float64
 	Known bool
-	At    time.Duration // own time
-	Epoch uint64        // of the log that it goes by
+	At    time.Duration // own time at which the report arrived
+	Epoch uint64        // epoch of the sender's log
 }
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -9,7 +9,7 @@
 	"birchcart/internal/serve"
 )
 
-// openLanes begins the part in shedding load by lanes, if the section is there. It comes before the exchange runs.
+// openLanes starts load shedding by lanes if the operators' file has a lanes section. It must be called before the exchange runs.
 func (n *Node) openLanes(ctx context.Context, s serve.Host) {
 	if n.file.Fleet.Lanes == nil {
 		return
@@ -23,10 +23,11 @@
 	n.done.Go(func() { n.lanes.Run(ctx) })
 }
 
-// receive takes a message of another co-ordinator, from any goroutine. Those of lanes wait for no step of the node.
+// receive handles a message from another co-ordinator; any goroutine may call it. Messages of lanes are handled at once, without
+// waiting for a step of the node.
 func (n *Node) receive(from string, raw []byte) {
 	if len(raw) > 0 && raw[0] == lanepart.MessageKind {
-		if p := n.laneReceiver.Load(); p != nil { // else this one has no lanes
+		if p := n.laneReceiver.Load(); p != nil { // nil: lanes are not configured here
 			p.Receive(from, raw)
 		}
 		return
@@ -34,9 +35,9 @@
 	n.mailbox.Put(mailbox.Message{From: from, Raw: raw, At: n.now()})
 }
 
-// warnHeaderChange says what of a section that was read again waits for the next start.
-func (n *Node) warnHeaderChange(was, is *operator.Lanes) {
-	if was != nil && is != nil && was.Header != is.Header {
-		n.log.WithField("header", was.Header).Warn("marks are read from the header of the start; another one in the file counts at the next")
+// warnHeaderChange warns that a changed lane header in a reloaded file takes effect only at the next start.
+func (n *Node) warnHeaderChange(before, after *operator.Lanes) {
+	if before != nil && after != nil && before.Header != after.Header {
+		n.log.WithField("header", before.Header).Warn("lane marks are still read from the header configured at start; the changed header takes effect at the next start")
 	}
 }
--- a/internal/fleet/logadapter/logadapter.go
+++ b/internal/fleet/logadapter/logadapter.go
@@ -1,6 +1,5 @@
-// Package logadapter carries what the libraries of the fleet (consensus, gossip) write about themselves into our own log:
-// one line each, at its own level, and never more than a stated number, since a library that meets a fault says so
-// at each attempt.
+// Package logadapter forwards log lines of the libraries for consensus and gossip to the program's log. Each line keeps its level. The
+// number of lines is limited, because a library that meets a fault logs it at each attempt.
 package logadapter
 
 import (
@@ -16,31 +15,32 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Limits of what is written.
+// Limits of the forwarded lines.
 const (
-	// Window and Most: at most Most lines in a Window, and one of each kind; what is over is counted and told with the
-	// first line of the next window. A kind is a line's level and its text without numbers and what follows them in a
-	// word (terms, addresses, times). Twice as many: a broken link or a lost majority fills the log; half: the line that
-	// explains may be left out.
-	Window   = 10 * time.Second
+	// Window is the period in which at most MaxLines lines are written, one of each kind. Lines over the limit are counted, and the
+	// count is logged with the first line of the next window. A kind is a line's level and its text without numbers and the rest of
+	// the words that contain them (terms, addresses, times). With twice as many lines, a broken link or a lost majority fills the
+	// log; with half, the line that explains the fault may be left out.
+	Window = 10 * time.Second
+	// MaxLines is the most lines in a Window.
 	MaxLines = 20
 
-	// longest is the most of one line, in bytes, that is kept.
+	// maxLineLength is the number of bytes after which a line is truncated.
 	maxLineLength = 512
 )
 
-// Writer is an io.Writer of whole lines, as the libraries' loggers write them.
+// Writer is an io.Writer that takes one whole line per call, as the libraries' loggers write them.
 type Writer struct {
 	entry *logrus.Entry
 
 	mu          sync.Mutex
-	windowStart time.Time // the window
-	lines       int
+	windowStart time.Time // start of the window
+	lines       int       // written in the window
 	suppressed  int
-	kinds       map[string]bool // that were written in the window: Most at the most
+	kinds       map[string]bool // kinds written in the window, MaxLines at most
 }
 
-// kind of a line.
+// lineKind returns the kind of a line: its level and its text without the words' parts from a digit on.
 func lineKind(level logrus.Level, text string) string {
 	var b strings.Builder
 	b.WriteString(level.String())
@@ -49,7 +49,7 @@
 		switch {
 		case r >= '0' && r <= '9':
 			number = true
-		case number && !unicode.IsSpace(r): // the rest of an address, a time, a name of a machine
+		case number && !unicode.IsSpace(r): // the rest of an address, a time or a machine's name
 		default:
 			number = false
 			b.WriteRune(r)
@@ -58,17 +58,17 @@
 	return b.String()
 }
 
-// New writes to an entry; a nil one drops everything.
+// New returns a writer that logs to an entry; with nil it drops all lines.
 func New(to *logrus.Entry) *Writer { return &Writer{entry: to} }
 
-// Write takes a line that says its level itself, as "[WARN] memberlist: ...".
+// Write forwards a line that contains its level, such as "[WARN] memberlist: ...".
 func (w *Writer) Write(line []byte) (int, error) {
 	level := hclog.Info
 	for _, l := range []struct {
-		word  string
-		level hclog.Level
+		marker string
+		level  hclog.Level
 	}{{"[DEBUG]", hclog.Debug}, {"[WARN]", hclog.Warn}, {"[ERR", hclog.Error}, {"[TRACE]", hclog.Trace}} {
-		if bytes.Contains(line, []byte(l.word)) {
+		if bytes.Contains(line, []byte(l.marker)) {
 			level = l.level
 			break
 		}
@@ -76,7 +76,7 @@
 	return w.LevelWrite(level, line)
 }
 
-// LevelWrite takes a line and its level.
+// LevelWrite forwards a line at a level.
 func (w *Writer) LevelWrite(level hclog.Level, line []byte) (int, error) {
 	out := logrus.DebugLevel
 	switch level {
@@ -93,24 +93,24 @@
 		text = text[i+2:]
 	}
 	text = strings.TrimSpace(text)
-	of := lineKind(out, text)
+	kind := lineKind(out, text)
 	w.mu.Lock()
 	now := time.Now()
-	over := 0
+	suppressed := 0
 	if now.Sub(w.windowStart) >= Window {
-		w.windowStart, w.lines, over, w.suppressed = now, 0, w.suppressed, 0
+		w.windowStart, w.lines, suppressed, w.suppressed = now, 0, w.suppressed, 0
 		w.kinds = map[string]bool{}
 	}
-	drop := w.kinds[of] || w.lines >= MaxLines
+	drop := w.kinds[kind] || w.lines >= MaxLines
 	if drop {
 		w.suppressed++
 	} else {
 		w.lines++
-		w.kinds[of] = true
+		w.kinds[kind] = true
 	}
 	w.mu.Unlock()
-	if over > 0 {
-		w.entry.Warnf("%d lines of the engine left out", over)
+	if suppressed > 0 {
+		w.entry.Warnf("%d lines of the engine left out", suppressed)
 	}
 	if !drop {
 		w.entry.Log(out, text)
@@ -118,7 +118,7 @@
 	return len(line), nil
 }
 
-// Hclog is a logger for libraries that want hclog's interface.
+// Hclog returns a logger for libraries that use hclog's interface.
 func (w *Writer) Hclog(name string) hclog.Logger {
 	level := hclog.Info
 	if w.entry == nil {
@@ -129,10 +129,10 @@
 	return hclog.New(&hclog.LoggerOptions{Name: name, Level: level, Output: w, DisableTime: true})
 }
 
-// Standard is a logger for libraries that want the standard library's.
+// Standard returns a logger for libraries that use the standard library's log package.
 func (w *Writer) Standard() *log.Logger { return log.New(w, "", 0) }
 
-// String tells how many lines of this window were left out.
+// String returns how many lines were written and left out in the current window.
 func (w *Writer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fleet/logadapter/logadapter_test.go
+++ b/internal/fleet/logadapter/logadapter_test.go
@@ -8,6 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
+// Lines keep their level, lines below the log's level are dropped, and at most MaxLines are written.
 func TestLinesAreLimitedAndKeepLevel(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
@@ -29,11 +30,11 @@
 		t.Errorf("%d lines, want %d", n, MaxLines)
 	}
 	if strings.Contains(s, "not at this level") {
-		t.Error("debug was written")
+		t.Error("a debug line was written")
 	}
 }
 
-// What raft says at each vote of a lost majority is one line of each kind, whatever term and address it names.
+// Lines that raft repeats at each election without a majority are written once per kind, whatever term and address they contain.
 func TestRepeatedLinesAreDropped(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
@@ -56,6 +57,6 @@
 	w.mu.Unlock()
 	raft.Warn("Election timeout reached, restarting election")
 	if !strings.Contains(out.String(), "297 lines of the engine left out") {
-		t.Error("what was left out is not told")
+		t.Error("the number of lines left out is not logged")
 	}
 }
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -10,7 +10,7 @@
 	"birchcart/internal/fleet/raftgroup"
 )
 
-// run makes a step soon after each event, and else every StepInterval.
+// run is the node's loop: it makes a step soon after each event, and every StepInterval without one.
 func (n *Node) run(ctx context.Context) {
 	tick := time.NewTicker(StepInterval)
 	defer tick.Stop()
@@ -22,7 +22,7 @@
 		if ended {
 			return
 		}
-		if !wantsStep { // it waits for the next tick
+		if !wantsStep { // the event is handled at the next tick
 			continue
 		}
 		switch passed := time.Since(last); {
@@ -37,7 +37,7 @@
 	}
 }
 
-// awaitEvent handles the next event and says whether a step should follow it soon.
+// awaitEvent waits for the next event and handles it. It returns whether a step should follow soon, and whether ctx has ended.
 func (n *Node) awaitEvent(ctx context.Context, soon, tick <-chan time.Time) (wantsStep, ended bool) {
 	var changes <-chan raftgroup.State
 	var updates <-chan struct{}
@@ -72,7 +72,7 @@
 	return true, false
 }
 
-// handleMessages takes a message and all that came meanwhile, for one step.
+// handleMessages handles a message and all others that are queued, so that one step covers them.
 func (n *Node) handleMessages(m mailbox.Message) (wantsStep bool) {
 	n.mailbox.Release(m)
 	wantsStep = n.handleMessage(m)
@@ -81,12 +81,13 @@
 		case m := <-n.mailbox.Messages:
 			n.mailbox.Release(m)
 			wantsStep = n.handleMessage(m) || wantsStep
-		default: // some were dropped meanwhile
+		default: // the queue dropped some since len was read
 		}
 	}
 	return wantsStep
 }
 
+// handleProposalResult passes the outcome of a proposal on to the drain controller.
 func (n *Node) handleProposalResult(r drainctl.ProposalResult) {
 	n.proposalsInFlight--
 	if r.ID != "" {
@@ -94,14 +95,14 @@
 	}
 }
 
-// handleVoterClosed follows without a vote from now on.
+// handleVoterClosed detaches the closed voter; from now on this co-ordinator follows without a vote.
 func (n *Node) handleVoterClosed() {
 	n.raftGroup, n.closingVoter = nil, false
 	n.state.Attach(nil)
 	n.archiveLog()
 }
 
-// closeReady lets AwaitReady return once what was agreed is known here, applied, and the endpoint list has come.
+// closeReady lets AwaitReady return once the agreed state is known and applied here and the endpoint list has arrived.
 func (n *Node) closeReady() {
 	if !n.readyClosed && n.caughtUp && n.hasReplicas && !n.drains.Busy() {
 		n.readyClosed = true
@@ -109,11 +110,11 @@
 	}
 }
 
-// handleLeadership takes the raft group's word of who leads.
+// handleLeadership handles a change of the raft group's leadership.
 func (n *Node) handleLeadership(s raftgroup.State) {
 	switch {
 	case s.Failed != nil:
-		n.log.WithError(s.Failed).Error("this co-ordinator's vote is out of the raft group until it is started again; queries are served as before")
+		n.log.WithError(s.Failed).Error("the voter failed and is closed until this co-ordinator is restarted; queries are still served")
 		n.storeLost = true
 		n.stepDown()
 		n.closeVoter()
@@ -121,7 +122,7 @@
 		n.term = s.Term
 		n.log.WithField("term", s.Term).Info("leads the raft group")
 		n.controllerInputs = append(n.controllerInputs, drainctl.Elected{Term: s.Term, NodeName: n.name}, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
-		n.controllerFedAt, n.replicasFedAt = 0, time.Time{} // list and members are told at once
+		n.controllerFedAt, n.replicasFedAt = 0, time.Time{} // the next step feeds the list and the members at once
 		clear(n.loads)
 	default:
 		n.stepDown()
--- a/internal/fleet/mailbox/mailbox.go
+++ b/internal/fleet/mailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package mailbox is the bounded queue of messages between the gossip and the node's loop. Its writers never wait: when it is full
-// the oldest message is dropped.
+// Package mailbox provides the bounded queue of messages between the gossip and the node's loop. Writers never block: when the queue is
+// full, the oldest message is dropped.
 package mailbox
 
 import (
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// MaxMessages that wait for the node's loop. The oldest goes first: polls, replies and reports come again.
-// Twice as many: what is read after a stall is older; half: a stall of half the length loses some at 300 co-ordinators.
+// MaxMessages is the most messages that wait for the node's loop. The oldest are dropped first, because polls, replies and reports are
+// repeated. With twice as many, messages read after a stall are older; with half, a stall half as long loses messages at 300
+// co-ordinators.
 const MaxMessages = 1024
 
-// MaxBytes bounds them as well: a message may have some MB, as one with the acts of many sessions. Twice as many: that much more
-// memory while the node's loop stalls; half: a leader loses acts sooner, which come again.
+// MaxBytes is the most bytes of waiting messages: a message with the actions of many sessions may have several MB. Twice as many take
+// that much more memory while the node's loop stalls; with half, a leader drops actions sooner, which are repeated.
 const MaxBytes = 32 << 20
 
 // Message is one message of another co-ordinator.
 type Message struct {
 	From string
 	Raw  []byte
-	At   time.Duration // own time of its coming
+	At   time.Duration // own time at which it arrived
 }
 
-// Queue is the bounded queue. A reader takes from Messages, and calls Taken for each.
+// Queue is the bounded queue. A reader receives from Messages and calls Release for each message.
 type Queue struct {
 	Messages chan Message
 	size     atomic.Int64 // of the queued messages, added before a message is queued
-	Dropped  atomic.Int64
+	Dropped  atomic.Int64 // messages dropped since the start
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New() *Queue { return &Queue{Messages: make(chan Message, MaxMessages)} }
 
-// Put adds a message; if the queue is full the oldest are dropped for it.
+// Put adds a message; if the queue is full, it drops the oldest ones first.
 func (q *Queue) Put(m Message) {
 	full := q.size.Add(int64(len(m.Raw))) > MaxBytes
 	for {
@@ -53,5 +54,5 @@
 	}
 }
 
-// Release notes that a message was taken out of the queue.
+// Release subtracts a message that was received from Messages from the bytes in the queue.
 func (q *Queue) Release(m Message) { q.size.Add(-int64(len(m.Raw))) }
--- a/internal/fleet/mailbox/mailbox_test.go
+++ b/internal/fleet/mailbox/mailbox_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Letters that nobody takes have a bound by number and by bytes; the newest stay, in order.
+// Waiting messages are limited by number and by bytes; the newest are kept, in order.
 func TestQueueIsBoundedByCountAndBytes(t *testing.T) {
 	for _, size := range []int{10, 1 << 20, 3 << 20} {
 		m := New()
@@ -14,19 +14,19 @@
 			m.Put(Message{From: "old", Raw: raw})
 		}
 		m.Put(Message{From: "new", Raw: raw})
-		n, last, held := 0, "", m.size.Load()
+		n, last, queued := 0, "", m.size.Load()
 		for len(m.Messages) > 0 {
 			l := <-m.Messages
 			m.Release(l)
 			n, last = n+1, l.From
 		}
-		if want := min(MaxMessages, MaxBytes/size); n != want || last != "new" || held != int64(n*size) || m.size.Load() != 0 {
-			t.Errorf("%d letters of %d bytes, %d bytes in all, the last %q, wanted %d; %d bytes are left", n, size, held, last, want, m.size.Load())
+		if want := min(MaxMessages, MaxBytes/size); n != want || last != "new" || queued != int64(n*size) || m.size.Load() != 0 {
+			t.Errorf("%d messages of %d bytes, %d bytes in all, the last %q, want %d; %d bytes are left", n, size, queued, last, want, m.size.Load())
 		}
 	}
 }
 
-// Of a full mail box the oldest letters go, and nobody waits.
+// A full queue drops the oldest messages, and Put never blocks.
 func TestFullQueueDropsOldest(t *testing.T) {
 	m := New()
 	for i := range MaxMessages + 10 {
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -7,27 +7,27 @@
 	"birchcart/internal/fleet/voters"
 )
 
-// handleMessage takes a message and says whether a step should follow soon. What can't be read is left out: its sender is of another
-// version, or no co-ordinator.
-func (n *Node) handleMessage(l mailbox.Message) (soon bool) {
-	if voters.IsMessage(l.Raw) {
-		n.handleVoterMessage(l.From, l.Raw)
+// handleMessage handles a message and returns whether a step should follow soon. A message that can't be decoded is ignored: its
+// sender has another version, or is no co-ordinator.
+func (n *Node) handleMessage(received mailbox.Message) (soon bool) {
+	if voters.IsMessage(received.Raw) {
+		n.handleVoterMessage(received.From, received.Raw)
 		return true
 	}
-	m, err := peerproto.Decode(l.Raw)
+	m, err := peerproto.Decode(received.Raw)
 	if err != nil {
-		n.messageLog.info(n, l.At, "a message of "+l.From+" is left out: "+err.Error())
+		n.messageLog.info(n, received.At, "a message from "+received.From+" is ignored: "+err.Error())
 		return false
 	}
 	switch m := m.(type) {
 	case peerproto.Poll:
-		return m.From == l.From && n.handlePoll(l.At, m)
+		return m.From == received.From && n.handlePoll(received.At, m)
 	case peerproto.Reply:
-		if m.From == l.From {
+		if m.From == received.From {
 			n.handleReply(m)
 		}
 	case peerproto.SessionActions:
-		if n.term != 0 && m.From == l.From && n.sessions != nil {
+		if n.term != 0 && m.From == received.From && n.sessions != nil {
 			n.sessions.HandleActions(m)
 		}
 	case peerproto.FileReport:
@@ -38,13 +38,13 @@
 	return true
 }
 
-// send sends a message; nobody waits for it, and a lost one comes again.
+// send sends a message without waiting for its delivery. A failure is only logged, because all messages are repeated.
 func (n *Node) send(to string, m peerproto.Message) {
 	raw, err := peerproto.Encode(m)
 	if err == nil {
 		err = n.member.Send(to, raw)
 	}
 	if err != nil {
-		n.log.WithError(err).WithField("to", to).Debug("a message was not sent")
+		n.log.WithError(err).WithField("to", to).Debug("sending a message failed")
 	}
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,21 +1,21 @@
-// Package fleet runs one co-ordinator's part in the fleet, beside its serving. Node owns one loop (loop.go), which makes a step
-// (step.go) after any event and else ten times a second:
+// Package fleet runs one co-ordinator's membership in the fleet, in parallel with its serving of queries. Node owns one loop
+// (loop.go), which makes a step (step.go) after any event and at least ten times a second:
 //
 //	member ──messages──> mailbox ──────────────┐                 ┌──> view.Step ──> drains applied by drainstore, grants file,
 //	raftgroup ──leadership, entries, results───┼──> Node.step ───┤                  polls to the leader, leave to shut down
 //	exchange ──endpoint list, load─────────────┤                 ├──> drainctl.Step ──> proposals to the raft group (leader only)
 //	SIGHUP ──operators' file───────────────────┘                 └──> sessionpart.Step, lanepart.Step
-//	exchange ──queries──> sessiongate, loadshed <──messages── member: beside all this, in goroutines of their own
+//	exchange ──queries──> sessiongate, loadshed <──messages── member: outside the loop, in separate goroutines
 //
-// The loop owns the view, the drain controller and what is known of polls; the agreed state is agreedstate's. Nothing waits in the
-// loop for disk or network: proposals, checks of the leadership, the grants file and the transfer of leadership have goroutines
-// of their own.
+// The loop owns the view, the drain controller and the state of polls; package agreedstate owns the agreed state. The loop never
+// waits for disk or network: proposals, checks of the leadership, the grants file and the transfer of leadership run in separate
+// goroutines.
 //
-//	node.go, start.go, shutdown.go  life cycle                        pollclient.go  polls of the leader, and its replies
+//	node.go, start.go, shutdown.go  life cycle                        pollclient.go  polls to the leader, and its replies
 //	messages.go                     messages between co-ordinators    pollserver.go  the leader's answers to polls
-//	voters.go, epoch.go             this co-ordinator's vote          summary.go     the lines of the log
+//	voters.go, epoch.go             this co-ordinator's vote          summary.go     log lines
 //
-// What fails here is logged and never ends the serving: then this co-ordinator serves alone, by its own rules.
+// A failure here is logged and never stops the serving of queries: the co-ordinator then serves alone, by its own rules.
 package fleet
 
 import (
@@ -49,98 +49,99 @@
 	"birchcart/internal/serve"
 )
 
-// Times of a node.
+// Intervals, timeouts and limits of a node.
 const (
-	// StepInterval is between steps without news. Twice as long: a drain is reported as applied up to 0.1 s later; half: twice the
-	// work at rest.
+	// StepInterval is the time between steps when no event occurs. Twice as long reports an applied drain up to 0.1 s later; half
+	// doubles the work of an idle node.
 	StepInterval = 100 * time.Millisecond
-	// MinStepInterval is between steps with news. Twice as long: an acknowledged grant is known so much later; half: a leader that 300
-	// co-ordinators poll steps twice as often.
+	// MinStepInterval is the least time between steps that follow events. Twice as long delays the knowledge of an acknowledged grant
+	// by as much; half makes a leader that 300 co-ordinators poll step twice as often.
 	MinStepInterval = 20 * time.Millisecond
-	// FeedInterval is between the leader's looks at members and list, and between samples of the own load. Twice as long:
-	// the leader sees what went a second later; half: twice the sorting of both.
+	// FeedInterval is the time between the leader's reads of the members and the endpoint list, and between samples of the own load.
+	// Twice as long, the leader notices a lost machine a second later; half doubles the sorting of both lists.
 	FeedInterval = time.Second
-	// FileReportInterval is between attempts to hand a newer file to the leader. Twice as long: a file that got lost comes so much
-	// later; half: twice the messages while there is no leader to agree to it.
+	// FileReportInterval is the time between attempts to send a newer operators' file to the leader. Twice as long delays a lost
+	// report by as much; half doubles the messages while no leader can commit it.
 	FileReportInterval = 5 * time.Second
-	// MaxProposalsInFlight are under way; more are left out, and the leader's step proposes them again.
+	// MaxProposalsInFlight is the most proposals in flight. Further ones are dropped, and a later step of the leader proposes them
+	// again.
 	MaxProposalsInFlight = 32
-	// ReadyTimeout is the most that the start waits, before it listens for clients, until what was agreed is known here and
-	// applied: discovery still has a machine that may go as ready. It is polled ten times a second meanwhile, and gossip has
-	// the others know a new one within it. Twice as long: a start without a raft group is a second later; half: one that
-	// gossip has not known of yet may send to a machine that may go.
+	// ReadyTimeout is the most that the start waits, before it listens for clients, until the agreed state is known and applied
+	// here: discovery still lists a machine as ready that already has a grant to go. During the wait the leader is polled ten times a
+	// second, and gossip announces a new member to the others within it. Twice as long delays a start without a reachable raft group
+	// by a second; with half of it, a co-ordinator that gossip has not announced yet may send queries to a machine that may go.
 	ReadyTimeout = time.Second
-	// StopTimeout is the most that ending the fleet's part may take after the drain: SIGKILL may come.
+	// StopTimeout is the most that Stop may take after the drain; a longer stop risks a SIGKILL.
 	StopTimeout = 3 * time.Second
 )
 
-// Node is one co-ordinator's part. It is a serve.Extension.
+// Node is one co-ordinator's membership in the fleet. It implements serve.Extension.
 type Node struct {
 	host     serve.Host
 	log      *logrus.Entry
-	disabled bool // the operators' file has no fleet
+	disabled bool // the operators' file has no fleet section
 	name     string
-	version  string // of the program, for the others to see
-	dir      string // of the start
+	version  string // program version, published to the other members
+	dir      string // data folder as configured at start
 	start    time.Time
 
 	member       *member.Members
-	raftGroup    *raftgroup.Group // nil: no vote
+	raftGroup    *raftgroup.Group // nil: this co-ordinator has no vote
 	state        *agreedstate.Copy
-	sessions     *sessionpart.Part // nil without the section of pinned sessions; its start decides
-	lanes        *lanepart.Part    // likewise, of the section of lanes
+	sessions     *sessionpart.Part // nil if the file had no section of pinned sessions at start
+	lanes        *lanepart.Part    // nil if the file had no section of lanes at start
 	laneReceiver atomic.Pointer[lanepart.Part]
 	mailbox      *mailbox.Queue
 	drains       *drainstore.Store
 	load         *exchange.Load
 	writer       *grantsfile.Writer
 
-	// What goroutines of the node report to the loop.
+	// Channels on which goroutines of the node report to the loop.
 	proposalResults chan drainctl.ProposalResult
 	verifications   chan verification
 	voterClosed     chan struct{}
 	voterResults    chan voters.Result
-	drainApplied    chan struct{} // the exchange goes by a set of drains
+	drainApplied    chan struct{} // the exchange has applied a set of drains
 	wake            chan struct{}
 
-	ready     chan struct{} // closed once what was agreed is known here and applied, with the endpoint list
+	ready     chan struct{} // closed once the agreed state is known and applied here and the endpoint list has arrived
 	stop      context.CancelFunc
 	done      sync.WaitGroup
 	isLeaving atomic.Bool
 
 	mu            sync.Mutex
-	file          *operator.File // in force
+	file          *operator.File // the operators' file in force
 	replicas      []exchange.Endpoint
-	replicasStale bool // an old list from disk: what this co-ordinator serves with, and no observation of the leader's
-	inputsChanged bool // file or replicas
+	replicasStale bool // replicas is an old list from disk: good enough to serve, but the leader must not take it as an observation
+	inputsChanged bool // file or replicas changed since the last step
 
-	loopState // belongs to run
+	loopState // used only by the goroutine of run
 }
 
-// loopState is what the node's loop owns.
+// loopState is the state that only the node's loop reads and writes.
 type loopState struct {
 	view             *view.View
 	viewInputs       []view.Input
 	controller       *drainctl.Controller
 	controllerInputs []drainctl.Input
 
-	term       uint64        // in which this one leads; 0: it does not
-	index      uint64        // of what was agreed, as of the last step
-	epoch      uint64        // of its log
-	agreedTime time.Duration // with it
-	stepped    bool          // there was a step
-	halted     bool          // the copy of the agreed state can't go on
+	term       uint64        // term in which this co-ordinator leads; 0: it does not lead
+	index      uint64        // index of the agreed state at the last step
+	epoch      uint64        // epoch of the log at the last step
+	agreedTime time.Duration // agreed time at the last step
+	stepped    bool          // at least one step was made
+	halted     bool          // the copy of the agreed state can't apply further entries
 
-	caughtUp    bool // a complete answer came to this process
-	hasReplicas bool // the view has the endpoint list
-	readyClosed bool // ready is closed
+	caughtUp    bool // this process received a complete reply of the leader
+	hasReplicas bool // the view received the endpoint list
+	readyClosed bool // the channel ready is closed
 
-	fileReport     peerproto.FileReport // what the own file says
-	fileReportAt   time.Duration        // when it was sent to the leader
-	agreedRevision int                  // of the limits in force; a file of an older one changes no voters
+	fileReport     peerproto.FileReport // limits and requests of the own operators' file
+	fileReportAt   time.Duration        // when fileReport was last sent to the leader
+	agreedRevision int                  // revision of the limits in force; a file of an older revision changes no voters
 
 	ownLoad           inventory.LoadReport
-	controllerFedAt   time.Duration // when the controller got members and replicas
+	controllerFedAt   time.Duration // when the controller last received members and replicas
 	replicasFedAt     time.Time
 	proposalsInFlight int
 
@@ -154,50 +155,51 @@
 	voterState
 }
 
-// pollClientState is of the polls that this co-ordinator sends.
+// pollClientState is the state of the polls that this co-ordinator sends.
 type pollClientState struct {
-	leader             string // as far as it is known here
+	leader             string // last known leader; "": unknown
 	voterNames         []string
-	nextVoter          int // of voterNames, to be asked next while no leader is known
+	nextVoter          int // index into voterNames of the voter polled next while no leader is known
 	lastPoll           peerproto.Poll
 	polledTo           string
-	answeredSequence   uint64 // number of the newest poll with a reply of the leader
-	forwardedSequence  uint64 // number of the newest poll that was sent on to whom a reply named
-	unansweredPolls    int    // in a row
+	answeredSequence   uint64 // sequence number of the newest poll that the leader replied to
+	forwardedSequence  uint64 // sequence number of the newest poll that was resent to the leader named in a reply
+	unansweredPolls    int    // consecutive polls without a reply of the leader
 	pendingAnswer      *view.PollAnswered
 	pendingAnswerIndex uint64 // index that the copy must reach before the answer counts as complete
 }
 
-// pollServerState is of the polls that this co-ordinator answers while it leads.
+// pollServerState is the state of the polls that this co-ordinator answers while it leads.
 type pollServerState struct {
 	pollQueue pollqueue.Queue
 	snapshots peerproto.SnapshotCache
 	loads     map[string]inventory.LoadReport
 }
 
-// voterState is of the raft group's voters and this co-ordinator's own vote.
+// voterState is the state of the raft group's voters and of this co-ordinator's own vote.
 type voterState struct {
-	voters           map[string]bool // of the raft group, by the leader
+	voters           map[string]bool // voters of the raft group, maintained by the leader
 	votersCheckedAt  time.Duration
 	checkingVoters   bool
 	closingVoter     bool
-	storeLost        bool   // the store or its votes: no vote any more
-	superseded       bool   // the voter is closed, as there is a raft group of a newer epoch
-	loggedVoterError string // why the own voter could not be opened, as logged last
+	storeLost        bool   // the store or the votes recorded in it are lost: this co-ordinator must not vote
+	superseded       bool   // the voter was closed because there is a raft group of a newer epoch
+	loggedVoterError string // the last logged error of opening the own voter
 }
 
-// New returns a node that Start starts.
+// New returns a node that does nothing until Start.
 func New() *Node { return &Node{} }
 
-// now is the own monotonic time.
+// now returns the monotonic time since the node's start.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Start opens what the operators' file names. Without its section it does nothing at all.
+// Start opens the stores and sockets that the operators' file names and starts the loop. Without a fleet section in the file it only
+// logs that.
 func (n *Node) Start(s serve.Host) error {
 	n.host, n.log = s, s.Log.WithField("part", "fleet")
 	if s.Operator == nil || s.Operator.Fleet == nil {
 		n.disabled = true
-		n.log.Info("the operators' file has no fleet: serving alone")
+		n.log.Info("the operators' file has no fleet section: serving alone")
 		return nil
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -215,23 +217,23 @@
 	return nil
 }
 
-// AwaitReady waits for the first complete answer of the raft group and until what it brought is applied, for ReadyTimeout at the most.
-// After that this co-ordinator serves as one that is cut off does.
+// AwaitReady waits until the first complete reply of the leader is applied, for ReadyTimeout at most. After the timeout this
+// co-ordinator serves like one that is cut off from the raft group.
 func (n *Node) AwaitReady(ctx context.Context) {
 	if n.disabled {
 		return
 	}
-	most := time.NewTimer(ReadyTimeout)
-	defer most.Stop()
+	timeout := time.NewTimer(ReadyTimeout)
+	defer timeout.Stop()
 	select {
 	case <-n.ready:
 	case <-ctx.Done():
-	case <-most.C:
-		n.log.WithField("waited", ReadyTimeout).Warn("what the fleet agreed is not known yet: serving as one that is cut off")
+	case <-timeout.C:
+		n.log.WithField("waited", ReadyTimeout).Warn("the agreed state is not known yet: serving as one that is cut off")
 	}
 }
 
-// setReplicas takes the list from the exchange.
+// setReplicas stores the endpoint list from the exchange for the next step.
 func (n *Node) setReplicas(list []exchange.Endpoint, stale bool) {
 	n.mu.Lock()
 	n.replicas, n.replicasStale, n.inputsChanged = list, stale, true
@@ -239,7 +241,7 @@
 	n.wakeUp()
 }
 
-// drainsApplied is the exchange's confirmation that it goes by the newest set of drains. One is applied at a time.
+// drainsApplied is called by the exchange once it has applied the newest set of drains. Only one set is applied at a time.
 func (n *Node) drainsApplied() {
 	select {
 	case n.drainApplied <- struct{}{}:
@@ -247,19 +249,19 @@
 	}
 }
 
-// Reload takes the operators' file that was read again.
+// Reload puts a reloaded operators' file in force, or returns why it can't be.
 func (n *Node) Reload(f *operator.File) error {
 	switch {
 	case n.disabled && f.Fleet != nil:
-		return errors.New("$.fleet: a fleet begins at a start of the program")
+		return errors.New("$.fleet: a fleet section can only be added at a restart")
 	case n.disabled:
 		return nil
 	case f.Fleet == nil:
-		return errors.New("$.fleet: is missing; a fleet ends with the program")
+		return errors.New("$.fleet: is missing; a fleet section can only be removed at a restart")
 	case (f.Fleet.Sessions != nil) != (n.sessions != nil):
-		return errors.New("$.fleet.sessions: pinned sessions begin and end with the program")
+		return errors.New("$.fleet.sessions: pinned sessions can only be added or removed at a restart")
 	case (f.Fleet.Lanes != nil) != (n.lanes != nil):
-		return errors.New("$.fleet.lanes: lanes begin and end with the program")
+		return errors.New("$.fleet.lanes: lanes can only be added or removed at a restart")
 	}
 	if err := sessionpart.Validate(f.Fleet, n.host.Config.Names, &n.host.Config.Policy); err != nil {
 		return err
@@ -271,14 +273,15 @@
 		return err
 	}
 	n.mu.Lock()
-	was := n.file.Fleet.Lanes
+	oldLanes := n.file.Fleet.Lanes
 	n.file, n.inputsChanged = f, true
 	n.mu.Unlock()
-	n.warnHeaderChange(was, f.Fleet.Lanes)
+	n.warnHeaderChange(oldLanes, f.Fleet.Lanes)
 	n.wakeUp()
 	return nil
 }
 
+// wakeUp makes the loop take a step soon.
 func (n *Node) wakeUp() {
 	select {
 	case n.wake <- struct{}{}:
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -22,6 +22,7 @@
 	goleak.VerifyTestMain(m)
 }
 
+// tick returns the encoded tick command of an agreed time.
 func tick(t *testing.T, at time.Duration) []byte {
 	t.Helper()
 	raw, err := statemachine.Command{V: statemachine.Version, ID: fmt.Sprint(at), Part: agreedstate.MaintenancePart, Kind: "tick", At: at, Body: []byte("{}")}.Encode()
@@ -31,33 +32,34 @@
 	return raw
 }
 
-// One that has heard nothing for a while asks whom a voter names, though the file does not have that one as a voter any
-// more: it leads until another has its seat. It asks so once for each poll: two that name each other keep nobody busy.
+// A co-ordinator without a known leader resends its poll to the leader that a voter names, even if the own file no longer lists that
+// leader as a voter: it leads until its replacement has joined. Each poll is resent only once, because two co-ordinators that
+// name each other would otherwise cause endless polls.
 func TestPollFollowsNamedLeaderOutsideVoterList(t *testing.T) {
 	n := &Node{name: "e"}
 	n.voterNames, n.unansweredPolls, n.leader = []string{"a", "b", "e"}, 9, "gone"
 	n.lastPoll = peerproto.Poll{Sequence: 7}
 	if n.polledTo = n.pollTarget(); n.polledTo != "b" || n.leader != "" {
-		t.Fatalf("asks %q, leader %q", n.polledTo, n.leader)
+		t.Fatalf("polls %q, leader %q", n.polledTo, n.leader)
 	}
-	for _, no := range []peerproto.Reply{{Sequence: 6, Leader: "old"}, {Sequence: 7}, {Sequence: 7, Leader: "b"}, {Sequence: 7, Leader: "e"}} {
-		if n.learnLeader(no) {
-			t.Errorf("%+v is followed", no)
+	for _, ignored := range []peerproto.Reply{{Sequence: 6, Leader: "old"}, {Sequence: 7}, {Sequence: 7, Leader: "b"}, {Sequence: 7, Leader: "e"}} {
+		if n.learnLeader(ignored) {
+			t.Errorf("the poll is resent after %+v", ignored)
 		}
 	}
 	if !n.learnLeader(peerproto.Reply{Sequence: 7, Leader: "old"}) || n.leader != "old" {
-		t.Errorf("the leader that was named is not asked: %q", n.leader)
+		t.Errorf("the poll is not resent to the named leader: %q", n.leader)
 	}
 	n.polledTo = "old"
 	if n.learnLeader(peerproto.Reply{Sequence: 7, Leader: "a"}) {
-		t.Error("a poll is sent on a second time")
+		t.Error("a poll is resent a second time")
 	}
 	if n.lastPoll.Sequence = 8; !n.learnLeader(peerproto.Reply{Sequence: 8, Leader: "a"}) {
-		t.Error("the next poll is not sent on")
+		t.Error("the next poll is not resent")
 	}
 	for range 4 {
 		if to := n.pollTarget(); to == "e" || to == "" {
-			t.Errorf("asks %q", to)
+			t.Errorf("polls %q", to)
 		}
 	}
 }
--- a/internal/fleet/pollclient.go
+++ b/internal/fleet/pollclient.go
@@ -8,57 +8,59 @@
 )
 
 const (
-	// MaxUnansweredPolls polls without a reply: then the leader that is known counts as unknown, and voters are asked in turn.
-	// One more: a dead leader's followers look for the next one a poll later; one fewer: a lost packet has them look.
+	// MaxUnansweredPolls is how many consecutive polls may stay without a reply before the known leader counts as unknown and the
+	// voters are polled in turn. With one more, the followers of a dead leader search for its successor a poll later; with one
+	// fewer, a single lost packet starts a search.
 	MaxUnansweredPolls = 2
-	// LoadRetention is how long a reported load is remembered, far longer than any file lets it count.
+	// LoadRetention is how long a reported load is stored, far longer than any operators' file lets a load be used.
 	LoadRetention = 15 * time.Minute
 )
 
-// handleReply takes the answer to a poll.
-func (n *Node) handleReply(w peerproto.Reply) {
-	if w.Sequence > n.lastPoll.Sequence || w.Sequence <= n.answeredSequence {
-		return // no poll of this process, or one whose answer was overtaken
+// handleReply handles the reply to a poll.
+func (n *Node) handleReply(reply peerproto.Reply) {
+	if reply.Sequence > n.lastPoll.Sequence || reply.Sequence <= n.answeredSequence {
+		return // not a poll of this process, or a newer reply was already handled
 	}
-	switch epoch, own := max(w.Epoch, 1), n.state.Epoch(); {
+	switch epoch, own := max(reply.Epoch, 1), n.state.Epoch(); {
 	case epoch < own:
-		return // an earlier raft group
+		return // a reply of a raft group that was replaced
 	case epoch > own && n.raftGroup != nil:
-		n.supersede(w.From, epoch)
+		n.supersede(reply.From, epoch)
 		return
 	}
-	if !w.FromLeader {
-		if n.learnLeader(w) {
+	if !reply.FromLeader {
+		if n.learnLeader(reply) {
 			n.pollTo(n.leader, n.lastPoll)
 		}
 		return
 	}
-	n.unansweredPolls, n.leader, n.answeredSequence = 0, w.From, w.Sequence
-	if err := n.state.ApplyReply(w); err != nil {
-		n.messageLog.info(n, n.now(), "what the leader sent can't be taken: "+err.Error())
+	n.unansweredPolls, n.leader, n.answeredSequence = 0, reply.From, reply.Sequence
+	if err := n.state.ApplyReply(reply); err != nil {
+		n.messageLog.info(n, n.now(), "the reply of the leader can't be applied: "+err.Error())
 		return
 	}
-	n.pendingAnswer, n.pendingAnswerIndex = &view.PollAnswered{Sequence: w.Sequence, Leader: w.From, Term: w.Term, Truncated: w.Truncated, NotInInventory: w.NotInInventory}, w.Index
+	n.pendingAnswer, n.pendingAnswerIndex = &view.PollAnswered{Sequence: reply.Sequence, Leader: reply.From, Term: reply.Term, Truncated: reply.Truncated, NotInInventory: reply.NotInInventory}, reply.Index
 }
 
-// sendPoll sends the poll that the view wants.
+// sendPoll sends a poll that the view requested.
 func (n *Node) sendPoll(p view.Poll) {
 	n.unansweredPolls++
 	n.routePoll(peerproto.Poll{From: n.name, Sequence: p.Sequence, Index: p.Index, Epoch: wireEpoch(n.epoch), Drains: n.drains.Reportable(p.Drains), Load: n.ownLoad.Load, LoadKnown: n.ownLoad.Known,
 		Sessions: n.sessions.Load()})
 }
 
-// learnLeader says whether a reply that is not the leader's names one who is to be asked at once: once for each poll, since two may
-// name each other, and whoever it names, since one that is to vote no more may lead still.
-func (n *Node) learnLeader(w peerproto.Reply) bool {
-	if w.Sequence != n.lastPoll.Sequence || w.Sequence == n.forwardedSequence || w.Leader == "" || w.Leader == n.name || w.Leader == n.polledTo {
+// learnLeader returns whether a reply that is not from the leader names a leader to which the poll is to be resent at once. A poll
+// is resent only once, because two co-ordinators may name each other. The named leader need not be a voter in the own file: a
+// voter that is being replaced may still lead.
+func (n *Node) learnLeader(reply peerproto.Reply) bool {
+	if reply.Sequence != n.lastPoll.Sequence || reply.Sequence == n.forwardedSequence || reply.Leader == "" || reply.Leader == n.name || reply.Leader == n.polledTo {
 		return false
 	}
-	n.leader, n.forwardedSequence = w.Leader, w.Sequence
+	n.leader, n.forwardedSequence = reply.Leader, reply.Sequence
 	return true
 }
 
-// routePoll sends a poll to the leader, or to the voters in turn while none is known.
+// routePoll sends a poll to the leader, or to the voters in turn while no leader is known.
 func (n *Node) routePoll(p peerproto.Poll) {
 	if n.term != 0 {
 		p.Wall = time.Duration(time.Now().UnixNano())
@@ -69,7 +71,7 @@
 	n.pollTo(n.pollTarget(), p)
 }
 
-// pollTarget is whom a poll goes to.
+// pollTarget returns the name of the co-ordinator that the next poll goes to.
 func (n *Node) pollTarget() string {
 	if n.unansweredPolls > MaxUnansweredPolls {
 		n.leader = ""
@@ -90,13 +92,14 @@
 	return to
 }
 
+// pollTo sends a poll to one co-ordinator and records it as the last one.
 func (n *Node) pollTo(to string, p peerproto.Poll) {
 	p.Wall = time.Duration(time.Now().UnixNano())
 	n.lastPoll, n.polledTo = p, to
 	n.send(to, p)
 }
 
-// reportFile gives the leader what the own file says, while what was agreed is older.
+// reportFile sends the limits and requests of the own file to the leader while the agreed ones have an older revision.
 func (n *Node) reportFile(now time.Duration, limits, requests int) {
 	if n.fileReport.Limits.Revision <= limits && n.fileReport.Requests.Revision <= requests {
 		return
--- a/internal/fleet/pollqueue/pollqueue.go
+++ b/internal/fleet/pollqueue/pollqueue.go
@@ -1,37 +1,37 @@
-// Package pollqueue holds the polls that wait for the leader's answer, and says when a check with a majority is due before they
-// may be answered. Pure.
+// Package pollqueue holds the polls that wait for the leader's reply, and decides when the check of the leadership with a majority is due
+// that must precede the replies. It has no side effects: time is passed in.
 package pollqueue
 
 import "time"
 
 const (
-	// CheckInterval is between checks with a majority that this one still leads; polls that come meanwhile are answered
-	// together. Twice as long: answers come so much later; half: twice the rounds while a plan goes on.
+	// CheckInterval is the least time between checks with a majority that this co-ordinator still leads; polls that arrive in between
+	// are answered together. Twice as long delays replies by as much; half doubles the checks while a maintenance plan is carried out.
 	CheckInterval = 30 * time.Millisecond
-	// IdleCheckInterval is the same where none of those that wait reports or lacks anything: their answers only lengthen leases, which count
-	// from the sending of the polls, whenever the answer comes. What is agreed meanwhile ends the wait. Twice as long: leases
-	// are lengthened so much later, by less than one poll's time; half: twice the rounds of a leader at rest.
+	// IdleCheckInterval replaces CheckInterval while no waiting poll reports or lacks anything. The replies then only extend leases, which
+	// count from the sending of the poll, no matter when the reply arrives. A newly agreed entry ends the wait. Twice as long delays
+	// the extension of leases by as much, less than the interval of polls; half doubles the checks of an idle leader.
 	IdleCheckInterval = 200 * time.Millisecond
 )
 
-// Poll is a poll that waits for its answer.
+// Poll is a poll that waits for its reply.
 type Poll struct {
 	Sequence, Index, Epoch uint64
 }
 
-// Queue holds the newest poll of each sender, and when they may be answered.
+// Queue holds the newest poll of each sender and the state of the leadership checks.
 type Queue struct {
 	polls       map[string]Poll
-	urgent      bool   // one of them reports what the plan waits for, or its sender was silent for longer than polls are apart
-	lowestIndex uint64 // no index of one of them is lower
-	checking    bool
-	lastCheck   time.Duration // the newest check began
+	urgent      bool          // a poll reports something that the plan waits for, or its sender was silent for longer than the interval of polls
+	lowestIndex uint64        // lowest index of the waiting polls
+	checking    bool          // a check is in flight
+	lastCheck   time.Duration // start of the newest check
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New() Queue { return Queue{polls: map[string]Poll{}} }
 
-// Add queues a poll.
+// Add queues a poll in place of an earlier one of the same sender.
 func (q *Queue) Add(from string, p Poll, urgent bool) {
 	if len(q.polls) == 0 || p.Index < q.lowestIndex {
 		q.lowestIndex = p.Index
@@ -40,34 +40,34 @@
 	q.urgent = q.urgent || urgent
 }
 
-// Urgent says whether those that wait are to be answered at once; agreed is the index of what was agreed.
+// Urgent returns whether the waiting polls are due after CheckInterval; agreed is the index of the agreed state.
 func (q *Queue) Urgent(agreed uint64) bool {
 	return len(q.polls) > 0 && (q.urgent || q.lowestIndex < agreed)
 }
 
-// CheckDue says whether a check begins now.
+// CheckDue returns whether a check has to begin now.
 func (q *Queue) CheckDue(now time.Duration, agreed uint64) bool {
-	every := IdleCheckInterval
+	interval := IdleCheckInterval
 	if q.Urgent(agreed) {
-		every = CheckInterval
+		interval = CheckInterval
 	}
-	return !q.checking && len(q.polls) > 0 && now >= q.lastCheck+every
+	return !q.checking && len(q.polls) > 0 && now >= q.lastCheck+interval
 }
 
-// BeginCheck takes the polls that the check which begins now is for.
+// BeginCheck starts a check and removes the waiting polls, which it returns: they are to be answered after the check.
 func (q *Queue) BeginCheck(now time.Duration) map[string]Poll {
-	by := q.polls
+	polls := q.polls
 	q.polls, q.urgent, q.checking, q.lastCheck = map[string]Poll{}, false, true, now
-	return by
+	return polls
 }
 
-// EndCheck notes that the check is over.
+// EndCheck records that the check has ended.
 func (q *Queue) EndCheck() { q.checking = false }
 
-// Len is how many polls wait.
+// Len returns the number of waiting polls.
 func (q *Queue) Len() int { return len(q.polls) }
 
-// Clear forgets those that wait: this one does not lead any more.
+// Clear drops the waiting polls, for a co-ordinator that no longer leads.
 func (q *Queue) Clear() {
 	clear(q.polls)
 	q.urgent = false
--- a/internal/fleet/pollserver.go
+++ b/internal/fleet/pollserver.go
@@ -13,7 +13,7 @@
 	"birchcart/internal/fleet/view"
 )
 
-// verification is what came of a check that this one leads, and the polls that waited for it.
+// verification is the result of a leadership check with a majority, and the polls that waited for it.
 type verification struct {
 	term   uint64
 	polls  map[string]pollqueue.Poll
@@ -21,8 +21,9 @@
 	err    error
 }
 
-// handlePoll takes one. The leader answers once it knows that it still leads; another voter names who does. One that says nothing
-// new and lacks nothing waits for the step that comes anyway.
+// handlePoll handles a poll and returns whether a step should follow soon. The leader answers once it has verified that it still
+// leads; any other voter replies with the name of the leader. A poll that reports nothing new and is up to date waits for the
+// next regular step.
 func (n *Node) handlePoll(at time.Duration, p peerproto.Poll) (soon bool) {
 	epoch, own := max(p.Epoch, 1), n.state.Epoch()
 	if epoch > own {
@@ -31,7 +32,7 @@
 	}
 	if n.term != 0 {
 		if epoch < own {
-			p.Drains = nil // of grants that ended with their epoch
+			p.Drains = nil // they belong to grants that ended with their epoch
 		}
 		n.controllerInputs = append(n.controllerInputs, drainctl.Polled{From: p.From, Sequence: p.Sequence, Index: p.Index, Drains: p.Drains, Wall: p.Wall})
 		before, confirmedAt := n.loads[p.From]
@@ -48,20 +49,20 @@
 	}
 	leader, _ := n.raftGroup.Leader()
 	if leader == n.name {
-		leader = "" // elected, but not yet sure of all that was agreed; or about to step down
+		leader = "" // elected but without all committed entries applied yet, or about to step down
 	}
 	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.Applied(), Epoch: wireEpoch(own)})
 	return false
 }
 
-// agreedIndex is that of the newest entry that the own copy has.
+// agreedIndex returns the index of the newest entry in the own copy of the agreed state.
 func (n *Node) agreedIndex() (index uint64) {
 	n.state.WithLock(func() { index = n.state.Machine.Index() })
 	return index
 }
 
-// verifyLeadership begins a check with a majority that this one still leads. Only an answer after it may lengthen a lease:
-// one that was stopped and wakes would else answer beside the next leader.
+// verifyLeadership starts a check with a majority that this co-ordinator still leads, if one is due. Only a reply sent after such a
+// check may extend a lease: a leader that was suspended and resumes could otherwise reply while its successor leads.
 func (n *Node) verifyLeadership(now time.Duration) {
 	if n.term == 0 || n.raftGroup == nil || !n.pollQueue.CheckDue(now, n.index) {
 		return
@@ -74,7 +75,7 @@
 	}(n.raftGroup)
 }
 
-// answerPolls answers the polls that waited for a check.
+// answerPolls answers the polls that waited for a leadership check.
 func (n *Node) answerPolls(v verification) {
 	n.pollQueue.EndCheck()
 	if v.err != nil || v.term != n.term || n.raftGroup == nil {
@@ -88,64 +89,65 @@
 	})
 	own := n.state.Epoch()
 	for from, p := range v.polls {
-		w := peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: n.name, Term: n.term, FromLeader: true, After: p.Index, Index: p.Index, Epoch: wireEpoch(own),
+		reply := peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: n.name, Term: n.term, FromLeader: true, After: p.Index, Index: p.Index, Epoch: wireEpoch(own),
 			NotInInventory: !listed[from]}
-		if err := n.fillReply(&w, p, own); err != nil {
-			n.messageLog.info(n, n.now(), "what was agreed can't be handed to "+from+", which stays cut off: "+err.Error())
+		if err := n.fillReply(&reply, p, own); err != nil {
+			n.messageLog.info(n, n.now(), "the agreed state can't be sent to "+from+", which stays cut off: "+err.Error())
 			continue
 		}
-		w.Truncated = w.Index < n.raftGroup.Applied()
-		n.sendReply(from, w)
+		reply.Truncated = reply.Index < n.raftGroup.Applied()
+		n.sendReply(from, reply)
 	}
 }
 
-// fillReply puts what was agreed after a poll's index into its answer: entries, or the state for who is too far behind or of an
-// earlier epoch.
-func (n *Node) fillReply(w *peerproto.Reply, p pollqueue.Poll, own uint64) error {
+// fillReply adds to a reply what was agreed after the poll's index: log entries, or the whole state if the sender is too far behind
+// or belongs to an earlier epoch.
+func (n *Node) fillReply(reply *peerproto.Reply, p pollqueue.Poll, own uint64) error {
 	if p.Epoch == own {
 		entries, snapshot, at := n.raftGroup.Since(p.Index, peerproto.MaxEntriesSize)
 		if len(snapshot) > 0 {
-			return n.snapshots.SetSnapshot(w, snapshot, at, own)
+			return n.snapshots.SetSnapshot(reply, snapshot, at, own)
 		}
 		all := make([]peerproto.Entry, len(entries))
 		for i, e := range entries {
 			all[i] = peerproto.Entry{Index: e.Index, Raw: e.Raw}
 		}
-		if w.SetEntries(all) == nil {
-			if w.Index = at; len(w.Entries) > 0 {
-				w.Index = w.Entries[len(w.Entries)-1].Index
+		if reply.SetEntries(all) == nil {
+			if reply.Index = at; len(reply.Entries) > 0 {
+				reply.Index = reply.Entries[len(reply.Entries)-1].Index
 			}
 			return nil
 		}
-		w.Entries = nil // one of them is of before there was a bound: the state has it too
+		reply.Entries = nil // an entry from before the size limit existed is too large: send the state, which includes it
 	}
 	at := uint64(0)
 	n.state.WithLock(func() { at = n.state.Machine.Index() })
 	if s := &n.snapshots; s.Index == at && s.Epoch == own {
-		return s.SetSnapshot(w, nil, at, own) // saved for another one: all that come back together want it
+		return s.SetSnapshot(reply, nil, at, own) // reuse the snapshot made for another follower: after an outage all followers need the same one
 	}
 	raw, at := n.encodeState()
 	if len(raw) == 0 {
-		return errors.New("it can't be saved")
+		return errors.New("encoding the agreed state failed")
 	}
-	return n.snapshots.SetSnapshot(w, raw, at, own)
+	return n.snapshots.SetSnapshot(reply, raw, at, own)
 }
 
-func (n *Node) sendReply(from string, w peerproto.Reply) {
+// sendReply sends a reply to a poll; the own poll is answered without the network.
+func (n *Node) sendReply(from string, reply peerproto.Reply) {
 	if from == n.name {
-		n.handleReply(w)
+		n.handleReply(reply)
 	} else {
-		n.send(from, w)
+		n.send(from, reply)
 	}
 }
 
-// encodeState is what was agreed, and its index; nothing if it can't be saved.
+// encodeState returns the encoded agreed state and its index; raw is empty if encoding fails.
 func (n *Node) encodeState() (raw []byte, at uint64) {
 	n.state.WithLock(func() {
 		var err error
 		at = n.state.Machine.Index()
 		if raw, err = n.state.Machine.Save(); err != nil {
-			n.log.WithError(err).Error("what was agreed can't be sent")
+			n.log.WithError(err).Error("encoding the agreed state failed")
 		}
 	})
 	return raw, at
--- a/internal/fleet/pollserver_test.go
+++ b/internal/fleet/pollserver_test.go
@@ -13,11 +13,11 @@
 	"birchcart/internal/fleet/view"
 )
 
-// A leader at rest asks the majority a few times a second however many poll, and steps no more often for them. A poll that says
-// something, lacks something or comes after a silence waits for VerifyEvery at the most, and what is agreed meanwhile ends
-// the wait of all.
+// While nothing changes, the leader verifies its leadership a few times a second however many co-ordinators poll, and their polls cause
+// no steps. A poll that reports something, lacks entries or follows a silence waits for CheckInterval at most, and a newly agreed
+// entry ends the wait of all polls.
 func TestIdlePollsAreAnsweredInBatches(t *testing.T) {
-	// Long: one sequence of polls on one clock, each case judged against the one before.
+	// Long: one sequence of polls on one clock, in which each case depends on the one before.
 	n := &Node{state: agreedstate.New()}
 	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
 	now := time.Minute
@@ -30,7 +30,7 @@
 		}
 		return n.handleMessage(mailbox.Message{From: from, Raw: raw, At: now})
 	}
-	answer := func(agreed uint64) bool {
+	checkIfDue := func(agreed uint64) bool {
 		if !n.pollQueue.CheckDue(now, agreed) {
 			return false
 		}
@@ -42,51 +42,51 @@
 	for i := range names {
 		names[i] = string(rune('a'+i/26)) + string(rune('a'+i%26))
 		if !poll(names[i], peerproto.Poll{Sequence: 1}) {
-			t.Fatal("the first poll of one waits for a tick")
+			t.Fatal("the first poll of a co-ordinator waits for a tick")
 		}
 	}
-	if !answer(0) {
-		t.Fatal("first polls are not answered at once")
+	if !checkIfDue(0) {
+		t.Fatal("the first polls are not answered at once")
 	}
-	rounds := 0
-	for i := range 3 * len(names) { // each polls three times more, spread over its second
+	checks := 0
+	for i := range 3 * len(names) { // each co-ordinator polls three more times, spread over the poll interval
 		now += view.PollInterval / time.Duration(len(names))
 		if poll(names[i%len(names)], peerproto.Poll{Sequence: uint64(2 + i/len(names))}) {
-			t.Fatalf("poll %d with nothing new wants a step", i)
+			t.Fatalf("idle poll %d requests a step", i)
 		}
-		if answer(0) {
-			rounds++
+		if checkIfDue(0) {
+			checks++
 		}
 	}
-	if most := int(3 * view.PollInterval / pollqueue.IdleCheckInterval); rounds > most || rounds < most-2 {
-		t.Errorf("%d rounds in 3 s at rest, %d wanted", rounds, most)
+	if maxChecks := int(3 * view.PollInterval / pollqueue.IdleCheckInterval); checks > maxChecks || checks < maxChecks-2 {
+		t.Errorf("%d checks in 3 s while idle, want %d", checks, maxChecks)
 	}
-	press := func(what string, agreed uint64, say func() bool) {
+	checkUrgent := func(name string, agreed uint64, event func() bool) {
 		t.Helper()
 		now += pollqueue.IdleCheckInterval
 		poll("aa", peerproto.Poll{Sequence: 20})
-		answer(0)
+		checkIfDue(0)
 		now += pollqueue.CheckInterval
 		poll("aa", peerproto.Poll{Sequence: 21})
-		if answer(0) {
-			t.Fatal("a poll at rest is answered before others could join it")
+		if checkIfDue(0) {
+			t.Fatal("an idle poll is answered before IdleCheckInterval has passed")
 		}
-		if soon := say(); !soon || !answer(agreed) {
-			t.Errorf("%s waits: soon %v", what, soon)
+		if soon := event(); !soon || !checkIfDue(agreed) {
+			t.Errorf("%s: waits, soon %v", name, soon)
 		}
 	}
-	press("one that laid a drain", 0, func() bool {
+	checkUrgent("poll that reports a drain", 0, func() bool {
 		return poll("ab", peerproto.Poll{Sequence: 9, Drains: []peerproto.DrainStatus{{Machine: "r", Fence: 1}}})
 	})
-	press("an entry that was agreed", 3, func() bool { return true })
+	checkUrgent("newly agreed entry", 3, func() bool { return true })
 	for _, name := range names {
 		poll(name, peerproto.Poll{Sequence: 30})
 	}
-	press("one that was silent", 0, func() bool { now += 2*view.PollInterval + 1; return poll("ac", peerproto.Poll{Sequence: 31}) })
+	checkUrgent("poll after a silence", 0, func() bool { now += 2*view.PollInterval + 1; return poll("ac", peerproto.Poll{Sequence: 31}) })
 	if err := n.state.ApplyReply(peerproto.Reply{Index: 5, Entries: []peerproto.Entry{{Index: 5, Raw: tick(t, 5)}}}); err != nil {
 		t.Fatal(err)
 	}
 	if !poll("ad", peerproto.Poll{Sequence: 40, Index: 4}) || poll("ad", peerproto.Poll{Sequence: 41, Index: 5}) {
-		t.Error("one that lacks an entry should not wait, one that has all should")
+		t.Error("a poll that lacks an entry must request a step, one that is up to date must not")
 	}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -8,14 +8,14 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// propose puts a command to the raft group, beside the step.
+// propose submits a command to the raft group in a separate goroutine, which reports the outcome to the loop.
 func (n *Node) propose(c statemachine.Command) {
 	if n.raftGroup == nil || n.proposalsInFlight >= MaxProposalsInFlight {
 		return
 	}
 	raw, err := c.Encode()
 	if err != nil {
-		n.log.WithError(err).Error("a proposal can't be written")
+		n.log.WithError(err).Error("encoding a proposal failed")
 		n.controllerInputs = append(n.controllerInputs, drainctl.ProposalResult{ID: c.ID, Err: err})
 		return
 	}
@@ -26,18 +26,19 @@
 		if errors.Is(err, statemachine.ErrDuplicate) {
 			err = nil
 		}
-		e := drainctl.ProposalResult{}
+		result := drainctl.ProposalResult{}
 		if err, known := proposalOutcome(err); known {
-			e = drainctl.ProposalResult{ID: c.ID, Err: err}
+			result = drainctl.ProposalResult{ID: c.ID, Err: err}
 		}
-		n.proposalResults <- e
+		n.proposalResults <- result
 	}()
 }
 
-// proposalOutcome is what the controller gets of a proposal's outcome; false where nobody knows whether it acts: it is repeated.
+// proposalOutcome returns the error that the controller is given for a proposal. It returns false if it is unknown whether the command
+// was committed: the controller then proposes it again.
 func proposalOutcome(err error) (error, bool) {
-	var not *raftgroup.NotLeader
-	if errors.Is(err, raftgroup.ErrOutcomeUnknown) || errors.As(err, &not) || errors.Is(err, raftgroup.ErrBusy) {
+	var notLeader *raftgroup.NotLeader
+	if errors.Is(err, raftgroup.ErrOutcomeUnknown) || errors.As(err, &notLeader) || errors.Is(err, raftgroup.ErrBusy) {
 		return nil, false
 	}
 	return err, true
--- a/internal/fleet/receive_test.go
+++ b/internal/fleet/receive_test.go
@@ -8,7 +8,7 @@
 	"birchcart/internal/fleet/loadshed"
 )
 
-// Letters of lanes never reach the node's mail, with lanes here or without.
+// Messages of lanes never enter the node's mailbox, whether or not lanes are configured.
 func TestLaneMessagesBypassMailbox(t *testing.T) {
 	n := &Node{mailbox: mailbox.New()}
 	n.receive("b", []byte{loadshed.MessageKind, 1, 0})
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -33,34 +33,35 @@
 	"birchcart/policy"
 )
 
-// The fleet at rest: real nodes on loopback addresses of their own, each voter in a process of its own, the followers some
-// sixty to a process. Counted at the sockets and by the kernel, not by what a node says of itself.
+// Measures the traffic and the load of an idle fleet: real nodes on separate loopback addresses, each voter in a separate process, the
+// followers about sixty to a process. Traffic is counted at the sockets and CPU time by the kernel, not reported by the nodes.
 
 const (
 	idlePartEnv      = "BIRCHCART_REST_PART"
-	idleProfileEnv   = "BIRCHCART_REST_PROFILE" // a directory: each process writes what its CPU did while joining and at rest
-	idleMeasureTime  = 20 * time.Second         // is measured
-	idleJoinTimeout  = 30 * time.Second         // for each sixty, at the most
-	idleStartTimeout = 240 * time.Second        // until all are there, on a busy machine; some 10 s on a quiet one
+	idleProfileEnv   = "BIRCHCART_REST_PROFILE" // a folder for the CPU profiles of each process while joining and while idle
+	idleMeasureTime  = 20 * time.Second         // length of the measurement
+	idleJoinTimeout  = 30 * time.Second         // for each process of followers to join, at most
+	idleStartTimeout = 240 * time.Second        // until all nodes have joined on a busy machine; it takes about 10 s on a quiet one
 )
 
-// part of the fleet that one process plays.
+// idleProcessConfig says which nodes of the fleet a child process runs.
 type idleProcessConfig struct {
 	Dir      string
 	From, To int
 	Replicas int
 }
 
-// counted is what one node has caused so far, and its process if it is alone there.
+// idleNodeStats holds the totals of one node so far. Streams, CPU and Memory are those of its whole process.
 type idleNodeStats struct {
 	Node           int
-	Bytes, Packets int64 // of the gossip and what goes by it
-	Streams        int64 // bytes that the process read and wrote, sockets' streams and files
+	Bytes, Packets int64 // of the gossip, including messages sent over it
+	Streams        int64 // bytes that the process read and wrote, on stream sockets and files
 	CPU            time.Duration
-	Up             int // members that it takes for up
+	Up             int // members that the node considers up
 	Memory         int64
 }
 
+// idleAddress returns the loopback address of a node, at a port.
 func idleAddress(i, port int) string {
 	pid := os.Getppid()
 	if os.Getenv(idlePartEnv) == "" {
@@ -71,7 +72,7 @@
 
 func idleGrantsPath(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
 
-// unsent is a replica side and a discovery that do nothing: no query comes.
+// noTraffic stands in for the replicas and discovery, and does nothing: the test sends no queries.
 type noTraffic struct{}
 
 func (noTraffic) Update([]exchange.Target)                    {}
@@ -81,9 +82,9 @@
 func (noTraffic) CheckHealth(uint64)                          {}
 func (noTraffic) Watch()                                      {}
 
-// runIdleProcess is a process of the fleet: for each line on its input it writes what it counts.
+// runIdleProcess is the body of a child process: for each line on its input it writes the totals of its nodes.
 func runIdleProcess(raw string) {
-	// Long: the body of a child process: its set-up, then its answers line by line.
+	// Long: the whole child process: its set-up, then its answers line by line.
 	var p idleProcessConfig
 	fail := func(err error) {
 		if err != nil {
@@ -149,7 +150,7 @@
 	}
 }
 
-// idleProfiler gives what ends the profile of this process that is under way and begins the next; "end" begins none.
+// idleProfiler returns a function that ends the running CPU profile of this process and starts the next one; "end" starts none.
 func idleProfiler(from int, fail func(error)) func(part string) {
 	dir := os.Getenv(idleProfileEnv)
 	var f *os.File
@@ -168,6 +169,7 @@
 	}
 }
 
+// must returns v, or panics on an error.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -180,11 +182,11 @@
 	out *bufio.Reader
 }
 
-// TestRest is `make fleet-rest`.
+// TestRest measures an idle fleet; `make fleet-rest` runs it. Limits: 4,000 bytes/s for a follower, 5 % of a core for the leader.
 func TestRest(t *testing.T) {
-	// Long: one measurement over several processes, with its set-up and its report.
-	restNodes, err := strconv.Atoi(os.Getenv("BIRCHCART_REST"))
-	if err != nil || restNodes < 6 || restNodes > 400 {
+	// Long: one measurement over several processes, with set-up and report.
+	nodeCount, err := strconv.Atoi(os.Getenv("BIRCHCART_REST"))
+	if err != nil || nodeCount < 6 || nodeCount > 400 {
 		t.Skip("set BIRCHCART_REST to the number of nodes, 6 to 400, of which five vote")
 	}
 	dir := t.TempDir()
@@ -207,7 +209,7 @@
 		voters[fmt.Sprintf("n%03d", i)] = map[string]any{"address": idleAddress(i, 7300), "zone": standin.DataCentres[i%3]}
 		join = append(join, idleAddress(i, 7946))
 	}
-	for i := range restNodes {
+	for i := range nodeCount {
 		write(fmt.Sprint("operator", i), must(json.Marshal(map[string]any{"version": 1, "placement": map[string]any{"holders_least": 2},
 			"fleet": map[string]any{"revision": 1, "voters": voters, "council": map[string]any{"found": true},
 				"gossip": map[string]any{"bind": idleAddress(i, 7946), "join": join}, "keys_file": filepath.Join(dir, "keys"),
@@ -232,11 +234,11 @@
 			fmt.Fprintln(p.in, part)
 		}
 		for _, p := range all {
-			var some []idleNodeStats
-			if line, err := p.out.ReadBytes('\n'); err != nil || json.Unmarshal(line, &some) != nil {
+			var stats []idleNodeStats
+			if line, err := p.out.ReadBytes('\n'); err != nil || json.Unmarshal(line, &stats) != nil {
 				t.Fatalf("a process has ended: %v", err)
 			}
-			by = append(by, some...)
+			by = append(by, stats...)
 		}
 		return by
 	}
@@ -244,18 +246,18 @@
 	for i := range 5 {
 		start(i, i+1)
 	}
-	for from := 5; from < restNodes; from += 59 {
-		start(from, min(from+59, restNodes))
-		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // a fleet is not started in one second
+	for from := 5; from < nodeCount; from += 59 {
+		start(from, min(from+59, nodeCount))
+		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // followers join in groups, as in a real fleet
 			all := count("")
 			if slices.MinFunc(all, func(a, b idleNodeStats) int { return a.Up - b.Up }).Up == len(all) {
 				break
 			}
 		}
 	}
-	confirmedAt := func() (n int, leader string) { // by the grants files, whose lease holds and who is the same leader's
+	leaseHolders := func() (n int, leader string) { // counts the nodes whose grants file shows a valid lease and the same leader
 		var index uint64
-		for i := range restNodes {
+		for i := range nodeCount {
 			var g grantsfile.File
 			raw, err := os.ReadFile(idleGrantsPath(dir, i))
 			if err != nil || json.Unmarshal(raw, &g) != nil || g.CutOff || g.Leader == "" || leader != "" && g.Leader != leader {
@@ -266,64 +268,64 @@
 		}
 		return n, leader
 	}
-	for said := time.Now(); ; {
-		n, leader := confirmedAt()
+	for loggedAt := time.Now(); ; {
+		n, leader := leaseHolders()
 		up := slices.MinFunc(count(""), func(a, b idleNodeStats) int { return a.Up - b.Up }).Up
-		if n == restNodes && up == restNodes {
-			t.Logf("all %d are there after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
+		if n == nodeCount && up == nodeCount {
+			t.Logf("all %d nodes have joined after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
 			break
 		}
 		if time.Since(began) > idleStartTimeout {
 			count("end")
-			t.Fatalf("%d of %d hold a lease, the least has %d up, after %v", n, restNodes, up, idleStartTimeout)
+			t.Fatalf("%d of %d nodes hold a lease, the lowest count of members up is %d, after %v", n, nodeCount, up, idleStartTimeout)
 		}
-		if time.Since(said) > 20*time.Second {
-			said = time.Now()
-			t.Logf("after %v %d of %d hold a lease, the least has %d up", time.Since(began).Round(time.Second), n, restNodes, up)
+		if time.Since(loggedAt) > 20*time.Second {
+			loggedAt = time.Now()
+			t.Logf("after %v %d of %d nodes hold a lease, the lowest count of members up is %d", time.Since(began).Round(time.Second), n, nodeCount, up)
 		}
 		time.Sleep(time.Second)
 	}
-	time.Sleep(5 * time.Second) // what the last join set off
-	_, leader := confirmedAt()
+	time.Sleep(5 * time.Second) // lets the traffic of the last join subside
+	_, leader := leaseHolders()
 	before, at := count("rest"), time.Now()
 	time.Sleep(idleMeasureTime)
 	after, span := count("end"), time.Since(at).Seconds()
-	left, still := confirmedAt()
-	figure := func(what string, from, to int) {
-		var bytes, packets, most int64
+	leased, newLeader := leaseHolders()
+	reportTraffic := func(role string, from, to int) {
+		var bytes, packets, maxBytes int64
 		for i := from; i < to; i++ {
 			b := after[i].Bytes - before[i].Bytes
-			bytes, packets, most = bytes+b, packets+after[i].Packets-before[i].Packets, max(most, b)
+			bytes, packets, maxBytes = bytes+b, packets+after[i].Packets-before[i].Packets, max(maxBytes, b)
 		}
 		n := float64(to-from) * span
-		t.Logf("%s: %.2f KB/s and %.1f packets/s a node on the mean, %.2f KB/s the most", what, float64(bytes)/n/1000, float64(packets)/n,
-			float64(most)/span/1000)
-		if what == "followers" && float64(bytes)/n > 4000 {
-			t.Errorf("a follower causes %.0f bytes/s, 4,000 are wanted", float64(bytes)/n)
+		t.Logf("%s: mean %.2f KB/s and %.1f packets/s per node, maximum %.2f KB/s", role, float64(bytes)/n/1000, float64(packets)/n,
+			float64(maxBytes)/span/1000)
+		if role == "followers" && float64(bytes)/n > 4000 {
+			t.Errorf("a follower causes %.0f bytes/s, limit 4,000", float64(bytes)/n)
 		}
 	}
-	figure("followers", 5, restNodes)
+	reportTraffic("followers", 5, nodeCount)
 	for i := range 5 {
-		who := "a voter"
+		role := "voter"
 		cpu := (after[i].CPU - before[i].CPU).Seconds() / span
 		if fmt.Sprintf("n%03d", i) == leader {
-			who = "the leader"
+			role = "leader"
 			if cpu > 0.05 {
-				t.Errorf("the leader takes %.1f %% of a core, 5 are wanted", 100*cpu)
+				t.Errorf("the leader uses %.1f %% of a core, limit 5", 100*cpu)
 			}
 		}
-		figure(who, i, i+1)
-		t.Logf("  %.2f %% of a core, %.1f KB/s read and written by streams, %d MB at the most", 100*cpu, float64(after[i].Streams-before[i].Streams)/span/1000,
+		reportTraffic(role, i, i+1)
+		t.Logf("  %.2f %% of a core, %.1f KB/s read and written by streams, peak memory %d MB", 100*cpu, float64(after[i].Streams-before[i].Streams)/span/1000,
 			after[i].Memory>>20)
 	}
 	var cpu time.Duration
 	memory := int64(0)
-	for i := 5; i < restNodes; i += 59 {
+	for i := 5; i < nodeCount; i += 59 {
 		cpu += after[i].CPU - before[i].CPU
 		memory += after[i].Memory >> 20 // of the process
 	}
-	t.Logf("the followers together: %.1f %% of a core each, %d MB each", 100*cpu.Seconds()/span/float64(restNodes-5), memory/int64(restNodes-5))
-	if left != restNodes || still != leader {
-		t.Errorf("%d of %d hold a lease at the end, %s led and %s leads: it was no rest", left, restNodes, leader, still)
+	t.Logf("followers: %.1f %% of a core each, %d MB each", 100*cpu.Seconds()/span/float64(nodeCount-5), memory/int64(nodeCount-5))
+	if leased != nodeCount || newLeader != leader {
+		t.Errorf("%d of %d nodes hold a lease at the end, leader %s before and %s after: the fleet was not idle", leased, nodeCount, leader, newLeader)
 	}
 }
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -16,22 +16,23 @@
 	"birchcart/internal/operator"
 )
 
-// Restore makes a raft group of one voter from what its store holds, after the disks of a majority were lost for good. The
-// voter must not run. Started, it leads, and lets the other voters of its file in, one at a time, once they have started
-// with empty folders. What only the lost disks held is gone.
+// Restore creates a raft group of one voter from that voter's store, after the disks of a majority were lost for good. The voter
+// must not be running. Once started it leads, and adds the other voters of its file one at a time after they have started with
+// empty folders. Entries that only the lost disks held are gone.
 //
-// A new era begins with it: all other copies, ahead or not, take the new raft group's state in place of their own, and what
-// was granted by the old one ends. The old raft group's voters must have stopped by stopped at the latest; it is now where
-// the clock says so. Nothing is granted before what it may have granted then is over.
+// The restored group begins a new epoch: all other copies replace their state by the new group's, even if their index is higher,
+// and all grants of the old group end. stopped is the latest time at which a voter of the old group was still running; use the
+// current time if the voters have stopped just now. Nothing is granted until every grant that the old group may have given by
+// then has expired.
 func Restore(name string, f *operator.File, stopped time.Time, log *logrus.Entry) error {
 	if f == nil || f.Fleet == nil {
 		return errors.New("operators' file: no fleet section")
 	}
 	own, ok := f.Fleet.Voters[name]
 	if !ok {
-		return fmt.Errorf("operators' file: $.fleet.voters: %s is none of them", name)
+		return fmt.Errorf("operators' file: $.fleet.voters: %s is not among them", name)
 	}
-	// Opening would make one where there is none, and the next start would take it for a store that was never lost.
+	// Opening would create a missing store, and the next start would take it for one that was never lost.
 	if _, err := os.Stat(filepath.Join(f.Fleet.Dir, store.File)); err != nil {
 		return fmt.Errorf("operators' file: $.fleet.dir: %s holds no raft group: %w", f.Fleet.Dir, err)
 	}
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -9,7 +9,8 @@
 	"birchcart/internal/serve"
 )
 
-// openSessions begins the part in pinned sessions, if the section is there. It comes before the exchange runs.
+// openSessions starts the handling of pinned sessions if the operators' file has a section of them. It must be called before the
+// exchange runs.
 func (n *Node) openSessions(ctx context.Context, s serve.Host) {
 	section := s.Operator.Fleet.Sessions
 	if section == nil {
@@ -23,7 +24,7 @@
 	n.done.Go(func() { n.sessions.Run(ctx) })
 }
 
-// sessionTurn is what a step of the sessions' part goes by.
+// sessionTurn returns the input of a step of the pinned sessions.
 func (n *Node) sessionTurn(now time.Duration) sessionpart.Turn {
 	return sessionpart.Turn{
 		Now: now, Index: n.index, Epoch: n.epoch, AgreedTime: n.agreedTime, Leader: n.leader, Term: n.term, Group: n.raftGroup,
@@ -31,7 +32,7 @@
 	}
 }
 
-// leaseUntil is the own time until which this one's lease is valid; 0: it has none.
+// leaseUntil returns the own time until which this co-ordinator's lease is valid; 0 if it holds none.
 func (n *Node) leaseUntil(now time.Duration) time.Duration {
 	if n.view.CutOff(now) || n.halted {
 		return 0
@@ -39,12 +40,12 @@
 	return n.view.LeaseUntil()
 }
 
-// section is the fleet section in force. Any goroutine may call it.
+// section returns the fleet section in force. Any goroutine may call it.
 func (n *Node) section() *operator.Fleet {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.file.Fleet
 }
 
-// warn logs a line about others' messages or the disk, a limited number of times.
+// warn logs a line about messages of other co-ordinators or about the disk, at a limited rate.
 func (n *Node) warn(text string) { n.messageLog.info(n, n.now(), text) }
--- a/internal/fleet/shutdown.go
+++ b/internal/fleet/shutdown.go
@@ -7,7 +7,7 @@
 	"birchcart/internal/fleet/raftgroup"
 )
 
-// closeVoter closes the own voter; from then on the leader's replies are applied here.
+// closeVoter closes the own voter. Once it is closed, the agreed state is updated from the leader's replies instead.
 func (n *Node) closeVoter() {
 	if n.closingVoter {
 		return
@@ -15,12 +15,13 @@
 	n.closingVoter = true
 	go func(group *raftgroup.Group) {
 		if err := group.Close(); err != nil {
-			n.log.WithError(err).Debug("the seat was closed")
+			n.log.WithError(err).Debug("closing the voter failed")
 		}
 		n.voterClosed <- struct{}{}
 	}(n.raftGroup)
 }
 
+// stepDown ends the own leadership, if there is one, and tells the drain controller.
 func (n *Node) stepDown() {
 	if n.term != 0 {
 		n.log.WithField("term", n.term).Info("leads no more")
@@ -30,28 +31,29 @@
 	n.controllerInputs = append(n.controllerInputs, drainctl.Deposed{})
 }
 
-// Drain transfers the leadership and announces that this co-ordinator leaves. Drains that are applied stay until Stop.
+// Drain transfers the leadership and announces that this co-ordinator leaves the fleet. Applied drains stay in force until Stop.
 func (n *Node) Drain() {
 	if n.disabled || n.isLeaving.Swap(true) {
 		return
 	}
 	n.transferLeadership()
 	if err := n.member.Leave(); err != nil {
-		n.log.WithError(err).Debug("the others are not told of the end")
+		n.log.WithError(err).Debug("announcing the leave to the other members failed")
 	}
 }
 
+// transferLeadership hands the leadership over to another voter, if this co-ordinator leads.
 func (n *Node) transferLeadership() {
 	group := n.state.Group()
 	if group == nil {
 		return
 	}
 	if err := group.HandOver(); err != nil {
-		n.log.WithError(err).Warn("the lead could not be handed over")
+		n.log.WithError(err).Warn("the leadership could not be transferred")
 	}
 }
 
-// Stop ends the part, within StopTimeout.
+// Stop ends the loop and closes all that Start opened; it returns after StopTimeout at the latest.
 func (n *Node) Stop() {
 	if n.disabled || n.stop == nil {
 		return
@@ -66,6 +68,6 @@
 	select {
 	case <-end:
 	case <-time.After(StopTimeout):
-		n.log.Warn("the fleet's part has not ended in time")
+		n.log.Warn("the fleet node did not stop in time")
 	}
 }
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -26,7 +26,7 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// name of 64 bytes that resembles no other.
+// randomName returns a random name of 64 bytes, so that names don't compress against each other.
 func randomName(rnd *rand.Rand) string {
 	const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-"
 	b := make([]byte, 64)
@@ -36,12 +36,12 @@
 	return string(b)
 }
 
-// largest is a state at all of its bounds: machines, requests, items that ended after a whole life, remembered ids.
+// largest is a state filled to all of its limits: machines, requests, ended items with all fields set, retained command IDs.
 func largestState(t *testing.T) *agreedstate.Copy {
-	// Long: one state filled to each of its bounds in turn.
+	// Long: fills one state to each of its limits in turn.
 	rnd := rand.New(rand.NewPCG(1, 2))
 	c, now, index := agreedstate.New(), time.Hour, uint64(0)
-	do := func(kind string, body any) {
+	apply := func(kind string, body any) {
 		t.Helper()
 		b, err := json.Marshal(body)
 		if err != nil {
@@ -58,9 +58,9 @@
 		}
 	}
 	for range statemachine.MaxRetainedIDs {
-		do("tick", maintenance.TickBody{})
+		apply("tick", maintenance.TickBody{})
 	}
-	do("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 5000, Reach: 2, Shards: 5000, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
+	apply("limits", maintenance.LimitsBody{Revision: 1, Limits: maintenance.Limits{Cells: 5000, Reach: 2, Shards: 5000, MinHolders: 1, MaxOutPerZone: 1, MaxOut: 1,
 		MaxLoadAge: time.Second, MaxInventoryAge: time.Second, Lease: time.Second, MaxPassedOver: 1}})
 	for range 10 {
 		var ms []maintenance.Machine
@@ -68,19 +68,19 @@
 			ms = append(ms, maintenance.Machine{Name: randomName(rnd), Kind: maintenance.Replica, Zone: randomName(rnd)[:16], Cell: rnd.IntN(5000), Size: rnd.Float64(),
 				Status: maintenance.Up, Started: time.Duration(rnd.Int64N(int64(time.Hour)))})
 		}
-		do("observe", maintenance.ObserveBody{Machines: ms})
+		apply("observe", maintenance.ObserveBody{Machines: ms})
 	}
 	var requests maintenance.RequestsBody
 	for requests.Revision = 1; len(requests.Requests) < maintenance.MaxRequests; {
 		r := maintenance.Request{ID: randomName(rnd), Kind: maintenance.Replica, Reason: randomName(rnd), MaxOutage: time.Hour}
-		if len(requests.Requests) > 1 { // two take in all machines
+		if len(requests.Requests) > 1 { // the first two requests select all machines
 			r.Kind, r.Names = "", []string{randomName(rnd)}
 		}
 		requests.Requests = append(requests.Requests, r)
 	}
-	do("asks", requests)
+	apply("asks", requests)
 
-	for revision := range 2 { // two sections of lanes in force, as large as may be
+	for revision := range 2 { // two sections of lanes in force, each as large as allowed
 		var text []byte
 		for range laneconfig.MaxPackedSize * 29 / 30 {
 			text = append(text, byte(rnd.Uint32()))
@@ -104,7 +104,7 @@
 		}
 	}
 
-	raw, err := c.Maintenance.Save() // the life of 20,000 items, without living them one by one
+	raw, err := c.Maintenance.Save() // sets all fields of 20,000 items in the saved form, which is faster than a command for each change
 	var all map[string]any
 	if err != nil || json.Unmarshal(raw, &all) != nil {
 		t.Fatal(err)
@@ -129,8 +129,8 @@
 	return c
 }
 
-// The largest state that the bounds of the maintenance order allow, with names of 64 bytes, gets to a follower in one message of
-// the gossip.
+// The largest state that the limits of the maintenance order allow, with names of 64 bytes, reaches a follower in one gossip
+// message.
 func TestLargestStateFitsOneMessage(t *testing.T) {
 	if testing.Short() {
 		t.Skip("with the race detector on a busy machine it takes a minute")
@@ -140,18 +140,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := peerproto.Reply{Sequence: 9, From: "a", Leader: "a", Term: 7, FromLeader: true}
+	reply := peerproto.Reply{Sequence: 9, From: "a", Leader: "a", Term: 7, FromLeader: true}
 	var s peerproto.SnapshotCache
-	if err := s.SetSnapshot(&w, raw, c.Machine.Index(), 1); err != nil {
+	if err := s.SetSnapshot(&reply, raw, c.Machine.Index(), 1); err != nil {
 		t.Fatal(err)
 	}
-	sent, err := peerproto.Encode(w)
+	sent, err := peerproto.Encode(reply)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("a state of %d bytes, packed %d, in a message of %d", len(raw), len(w.Packed), len(sent))
-	if most := member.MaxMessageSize - 1024; len(sent) > most || len(raw) < 10<<20 {
-		t.Errorf("%d bytes of a state of %d, %d at most", len(sent), len(raw), most)
+	t.Logf("a state of %d bytes, packed %d, in a message of %d", len(raw), len(reply.Packed), len(sent))
+	if limit := member.MaxMessageSize - 1024; len(sent) > limit || len(raw) < 10<<20 {
+		t.Errorf("message of %d bytes for a state of %d, limit %d", len(sent), len(raw), limit)
 	}
 	m, err := peerproto.Decode(sent)
 	if err != nil {
@@ -161,19 +161,19 @@
 	if err := to.ApplyReply(m.(peerproto.Reply)); err != nil {
 		t.Fatal(err)
 	}
-	if came, err := to.Machine.Save(); err != nil || !bytes.Equal(came, raw) {
-		t.Fatalf("another state came: %v", err)
+	if received, err := to.Machine.Save(); err != nil || !bytes.Equal(received, raw) {
+		t.Fatalf("the follower has another state: %v", err)
 	}
-	torn := m.(peerproto.Reply)
-	torn.Packed, torn.Index = torn.Packed[:len(torn.Packed)/2], torn.Index+1
-	if err := to.ApplyReply(torn); err == nil || to.Machine.Index() != c.Machine.Index() {
-		t.Errorf("a torn state was taken: %v", err)
+	truncated := m.(peerproto.Reply)
+	truncated.Packed, truncated.Index = truncated.Packed[:len(truncated.Packed)/2], truncated.Index+1
+	if err := to.ApplyReply(truncated); err == nil || to.Machine.Index() != c.Machine.Index() {
+		t.Errorf("a truncated state was loaded: %v", err)
 	}
-	// One of another size is made anew; a larger one than may be is refused in words, and so is the message.
-	if err := s.SetSnapshot(&w, []byte("small"), c.Machine.Index()+1, 1); err != nil || string(w.Snapshot) != "small" || w.Packed != nil {
-		t.Errorf("%v, %d bytes packed", err, len(w.Packed))
+	// A state at another index is packed anew. A state that is too large, raw or packed, is refused with an error that says so.
+	if err := s.SetSnapshot(&reply, []byte("small"), c.Machine.Index()+1, 1); err != nil || string(reply.Snapshot) != "small" || reply.Packed != nil {
+		t.Errorf("%v, %d bytes packed", err, len(reply.Packed))
 	}
-	if err := s.SetSnapshot(&w, make([]byte, peerproto.MaxStateSize+1), c.Machine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
+	if err := s.SetSnapshot(&reply, make([]byte, peerproto.MaxStateSize+1), c.Machine.Index()+2, 1); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Error(err)
 	}
 	noise := make([]byte, peerproto.MaxCompressedSize+1<<20)
@@ -181,13 +181,13 @@
 	for i := range noise {
 		noise[i] = byte(rnd.Uint32())
 	}
-	if err := s.SetSnapshot(&w, noise, c.Machine.Index()+3, 1); err == nil || !strings.Contains(err.Error(), "packed") {
+	if err := s.SetSnapshot(&reply, noise, c.Machine.Index()+3, 1); err == nil || !strings.Contains(err.Error(), "packed") {
 		t.Error(err)
 	}
 }
 
-// A poll or a word that names another sender than the gossip does is left out: nobody polls in another's name by mistake, and
-// one who does it knowingly has to forge the gossip's message too, for which he needs its key.
+// A poll or reply that names another sender than the gossip does is ignored, so no co-ordinator poses as another by mistake. Doing so
+// on purpose requires forging the gossip message too, which needs the gossip key.
 func TestMessageWithForeignSenderIsIgnored(t *testing.T) {
 	n := &Node{state: agreedstate.New()}
 	n.term, n.loads, n.pollQueue = 7, map[string]inventory.LoadReport{}, pollqueue.New()
@@ -200,29 +200,30 @@
 		before := len(n.controllerInputs)
 		n.handleMessage(mailbox.Message{From: "a", Raw: raw})
 		if len(n.controllerInputs) != before || n.pollQueue.Len() != 0 || n.leader != "" || n.pendingAnswer != nil {
-			t.Errorf("%T of a in the name of b was taken", m)
+			t.Errorf("%T sent by a in the name of b was accepted", m)
 		}
 		n.handleMessage(mailbox.Message{From: "b", Raw: raw})
 		if before == 0 && len(n.controllerInputs) != 1 {
-			t.Error("the poll of b was not taken")
+			t.Error("the poll of b was not accepted")
 		}
 		n.pollQueue.Clear()
 	}
 	if n.leader != "b" || n.pendingAnswer == nil {
-		t.Error("the word of b was not taken")
+		t.Error("the reply of b was not accepted")
 	}
 }
 
-// What one side may make the other takes: the state machine's commands, the raft group's, an entry of a word, a word in the gossip.
+// Whatever a sending layer may produce fits the limit of the receiving layer: commands of the state machine in the raft group, its
+// entries in a reply, and replies in a gossip message.
 func TestSenderLimitsFitReceiverLimits(t *testing.T) {
-	const heads = 4 << 10 // of a message, around what it brings in base 64
-	for what, sizes := range map[string][2]int{
-		"commands into the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "the raft group's into a word": {raftgroup.MaxCommandSize, peerproto.MaxEntrySize},
-		"entries into the gossip": {peerproto.MaxEntrySize/3*4 + heads, member.MaxMessageSize}, "states into the gossip": {peerproto.MaxCompressedSize/3*4 + heads, member.MaxMessageSize},
-		"a follower's file into the gossip": {peerproto.MaxPollSize, member.MaxMessageSize}, "observations into a word": {drainctl.MaxObservationSize + heads, peerproto.MaxEntriesSize},
+	const overhead = 4 << 10 // of a message around its base64 content
+	for name, sizes := range map[string][2]int{
+		"commands in the raft group": {statemachine.MaxEntrySize, raftgroup.MaxCommandSize}, "entries of the raft group in a reply": {raftgroup.MaxCommandSize, peerproto.MaxEntrySize},
+		"entries in the gossip": {peerproto.MaxEntrySize/3*4 + overhead, member.MaxMessageSize}, "states in the gossip": {peerproto.MaxCompressedSize/3*4 + overhead, member.MaxMessageSize},
+		"a follower's file in the gossip": {peerproto.MaxPollSize, member.MaxMessageSize}, "observations in a reply": {drainctl.MaxObservationSize + overhead, peerproto.MaxEntriesSize},
 	} {
 		if sizes[0] > sizes[1] {
-			t.Errorf("%s: %d bytes may be made, %d are taken", what, sizes[0], sizes[1])
+			t.Errorf("%s: up to %d bytes are produced, only %d are accepted", name, sizes[0], sizes[1])
 		}
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -242,16 +243,16 @@
 		return statemachine.Command{V: 1, ID: "1-1", Part: agreedstate.MaintenancePart, Kind: "asks", At: time.Hour, Body: b}.Encode()
 	}
 	requests.Requests = []maintenance.Request{request(10_000), request(1)}
-	requests.Requests[1].Names = requests.Requests[0].Names // asked for twice
+	requests.Requests[1].Names = requests.Requests[0].Names // two requests for the same machines
 	raw, err := encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := peerproto.Reply{Sequence: 1, From: "a", FromLeader: true, Index: 5}
-	if err := w.SetEntries([]peerproto.Entry{{Index: 4, Raw: raw}, {Index: 5, Raw: raw}}); err != nil || len(w.Entries) != 1 || !w.Truncated {
-		t.Fatalf("%v, %d entries", err, len(w.Entries))
+	reply := peerproto.Reply{Sequence: 1, From: "a", FromLeader: true, Index: 5}
+	if err := reply.SetEntries([]peerproto.Entry{{Index: 4, Raw: raw}, {Index: 5, Raw: raw}}); err != nil || len(reply.Entries) != 1 || !reply.Truncated {
+		t.Fatalf("%v, %d entries", err, len(reply.Entries))
 	}
-	sent, err := peerproto.Encode(w)
+	sent, err := peerproto.Encode(reply)
 	if err != nil || len(sent) > member.MaxMessageSize {
 		t.Fatalf("%d bytes: %v", len(sent), err)
 	}
@@ -263,9 +264,9 @@
 	if err := to.ApplyReply(m.(peerproto.Reply)); err != nil || len(to.Maintenance.Requests().Requests) != 2 || len(to.Maintenance.Requests().Requests[1].Names) != 10_000 {
 		t.Fatalf("%v, %d requests", err, len(to.Maintenance.Requests().Requests))
 	}
-	t.Logf("an entry that asks for 10,000 machines twice has %d bytes", len(raw))
+	t.Logf("an entry with two requests for 10,000 machines has %d bytes", len(raw))
 	requests.Requests = append(requests.Requests, request(10_000), request(10_000))
 	if _, err := encode(); err == nil || !strings.Contains(err.Error(), "are allowed") {
-		t.Errorf("a file that is too large: %v", err)
+		t.Errorf("an oversized file: %v", err)
 	}
 }
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -11,7 +11,7 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// saveCounter counts how often it is saved.
+// saveCounter is the sessions' part of the state machine; it counts calls of Save.
 type saveCounter struct {
 	*session.State
 	saves int
@@ -22,21 +22,21 @@
 	return p.State.Save()
 }
 
-// What was agreed is saved once for all that need the whole of it, as after a new era all co-ordinators do at once: the state
-// is held meanwhile.
+// The agreed state is encoded once for all followers that need the whole of it, as all do after a new epoch: the state is locked
+// while it is encoded, so encoding it for each follower would block the node.
 func TestStateIsSavedOnceForAllFollowers(t *testing.T) {
 	p := &saveCounter{State: session.New()}
 	n := &Node{state: &agreedstate.Copy{Machine: statemachine.New(map[string]statemachine.Part{agreedstate.SessionsPart: p})}}
 	for i := range 3 {
-		w := peerproto.Reply{}
-		if err := n.fillReply(&w, pollqueue.Poll{Epoch: 1}, 2); err != nil {
+		reply := peerproto.Reply{}
+		if err := n.fillReply(&reply, pollqueue.Poll{Epoch: 1}, 2); err != nil {
 			t.Fatal(err)
 		}
-		if state, err := w.DecodeSnapshot(); err != nil || len(state) == 0 {
-			t.Fatalf("word %d has no state: %v", i, err)
+		if state, err := reply.DecodeSnapshot(); err != nil || len(state) == 0 {
+			t.Fatalf("reply %d has no state: %v", i, err)
 		}
 	}
 	if p.saves != 1 {
-		t.Errorf("saved %d times", p.saves)
+		t.Errorf("the state was saved %d times, want once", p.saves)
 	}
 }
--- a/internal/fleet/sourceaddr/sourceaddr.go
+++ b/internal/fleet/sourceaddr/sourceaddr.go
@@ -1,5 +1,5 @@
-// Package sourceaddr dials from the address that a process listens at, so that all its connections and packets come from
-// one address of a machine that has several: what filters and relays between the machines of a fleet go by.
+// Package sourceaddr dials from the address that a process listens at. On a machine with several addresses all its connections then come
+// from one address, which filters and relays between the machines of a fleet rely on.
 package sourceaddr
 
 import (
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Dial connects by TCP from an address of this machine; nil or an unspecified one leaves the choice to the kernel, and
-// so does a loopback one to a peer elsewhere, where it could not come from.
-func Dial(from net.IP, to string, wait time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: wait}
+// Dial connects by TCP from an address of this machine. The kernel chooses the address if from is nil or unspecified, or if only one of
+// from and to is a loopback address, because such a connection can't be made.
+func Dial(from net.IP, to string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
 	if from != nil && !from.IsUnspecified() && from.IsLoopback() == loopback(to) {
 		d.LocalAddr = &net.TCPAddr{IP: from}
 	}
 	return d.Dial("tcp", to)
 }
 
+// loopback returns whether the host of an address is a loopback address.
 func loopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
--- a/internal/fleet/sourceaddr/sourceaddr_test.go
+++ b/internal/fleet/sourceaddr/sourceaddr_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A connection comes from the requested loopback address; in all other cases the kernel chooses the source.
 func TestDial(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if ip := in.RemoteAddr().(*net.TCPAddr).IP.String(); ip != want {
-			t.Errorf("from %q: it came from %s, not %s", from, ip, want)
+			t.Errorf("from %q: the connection came from %s, want %s", from, ip, want)
 		}
 		in.Close()
 		out.Close()
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -32,13 +32,14 @@
 	"birchcart/internal/serve"
 )
 
+// init sets all fields of the node that need neither disk nor network.
 func (n *Node) init(s serve.Host) {
 	n.name, n.file, n.start, n.inputsChanged = s.Config.Name, s.Operator, time.Now(), true
 	n.version, n.dir = serve.Version(), s.Operator.Fleet.Dir
 	n.state, n.mailbox = agreedstate.New(), mailbox.New()
 	n.proposalResults, n.verifications, n.voterClosed = make(chan drainctl.ProposalResult, MaxProposalsInFlight), make(chan verification, 1), make(chan struct{}, 1)
 	n.ready = make(chan struct{})
-	n.wake, n.drainApplied = make(chan struct{}, 1), make(chan struct{}, 1) // one set is applied at a time
+	n.wake, n.drainApplied = make(chan struct{}, 1), make(chan struct{}, 1) // one set of drains is applied at a time
 	n.voterResults = make(chan voters.Result, 1)
 	n.drains = n.newDrainStore()
 	n.pollQueue = pollqueue.New()
@@ -54,7 +55,7 @@
 	n.controller = drainctl.New(waveplan.Order)
 }
 
-// newDrainStore makes the store of drains in the folder of the start.
+// newDrainStore makes the store of drains in the folder configured at start.
 func (n *Node) newDrainStore() *drainstore.Store {
 	return drainstore.New(drainstore.Options{
 		Dir: n.dir, State: n.state, Log: n.log, Apply: func(machines []string) { n.host.Exchange.SetDrains(machines) },
@@ -62,7 +63,7 @@
 	})
 }
 
-// zone of this co-ordinator, "" if the settings name none.
+// zone returns the zone of this co-ordinator, or "" if the settings name none.
 func zone(s serve.Host) string {
 	if z := s.Config.Policy.Zone; z >= 0 && z < len(s.Config.Names.Zones) {
 		return s.Config.Names.Zones[z]
@@ -70,7 +71,8 @@
 	return ""
 }
 
-// open opens gossip, seat and file. An error names the place in the operators' file; what the disk holds is none.
+// open opens the own voter, the gossip and the writer of the grants file. It returns errors of the configuration, which name the
+// place in the operators' file; a damaged store is no error.
 func (n *Node) open() error {
 	f := n.file.Fleet
 	if err := sessionpart.Validate(f, n.host.Config.Names, &n.host.Config.Policy); err != nil {
@@ -102,7 +104,8 @@
 	return nil
 }
 
-// openVoterAtStart takes this co-ordinator's seat, if it has one. A store that can't be used leaves it without a vote.
+// openVoterAtStart opens the own voter, if the file names this co-ordinator as one. If its store can't be used, the co-ordinator runs
+// without a vote.
 func (n *Node) openVoterAtStart(f *operator.Fleet) error {
 	own, ok := f.Voters[n.name]
 	if !ok {
@@ -114,7 +117,7 @@
 	}
 	ln.Close()
 	if _, err := os.Stat(filepath.Join(f.Dir, store.File)); errors.Is(err, os.ErrNotExist) && !f.Council.Found {
-		n.log.WithField("dir", f.Dir).Warn("this voter has no store: it votes once a leader knows it as new. At a fleet's first start set $.fleet.council.found")
+		n.log.WithField("dir", f.Dir).Warn("this voter has no store: it votes only after the leader has added it as a new voter. At a fleet's first start set $.fleet.council.found")
 		return nil
 	}
 	if err := n.openVoter(f, f.Council.Found); err != nil {
@@ -124,11 +127,11 @@
 	return nil
 }
 
-// openVoter opens this voter's seat; found has it set a raft group up where it has no store.
-func (n *Node) openVoter(f *operator.Fleet, found bool) error {
+// openVoter opens the own voter and attaches it to the agreed state. With bootstrap it creates a raft group if it has no store.
+func (n *Node) openVoter(f *operator.Fleet, bootstrap bool) error {
 	own := f.Voters[n.name]
 	o := raftgroup.Options{
-		Name: n.name, Dir: f.Dir, Bind: bindAddress(f, own), Advertise: own.Address, Bootstrap: found, Machine: n.state.Machine, Log: n.log,
+		Name: n.name, Dir: f.Dir, Bind: bindAddress(f, own), Advertise: own.Address, Bootstrap: bootstrap, Machine: n.state.Machine, Log: n.log,
 	}
 	for _, name := range n.voterNames {
 		o.Voters = append(o.Voters, raftgroup.Voter{Name: name, Addr: f.Voters[name].Address})
@@ -142,6 +145,7 @@
 	return nil
 }
 
+// bindAddress returns the address at which the own voter listens.
 func bindAddress(f *operator.Fleet, own operator.Voter) string {
 	if f.Council.Bind != "" {
 		return f.Council.Bind
@@ -149,16 +153,16 @@
 	return own.Address
 }
 
-// close ends what open opened.
+// close closes what open opened.
 func (n *Node) close() {
 	if n.raftGroup != nil {
 		if err := n.raftGroup.Close(); err != nil {
-			n.log.WithError(err).Warn("the raft group's seat was not closed well")
+			n.log.WithError(err).Warn("closing the voter failed")
 		}
 	}
 	if n.member != nil {
 		if err := n.member.Close(); err != nil {
-			n.log.WithError(err).Warn("the gossip was not closed well")
+			n.log.WithError(err).Warn("closing the gossip failed")
 		}
 	}
 	if n.writer != nil {
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -19,7 +19,7 @@
 	"birchcart/internal/fleet/view"
 )
 
-// writtenGrants is what the grants file was last made of.
+// writtenGrants is the content from which the grants file was last written.
 type writtenGrants struct {
 	initialized bool
 	cutOff      bool
@@ -28,16 +28,16 @@
 	grants      []view.Grant
 }
 
-// stepResult is what the pure parts want, and what was agreed when they were asked.
+// stepResult is the output of the view and the drain controller, with the agreed state that they saw.
 type stepResult struct {
 	view             []view.Output
 	controller       []drainctl.Output
 	grants           grantsfile.File
-	limitsRevision   int // agreed
-	requestsRevision int
+	limitsRevision   int // of the agreed limits
+	requestsRevision int // of the agreed requests
 }
 
-// step gives all events to the pure parts and carries out what they want.
+// step passes all events since the last step to the view and the drain controller, and carries out their outputs.
 func (n *Node) step() {
 	now, wall := n.now(), time.Duration(time.Now().UnixNano())
 	n.collectInputs()
@@ -70,7 +70,7 @@
 	n.logSummary(now)
 }
 
-// stepLocked steps the view and the drain controller while no command is applied.
+// stepLocked steps the view and the drain controller; the caller's lock keeps commands from being applied meanwhile.
 func (n *Node) stepLocked(now, wall time.Duration) (r stepResult) {
 	machine, order := n.state.Machine, n.state.Maintenance
 	if err := machine.Halted(); err != nil && !n.halted {
@@ -84,7 +84,7 @@
 		n.controllerInputs = append(n.controllerInputs, drainctl.Applied{State: order, Index: n.index, Now: machine.Now(), Epoch: n.epoch})
 		r.grants.Items = order.Items()
 	}
-	var complete, notInInventory bool // of an answer
+	var complete, notInInventory bool // of the pending reply
 	if a := n.pendingAnswer; a != nil {
 		a.Truncated = a.Truncated || n.index < n.pendingAnswerIndex
 		n.viewInputs, n.pendingAnswer, complete = append(n.viewInputs, *a), nil, !a.Truncated
@@ -95,7 +95,7 @@
 	}
 	n.agreedTime = machine.Now()
 	r.view = n.view.Step(now, n.viewInputs)
-	// One that was read after its lease is over had the view apply nothing: the drains of the process before stay.
+	// A reply that is handled after its lease has expired makes the view apply nothing: the drains of the previous process stay.
 	n.caughtUp = n.caughtUp || complete && (notInInventory || !n.view.CutOff(now))
 	if !n.halted {
 		r.controller = n.controller.Step(now, wall, n.controllerInputs)
@@ -107,7 +107,7 @@
 	return r
 }
 
-// executeController carries out what the drain controller wants.
+// executeController carries out an output of the drain controller.
 func (n *Node) executeController(o drainctl.Output) {
 	switch o := o.(type) {
 	case drainctl.Propose:
@@ -119,7 +119,7 @@
 	}
 }
 
-// collectInputs takes the list and the file that came since the last step.
+// collectInputs passes on the endpoint list and the operators' file if they changed since the last step.
 func (n *Node) collectInputs() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,7 +146,7 @@
 	n.controllerInputs = append(n.controllerInputs, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
 }
 
-// sampleLoad measures the own load and publishes it by gossip.
+// sampleLoad measures the own load every FeedInterval and publishes it by gossip.
 func (n *Node) sampleLoad(now time.Duration) {
 	if now < n.ownLoad.At+FeedInterval {
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// feedController gives the leader the list and the members.
+// feedController passes the endpoint list and the members to the leader's drain controller every FeedInterval.
 func (n *Node) feedController(now time.Duration) {
 	n.sampleLoad(now)
 	if n.term == 0 || n.controllerFedAt > 0 && now < n.controllerFedAt+FeedInterval {
@@ -179,7 +179,7 @@
 	}
 }
 
-// execute carries out what the view wants.
+// execute carries out an output of the view.
 func (n *Node) execute(o view.Output) {
 	switch o := o.(type) {
 	case view.Drains:
@@ -195,13 +195,13 @@
 	}
 }
 
-// leave goes, if the file says so: the leadership first, then the drain as by SIGTERM.
+// leave shuts this co-ordinator down for maintenance if the file says so; otherwise it only logs that the site's tools may.
 func (n *Node) leave(fence uint64) {
 	n.mu.Lock()
 	self := n.file.Fleet.Self
 	n.mu.Unlock()
 	if !self {
-		n.log.WithField("fence", fence).Info("this co-ordinator may go for work; the site's tools end it")
+		n.log.WithField("fence", fence).Info("this co-ordinator may go for work; the site's tools have to stop it")
 		return
 	}
 	if n.sessions != nil {
@@ -211,7 +211,7 @@
 	n.shutdownForMaintenance(fence)
 }
 
-// shutdownForMaintenance ends this co-ordinator as by SIGTERM, the leadership first.
+// shutdownForMaintenance transfers the leadership and then shuts this co-ordinator down as SIGTERM does.
 func (n *Node) shutdownForMaintenance(fence uint64) {
 	n.log.WithField("fence", fence).Info("this co-ordinator goes for work")
 	go func() {
@@ -220,11 +220,11 @@
 	}()
 }
 
-// writeGrants has the grants file replaced, if it would say something else.
+// writeGrants has the grants file replaced if its content changed.
 func (n *Node) writeGrants(now time.Duration, f grantsfile.File) {
 	w := &n.written
-	cut := n.view.CutOff(now)
-	same := w.initialized && cut == w.cutOff && n.leader == w.leader && slices.Equal(n.grants, w.grants)
+	cutOff := n.view.CutOff(now)
+	same := w.initialized && cutOff == w.cutOff && n.leader == w.leader && slices.Equal(n.grants, w.grants)
 	if f.Items != nil || !w.initialized {
 		items := grantsfile.RecentItems(f.Items, f.Now)
 		same = same && slices.Equal(items, w.items)
@@ -233,8 +233,8 @@
 	if same {
 		return
 	}
-	w.initialized, w.cutOff, w.leader, w.grants = true, cut, n.leader, n.grants
-	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cut, w.items
+	w.initialized, w.cutOff, w.leader, w.grants = true, cutOff, n.leader, n.grants
+	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cutOff, w.items
 	reasons := map[string]string{}
 	for _, r := range n.fileReport.Requests.Requests {
 		reasons[r.ID] = r.Reason
@@ -249,7 +249,7 @@
 	n.writer.Put(f)
 }
 
-// sameRequests compares by what is written, as the state machine does; no requests are no requests.
+// sameRequests compares the JSON encodings, as the state machine does. Without requests, a nil list and an empty one are equal.
 func sameRequests(a, b maintenance.RequestsBody) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -10,19 +10,19 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// LogInterval is the least time between log lines about messages, and between those about a file that differs from what was
-// agreed. Twice as long: a fault is logged later; half: twice the lines of which one is enough.
+// LogInterval is the least time between log lines about messages. Twice as long logs a fault later; half doubles the lines of a
+// lasting fault, of which one is enough.
 const LogInterval = 10 * time.Second
 
-// limitedLog bounds what is logged of others' messages.
+// limitedLog limits the rate of log lines about messages of other co-ordinators.
 type limitedLog struct {
 	loggedAt        time.Duration
 	logged          bool
 	suppressed      int
-	differsRevision int // revision for which it was logged that the file differs
+	differsRevision int // revision for which a differing file was already logged
 }
 
-// info logs a line, unless one was logged just now.
+// info logs a line, unless one was logged less than LogInterval ago.
 func (l *limitedLog) info(n *Node, now time.Duration, text string) {
 	if l.logged && now < l.loggedAt+LogInterval {
 		l.suppressed++
@@ -36,7 +36,8 @@
 	l.loggedAt, l.logged, l.suppressed = now, true, 0
 }
 
-// warnIfFileDiffers says once that the own file differs from what was agreed under the same revision. The state is locked.
+// warnIfFileDiffers warns once per revision if the own file differs from what was agreed under the same revision. The caller holds
+// the lock of the agreed state.
 func (l *limitedLog) warnIfFileDiffers(n *Node) {
 	limits, revision := n.state.Maintenance.Limits()
 	own := n.fileReport
@@ -49,11 +50,11 @@
 	}
 	l.differsRevision = revision
 	if own.Limits.Limits != limits || !sameRequests(own.Requests, requests) {
-		n.log.WithField("revision", revision).Warn("the operators' file differs from what was agreed under its revision; give it a higher one")
+		n.log.WithField("revision", revision).Warn("the operators' file differs from what was agreed under the same revision; raise its revision")
 	}
 }
 
-// logSummary logs what an on-call reader wants to see at a glance, as often as the serving's summary.
+// logSummary logs the state of the fleet in one line, as often as the summary of the serving, and checks the invariants.
 func (n *Node) logSummary(now time.Duration) {
 	if now < n.summaryAt+n.host.Config.Limits.TellEvery {
 		return
@@ -63,7 +64,7 @@
 		"age": n.view.Age(now).Round(time.Millisecond), "cut_off": n.view.CutOff(now), "leader": n.leader, "leads": n.term != 0,
 		"votes": n.raftGroup != nil, "dropped": n.mailbox.Dropped.Load() + n.member.Dropped(),
 	}
-	var wrong error
+	var violation error
 	n.state.WithLock(func() {
 		f["index"] = n.state.Machine.Index()
 		for _, it := range n.state.Maintenance.Items() {
@@ -72,16 +73,16 @@
 				f[k] = count + 1
 			}
 		}
-		if stop, why := n.state.Maintenance.Paused(n.state.Machine.Now()); stop {
-			f["paused"] = why
+		if paused, reason := n.state.Maintenance.Paused(n.state.Machine.Now()); paused {
+			f["paused"] = reason
 		}
-		wrong = n.state.Machine.Check()
+		violation = n.state.Machine.Check()
 	})
-	if wrong == nil {
-		wrong = n.view.Check()
+	if violation == nil {
+		violation = n.view.Check()
 	}
-	if wrong != nil {
-		n.log.WithError(wrong).Error("a rule of the fleet does not hold")
+	if violation != nil {
+		n.log.WithError(violation).Error("an invariant of the fleet does not hold")
 	}
 	up, all := 0, 0
 	for _, m := range n.member.Members() {
@@ -97,5 +98,5 @@
 	if n.lanes != nil {
 		n.lanes.AddSummary(f)
 	}
-	n.log.WithFields(f).Info("the fleet")
+	n.log.WithFields(f).Info("fleet summary")
 }
--- a/internal/fleet/voters.go
+++ b/internal/fleet/voters.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// VoterCheckInterval is between looks at whether the raft group's voters are those of the file. Twice as long: a voter is
-	// replaced so much later; half: twice the questions of one that waits to vote.
+	// VoterCheckInterval is the time between checks whether the raft group's voters are those of the file. Twice as long delays the
+	// replacement of a voter by as much; half doubles the requests of a co-ordinator that waits to become a voter.
 	VoterCheckInterval = 2 * time.Second
 )
 
-// handleVoterMessage takes a question or an answer about who votes.
+// handleVoterMessage handles a request for the list of voters, or an answer to one.
 func (n *Node) handleVoterMessage(from string, raw []byte) {
 	s, err := voters.Decode(raw)
 	switch {
 	case err != nil:
-		n.messageLog.info(n, n.now(), "a message of "+from+" is left out: "+err.Error())
+		n.messageLog.info(n, n.now(), "a message from "+from+" is ignored: "+err.Error())
 	case s.Answer:
 		n.handleVoterAnswer(from, s.Voters)
 	case n.term != 0 && n.raftGroup != nil && !n.checkingVoters:
 		n.checkingVoters = true
 		go func(group *raftgroup.Group) {
-			l := voters.Result{Requester: from}
-			if l.Err = group.Verify(); l.Err == nil { // else another may lead, and have changed them
-				l.Voters, l.Err = group.Voters()
+			result := voters.Result{Requester: from}
+			if result.Err = group.Verify(); result.Err == nil { // otherwise another co-ordinator may lead and have changed the voters
+				result.Voters, result.Err = group.Voters()
 			}
-			n.voterResults <- l
+			n.voterResults <- result
 		}(n.raftGroup)
 	}
 }
 
-// handleVoterAnswer takes the leader's answer to who votes: a co-ordinator that is to vote opens a voter without a store, if the raft
-// group does not know this name, since one that it knows may have voted; one that is not to vote closes its voter, if the raft
-// group has removed it while it was out of reach. Its own log never says so: nobody sends it what came after.
+// handleVoterAnswer handles the leader's list of voters. A co-ordinator that the file names as a voter opens a voter with an empty
+// store, but only if the raft group does not list its name: a listed voter may have voted before it lost its store. A co-ordinator
+// that the file no longer names closes its voter if the raft group removed it while it was unreachable. Its own log can't show
+// that, because a removed voter receives no further entries.
 func (n *Node) handleVoterAnswer(from string, voters []string) {
 	if from != n.leader || n.storeLost || len(voters) == 0 {
 		return
@@ -48,48 +49,49 @@
 	f := n.file.Fleet
 	n.mu.Unlock()
 	_, wanted := f.Voters[n.name]
-	switch sits := n.raftGroup != nil; {
-	case sits && !wanted && n.term == 0 && !slices.Contains(voters, n.name):
+	switch isVoter := n.raftGroup != nil; {
+	case isVoter && !wanted && n.term == 0 && !slices.Contains(voters, n.name):
 		n.stopVoting()
 		return
-	case sits || !wanted:
+	case isVoter || !wanted:
 		return
 	}
 	if slices.Contains(voters, n.name) {
 		n.storeLost = true
-		n.log.Error("the raft group has this co-ordinator as a voter, and its store was lost: it follows without a vote; name another in its place")
+		n.log.Error("the raft group lists this co-ordinator as a voter, but its store was lost: it follows without a vote; name another voter in its place")
 		return
 	}
 	if err := n.openVoter(f, false); err != nil {
-		if n.loggedVoterError != err.Error() { // once for each cause: it is asked for again, so that a disk that has room later is enough
+		if n.loggedVoterError != err.Error() { // logged once per cause: opening is retried, so that freeing disk space is enough to recover
 			n.loggedVoterError = err.Error()
-			n.log.WithError(err).Error("the seat in the raft group can't be taken; it is tried again")
+			n.log.WithError(err).Error("the seat in the raft group can't be taken; opening the voter is retried")
 		}
 		return
 	}
 	n.loggedVoterError = ""
-	n.log.Info("the seat in the raft group is open; the leader lets it vote")
+	n.log.Info("the seat in the raft group is open; the leader has to add it as a voter")
 }
 
 // stopVoting closes a voter that the raft group has removed.
 func (n *Node) stopVoting() {
 	if !n.closingVoter {
-		n.log.Info("this co-ordinator votes no more")
+		n.log.Info("this co-ordinator votes no more: the raft group removed its voter")
 		n.closeVoter()
 	}
 }
 
-// askVoters asks the leader who votes.
+// askVoters requests the list of voters from the leader.
 func (n *Node) askVoters() {
 	if n.leader == "" || n.leader == n.name {
 		return
 	}
 	if err := n.member.Send(n.leader, voters.Message{}.Encode()); err != nil {
-		n.log.WithError(err).Debug("who votes was not asked")
+		n.log.WithError(err).Debug("requesting the list of voters failed")
 	}
 }
 
-// reconcileVoters sees to it that the raft group's voters become those of the file, one at a time.
+// reconcileVoters compares the raft group's voters with those of the file every VoterCheckInterval. The leader changes them one at a
+// time; other co-ordinators find out whether they are to open or close their own voter.
 func (n *Node) reconcileVoters(now time.Duration) {
 	if n.votersCheckedAt > 0 && now < n.votersCheckedAt+VoterCheckInterval || n.checkingVoters {
 		return
@@ -109,36 +111,36 @@
 		n.checkingVoters = true
 		ready := map[string]bool{}
 		for _, m := range n.member.Members() {
-			ready[m.Name] = m.State == member.Alive && m.Voter && n.loads[m.Name].Epoch == n.epoch // one of an earlier epoch gets the new state first
+			ready[m.Name] = m.State == member.Alive && m.Voter && n.loads[m.Name].Epoch == n.epoch // a member of an earlier epoch must load the new state first
 		}
 		go func() { n.voterResults <- voters.Reconcile(group, n.name, f, ready) }()
 	case !wanted:
 		n.askVoters()
 		n.checkingVoters = true
 		go func() {
-			l := voters.Result{}
-			l.Voters, l.Err = group.Voters()
-			n.voterResults <- l
+			result := voters.Result{}
+			result.Voters, result.Err = group.Voters()
+			n.voterResults <- result
 		}()
 	}
 }
 
-// handleVoterResult takes the outcome of a look at the voters.
-func (n *Node) handleVoterResult(l voters.Result) {
+// handleVoterResult handles the outcome of a check of the voters.
+func (n *Node) handleVoterResult(result voters.Result) {
 	n.checkingVoters = false
-	if l.Change != "" {
-		n.log.WithField("error", l.Err).Info("the raft group's voters change: " + l.Change)
+	if result.Change != "" {
+		n.log.WithField("error", result.Err).Info("the raft group's voters change: " + result.Change)
 	}
-	if l.Err != nil || n.raftGroup == nil {
+	if result.Err != nil || n.raftGroup == nil {
 		return
 	}
 	var names []string
-	for _, v := range l.Voters {
+	for _, v := range result.Voters {
 		names = append(names, v.Name)
 	}
-	if l.Requester != "" {
-		if err := n.member.Send(l.Requester, voters.Message{Answer: true, Voters: names}.Encode()); err != nil {
-			n.log.WithError(err).Debug("who votes was not told")
+	if result.Requester != "" {
+		if err := n.member.Send(result.Requester, voters.Message{Answer: true, Voters: names}.Encode()); err != nil {
+			n.log.WithError(err).Debug("sending the list of voters failed")
 		}
 		return
 	}
--- a/internal/fleet/voters/voters.go
+++ b/internal/fleet/voters/voters.go
@@ -1,5 +1,5 @@
-// Package voters keeps the raft group's voters those of the operators' file, one change at a time, and is the message by which a
-// co-ordinator asks the leader who votes.
+// Package voters changes the raft group's voters, one at a time, to those of the operators' file, and defines the message replacement which a
+// co-ordinator requests the list of voters from the leader.
 package voters
 
 import (
@@ -14,79 +14,79 @@
 
 const (
 	version = 1
-	kind    = 's' // none of peerproto's
-	// MaxSize of a message, in bytes.
+	kind    = 's' // differs from the kinds of package peerproto
+	// MaxSize is the largest message, in bytes.
 	MaxSize = 64 << 10
 )
 
-// Message is the question who votes, and its answer by the leader.
+// Message is a request for the list of voters, or the leader's answer to one.
 type Message struct {
 	Answer bool     `json:"answer,omitempty"`
 	Voters []string `json:"voters,omitempty"`
 }
 
-// IsMessage says whether a message between co-ordinators is one of this package.
+// IsMessage returns whether a message between co-ordinators is one of this package.
 func IsMessage(raw []byte) bool { return len(raw) > 2 && raw[0] == version && raw[1] == kind }
 
-// Encode gives the message's bytes.
-func (s Message) Encode() []byte {
-	raw, err := json.Marshal(s)
+// Encode returns the encoded message.
+func (m Message) Encode() []byte {
+	raw, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // a list of names
+		panic(err) // can't happen: a flag and a list of strings
 	}
 	return append([]byte{version, kind}, raw...)
 }
 
 // Decode reads a message for which IsMessage holds.
-func Decode(raw []byte) (s Message, err error) {
+func Decode(raw []byte) (m Message, err error) {
 	if len(raw) > MaxSize {
-		return s, fmt.Errorf("who votes: %d bytes, %d at most", len(raw), MaxSize)
+		return m, fmt.Errorf("voters message of %d bytes, limit %d", len(raw), MaxSize)
 	}
-	return s, json.Unmarshal(raw[2:], &s)
+	return m, json.Unmarshal(raw[2:], &m)
 }
 
-// Result is what came of a look at the raft group's voters, by the leader after it changed one if that was due.
+// Result is the outcome of reading the raft group's voters; on the leader, after the change that was due.
 type Result struct {
 	Voters    []raftgroup.Voter
-	Requester string // who is to be answered; "": nobody
-	Change    string // in words; "": none
+	Requester string // co-ordinator that requested the list; "": none
+	Change    string // description of the change; "": none
 	Err       error
 }
 
-// Reconcile makes the next change, if one is due: a voter that the file does not name is replaced by one that it names and that is
-// ready to vote. The leader hands over first if it is the one to go.
-func Reconcile(group *raftgroup.Group, self string, f *operator.Fleet, ready map[string]bool) (l Result) {
-	if l.Voters, l.Err = group.Voters(); l.Err != nil {
-		return l
+// Reconcile makes the next change of the voters, if one is due: a voter that the file does not name is replaced by a named one that is
+// ready to vote. If the leader itself is to be replaced, it first transfers the leadership.
+func Reconcile(group *raftgroup.Group, self string, f *operator.Fleet, ready map[string]bool) (result Result) {
+	if result.Voters, result.Err = group.Voters(); result.Err != nil {
+		return result
 	}
 	has := map[string]bool{}
 	old := ""
-	for _, v := range l.Voters {
+	for _, v := range result.Voters {
 		has[v.Name] = true
 		if _, ok := f.Voters[v.Name]; !ok {
 			old = v.Name
 		}
 	}
-	var with raftgroup.Voter
+	var replacement raftgroup.Voter
 	missing := false
 	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
 		if !has[name] {
 			missing = true
-			if ready[name] && with.Name == "" {
-				with = raftgroup.Voter{Name: name, Addr: f.Voters[name].Address}
+			if ready[name] && replacement.Name == "" {
+				replacement = raftgroup.Voter{Name: name, Addr: f.Voters[name].Address}
 			}
 		}
 	}
 	switch {
-	case old == "" && with.Name == "", with.Name == "" && missing: // nothing to do, or the new one is not there yet
-		return l
+	case old == "" && replacement.Name == "", replacement.Name == "" && missing: // nothing to do, or the new voter is not ready yet
+		return result
 	case old == self:
-		l.Change, l.Err = "the lead is handed over, as the file names this voter no more", group.HandOver()
-		return l
+		result.Change, result.Err = "the leadership is handed over, because the file no longer names this voter", group.HandOver()
+		return result
 	}
-	l.Change = fmt.Sprintf("voter %q goes, voter %q comes", old, with.Name)
-	if l.Err = group.Replace(old, with); l.Err == nil {
-		l.Voters, l.Err = group.Voters()
+	result.Change = fmt.Sprintf("voter %q goes, voter %q comes", old, replacement.Name)
+	if result.Err = group.Replace(old, replacement); result.Err == nil {
+		result.Voters, result.Err = group.Voters()
 	}
-	return l
+	return result
 }
--- a/internal/fleet/voters/voters_test.go
+++ b/internal/fleet/voters/voters_test.go
@@ -13,19 +13,19 @@
 	"birchcart/internal/operator"
 )
 
-// The raft group's voters become those of the file one at a time, and never before the new one's seat is open. A seat
-// without a vote for the change, and one that is named no more, are left as they are.
+// Reconcile replaces one voter at a time, and only by a voter that is ready. A change that the new voter does not answer fails, and a
+// leader that the file no longer names tries to transfer the leadership instead of changing voters.
 func TestReconcileReplacesOneReadyVoter(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	seat, err := raftgroup.Open(raftgroup.Options{
+	group, err := raftgroup.Open(raftgroup.Options{
 		Name: "a", Dir: t.TempDir(), Bind: "127.0.0.1:0", Voters: []raftgroup.Voter{{Name: "a", Addr: "127.0.0.1:1"}}, Bootstrap: true,
 		Machine: agreedstate.New().Machine, Log: logrus.NewEntry(log),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer seat.Close()
+	defer group.Close()
 	file := func(names ...string) *operator.Fleet {
 		f := &operator.Fleet{Voters: map[string]operator.Voter{}}
 		for _, n := range names {
@@ -33,17 +33,17 @@
 		}
 		return f
 	}
-	if l := Reconcile(seat, "a", file("a"), nil); l.Change != "" || l.Err != nil {
-		t.Errorf("%+v", l)
+	if result := Reconcile(group, "a", file("a"), nil); result.Change != "" || result.Err != nil {
+		t.Errorf("%+v", result)
 	}
-	if l := Reconcile(seat, "a", file("a", "b"), map[string]bool{"b": false}); l.Change != "" || l.Err != nil {
-		t.Errorf("one whose seat is not open: %+v", l)
+	if result := Reconcile(group, "a", file("a", "b"), map[string]bool{"b": false}); result.Change != "" || result.Err != nil {
+		t.Errorf("a voter that is not ready: %+v", result)
 	}
-	if l := Reconcile(seat, "a", file("b"), map[string]bool{"b": true}); !strings.Contains(l.Change, "handed over") {
-		t.Errorf("the own seat: %+v", l)
+	if result := Reconcile(group, "a", file("b"), map[string]bool{"b": true}); !strings.Contains(result.Change, "handed over") {
+		t.Errorf("the own voter: %+v", result)
 	}
-	if l := Reconcile(seat, "a", file("a", "b", "c"), map[string]bool{"b": true, "c": true}); l.Change != `voter "" goes, voter "b" comes` || l.Err == nil {
-		t.Errorf("one that nobody answers for: %+v", l)
+	if result := Reconcile(group, "a", file("a", "b", "c"), map[string]bool{"b": true, "c": true}); result.Change != `voter "" goes, voter "b" comes` || result.Err == nil {
+		t.Errorf("a voter that does not answer: %+v", result)
 	}
 }
 
@@ -53,9 +53,9 @@
 		t.Errorf("%+v %v", s, err)
 	}
 	if _, err := peerproto.Decode(raw); err == nil {
-		t.Error("it is taken for another message")
+		t.Error("peerproto decodes it as one of its messages")
 	}
 	if _, err := Decode(append(raw, make([]byte, MaxSize)...)); err == nil {
-		t.Error("one that is too large was read")
+		t.Error("an oversized message was decoded")
 	}
 }
