--- a/internal/fleet/agreedstate/copy.go
+++ b/internal/fleet/agreedstate/copy.go
@@ -25,7 +25,7 @@
 	Lanes       *laneconfig.State
 }
 
-// Names of the parts in the state machine. They are stored, so they must not change.
+// Names of the parts in the state machine. They are stored, so they stay those of earlier versions.
 const (
 	MaintenancePart = "takeout"
 	SessionsPart    = "sessions"
--- a/internal/fleet/agreedstate/restored.go
+++ b/internal/fleet/agreedstate/restored.go
@@ -9,7 +9,7 @@
 // Restored is a copy that begins a new epoch when it is saved. A restored raft group starts from that snapshot.
 type Restored struct {
 	*Copy
-	StoppedBy time.Time // latest time at which a voter of the replaced raft group was running
+	StoppedBy time.Time // time by which all voters of the replaced raft group had stopped
 }
 
 // Apply implements the state machine of package raftgroup.
--- a/internal/fleet/compress/compress.go
+++ b/internal/fleet/compress/compress.go
@@ -1,5 +1,5 @@
 // Package compress compresses large agreed commands and states for the log and for the network. The output is deterministic, and the size
-// of unpacked data is limited before memory is allocated for it.
+// of unpacked data is limited before memory is allocated for it. The package does no I/O.
 package compress
 
 import (
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -14,7 +14,7 @@
 	return epoch
 }
 
-// supersede closes the own voter when a restored raft group of a newer epoch has replaced its raft group; the state of the
+// supersede closes the local voter when a restored raft group of a newer epoch has replaced its raft group; the state of the
 // old group is no longer valid. This co-ordinator then follows the new group and is added to it like any new voter.
 func (n *Node) supersede(from string, epoch uint64) {
 	if n.superseded || n.raftGroup == nil || n.raftGroup.Last() == 0 {
--- a/internal/fleet/grantsfile/grantsfile.go
+++ b/internal/fleet/grantsfile/grantsfile.go
@@ -17,12 +17,12 @@
 const (
 	// Version is the format version of the file.
 	Version = 1
-	// MaxItems is the most items in the file; the items that ended longest ago are left out first.
+	// MaxItems is the maximum number of items in the file; the items that ended longest ago are left out first.
 	MaxItems = 4096
 	// ItemRetention is how long, in agreed time, an ended item stays in the file. Twice as long doubles the file at the
 	// end of a large swap; with half, tools that read it every few minutes miss ended items.
 	ItemRetention = 10 * time.Minute
-	// WriteInterval is the least time between writes. Twice as long delays grants by as much; half doubles the fsyncs.
+	// WriteInterval is the minimum time between writes. Twice as long delays grants by as much; half doubles the fsyncs.
 	WriteInterval = 100 * time.Millisecond
 )
 
@@ -31,7 +31,7 @@
 	Version int                `json:"version"`
 	Name    string             `json:"name"`             // of the co-ordinator that wrote it
 	Leader  string             `json:"leader,omitempty"` // last known leader
-	CutOff  bool               `json:"cut_off"`          // the lease expired without a reply of the raft group: no grants are listed
+	CutOff  bool               `json:"cut_off"`          // no reply of the raft group for the length of the lease: no grants are listed
 	Index   uint64             `json:"index"`            // index of the agreed state
 	Now     time.Duration      `json:"now"`              // agreed time
 	Grants  []Grant            `json:"grants"`
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -50,6 +50,6 @@
 type LoadReport struct {
 	Load  float64
 	Known bool
-	At    time.Duration // own time at which the report arrived
+	At    time.Duration // local monotonic time at which the report arrived
 	Epoch uint64        // epoch of the sender's log
 }
--- a/internal/fleet/logadapter/logadapter.go
+++ b/internal/fleet/logadapter/logadapter.go
@@ -22,7 +22,7 @@
 	// the words that contain them (terms, addresses, times). With twice as many lines, a broken link or a lost majority fills the
 	// log; with half, the line that explains the fault may be left out.
 	Window = 10 * time.Second
-	// MaxLines is the most lines in a Window.
+	// MaxLines is the maximum number of lines in a Window.
 	MaxLines = 20
 
 	// maxLineLength is the number of bytes after which a line is truncated.
@@ -34,13 +34,13 @@
 	entry *logrus.Entry
 
 	mu          sync.Mutex
-	windowStart time.Time // start of the window
-	lines       int       // written in the window
-	suppressed  int
+	windowStart time.Time       // start of the window
+	lines       int             // written in the window
+	suppressed  int             // lines left out in the window
 	kinds       map[string]bool // kinds written in the window, MaxLines at most
 }
 
-// lineKind returns the kind of a line: its level and its text without the words' parts from a digit on.
+// lineKind returns the kind of a line: its level, and its text with each word cut at its first digit.
 func lineKind(level logrus.Level, text string) string {
 	var b strings.Builder
 	b.WriteString(level.String())
@@ -110,7 +110,7 @@
 	}
 	w.mu.Unlock()
 	if suppressed > 0 {
-		w.entry.Warnf("%d lines of the engine left out", suppressed)
+		w.entry.Warnf("%d library log lines left out", suppressed)
 	}
 	if !drop {
 		w.entry.Log(out, text)
--- a/internal/fleet/logadapter/logadapter_test.go
+++ b/internal/fleet/logadapter/logadapter_test.go
@@ -56,7 +56,7 @@
 	w.windowStart = w.windowStart.Add(-Window)
 	w.mu.Unlock()
 	raft.Warn("Election timeout reached, restarting election")
-	if !strings.Contains(out.String(), "297 lines of the engine left out") {
+	if !strings.Contains(out.String(), "297 library log lines left out") {
 		t.Error("the number of lines left out is not logged")
 	}
 }
--- a/internal/fleet/mailbox/mailbox.go
+++ b/internal/fleet/mailbox/mailbox.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// MaxMessages is the most messages that wait for the node's loop. The oldest are dropped first, because polls, replies and reports are
+// MaxMessages is the maximum number of messages that wait for the node's loop. The oldest are dropped first, because polls, replies and reports are
 // repeated. With twice as many, messages read after a stall are older; with half, a stall half as long loses messages at 300
 // co-ordinators.
 const MaxMessages = 1024
 
-// MaxBytes is the most bytes of waiting messages: a message with the actions of many sessions may have several MB. Twice as many take
+// MaxBytes is the maximum number of bytes of waiting messages: a message with the actions of many sessions may have several MB. Twice as many take
 // that much more memory while the node's loop stalls; with half, a leader drops actions sooner, which are repeated.
 const MaxBytes = 32 << 20
 
@@ -20,7 +20,7 @@
 type Message struct {
 	From string
 	Raw  []byte
-	At   time.Duration // own time at which it arrived
+	At   time.Duration // local monotonic time at which it arrived
 }
 
 // Queue is the bounded queue. A reader receives from Messages and calls Release for each message.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -54,24 +54,24 @@
 	// StepInterval is the time between steps when no event occurs. Twice as long reports an applied drain up to 0.1 s later; half
 	// doubles the work of an idle node.
 	StepInterval = 100 * time.Millisecond
-	// MinStepInterval is the least time between steps that follow events. Twice as long delays the knowledge of an acknowledged grant
+	// MinStepInterval is the minimum time between steps that follow events. Twice as long delays the knowledge of an acknowledged grant
 	// by as much; half makes a leader that 300 co-ordinators poll step twice as often.
 	MinStepInterval = 20 * time.Millisecond
-	// FeedInterval is the time between the leader's reads of the members and the endpoint list, and between samples of the own load.
+	// FeedInterval is the time between the leader's reads of the members and the endpoint list, and between samples of the local load.
 	// Twice as long, the leader notices a lost machine a second later; half doubles the sorting of both lists.
 	FeedInterval = time.Second
 	// FileReportInterval is the time between attempts to send a newer operators' file to the leader. Twice as long delays a lost
 	// report by as much; half doubles the messages while no leader can commit it.
 	FileReportInterval = 5 * time.Second
-	// MaxProposalsInFlight is the most proposals in flight. Further ones are dropped, and a later step of the leader proposes them
-	// again.
+	// MaxProposalsInFlight is the maximum number of proposals in flight. Further ones are dropped, and a later step of the leader
+	// proposes them again.
 	MaxProposalsInFlight = 32
-	// ReadyTimeout is the most that the start waits, before it listens for clients, until the agreed state is known and applied
+	// ReadyTimeout is how long the start waits at most, before it listens for clients, until the agreed state is known and applied
 	// here: discovery still lists a machine as ready that already has a grant to go. During the wait the leader is polled ten times a
 	// second, and gossip announces a new member to the others within it. Twice as long delays a start without a reachable raft group
 	// by a second; with half of it, a co-ordinator that gossip has not announced yet may send queries to a machine that may go.
 	ReadyTimeout = time.Second
-	// StopTimeout is the most that Stop may take after the drain; a longer stop risks a SIGKILL.
+	// StopTimeout is how long Stop may take at most after the drain; a longer stop risks a SIGKILL.
 	StopTimeout = 3 * time.Second
 )
 
@@ -136,7 +136,7 @@
 	hasReplicas bool // the view received the endpoint list
 	readyClosed bool // the channel ready is closed
 
-	fileReport     peerproto.FileReport // limits and requests of the own operators' file
+	fileReport     peerproto.FileReport // limits and requests of the local operators' file
 	fileReportAt   time.Duration        // when fileReport was last sent to the leader
 	agreedRevision int                  // revision of the limits in force; a file of an older revision changes no voters
 
@@ -184,7 +184,7 @@
 	closingVoter     bool
 	storeLost        bool   // the store or the votes recorded in it are lost: this co-ordinator must not vote
 	superseded       bool   // the voter was closed because there is a raft group of a newer epoch
-	loggedVoterError string // the last logged error of opening the own voter
+	loggedVoterError string // the last logged error of opening the local voter
 }
 
 // New returns a node that does nothing until Start.
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -32,7 +32,7 @@
 	return raw
 }
 
-// A co-ordinator without a known leader resends its poll to the leader that a voter names, even if the own file no longer lists that
+// A co-ordinator without a known leader resends its poll to the leader that a voter names, even if the local file no longer lists that
 // leader as a voter: it leads until its replacement has joined. Each poll is resent only once, because two co-ordinators that
 // name each other would otherwise cause endless polls.
 func TestPollFollowsNamedLeaderOutsideVoterList(t *testing.T) {
--- a/internal/fleet/pollclient.go
+++ b/internal/fleet/pollclient.go
@@ -50,7 +50,7 @@
 }
 
 // learnLeader returns whether a reply that is not from the leader names a leader to which the poll is to be resent at once. A poll
-// is resent only once, because two co-ordinators may name each other. The named leader need not be a voter in the own file: a
+// is resent only once, because two co-ordinators may name each other. The named leader need not be a voter in the local file: a
 // voter that is being replaced may still lead.
 func (n *Node) learnLeader(reply peerproto.Reply) bool {
 	if reply.Sequence != n.lastPoll.Sequence || reply.Sequence == n.forwardedSequence || reply.Leader == "" || reply.Leader == n.name || reply.Leader == n.polledTo {
@@ -99,7 +99,7 @@
 	n.send(to, p)
 }
 
-// reportFile sends the limits and requests of the own file to the leader while the agreed ones have an older revision.
+// reportFile sends the limits and requests of the local file to the leader while the agreed ones have an older revision.
 func (n *Node) reportFile(now time.Duration, limits, requests int) {
 	if n.fileReport.Limits.Revision <= limits && n.fileReport.Requests.Revision <= requests {
 		return
--- a/internal/fleet/pollqueue/pollqueue.go
+++ b/internal/fleet/pollqueue/pollqueue.go
@@ -1,11 +1,11 @@
-// Package pollqueue holds the polls that wait for the leader's reply, and decides when the check of the leadership with a majority is due
-// that must precede the replies. It has no side effects: time is passed in.
+// Package pollqueue holds the polls that wait for the leader's reply. Before the leader may reply, a check with a majority must confirm
+// that it still leads; the package decides when that check is due. It has no side effects: time is passed in.
 package pollqueue
 
 import "time"
 
 const (
-	// CheckInterval is the least time between checks with a majority that this co-ordinator still leads; polls that arrive in between
+	// CheckInterval is the minimum time between checks with a majority that this co-ordinator still leads; polls that arrive in between
 	// are answered together. Twice as long delays replies by as much; half doubles the checks while a maintenance plan is carried out.
 	CheckInterval = 30 * time.Millisecond
 	// IdleCheckInterval replaces CheckInterval while no waiting poll reports or lacks anything. The replies then only extend leases, which
@@ -40,7 +40,7 @@
 	q.urgent = q.urgent || urgent
 }
 
-// Urgent returns whether the waiting polls are due after CheckInterval; agreed is the index of the agreed state.
+// Urgent returns whether the waiting polls are due after CheckInterval instead of IdleCheckInterval; agreed is the index of the agreed state.
 func (q *Queue) Urgent(agreed uint64) bool {
 	return len(q.polls) > 0 && (q.urgent || q.lowestIndex < agreed)
 }
--- a/internal/fleet/pollserver.go
+++ b/internal/fleet/pollserver.go
@@ -55,7 +55,7 @@
 	return false
 }
 
-// agreedIndex returns the index of the newest entry in the own copy of the agreed state.
+// agreedIndex returns the index of the newest entry in the local copy of the agreed state.
 func (n *Node) agreedIndex() (index uint64) {
 	n.state.WithLock(func() { index = n.state.Machine.Index() })
 	return index
@@ -132,7 +132,7 @@
 	return n.snapshots.SetSnapshot(reply, raw, at, own)
 }
 
-// sendReply sends a reply to a poll; the own poll is answered without the network.
+// sendReply sends a reply to a poll; a poll of this co-ordinator itself is answered without the network.
 func (n *Node) sendReply(from string, reply peerproto.Reply) {
 	if from == n.name {
 		n.handleReply(reply)
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -33,7 +33,7 @@
 	"birchcart/policy"
 )
 
-// Measures the traffic and the load of an idle fleet: real nodes on separate loopback addresses, each voter in a separate process, the
+// This file measures the traffic and the load of an idle fleet: real nodes on separate loopback addresses, each voter in a separate process, the
 // followers about sixty to a process. Traffic is counted at the sockets and CPU time by the kernel, not reported by the nodes.
 
 const (
@@ -70,6 +70,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 100+pid%20, 1+(pid/20)%120*2+i/250, 1+i%250, port)
 }
 
+// idleGrantsPath returns the path of a node's grants file.
 func idleGrantsPath(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
 
 // noTraffic stands in for the replicas and discovery, and does nothing: the test sends no queries.
@@ -126,8 +127,8 @@
 			profile(in.Text())
 		}
 		var all []idleNodeStats
-		var use syscall.Rusage
-		fail(syscall.Getrusage(syscall.RUSAGE_SELF, &use))
+		var usage syscall.Rusage
+		fail(syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 		var streams int64
 		for _, line := range strings.Split(string(must(os.ReadFile("/proc/self/io"))), "\n") {
 			if k, v, _ := strings.Cut(line, ": "); k == "rchar" || k == "wchar" {
@@ -137,8 +138,8 @@
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
 		for i, n := range nodes {
-			c := idleNodeStats{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: use.Maxrss << 10,
-				CPU: time.Duration(use.Utime.Nano() + use.Stime.Nano())}
+			c := idleNodeStats{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: usage.Maxrss << 10,
+				CPU: time.Duration(usage.Utime.Nano() + usage.Stime.Nano())}
 			for _, m := range n.member.Members() {
 				if m.State == member.Alive {
 					c.Up++
@@ -248,7 +249,7 @@
 	}
 	for from := 5; from < nodeCount; from += 59 {
 		start(from, min(from+59, nodeCount))
-		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // followers join in groups, as in a real fleet
+		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // waits for each group to join: a real fleet is not started within a second either
 			all := count("")
 			if slices.MinFunc(all, func(a, b idleNodeStats) int { return a.Up - b.Up }).Up == len(all) {
 				break
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -21,9 +21,8 @@
 // empty folders. Entries that only the lost disks held are gone.
 //
 // The restored group begins a new epoch: all other copies replace their state by the new group's, even if their index is higher,
-// and all grants of the old group end. stopped is the latest time at which a voter of the old group was still running; use the
-// current time if the voters have stopped just now. Nothing is granted until every grant that the old group may have given by
-// then has expired.
+// and all grants of the old group end. stopped is a time by which all voters of the old group had stopped: the current
+// time, if they have stopped by now. Nothing is granted until every grant that the old group may have given by then has expired.
 func Restore(name string, f *operator.File, stopped time.Time, log *logrus.Entry) error {
 	if f == nil || f.Fleet == nil {
 		return errors.New("operators' file: no fleet section")
--- a/internal/fleet/sessions.go
+++ b/internal/fleet/sessions.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// leaseUntil returns the own time until which this co-ordinator's lease is valid; 0 if it holds none.
+// leaseUntil returns the local monotonic time until which this co-ordinator's lease is valid; 0 if it holds none.
 func (n *Node) leaseUntil(now time.Duration) time.Duration {
 	if n.view.CutOff(now) || n.halted {
 		return 0
--- a/internal/fleet/shutdown.go
+++ b/internal/fleet/shutdown.go
@@ -7,7 +7,7 @@
 	"birchcart/internal/fleet/raftgroup"
 )
 
-// closeVoter closes the own voter. Once it is closed, the agreed state is updated from the leader's replies instead.
+// closeVoter closes the local voter. Once it is closed, the agreed state is updated from the leader's replies instead.
 func (n *Node) closeVoter() {
 	if n.closingVoter {
 		return
@@ -21,7 +21,7 @@
 	}(n.raftGroup)
 }
 
-// stepDown ends the own leadership, if there is one, and tells the drain controller.
+// stepDown ends this co-ordinator's leadership, if there is one, and tells the drain controller.
 func (n *Node) stepDown() {
 	if n.term != 0 {
 		n.log.WithField("term", n.term).Info("leads no more")
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -36,7 +36,7 @@
 	return string(b)
 }
 
-// largest is a state filled to all of its limits: machines, requests, ended items with all fields set, retained command IDs.
+// largestState returns a state filled to all of its limits: machines, requests, ended items with all fields set, retained command IDs.
 func largestState(t *testing.T) *agreedstate.Copy {
 	// Long: fills one state to each of its limits in turn.
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -169,7 +169,7 @@
 	if err := to.ApplyReply(truncated); err == nil || to.Machine.Index() != c.Machine.Index() {
 		t.Errorf("a truncated state was loaded: %v", err)
 	}
-	// A state at another index is packed anew. A state that is too large, raw or packed, is refused with an error that says so.
+	// A state at another index replaces the cached one. A state that is too large, raw or packed, is refused with an error that says so.
 	if err := s.SetSnapshot(&reply, []byte("small"), c.Machine.Index()+1, 1); err != nil || string(reply.Snapshot) != "small" || reply.Packed != nil {
 		t.Errorf("%v, %d bytes packed", err, len(reply.Packed))
 	}
--- a/internal/fleet/sourceaddr/sourceaddr.go
+++ b/internal/fleet/sourceaddr/sourceaddr.go
@@ -8,7 +8,7 @@
 )
 
 // Dial connects by TCP from an address of this machine. The kernel chooses the address if from is nil or unspecified, or if only one of
-// from and to is a loopback address, because such a connection can't be made.
+// from and to is a loopback address: a loopback source can't reach another machine.
 func Dial(from net.IP, to string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if from != nil && !from.IsUnspecified() && from.IsLoopback() == loopback(to) {
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// open opens the own voter, the gossip and the writer of the grants file. It returns errors of the configuration, which name the
+// open opens the local voter, the gossip and the writer of the grants file. It returns errors of the configuration, which name the
 // place in the operators' file; a damaged store is no error.
 func (n *Node) open() error {
 	f := n.file.Fleet
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// openVoterAtStart opens the own voter, if the file names this co-ordinator as one. If its store can't be used, the co-ordinator runs
+// openVoterAtStart opens the local voter, if the file names this co-ordinator as one. If its store can't be used, the co-ordinator runs
 // without a vote.
 func (n *Node) openVoterAtStart(f *operator.Fleet) error {
 	own, ok := f.Voters[n.name]
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// openVoter opens the own voter and attaches it to the agreed state. With bootstrap it creates a raft group if it has no store.
+// openVoter opens the local voter and attaches it to the agreed state. With bootstrap it creates a raft group if it has no store.
 func (n *Node) openVoter(f *operator.Fleet, bootstrap bool) error {
 	own := f.Voters[n.name]
 	o := raftgroup.Options{
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// bindAddress returns the address at which the own voter listens.
+// bindAddress returns the address at which the local voter listens.
 func bindAddress(f *operator.Fleet, own operator.Voter) string {
 	if f.Council.Bind != "" {
 		return f.Council.Bind
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -95,7 +95,8 @@
 	}
 	n.agreedTime = machine.Now()
 	r.view = n.view.Step(now, n.viewInputs)
-	// A reply that is handled after its lease has expired makes the view apply nothing: the drains of the previous process stay.
+	// A reply that is handled after its lease has expired makes the view apply nothing: the drains of the previous
+	// process stay, and the reply does not count as catching up.
 	n.caughtUp = n.caughtUp || complete && (notInInventory || !n.view.CutOff(now))
 	if !n.halted {
 		r.controller = n.controller.Step(now, wall, n.controllerInputs)
@@ -146,7 +147,7 @@
 	n.controllerInputs = append(n.controllerInputs, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
 }
 
-// sampleLoad measures the own load every FeedInterval and publishes it by gossip.
+// sampleLoad measures the local load every FeedInterval and publishes it by gossip.
 func (n *Node) sampleLoad(now time.Duration) {
 	if now < n.ownLoad.At+FeedInterval {
 		return
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -10,7 +10,7 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// LogInterval is the least time between log lines about messages. Twice as long logs a fault later; half doubles the lines of a
+// LogInterval is the minimum time between log lines about messages. Twice as long logs a fault later; half doubles the lines of a
 // lasting fault, of which one is enough.
 const LogInterval = 10 * time.Second
 
@@ -18,7 +18,7 @@
 type limitedLog struct {
 	loggedAt        time.Duration
 	logged          bool
-	suppressed      int
+	suppressed      int // lines left out since the last one
 	differsRevision int // revision for which a differing file was already logged
 }
 
@@ -36,7 +36,7 @@
 	l.loggedAt, l.logged, l.suppressed = now, true, 0
 }
 
-// warnIfFileDiffers warns once per revision if the own file differs from what was agreed under the same revision. The caller holds
+// warnIfFileDiffers warns once per revision if the local file differs from what was agreed under the same revision. The caller holds
 // the lock of the agreed state.
 func (l *limitedLog) warnIfFileDiffers(n *Node) {
 	limits, revision := n.state.Maintenance.Limits()
--- a/internal/fleet/voters/voters.go
+++ b/internal/fleet/voters/voters.go
@@ -1,4 +1,4 @@
-// Package voters changes the raft group's voters, one at a time, to those of the operators' file, and defines the message replacement which a
+// Package voters changes the raft group's voters, one at a time, to those of the operators' file, and defines the message with which a
 // co-ordinator requests the list of voters from the leader.
 package voters
 
@@ -37,7 +37,7 @@
 	return append([]byte{version, kind}, raw...)
 }
 
-// Decode reads a message for which IsMessage holds.
+// Decode decodes a message for which IsMessage holds.
 func Decode(raw []byte) (m Message, err error) {
 	if len(raw) > MaxSize {
 		return m, fmt.Errorf("voters message of %d bytes, limit %d", len(raw), MaxSize)
--- a/internal/fleet/voters/voters_test.go
+++ b/internal/fleet/voters/voters_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("a voter that is not ready: %+v", result)
 	}
 	if result := Reconcile(group, "a", file("b"), map[string]bool{"b": true}); !strings.Contains(result.Change, "handed over") {
-		t.Errorf("the own voter: %+v", result)
+		t.Errorf("the leader itself: %+v", result)
 	}
 	if result := Reconcile(group, "a", file("a", "b", "c"), map[string]bool{"b": true, "c": true}); result.Change != `voter "" goes, voter "b" comes` || result.Err == nil {
 		t.Errorf("a voter that does not answer: %+v", result)
