--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -17,7 +17,7 @@
 // supersede closes the local voter when a restored raft group of a newer epoch has replaced its raft group; the state of the
 // old group is no longer valid. This co-ordinator then follows the new group and is added to it like any new voter.
 func (n *Node) supersede(from string, epoch uint64) {
-	if n.superseded || n.raftGroup == nil || n.raftGroup.Last() == 0 {
+	if n.superseded || n.raftGroup == nil || n.raftGroup.LastIndex() == 0 {
 		return // a voter that was only just added holds no log of an earlier group
 	}
 	n.superseded = true
--- a/internal/fleet/pollserver.go
+++ b/internal/fleet/pollserver.go
@@ -51,7 +51,7 @@
 	if leader == n.name {
 		leader = "" // elected but without all committed entries applied yet, or about to step down
 	}
-	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.Applied(), Epoch: wireEpoch(own)})
+	n.send(p.From, peerproto.Reply{Sequence: p.Sequence, From: n.name, Leader: leader, Index: n.raftGroup.AppliedIndex(), Epoch: wireEpoch(own)})
 	return false
 }
 
@@ -95,7 +95,7 @@
 			n.messageLog.info(n, n.now(), "the agreed state can't be sent to "+from+", which stays cut off: "+err.Error())
 			continue
 		}
-		reply.Truncated = reply.Index < n.raftGroup.Applied()
+		reply.Truncated = reply.Index < n.raftGroup.AppliedIndex()
 		n.sendReply(from, reply)
 	}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -37,7 +37,7 @@
 // proposalOutcome returns the error that the controller is given for a proposal. It returns false if it is unknown whether the command
 // was committed: the controller then proposes it again.
 func proposalOutcome(err error) (error, bool) {
-	var notLeader *raftgroup.NotLeader
+	var notLeader *raftgroup.NotLeaderError
 	if errors.Is(err, raftgroup.ErrOutcomeUnknown) || errors.As(err, &notLeader) || errors.Is(err, raftgroup.ErrBusy) {
 		return nil, false
 	}
--- a/internal/fleet/shutdown.go
+++ b/internal/fleet/shutdown.go
@@ -48,7 +48,7 @@
 	if group == nil {
 		return
 	}
-	if err := group.HandOver(); err != nil {
+	if err := group.TransferLeadership(); err != nil {
 		n.log.WithError(err).Warn("the leadership could not be transferred")
 	}
 }
--- a/internal/fleet/voters/voters.go
+++ b/internal/fleet/voters/voters.go
@@ -81,7 +81,7 @@
 	case old == "" && replacement.Name == "", replacement.Name == "" && missing: // nothing to do, or the new voter is not ready yet
 		return result
 	case old == self:
-		result.Change, result.Err = "the leadership is handed over, because the file no longer names this voter", group.HandOver()
+		result.Change, result.Err = "the leadership is handed over, because the file no longer names this voter", group.TransferLeadership()
 		return result
 	}
 	result.Change = fmt.Sprintf("voter %q goes, voter %q comes", old, replacement.Name)
