--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -9,12 +9,12 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// evidence is kept beside the deciding, from what goes out and what the agreed state says, so that Check does not
-// rest on what the decisions rest on.
+// checkState records the emitted drains and the grants of the agreed state. It is kept apart from the state that the decisions
+// use, so that Check is independent of them.
 type checkState struct {
-	appliedSince map[string]time.Duration // when the set that goes out first had a name; as long as it has
-	grantFences  map[string]uint64        // the live grant under which it goes out
-	violation    error                    // the first thing that was wrong
+	appliedSince map[string]time.Duration // by machine: when the emitted set first contained it; deleted when it no longer does
+	grantFences  map[string]uint64        // by machine: the fence of the live grant under which it is drained
+	violation    error                    // the first violated invariant
 }
 
 func (e *checkState) fail(format string, a ...any) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// recordGrants notes under which grants the drains are.
+// recordGrants records the fence of the live grant of each drained machine.
 func (v *View) recordGrants(names []string) {
 	for _, n := range names {
 		if i := v.liveGrantIndex(n); i >= 0 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkChange looks at a new set of drains that goes out.
+// checkChange checks V1, V3 and V4 for a changed set of drains that is about to be emitted.
 func (v *View) checkChange(now time.Duration, names []string) {
 	for _, n := range v.sentDrains {
 		if slices.Contains(names, n) {
@@ -40,7 +40,7 @@
 		}
 		delete(v.checks.appliedSince, n)
 		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.checks.grantFences[n] && !(v.CutOff(now) && now >= v.grantEnd(v.live[i].Until)) {
-			v.checks.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
+			v.checks.fail("V1: the drain of %s was lifted at %v while its grant %d is live", n, now, v.live[i].Fence)
 		}
 	}
 	for _, n := range names {
@@ -61,7 +61,7 @@
 	return slices.IndexFunc(v.live, func(it maintenance.Item) bool { return it.Machine == name })
 }
 
-// checkReported looks at a drain that is reported as applied.
+// checkReported checks V2 for a drain that is reported as applied.
 func (v *View) checkReported(now time.Duration, l drain) {
 	if v.machines[l.machine].Kind == maintenance.Coordinator {
 		return
@@ -72,11 +72,13 @@
 	}
 }
 
-// Check names what does not hold, or ever did not:
-// V1 a drain was lifted while its grant lives (cut off: before the grant's end by the own clock and the drift),
-// V2 one was reported as applied before a Grace had passed since it went out, V3 a machine was drained without a live grant,
-// V4 one was newly drained while cut off (but by a process never answered yet), V5 what is remembered is over its bound
-// or out of order.
+// Check returns the first invariant that was ever violated, or nil:
+//   - V1: a drain is not lifted while its grant is live. While cut off it may be lifted once the grant has ended by the local
+//     clock, with the drift added.
+//   - V2: a drain is not reported as applied until it has been emitted for Grace.
+//   - V3: a machine is not drained without a live grant.
+//   - V4: no machine is newly drained while cut off, except by a process that has not been answered yet.
+//   - V5: the number of remembered polls is at most MaxSentPolls, and the drains are sorted by fence.
 func (v *View) Check() error {
 	if v.checks.violation != nil {
 		return v.checks.violation
@@ -85,7 +87,7 @@
 		return fmt.Errorf("V5: %d polls are remembered, %d at most", len(v.polls.sent), MaxSentPolls)
 	}
 	if !slices.IsSortedFunc(v.drains, byFence) {
-		return errors.New("V5: what is applied is out of order")
+		return errors.New("V5: the drains are not sorted by fence")
 	}
 	return nil
 }
--- a/internal/fleet/view/drains.go
+++ b/internal/fleet/view/drains.go
@@ -9,21 +9,24 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// drain is what became of one live grant here.
+// drain is the local state of one live grant.
 type drain struct {
-	machine        string
-	fence          uint64
-	applied        bool // a replica's: its drain is applied; nothing is to be applied for a co-ordinator's
-	until          time.Duration
-	confirmed      bool          // a Step came after the one that applied it
-	graceFrom      time.Duration // own time from which its Grace counts
-	rejectedReason string        // why it is not applied: for good while it is only granted, as that was said; else until it can be
+	machine   string
+	fence     uint64
+	applied   bool // the replica is drained; always false for a co-ordinator, which needs no drain
+	until     time.Duration
+	confirmed bool          // a later Step has followed the one that applied it
+	graceFrom time.Duration // local time from which Grace counts
+	// rejectedReason is the reason why the drain is not applied. It is permanent in phase Granted, because the rejection was reported;
+	// in later phases the drain is applied once it can be.
+	rejectedReason string
 }
 
 func byFence(a, b drain) int { return cmp.Compare(a.fence, b.fence) }
 
-// confirmDrains counts the Grace of what the last Step applied from now on, as it was certainly carried out by now. After a gap
-// the Grace of what was not reported yet starts anew: what was being sent when the process stopped is sent when it wakes.
+// confirmDrains starts the Grace of the drains that the previous Step applied, because its outputs have been carried out by now.
+// After a gap it restarts the Grace of drains that are not reported yet: requests that were being sent when the process stalled
+// are sent only when it resumes.
 func (v *View) confirmDrains(now time.Duration, gap bool) {
 	reported := func(l drain) bool {
 		return slices.ContainsFunc(v.polls.reported, func(s DrainStatus) bool { return s.Fence == l.fence && s.Machine == l.machine })
@@ -35,8 +38,8 @@
 	}
 }
 
-// dropEndedDrains brings what is applied up to the agreed state: what ended is lifted. While cut off, so is what is past its grant's
-// end, by the own clock and the drift.
+// dropEndedDrains lifts the drains whose grants are no longer live in the agreed state. While cut off it also lifts those whose grant
+// has ended by the local clock, with the drift added.
 func (v *View) dropEndedDrains(now time.Duration) {
 	if !v.applied {
 		return
@@ -54,18 +57,19 @@
 	}
 }
 
-// drainIndex is the place of the grant's lay, or -1.
+// drainIndex returns the index in v.drains of the drain for the grant with this fence, or -1.
 func (v *View) drainIndex(fence uint64) int {
 	return slices.IndexFunc(v.drains, func(l drain) bool { return l.fence == fence })
 }
 
-// grantEnd is when an agreed time has passed for certain, by the own clock.
+// grantEnd returns the local time by which the agreed time until has passed for certain, whatever the clock drift.
 func (v *View) grantEnd(until time.Duration) time.Duration {
 	return v.agreedAt + withDrift(max(until-v.agreedTime, 0))
 }
 
-// applyDrains applies the drains of new grants, in their order, unless cut off or without an own list yet. Before the first
-// answer to this process, what its copy on disk says is applied all the same: the process before may have said that it was.
+// applyDrains applies the drains of new grants in their order, unless the view is cut off or has no replica list yet. Before the first
+// answer to this process, the grants in its copy on disk are applied all the same, because the previous process may have reported them
+// as applied.
 func (v *View) applyDrains(now time.Duration) {
 	if v.cutOff && v.polls.answered || !v.replicasKnown {
 		return
@@ -93,14 +97,15 @@
 	slices.SortFunc(v.drains, byFence)
 }
 
-// shardWithoutHolder says which shard would be left without any holder that is up in the own list if the machine were drained
-// as well, or nothing. One that the own list does not have counts as up, one that it has as not up takes nothing away.
+// shardWithoutHolder returns a text that names a shard that would have no holder up in the local replica list if the machine were
+// drained as well, or "" if there is none. A machine that is not in the list counts as up. Draining a machine that the list has as not
+// up removes no holder.
 func (v *View) shardWithoutHolder(m maintenance.Machine) string {
 	drained := func(name string) bool {
 		return slices.ContainsFunc(v.drains, func(l drain) bool { return l.applied && l.machine == name }) ||
 			slices.ContainsFunc(v.previousDrains, func(o previousDrain) bool { return o.machine == name })
 	}
-	up := map[int]int{} // by cell, without the machine
+	up := map[int]int{} // number of replicas up by cell, without the machine
 	cell := m.Cell
 	for _, o := range v.replicas {
 		switch {
@@ -118,7 +123,7 @@
 	if cell < 0 || l.Cells <= 0 {
 		return ""
 	}
-	for s := range min(l.Shards, l.Cells) { // the holders of s are those of s mod Cells
+	for s := range min(l.Shards, l.Cells) { // shard s has the same holders as shard s mod Cells
 		holds, others := false, 0
 		for j := range min(l.Reach, l.Cells) {
 			c := (s + j) % l.Cells
@@ -132,7 +137,7 @@
 	return ""
 }
 
-// emitDrains hands out the set of drains if it changed, and keeps the evidence for Check.
+// emitDrains emits the set of drains if it changed, and records it for Check.
 func (v *View) emitDrains(now time.Duration) {
 	var names []string
 	v.dropEndedPrevious(now)
--- a/internal/fleet/view/epoch.go
+++ b/internal/fleet/view/epoch.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// previousDrains is a drain of a grant that is of an earlier epoch: the raft group was set up anew and knows of no such grant, but the
-// site's tools may, and go on with it.
+// previousDrain is a drain for a grant of an earlier epoch. The raft group was set up again and does not know the grant, but the
+// site's tools may still act on it.
 type previousDrain struct {
 	machine string
-	ends    time.Duration // own time by which the grant is over for certain
-	start   time.Duration // of the machine when it was granted: one that is up by a newer start has been out
+	ends    time.Duration // local time by which the grant has ended for certain
+	start   time.Duration // the machine's start time at the grant; the drain ends when it is up with a later one
 }
 
-// beginEpoch begins an epoch: what was known of the order before counts for nothing, as do the terms of its leaders. The drains
-// that are applied stay until their grants' end by the own clock, or until their machine has come back.
+// beginEpoch discards the agreed state of the previous epoch and the terms of its leaders. Applied drains are kept until their grants
+// end by the local clock, or until their machine has restarted.
 func (v *View) beginEpoch(epoch uint64) {
 	if v.applied {
 		for _, l := range v.drains {
@@ -31,7 +31,7 @@
 		slices.SortStableFunc(v.previousDrains, func(a, b previousDrain) int { return cmp.Compare(a.machine, b.machine) })
 	}
 	if v.index > 0 {
-		v.log("the raft group was set up anew (epoch %d): %d drains of before stay until their grants' end", epoch, len(v.previousDrains))
+		v.log("the raft group was set up anew (epoch %d): %d drains of earlier epochs are kept until their grants end", epoch, len(v.previousDrains))
 	}
 	v.epoch, v.applied, v.index, v.drains, v.live = epoch, false, 0, nil, nil
 	v.polls.term = 0
@@ -39,7 +39,7 @@
 	clear(v.checks.grantFences)
 }
 
-// dropEndedPrevious drops the old drains that are over.
+// dropEndedPrevious removes drains of earlier epochs whose grants have ended by the local clock.
 func (v *View) dropEndedPrevious(now time.Duration) {
 	v.previousDrains = slices.DeleteFunc(v.previousDrains, func(o previousDrain) bool { return now >= o.ends })
 }
--- a/internal/fleet/view/lease_test.go
+++ b/internal/fleet/view/lease_test.go
@@ -25,54 +25,54 @@
 	r.expect("cut off", r.v.CutOff(sent+9900*time.Millisecond), true)
 	r.expect("cut off", r.v.CutOff(sent+9899*time.Millisecond), false)
 	r.expect("age", r.v.Age(r.now), r.now-sent)
-	// Answers that are late, repeated or of no poll of ours change only what their own poll's sending allows.
+	// A late answer extends the lease only from the send time of its own poll; repeated answers and answers to unknown polls are ignored.
 	r.run(3 * s)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n-2].Sequence}, PollAnswered{Sequence: 999}}
 	r.step(100 * time.Millisecond)
 	r.expect("cut off after a repeated answer", r.v.CutOff(r.now), true)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
-	r.expect("a late answer lengthens by its own poll", r.v.Age(r.now), r.now-r.pollsAt[n])
+	r.expect("age after a late answer, counted from its own poll", r.v.Age(r.now), r.now-r.pollsAt[n])
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n+2].Sequence, Term: 3}}
 	r.step(100 * time.Millisecond)
 	age := r.now - r.pollsAt[n+2]
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n+1].Sequence, Term: 3}, PollAnswered{Sequence: r.polls[len(r.polls)-1].Sequence, Term: 2}}
 	r.step(0)
-	r.expect("an older answer, or an older leader's, changes nothing", r.v.Age(r.now), age)
+	r.expect("age after an older answer and one of an older leader", r.v.Age(r.now), age)
 }
 
 func TestCutOffKeepsDrainsUntilGrantEnd(t *testing.T) {
 	r := newRig(t)
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(3 * s)
-	r.expect("for the file", len(r.grants), 1)
-	r.expect("to begin before", r.grants[0].StartBefore, 5080*s)
+	r.expect("grants", len(r.grants), 1)
+	r.expect("start before", r.grants[0].StartBefore, 5080*s)
 	r.unanswered = true
 	r.run(12 * s)
 	r.expect("cut off", r.v.CutOff(r.now), true)
-	r.expect("for the file while cut off", r.grants, "[]")
+	r.expect("grants while cut off", r.grants, "[]")
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted))
-	r.expect("kept, nothing new", r.drains, "[r1]")
+	r.expect("drains while cut off: kept, none added", r.drains, "[r1]")
 	later := r.item("r1", 7, maintenance.Out)
 	later.Until += 20 * s
 	r.applyItems(later, r.item("r3", 8, maintenance.Granted))
 	knownTime := r.agreedTime
 	for r.agreedTime < 5120*s+900*time.Millisecond {
-		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: knownTime}) // which moves no time
+		r.pending = append(r.pending, Applied{State: &r.state, Index: r.index, AgreedTime: knownTime}) // AgreedTime unchanged
 		r.run(100 * time.Millisecond)
-		r.expect("kept until a hundredth past the end", r.drains, "[r1]")
+		r.expect("drains kept until 1 % past the end", r.drains, "[r1]")
 	}
 	r.run(s)
-	r.expect("lifted after the end", r.drains, "[]")
+	r.expect("drains after the end", r.drains, "[]")
 	r.unanswered = false
 	r.run(6 * s)
-	r.expect("laid again once answered, while the grants live", r.drains, "[r1 r3]")
+	r.expect("drains once answered, while the grants are live", r.drains, "[r1 r3]")
 	r = newRig(t)
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(78 * s)
-	r.expect("for the file", len(r.grants), 1)
+	r.expect("grants", len(r.grants), 1)
 	r.run(2 * s)
-	r.expect("for the file once it is too late to begin", r.grants, "[]")
+	r.expect("grants once it is too late to start", r.grants, "[]")
 }
 
 func TestStalledProcessIsCutOffUntilAnswered(t *testing.T) {
@@ -81,23 +81,23 @@
 	r.run(s)
 	r.unanswered, r.pending = true, nil
 	r.step(100 * time.Millisecond)
-	r.expect("before the stop", r.v.CutOff(r.now), false)
+	r.expect("cut off before the stall", r.v.CutOff(r.now), false)
 	before := r.polls[len(r.polls)-1].Sequence
-	// What was sent before the stop is answered in the first Step after it, together with a new grant.
+	// The first Step after the stall gets the answer to a poll sent before it, together with a new grant.
 	r.pending = []Input{PollAnswered{Sequence: before}}
 	r.applyItems(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted))
 	r.step(30 * s)
 	resumedAt := r.now
-	r.expect("cut off on waking", r.v.CutOff(r.now), true)
-	r.expect("laid on waking", r.drains, "[r1]")
-	r.expect("said on waking: its Grace began anew", r.lastReported(), "[]")
+	r.expect("cut off on resuming", r.v.CutOff(r.now), true)
+	r.expect("drains on resuming", r.drains, "[r1]")
+	r.expect("reported on resuming: Grace was restarted", r.lastReported(), "[]")
 	r.unanswered = false
 	r.run(10 * s)
-	r.expect("after an answer", r.drains, "[r1 r3]")
+	r.expect("drains after an answer", r.drains, "[r1 r3]")
 	i := slices.IndexFunc(r.polls, func(p Poll) bool { return len(p.Drains) > 0 })
-	r.expect("a whole Grace after waking", r.pollsAt[i]-resumedAt >= 2*s, true)
+	r.expect("reported a whole Grace after resuming", r.pollsAt[i]-resumedAt >= 2*s, true)
 	r.step(30 * s)
-	r.expect("what was said before a stop", r.lastReported(), "[{r1 7 false } {r3 8 false }]")
+	r.expect("a drain reported before a stall stays reported", r.lastReported(), "[{r1 7 false } {r3 8 false }]")
 }
 
 func TestPollIntervals(t *testing.T) {
@@ -110,39 +110,39 @@
 	n := len(r.polls)
 	r.pending = []Input{PollAnswered{Sequence: r.polls[n-1].Sequence, Truncated: true}}
 	r.step(100 * time.Millisecond)
-	r.expect("at once after an answer that was cut short", len(r.polls), n+1)
+	r.expect("polls after a truncated answer: one more at once", len(r.polls), n+1)
 	r.unanswered, r.pending = true, nil
 	r.run(60 * s)
 	var gaps []string
 	for i := n + 1; i < len(r.polls); i++ {
 		gaps = append(gaps, (r.pollsAt[i] - r.pollsAt[i-1]).String())
-		r.expect("numbers", r.polls[i].Sequence, r.polls[i-1].Sequence+1)
+		r.expect("sequence number", r.polls[i].Sequence, r.polls[i-1].Sequence+1)
 	}
-	r.expect("unanswered, a quarter of the lease at most", gaps[:5], "[1s 1s 2s 2.5s 2.5s]")
+	r.expect("intervals while unanswered, at most a quarter of the lease", gaps[:5], "[1s 1s 2s 2.5s 2.5s]")
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence, Truncated: true}}
 	n = len(r.polls)
 	for range 100 {
 		r.step(10 * time.Millisecond)
 		r.pending = append(r.pending, PollAnswered{Sequence: r.v.polls.sequence, Truncated: true})
 	}
-	r.expect("in a second of answers cut short", len(r.polls)-n, 20)
+	r.expect("polls in a second of truncated answers", len(r.polls)-n, 20)
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.step(100 * time.Millisecond)
 	r.run(5 * s)
 	n = len(r.polls)
 	r.pending = []Input{PollAnswered{Sequence: r.v.polls.sequence}}
 	r.run(1100 * time.Millisecond)
-	r.expect("after one that came late, at once and a second later", len(r.polls)-n, 2)
+	r.expect("polls after a late answer: at once and a second later", len(r.polls)-n, 2)
 	r.run(200 * s)
 	if len(r.v.polls.sent) != MaxSentPolls {
-		t.Errorf("%d sendings are remembered", len(r.v.polls.sent))
+		t.Errorf("%d sent polls are remembered", len(r.v.polls.sent))
 	}
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, unanswered: true}
 	r.run(5 * s)
-	r.expect("in 5 s of a process never answered, ten of them in the first", len(r.polls), 10+3)
+	r.expect("polls in 5 s of a process that is never answered, ten of them in the first second", len(r.polls), 10+3)
 	v := New("a", 10*s)
 	v.FirstSequence(1000)
-	r.expect("first number", v.Step(0, nil)[1].(Poll).Sequence, 1001)
+	r.expect("first sequence number", v.Step(0, nil)[1].(Poll).Sequence, 1001)
 }
 
 func TestHaltedViewStopsPollingAndKeepsDrains(t *testing.T) {
@@ -155,9 +155,9 @@
 	r.expect("cut off at once", r.v.CutOff(r.now), true)
 	r.run(10 * s)
 	r.expect("drains, polls, grants, leaves", fmt.Sprint(r.drains, len(r.polls)-n, r.grants, r.leaves), "[r1] 0 [] []")
-	r.expect("lines", len(slices.DeleteFunc(r.logs, func(l string) bool { return !strings.Contains(l, "has ended") })), 1)
+	r.expect("log lines", len(slices.DeleteFunc(r.logs, func(l string) bool { return !strings.Contains(l, "has ended") })), 1)
 	r.run(100 * s)
-	r.expect("past the end", r.drains, "[]")
+	r.expect("drains after the end", r.drains, "[]")
 
 	r = newRig(t)
 	var many []maintenance.Item
@@ -166,10 +166,10 @@
 	}
 	r.applyItems(many...)
 	r.run(s)
-	r.expect("told of in one poll", len(r.polls[len(r.polls)-1].Drains), peerproto.MaxDrains)
+	r.expect("statuses in one poll", len(r.polls[len(r.polls)-1].Drains), peerproto.MaxDrains)
 }
 
-// play is a seeded life of a view: grants come and go, answers are lost, late and repeated, the process stalls.
+// runRandom runs a view through seeded random events: grants begin and end, answers are lost, late or repeated, and the process stalls.
 func runRandom(t *testing.T, seed uint64) []Output {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	r := newRig(t)
@@ -218,12 +218,12 @@
 	first := runRandom(t, 3)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if again := runRandom(t, 3); !reflect.DeepEqual(first, again) {
-		t.Error("the same life gave something else on one processor")
+		t.Error("the same seed gave different outputs on one processor")
 	}
 }
 
-// A co-ordinator that the inventory does not have yet is told what was agreed and lays it, and holds no lease: the next
-// leader would not wait for it. One that had a lease keeps what its older answers gave.
+// A co-ordinator that is not in the inventory receives the agreed state and applies its drains, but gets no lease, because the next leader
+// would not wait for it. If it is removed from the inventory, the lease from earlier answers stays valid until it expires.
 func TestNotInInventoryGivesNoLease(t *testing.T) {
 	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, agreedTime: 5000 * s, unanswered: true, pending: []Input{ReplicaList{replicaList}}}
 	r.step(0)
@@ -234,26 +234,26 @@
 	for range 30 {
 		unlisted()
 		r.run(100 * time.Millisecond)
-		r.expect("cut off before it is listed", r.v.CutOff(r.now), true)
+		r.expect("cut off before it is in the inventory", r.v.CutOff(r.now), true)
 	}
-	r.expect("laid all the same", r.drains, "[r1]")
-	r.expect("for the file", r.grants, "[]")
+	r.expect("drains", r.drains, "[r1]")
+	r.expect("grants", r.grants, "[]")
 	n := len(r.polls)
 	if n > 15 {
 		t.Errorf("%d polls in 3 s", n)
 	}
 	r.unanswered = false
 	r.run(2 * s)
-	r.expect("cut off once listed", r.v.CutOff(r.now), false)
+	r.expect("cut off once in the inventory", r.v.CutOff(r.now), false)
 	r.unanswered = true
 	for range 120 {
 		unlisted()
 		r.run(100 * time.Millisecond)
 	}
-	r.expect("cut off once it is listed no more", r.v.CutOff(r.now), true)
+	r.expect("cut off once removed from the inventory", r.v.CutOff(r.now), true)
 }
 
-// Who waits for something agreed polls as soon as polls may be, and not much later where a packet was lost.
+// While an agreed result is awaited, polls are sent at the minimum interval, and repeated after UrgentPollTimeout if one is lost.
 func TestUrgentPolls(t *testing.T) {
 	v := New("c1", 10*time.Second)
 	polls := func(now time.Duration, in ...Input) (no uint64) {
@@ -265,19 +265,19 @@
 		return no
 	}
 	first := polls(0)
-	at := 2 * time.Second // past the start
+	at := 2 * time.Second // after the start period
 	second := polls(at, PollAnswered{Sequence: first, Leader: "l"})
 	if second == 0 || polls(at+MinPollInterval, PollAnswered{Sequence: second, Leader: "l"}) != 0 {
-		t.Fatal("no second poll, or a third without need")
+		t.Fatal("no second poll, or an unneeded third one")
 	}
 	third := polls(at+2*MinPollInterval, PollUrgently{On: true})
 	if third == 0 || polls(at+3*MinPollInterval) != 0 {
-		t.Fatal("no poll in a hurry, or one while that is not answered")
+		t.Fatal("no urgent poll, or another one while it is unanswered")
 	}
 	if lost := polls(at + 2*MinPollInterval + UrgentPollTimeout); lost == 0 {
-		t.Error("nothing after a lost one")
+		t.Error("no poll after a lost one")
 	}
 	if until := v.LeaseUntil(); until != at+10*time.Second-100*time.Millisecond || v.CutOff(until-1) || !v.CutOff(until) {
-		t.Errorf("sure until %v", until)
+		t.Errorf("lease until %v", until)
 	}
 }
--- a/internal/fleet/view/polls.go
+++ b/internal/fleet/view/polls.go
@@ -7,20 +7,20 @@
 	"birchcart/internal/fleet/peerproto"
 )
 
-// pollState are the numbered questions to the raft group and what came of them.
+// pollState tracks the numbered polls sent to the raft group and their answers.
 type pollState struct {
-	sequence   uint64     // of the newest
-	sent       []sentPoll // the newest MaxSentPolls
+	sequence   uint64     // of the newest poll
+	sent       []sentPoll // unanswered polls, at most the newest MaxSentPolls
 	lastAt     time.Duration
-	nextAt     time.Duration // the next is due then
+	nextAt     time.Duration // when the next poll is due
 	unanswered int
 	truncated  bool // the newest answer was truncated
-	urgent     bool // something agreed is waited for
+	urgent     bool // the process waits for an agreed result
 
 	answered   bool
-	answeredAt time.Duration // when that one was sent
+	answeredAt time.Duration // when the newest answered poll was sent
 	term       uint64
-	reported   []DrainStatus // with the newest
+	reported   []DrainStatus // drain statuses in the newest poll
 }
 
 type sentPoll struct {
@@ -28,8 +28,8 @@
 	sentAt   time.Duration
 }
 
-// handleAnswer takes note of an answer and says whether it counts: only one to a poll that this process sent, that is newer
-// than the newest answered (older ones are not remembered any more), and of no leader before the last one heard of.
+// handleAnswer records an answer and reports whether it was accepted. It accepts only answers to polls of this process that are newer than
+// the newest answered one (older polls are forgotten), and only from leaders whose term is not lower than the highest seen.
 func (p *pollState) handleAnswer(a PollAnswered) bool {
 	if a.Term != 0 && a.Term < p.term {
 		return false
@@ -42,8 +42,8 @@
 	if !p.answered {
 		p.nextAt = p.lastAt + PollInterval
 	}
-	// A truncated one leaves this copy without grants that may be acknowledged already, and for one that is not in the inventory
-	// the next leader would not wait: no lease upon either.
+	// Neither a truncated answer nor one to a co-ordinator that is not in the inventory gives a lease: after a truncated answer this
+	// copy may lack grants that are already acknowledged, and the next leader does not wait for co-ordinators outside the inventory.
 	if !a.Truncated && !a.NotInInventory {
 		p.answered, p.answeredAt = true, p.sent[i].sentAt
 	}
@@ -54,7 +54,7 @@
 	return true
 }
 
-// pollDelay until the next poll, the newest being the n-th in a row without an answer.
+// pollDelay returns the delay until the next poll after n polls in a row without an answer.
 func (v *View) pollDelay(n int) time.Duration {
 	maxDelay := max(min(MaxPollInterval, v.lease/4), PollInterval)
 	d := PollInterval
@@ -64,8 +64,8 @@
 	return min(d, maxDelay)
 }
 
-// emitPoll polls when it is time: once a second, less often while unanswered, and soon if an answer was truncated or
-// there is something new to say.
+// emitPoll emits a poll when one is due: every PollInterval, less often while polls go unanswered, and after MinPollInterval if the
+// last answer was truncated, an agreed result is awaited or the drain statuses changed.
 func (v *View) emitPoll(now time.Duration) {
 	if v.halted {
 		return
@@ -89,12 +89,12 @@
 	p.lastAt, p.reported = now, statuses
 	p.nextAt = now + v.pollDelay(p.unanswered)
 	if !p.answered && now-v.firstStepAt < StartPeriod {
-		p.nextAt, p.unanswered = now+StartPollInterval, 1 // those of the start make no later one slower
+		p.nextAt, p.unanswered = now+StartPollInterval, 1 // polls in the start period do not count towards the backoff
 	}
 	v.out = append(v.out, Poll{p.sequence, v.index, slices.Clone(statuses)})
 }
 
-// drainStatuses is what may be said of the live grants now: those applied for a Grace, and those rejected.
+// drainStatuses returns the statuses that may be reported now: drains that have been applied for Grace, and rejected ones.
 func (v *View) drainStatuses(now time.Duration) []DrainStatus {
 	var statuses []DrainStatus
 	for _, l := range v.drains {
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,9 +1,10 @@
-// Package view is what one co-ordinator may rely on of what the fleet agreed: how old that is, whether it is cut off,
-// which drains it applies to its own endpoint list, and what it says of them to the raft group. Pure: time comes in, by the own
-// monotonic clock, and what is to be done comes out. It only ever narrows: without a fleet the same queries are served.
+// Package view holds one co-ordinator's view of the agreed fleet state: how old it is, whether the co-ordinator is cut off from
+// the raft group, which drains it applies to its own endpoint list, and what it reports about them to the raft group. The package does
+// no I/O: Step takes events and the local monotonic time and returns the actions to carry out. A view only takes replicas away
+// from the endpoint list; without a fleet the same queries are served.
 //
-// A grant is seen, its drain applied (Drains), the applying confirmed by the next Step, and one Grace later, when what was
-// being sent is sent, reported as applied (Poll). What comes out of a Step must be carried out before the next one.
+// When a grant is seen, its drain is applied (Drains) and confirmed by the next Step. After one Grace, when requests that were being
+// sent at that time have been sent, it is reported as applied (Poll). The outputs of a Step must be carried out before the next Step.
 package view
 
 import (
@@ -15,71 +16,74 @@
 	"birchcart/internal/fleet/peerproto"
 )
 
-// Times and bounds of a view.
+// Timing constants and limits of a view.
 const (
-	// MaxDriftDivisor is by how much two clocks may run apart: one part of so many. Own leases are taken shorter by it and what
-	// others may still count on longer. Twice as much costs a percent of a lease; half, and a slow clock keeps a lease
-	// that the leader counts as over.
+	// MaxDriftDivisor bounds the drift between two clocks to 1/MaxDriftDivisor of the elapsed time. A co-ordinator shortens its own lease
+	// by the drift and lengthens the times that others may still rely on. Allowing twice the drift would cost another percent of each
+	// lease; with half, a co-ordinator with a slow clock could keep a lease that the leader considers expired.
 	MaxDriftDivisor = 100
-	// PollInterval is between polls that are answered in time. Twice as long: grants are known a second later; half as
-	// long: twice the messages at rest.
+	// PollInterval is the time between polls that are answered in time. Doubling it would delay grants by a second; halving it would
+	// double the messages of an idle fleet.
 	PollInterval = time.Second
-	// MaxPollInterval bounds the time between polls that go unanswered, and so does a quarter of the lease, so that three
-	// lost ones in a row do not cost it. Twice as long: a fleet takes longer to come together after an outage.
+	// MaxPollInterval limits the backoff between unanswered polls. A quarter of the lease limits it too, so that three lost polls in a
+	// row do not cost the lease. With a longer interval a fleet would take longer to reconnect after an outage.
 	MaxPollInterval = 5 * time.Second
-	// MinPollInterval is between any two polls: those after a Reply that was truncated, and those that have something new. Twice as
-	// long: a follower far behind takes twice as long; half as long: a truncated answer without end costs twice as much.
+	// MinPollInterval is the minimum time between two polls, after a truncated Reply or when the drain statuses changed. Doubling it would
+	// double the time that a follower far behind needs to catch up; halving it would double the cost of answers that never stop
+	// being truncated.
 	MinPollInterval = 50 * time.Millisecond
-	// UrgentPollTimeout is after a poll that went unanswered while something agreed is waited for. Twice as long: a lost packet costs a
-	// session's pause so much more; half: twice the polls at a leader that is slow.
+	// UrgentPollTimeout is the time after which an unanswered poll is repeated while an agreed result is awaited. Doubling it would lengthen
+	// a session's pause by as much after a lost packet; halving it would double the polls at a slow leader.
 	UrgentPollTimeout = 200 * time.Millisecond
-	// StartPollInterval is between polls of a process that has no answer yet and whose clients wait, StartPeriod from its first Step.
-	// Twice as long: a start waits 0.1 s longer after a lost one; half: twice the messages of a fleet that starts at once.
+	// StartPollInterval is the time between polls of a process that has no answer yet, for StartPeriod from its first Step, because its
+	// clients wait. Doubling it would delay a start by 0.1 s after a lost poll; halving it would double the messages when a whole fleet
+	// starts at the same time.
 	StartPollInterval = 100 * time.Millisecond
 	StartPeriod       = time.Second
-	// MaxStepGap is between two Steps of a process that runs. After a longer gap it was stopped, and a Grace that ran
-	// meanwhile starts anew: what was being sent may be sent only now. Twice as long: a stall of that much eats into a
-	// Grace unseen; half as long: a busy machine reports its drains later.
+	// MaxStepGap is the maximum time between two Steps of a running process. After a longer gap the process is taken to have stalled, and a
+	// Grace that was running is restarted, because requests that were being sent may be sent only now. With twice the gap, a stall
+	// of that length would shorten a Grace unnoticed; with half, a busy machine would report its drains later.
 	MaxStepGap = time.Second
-	// MaxSentPolls is the polls whose sending is remembered; the oldest goes first, and its answer then counts for nothing.
+	// MaxSentPolls is the maximum number of polls whose send times are kept. The oldest is dropped first, and its answer is then ignored.
 	MaxSentPolls = 64
 )
 
-// DrainStatus is what a co-ordinator says of one live grant.
+// DrainStatus is what a co-ordinator reports about one live grant.
 type DrainStatus = peerproto.DrainStatus
 
-// State is what a view reads of the agreed maintenance order; *maintenance.State is one.
+// State is the part of the agreed maintenance state that a view reads. *maintenance.State implements it.
 type State interface {
 	Items() []maintenance.Item
 	Machine(name string) (maintenance.Machine, bool)
 	Limits() (maintenance.Limits, int)
 }
 
-// Input is an event for a Step.
+// Input is an event passed to Step.
 type Input interface{ input() }
 
 type (
-	// PollAnswered says that the poll of this number was answered by a leader that led then. More: the answer was truncated.
-	// Unlisted: the agreed inventory does not have this co-ordinator yet. Neither gives a lease.
+	// PollAnswered reports an answer to the poll with this sequence number by a process that was the leader at that time. Truncated means
+	// that the answer was truncated, NotInInventory that the agreed inventory does not contain this co-ordinator yet. Neither kind
+	// of answer gives a lease.
 	PollAnswered struct {
 		Sequence       uint64
 		Leader         string
-		Term           uint64 // 0: not known; one lower than seen before counts for nothing
+		Term           uint64 // 0: not known; an answer with a lower term than seen before is ignored
 		Truncated      bool
 		NotInInventory bool
 	}
-	// Applied is the own copy of the state machine after it moved; State is only read during the Step.
+	// Applied reports that the local copy of the state machine advanced. State is only read during the Step.
 	Applied struct {
 		State      State
 		Index      uint64
-		AgreedTime time.Duration // agreed
-		Epoch      uint64        // of the log; one lower than seen before counts for nothing
+		AgreedTime time.Duration // the state machine's time
+		Epoch      uint64        // of the log; input with a lower epoch than seen before is ignored
 	}
-	// ReplicaList is the own list of replicas, complete, whenever it changed.
+	// ReplicaList is the complete local list of replicas. It is passed whenever the list changed.
 	ReplicaList struct{ Replicas []maintenance.Machine }
-	// PollUrgently says that something agreed is waited for here, or no more: polls come as soon as they may meanwhile.
+	// PollUrgently reports whether the process waits for an agreed result. While On, polls are sent as soon as allowed.
 	PollUrgently struct{ On bool }
-	// Halted says that the own copy of the state machine can't go on. Nothing is polled or granted any more.
+	// Halted reports that the local copy of the state machine cannot advance any more. From then on the view emits no polls and no grants.
 	Halted struct{ Err error }
 )
 
@@ -89,27 +93,27 @@
 func (Halted) input()       {}
 func (PollUrgently) input() {}
 
-// Output is something to be done before the next Step.
+// Output is an action to be carried out before the next Step.
 type Output interface{ output() }
 
 type (
-	// Drains is the complete set of replicas to which nothing new goes, sorted by name; it replaces the one before.
+	// Drains is the complete set of drained replicas, which get no new requests, sorted by name. It replaces the previous set.
 	Drains struct{ Names []string }
-	// Poll is to be sent to the leader, or to any voter while it is not known.
+	// Poll is a poll to send to the leader, or to any voter while the leader is not known.
 	Poll struct {
 		Sequence, Index uint64
 		Drains          []DrainStatus
 	}
-	// MayLeave says that this co-ordinator may go by the grant of that number; it comes once.
+	// MayLeave says that this co-ordinator may shut down under the grant with this fence. It is emitted once per grant.
 	MayLeave struct{ Fence uint64 }
-	// Grants is for the site's file, replaced as a whole: who may be worked on now.
+	// Grants is the complete content of the site's grants file: the machines that may be worked on now.
 	Grants struct{ Items []Grant }
-	// Log is a line for the log.
+	// Log is a line to log.
 	Log struct{ Text string }
 )
 
-// Grant is an acknowledged item, and the agreed time before which the work must have begun to count as begun within the grant:
-// Until less Settle, so that what a slow clock starts late still counts.
+// Grant is an acknowledged item with the agreed time before which the work must begin. That time is Until less SettleTime, so that work
+// which a slow clock starts late still begins within the grant.
 type Grant struct {
 	maintenance.Item
 	StartBefore time.Duration
@@ -121,61 +125,62 @@
 func (Grants) output()   {}
 func (Log) output()      {}
 
-// View is one co-ordinator's. Not for use by several goroutines at once.
+// View is the state of one co-ordinator's view. It is not safe for concurrent use.
 type View struct {
 	name  string
 	lease time.Duration
 
 	stepped                 bool
-	firstStepAt, lastStepAt time.Duration // own time of the first and the newest Step
+	firstStepAt, lastStepAt time.Duration // local time of the first and the last Step
 	halted                  bool
 	cutOff                  bool // as of the last Step
 	out                     []Output
 
 	polls pollState
 
-	// The agreed state as last applied: its live items (granted, acknowledged, out), in its order.
+	// The agreed state as last applied. Its live items are those granted, acknowledged or out, in the order of the state.
 	applied                 bool
 	index                   uint64
 	epoch                   uint64
-	agreedTime              time.Duration // its time, and when that was first seen by the own clock
+	agreedTime              time.Duration // time of the agreed state; agreedAt is the local time when it was first seen
 	agreedAt                time.Duration
 	live                    []maintenance.Item
 	machines                map[string]maintenance.Machine // of the live items
 	limits                  maintenance.Limits
-	highestFence            uint64 // highest fence seen
-	caughtUp                bool   // an answer was complete, with a state applied
-	highestFenceBeforeStart uint64 // highest fence seen up to then: grants of before this process, for which it does not leave
-	leftByFence             uint64 // fence it left by
+	highestFence            uint64 // highest fence seen so far
+	caughtUp                bool   // a complete answer has arrived while a state was applied
+	highestFenceBeforeStart uint64 // highest fence seen until caughtUp; the co-ordinator does not leave for these grants, which precede this process
+	leftByFence             uint64 // fence of the last grant for which MayLeave was emitted
 
 	replicasKnown bool
 	replicas      []maintenance.Machine
 
-	drains         []drain         // by fence
-	previousDrains []previousDrain // drains of grants of an earlier epoch, by name
+	drains         []drain         // sorted by fence
+	previousDrains []previousDrain // drains for grants of earlier epochs, sorted by name
 	sentDrains     []string
 	sentGrants     []Grant
 	checks         checkState
 }
 
-// New makes a view of the co-ordinator of that name. The lease is that of the limits in force when it starts; Applied
-// limits replace it.
+// New returns a view of the co-ordinator with this name. The lease is that of the limits in force at the start; the limits of an
+// Applied state replace it.
 func New(name string, lease time.Duration) *View {
 	return &View{name: name, lease: lease, cutOff: true, machines: map[string]maintenance.Machine{},
 		checks: checkState{appliedSince: map[string]time.Duration{}, grantFences: map[string]uint64{}}}
 }
 
-// FirstSequence sets where the numbers of polls begin, before the first Step. They must not repeat between processes of one
-// name, or a late answer to the process before would lengthen this one's lease: a start's time in nanoseconds will do.
+// FirstSequence sets the number after which the sequence of polls begins. It must be called before the first Step. Numbers must not
+// repeat between processes of one name, or a late answer to the previous process would lengthen this one's lease. The start time in
+// nanoseconds is sufficient.
 func (v *View) FirstSequence(first uint64) { v.polls.sequence = first }
 
-// CutOff says that no answer of the raft group came within the lease, counted from the sending of the newest poll that was
-// answered and shortened by the drift; so it is before the first answer and once halted.
+// CutOff reports whether the lease has expired. The lease counts from the send time of the newest answered poll and is shortened by the
+// drift. CutOff is also true before the first answer and after Halted.
 func (v *View) CutOff(now time.Duration) bool {
 	return now >= v.LeaseUntil()
 }
 
-// LeaseUntil is the own time until which the lease holds, however clocks drift; 0 for none.
+// LeaseUntil returns the local time until which the lease holds at the maximum clock drift, or 0 if there is no lease.
 func (v *View) LeaseUntil() time.Duration {
 	if v.halted || !v.polls.answered {
 		return 0
@@ -183,7 +188,7 @@
 	return v.polls.answeredAt + v.lease - v.lease/MaxDriftDivisor
 }
 
-// Age of what was agreed: since the sending of the newest answered poll; before any, since the first Step.
+// Age returns the age of the agreed state: the time since the newest answered poll was sent, or since the first Step if none was answered.
 func (v *View) Age(now time.Duration) time.Duration {
 	if !v.polls.answered {
 		return max(now-v.firstStepAt, 0)
@@ -191,8 +196,8 @@
 	return max(now-v.polls.answeredAt, 0)
 }
 
-// Step takes events at the own monotonic time now and returns what is to be done, in order. A time before the last one
-// counts as the last one. The result holds until the next call.
+// Step processes events at the local monotonic time now and returns the actions to carry out, in order. A time before that of the last
+// Step is replaced by it. The result is valid until the next call.
 func (v *View) Step(now time.Duration, in []Input) []Output {
 	v.out = v.out[:0]
 	gap := v.stepped && now-v.lastStepAt > MaxStepGap
@@ -208,9 +213,9 @@
 	cut := v.CutOff(now)
 	if cut != v.cutOff {
 		if age := v.Age(now).Round(time.Millisecond); cut {
-			v.log("cut off: no answer of the raft group for %v; the drains that are applied stay until their grants end", age)
+			v.log("cut off: no answer from the raft group for %v; applied drains are kept until their grants end", age)
 		} else {
-			v.log("in touch with the raft group: what is known is %v old", age)
+			v.log("in touch with the raft group: the agreed state is %v old", age)
 		}
 	}
 	v.cutOff = cut
@@ -248,12 +253,12 @@
 	case Halted:
 		if !v.halted {
 			v.halted = true
-			v.log("this co-ordinator's part in the fleet has ended, queries are served as before: %v", in.Err)
+			v.log("this co-ordinator's membership of the fleet has ended, queries are still served: %v", in.Err)
 		}
 	}
 }
 
-// isLive says that a grant in that phase lets its machine be away, so that nothing new goes there.
+// isLive reports whether a grant in this phase allows its machine to be away, so that it must get no new requests.
 func isLive(p maintenance.Phase) bool {
 	return p == maintenance.Granted || p == maintenance.Acknowledged || p == maintenance.Out
 }
@@ -292,8 +297,8 @@
 	}
 }
 
-// emitGrants hands out the acknowledged items for the site's file whenever they changed, none while cut off. The first Step
-// always does, as the file may be that of a process before.
+// emitGrants emits the acknowledged items for the site's grants file whenever they changed, and none while cut off. The first Step always
+// emits them, because the file may have been written by a previous process.
 func (v *View) emitGrants(now time.Duration) {
 	var active []Grant
 	agreed := v.agreedTime + withDrift(now-v.agreedAt)
@@ -308,8 +313,8 @@
 	}
 }
 
-// emitLeave says once that this co-ordinator may go, if its own grant is acknowledged and was made after it started: one from
-// before was for the process before it.
+// emitLeave emits MayLeave once if this co-ordinator's own grant is acknowledged and was made after the process started. An earlier
+// grant was meant for the previous process.
 func (v *View) emitLeave() {
 	for _, it := range v.live {
 		if v.cutOff || it.Machine != v.name || it.Phase != maintenance.Acknowledged || v.machines[it.Machine].Kind != maintenance.Coordinator ||
@@ -321,5 +326,5 @@
 	}
 }
 
-// withDrift is d by a clock that runs fast by the drift.
+// withDrift returns the time that a clock shows for d if it runs fast by the maximum drift.
 func withDrift(d time.Duration) time.Duration { return d + d/MaxDriftDivisor }
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -12,7 +12,7 @@
 
 const s = time.Second
 
-// agreed is a state set by hand: four replicas of cells 0 to 3, each shard held by two, and co-ordinators a and b.
+// fakeState is a State with given items, four replicas in cells 0 to 3, two holders for each shard, and co-ordinators a and b.
 type fakeState struct{ items []maintenance.Item }
 
 func (g *fakeState) Items() []maintenance.Item { return g.items }
@@ -37,17 +37,17 @@
 	{Name: "r2", Kind: maintenance.Replica, Cell: 2, Status: maintenance.Up}, {Name: "r3", Kind: maintenance.Replica, Cell: 3, Status: maintenance.Up},
 }
 
-// rig steps a view every tick and answers its polls.
+// rig drives a view step by step, answers its polls and collects its outputs.
 type rig struct {
 	t          *testing.T
 	v          *View
 	now        time.Duration
 	state      fakeState
 	index      uint64
-	agreedTime time.Duration // agreed
-	unanswered bool          // polls go unanswered
+	agreedTime time.Duration
+	unanswered bool // polls get no answer
 	pending    []Input
-	out        []Output // of all steps, but for logs
+	out        []Output // outputs of all steps
 	polls      []Poll
 	pollsAt    []time.Duration
 	drains     []string
@@ -123,25 +123,25 @@
 	r := newRig(t)
 	r.applyItems(r.item("r1", 7, maintenance.Granted))
 	r.step(100 * time.Millisecond)
-	r.expect("laid at once", r.drains, "[r1]")
-	r.expect("for the file before it is told", r.grants, "[]")
+	r.expect("drains at once", r.drains, "[r1]")
+	r.expect("grants before the acknowledgement", r.grants, "[]")
 	r.pending = []Input{Applied{State: &fakeState{}, Index: r.index - 1, AgreedTime: r.agreedTime}} // out of order
 	appliedAt := r.now
 	r.run(1900 * time.Millisecond)
-	r.expect("said too early", r.lastReported(), "[]")
+	r.expect("reported too early", r.lastReported(), "[]")
 	for r.lastReported() == "[]" && r.now < appliedAt+5*s {
 		r.run(100 * time.Millisecond)
 	}
-	r.expect("said", r.lastReported(), "[{r1 7 false }]")
-	// The Grace counts from the Step after the one that applied it, and what is new is said at once.
-	r.expect("time until said", r.now-appliedAt, 2100*time.Millisecond)
+	r.expect("reported", r.lastReported(), "[{r1 7 false }]")
+	// Grace counts from the Step after the one that applied the drain, and a changed status is reported at once.
+	r.expect("time until reported", r.now-appliedAt, 2100*time.Millisecond)
 	r.applyItems(r.item("r1", 7, maintenance.Out))
 	r.run(s)
-	r.expect("while out", r.drains, "[r1]")
+	r.expect("drains while out", r.drains, "[r1]")
 	r.applyItems(r.item("r1", 7, maintenance.Returned))
 	r.run(s)
-	r.expect("once back", r.drains, "[]")
-	r.expect("said once back", r.lastReported(), "[]")
+	r.expect("drains once returned", r.drains, "[]")
+	r.expect("reported once returned", r.lastReported(), "[]")
 }
 
 func TestNewGrantRestartsGrace(t *testing.T) {
@@ -152,15 +152,16 @@
 	r.run(s)
 	r.applyItems(r.item("r1", 7, maintenance.Withdrawn), r.item("r1", 8, maintenance.Granted))
 	r.run(1500 * time.Millisecond)
-	r.expect("said of the new grant", r.lastReported(), "[]")
+	r.expect("reported for the new grant before its Grace", r.lastReported(), "[]")
 	r.run(2 * s)
-	r.expect("said of the new grant", r.lastReported(), "[{r1 8 false }]")
-	r.applyItems(r.item("r1", 9, maintenance.Granted)) // and no word of its end in between
+	r.expect("reported for the new grant", r.lastReported(), "[{r1 8 false }]")
+	r.applyItems(r.item("r1", 9, maintenance.Granted)) // without a state that shows the end of grant 8
 	r.run(1500 * time.Millisecond)
-	r.expect("said of the next grant", r.lastReported(), "[]")
+	r.expect("reported for the next grant before its Grace", r.lastReported(), "[]")
 }
 
-// A voter gets what was agreed before its poll is answered: cut off, it lifts what has ended and lays nothing new.
+// A voter receives the agreed state even while its polls go unanswered. While cut off it lifts drains whose grants have ended and applies
+// no new ones.
 func TestNewGrantNotAppliedWhileCutOff(t *testing.T) {
 	r := newRig(t)
 	r.applyItems(r.item("r1", 7, maintenance.Granted))
@@ -169,11 +170,11 @@
 	r.run(20 * s)
 	r.applyItems(r.item("r1", 7, maintenance.Done), r.item("r1", 8, maintenance.Granted))
 	r.run(s)
-	r.expect("cut off", r.drains, "[]")
-	r.expect("wrong", r.v.Check(), "<nil>")
+	r.expect("drains while cut off", r.drains, "[]")
+	r.expect("violated invariant", r.v.Check(), "<nil>")
 	r.unanswered = false
 	r.run(10 * s)
-	r.expect("answered again", r.drains, "[r1]")
+	r.expect("drains once answered again", r.drains, "[r1]")
 }
 
 func TestDrainRejectedIfShardHasNoHolder(t *testing.T) {
@@ -181,27 +182,27 @@
 	r.pending = []Input{ReplicaList{slices.Concat(replicaList[:2], []maintenance.Machine{{Name: "r2", Cell: 2, Status: maintenance.Gone}}, replicaList[3:])}}
 	r.applyItems(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
-	// Shards of cells 1 and 2 have only r1; those of 2 and 3 only r3; r2 is not up and takes nothing away.
-	r.expect("laid", r.drains, "[r2]")
-	r.expect("said", strings.Contains(r.lastReported(), "{r1 7 true shard 1 would be left") && strings.Contains(r.lastReported(), "{r3 8 true shard 2"), true)
+	// Shards held by cells 1 and 2 have only r1 up, those held by cells 2 and 3 only r3. r2 is not up, so draining it removes no holder.
+	r.expect("drains", r.drains, "[r2]")
+	r.expect("rejections reported", strings.Contains(r.lastReported(), "{r1 7 true shard 1 would be left") && strings.Contains(r.lastReported(), "{r3 8 true shard 2"), true)
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
-	r.expect("one told without its word, while it can't be", r.drains, "[r2]")
+	r.expect("an acknowledged grant whose drain would leave a shard without a holder", r.drains, "[r2]")
 	r.applyItems(r.item("r1", 7, maintenance.Granted), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.pending = append(r.pending, ReplicaList{replicaList})
 	r.run(5 * s)
-	r.expect("a refusal holds for its fence", r.drains, "[r2]")
+	r.expect("a rejection holds for its fence while only granted", r.drains, "[r2]")
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Done))
 	r.run(5 * s)
-	r.expect("one told without its word is drained once it can be", r.drains, "[r1]")
+	r.expect("an acknowledged grant is drained once it can be", r.drains, "[r1]")
 
 	r = newRig(t)
 	r.applyItems(r.item("r1", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
-	r.expect("two neighbours in one word", r.drains, "[r1]")
+	r.expect("two neighbours granted in one state", r.drains, "[r1]")
 	r.pending = []Input{ReplicaList{replicaList[:2]}}
 	r.run(3 * s)
-	r.expect("a laid one is not lifted for want of holders", r.drains, "[r1]")
+	r.expect("an applied drain stays when other holders go", r.drains, "[r1]")
 
 	r = newRig(t)
 	gone := func(m maintenance.Machine) maintenance.Machine { m.Status = maintenance.Gone; return m }
@@ -209,12 +210,12 @@
 		Status: maintenance.Up}, replicaList[2], replicaList[3]}}}
 	r.applyItems(r.item("r0", 7, maintenance.Granted), r.item("r2", 8, maintenance.Granted))
 	r.run(3 * s)
-	r.expect("one that is gone takes nothing away, a co-ordinator holds nothing", r.drains, "[r0]")
+	r.expect("draining a gone replica removes no holder, and a co-ordinator is no holder", r.drains, "[r0]")
 
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, agreedTime: 5000 * s}
 	r.applyItems(r.item("r1", 7, maintenance.Granted))
 	r.run(5 * s)
-	r.expect("laid and said without an own list", fmt.Sprint(r.drains, r.lastReported()), "[][]")
+	r.expect("drains and statuses without a replica list", fmt.Sprint(r.drains, r.lastReported()), "[][]")
 }
 
 func TestCoordinatorLeavesOncePerOwnGrant(t *testing.T) {
@@ -222,16 +223,16 @@
 	r.run(s)
 	r.applyItems(r.item("a", 7, maintenance.Granted), r.item("b", 8, maintenance.Acknowledged))
 	r.run(2 * s)
-	r.expect("granted only", r.leaves, "[]")
-	r.expect("said with nothing laid", fmt.Sprint(r.drains, r.lastReported()), "[][{a 7 false } {b 8 false }]")
+	r.expect("leaves while only granted", r.leaves, "[]")
+	r.expect("statuses of co-ordinators, without drains", fmt.Sprint(r.drains, r.lastReported()), "[][{a 7 false } {b 8 false }]")
 	r.applyItems(r.item("a", 7, maintenance.Acknowledged))
 	r.run(3 * s)
 	r.applyItems(r.item("a", 7, maintenance.Acknowledged))
 	r.run(3 * s)
-	r.expect("told", r.leaves, "[7]")
+	r.expect("leaves once acknowledged", r.leaves, "[7]")
 	r.applyItems(r.item("a", 7, maintenance.Done), r.item("a", 9, maintenance.Acknowledged))
 	r.run(s)
-	r.expect("the next one", r.leaves, "[7 9]")
+	r.expect("leaves after the next grant", r.leaves, "[7 9]")
 
 	r = &rig{t: t, v: New("a", 10*s), now: 100 * s, agreedTime: 5000 * s, unanswered: true}
 	r.applyItems(r.item("a", 7, maintenance.Acknowledged))
@@ -241,22 +242,22 @@
 	r.step(100 * time.Millisecond)
 	r.unanswered = false
 	r.run(5 * s)
-	r.expect("grants of before this process", r.leaves, "[]")
+	r.expect("leaves for grants made before this process", r.leaves, "[]")
 	r.applyItems(r.item("a", 10, maintenance.Acknowledged))
 	r.run(s)
-	r.expect("one of after its start", r.leaves, "[10]")
+	r.expect("leaves for a grant made after its start", r.leaves, "[10]")
 
 	r = newRig(t)
 	r.run(s)
 	r.v.name = "r1"
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.run(s)
-	r.expect("by a replica's grant", r.leaves, "[]")
+	r.expect("leaves for a replica's grant", r.leaves, "[]")
 	r.unanswered, r.pending, r.v.name = true, nil, "a"
 	r.run(11 * s)
 	r.applyItems(r.item("a", 8, maintenance.Acknowledged))
 	r.run(s)
-	r.expect("while cut off", r.leaves, "[]")
+	r.expect("leaves while cut off", r.leaves, "[]")
 }
 
 func TestTruncatedAnswerGivesNoLease(t *testing.T) {
@@ -268,14 +269,14 @@
 	r.expect("polls, the next one at once", len(r.polls), 2)
 	r.pending = []Input{PollAnswered{Sequence: 2}}
 	r.step(100 * time.Millisecond)
-	r.expect("cut off once it has all", r.v.CutOff(r.now), false)
+	r.expect("cut off after a complete answer", r.v.CutOff(r.now), false)
 }
 
 func TestRestartedProcessAppliesDrainsFromDisk(t *testing.T) {
 	r := &rig{t: t, v: New("a", 10*s), now: 100 * s, agreedTime: 5000 * s, unanswered: true, pending: []Input{ReplicaList{replicaList}}}
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged))
 	r.step(0)
-	r.expect("before any answer", r.drains, "[r1]")
+	r.expect("drains before any answer", r.drains, "[r1]")
 	r.run(102 * s)
-	r.expect("past the grant's end", r.drains, "[]")
+	r.expect("drains after the grant's end", r.drains, "[]")
 }
