--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -10,10 +10,10 @@
 	"birchcart/internal/fleet/sourceaddr"
 )
 
-// delegate is what memberlist calls. It calls with its own locks held: nothing here waits or calls back.
+// delegate implements memberlist's callbacks. memberlist calls them with its locks held, so they must not block or call memberlist.
 type delegate struct{ m *Members }
 
-// The first byte of a message between members.
+// Kinds of messages between members: the first byte of a message.
 const (
 	kindRecords = 'r'
 	kindMessage = 'm'
@@ -31,7 +31,7 @@
 	case kindMessage:
 		d.m.inbox.enqueue(b[1:])
 	default:
-		d.m.log.Debugf("a message of a kind that this program does not know: %d", b[0])
+		d.m.log.Debugf("ignored a message of unknown kind %d", b[0])
 	}
 }
 
@@ -61,7 +61,7 @@
 func (d *delegate) NotifyLeave(n *memberlist.Node)       { d.m.table.setState(n, false) }
 func (d *delegate) NotifyAlive(n *memberlist.Node) error { return d.m.table.checkCapacity(n.Name) }
 
-// AckPayload sends the own record in the answer to a probe: a record at first hand for a few bytes.
+// AckPayload adds this member's record to the answer to a probe, so that the prober gets it directly from its source for a few bytes.
 func (d *delegate) AckPayload() []byte {
 	d.m.table.mu.Lock()
 	defer d.m.table.mu.Unlock()
@@ -72,15 +72,15 @@
 	d.mergeRecords(payload)
 }
 
-// countingTransport counts the bytes on the sockets, and dials from the address that the member listens at.
+// countingTransport counts the bytes sent and received, and dials from the address on which the member listens.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	bytes  atomic.Int64
 	sent   atomic.Int64 // packets
-	source net.IP       // where it listens; nil if that is no address
+	source net.IP       // listen address; nil if it is not an IP address
 }
 
-// packetOverhead is what IP and UDP add to a packet, in bytes.
+// packetOverhead is the size of the IP and UDP headers of a packet in bytes.
 const packetOverhead = 28
 
 func (c *countingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
@@ -96,7 +96,7 @@
 }
 
 func (c *countingTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
-	// memberlist's own dial leaves the source to the kernel.
+	// memberlist's own dialling leaves the source address to the kernel.
 	conn, err := sourceaddr.Dial(c.source, a.Addr, wait)
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return &countingConn{Conn: conn, transport: c}, nil
 }
 
-// countingConn counts both ways at the side that dialled.
+// countingConn counts the bytes in both directions of a connection at the side that dialled it.
 type countingConn struct {
 	net.Conn
 	transport *countingTransport
--- a/internal/fleet/member/keys.go
+++ b/internal/fleet/member/keys.go
@@ -12,18 +12,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// MaxKeys is the maximum number of keys in the file: the one in use and those of a rotation under way.
+// MaxKeys is the maximum number of keys in the file: the one in use and those of a rotation in progress.
 const MaxKeys = 8
 
-// parseKeys reads base64 keys of 16, 24 or 32 bytes, one a line; the first is used for sending, all for reading. Empty lines
-// and those that begin with # are left out. Errors never say what the file holds.
+// parseKeys reads base64 keys of 16, 24 or 32 bytes from a file, one per line. The first key encrypts, all keys decrypt. Empty lines and
+// lines that begin with # are ignored. Errors never contain the content of the file.
 func parseKeys(path string) ([][]byte, error) {
 	if path == "" {
-		return nil, errors.New("member: no keyring's file is named")
+		return nil, errors.New("member: no keyring file is configured")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("member: the keyring: %w", err)
+		return nil, fmt.Errorf("member: reading the keyring: %w", err)
 	}
 	var keys [][]byte
 	lines := bufio.NewScanner(bytes.NewReader(raw))
@@ -34,12 +34,12 @@
 		}
 		key, err := base64.StdEncoding.DecodeString(line)
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			return nil, fmt.Errorf("member: the keyring %s, line %d: not 16, 24 or 32 bytes in base64", path, n)
+			return nil, fmt.Errorf("member: the keyring %s, line %d: not a base64 key of 16, 24 or 32 bytes", path, n)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > MaxKeys {
-		return nil, fmt.Errorf("member: the keyring %s has %d keys, 1 to %d are wanted", path, len(keys), MaxKeys)
+		return nil, fmt.Errorf("member: the keyring %s has %d keys, want 1 to %d", path, len(keys), MaxKeys)
 	}
 	return keys, nil
 }
@@ -59,11 +59,11 @@
 	}
 	for _, k := range keys {
 		if err := ring.AddKey(k); err != nil {
-			return fmt.Errorf("member: the keyring: %w", err)
+			return fmt.Errorf("member: adding a key to the keyring: %w", err)
 		}
 	}
 	if err := ring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("member: the keyring: %w", err)
+		return fmt.Errorf("member: changing the primary key: %w", err)
 	}
 	for _, old := range append([][]byte{}, ring.GetKeys()...) {
 		kept := false
@@ -72,7 +72,7 @@
 		}
 		if !kept {
 			if err := ring.RemoveKey(old); err != nil {
-				return fmt.Errorf("member: the keyring: %w", err)
+				return fmt.Errorf("member: removing a key from the keyring: %w", err)
 			}
 		}
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,6 +1,7 @@
-// Package member says who is there: co-ordinators find each other and exchange small records of themselves by gossip
-// (memberlist, encrypted with a keyring from a file), and send each other single messages. Each record has its
-// age; what was not heard is Unknown, and nothing here is ever a promise: what must hold is agreed in the raft group.
+// Package member implements group membership by gossip, on the memberlist library. Co-ordinators find each other, exchange small
+// records about themselves and send each other single messages, encrypted with a keyring from a file. Each record carries its age, and
+// an alive member whose record has not arrived is Unknown. Membership gives no guarantees: decisions that need agreement are made in the
+// raft group.
 package member
 
 import (
@@ -19,69 +20,76 @@
 	"birchcart/internal/fleet/logadapter"
 )
 
-// Of memberlist, for a fleet of 300 in one network at under 4 KB/s a node at rest.
+// Settings of memberlist, for a fleet of 300 members in one network that uses less than 4 KB/s per idle node.
 const (
-	// ProbeInterval: each member probes one other in this time, all in turn. Twice as long: a death is seen in twice
-	// the time (suspicion lasts 4 * log10(members) of these, 10 s at 300); half: twice the packets at rest.
+	// ProbeInterval is the time in which each member probes one other, all of them in turn. Doubling it would double the time to detect a
+	// dead member (suspicion lasts 4 * log10(members) intervals, 10 s at 300 members); halving it would double the packets of an idle
+	// fleet.
 	ProbeInterval = time.Second
-	// ProbeTimeout for an answer, then it is asked for through three others. Twice as long: nothing is left of
-	// ProbeInterval for those; half: a member with a long pause of its collector is suspected.
+	// ProbeTimeout is the time to wait for an answer to a probe, before the member is probed indirectly through three others. Doubling it
+	// would leave nothing of ProbeInterval for the indirect probes; with half, a member in a long garbage collection pause would be
+	// suspected.
 	ProbeTimeout = 500 * time.Millisecond
-	// GossipInterval and GossipNodes: how often what is new goes to how many others. Twice as often: a record is everywhere in
-	// 2 s, not 4 s, at 300, and packets cost more in heads than in words; half: 8 s.
+	// GossipInterval is the interval at which new records are sent to GossipNodes others. At 300 members a record reaches all of them in
+	// 4 s. With half the interval it would take 2 s, but packets would consist more of headers than of records; with twice the interval
+	// it would take 8 s.
 	GossipInterval = 500 * time.Millisecond
-	GossipNodes    = 2
-	// PushPullInterval: a whole exchange of states with one other, over TCP; memberlist stretches it to 5 times this at 300.
-	// Twice as often: some 0.7 KB/s more there; half: what gossip missed is late.
+	// GossipNodes is the number of members that new records are sent to in each GossipInterval.
+	GossipNodes = 2
+	// PushPullInterval is the interval of full state exchanges with one other member over TCP. memberlist stretches it to 5 times this at
+	// 300 members. Halving it would cost about 0.7 KB/s more at that size; doubling it would delay records that gossip missed.
 	PushPullInterval = time.Minute
-	// TCPTimeout is the most that one TCP message may take. Longer: a slow peer keeps its messages, and only its, waiting;
-	// shorter: a snapshot over a narrow link is cut off.
+	// TCPTimeout is the maximum time for one TCP message. A longer timeout would keep the messages to a slow peer waiting longer, though
+	// no others; a shorter one would cut off a snapshot on a slow link.
 	TCPTimeout = 3 * time.Second
-	// MaxPacketSize is the maximum size of one UDP packet, in bytes: below what an Ethernet link takes whole.
+	// MaxPacketSize is the maximum size of one UDP packet in bytes, below the size that Ethernet carries without fragmentation.
 	MaxPacketSize = 1400
-	// DeadNodeReclaimTime: a dead member's name may come back at another address after this. Longer: a restarted process that got
-	// another port is kept out; 0 would mean never.
+	// DeadNodeReclaimTime is the time after which the name of a dead member may be used at another address. A longer time would keep out a
+	// restarted process that got another port; 0 would mean never.
 	DeadNodeReclaimTime = time.Second
-	// JoinInterval: how often one address that should be there and is not is tried, until all are; and a name that was heard
-	// of for so long, but not yet by memberlist, is asked for. Twice as long: two halves of a cut find each other later;
-	// half: a gone machine costs a dial as often, and a whole state is asked for while gossip is still on its way.
+	// JoinInterval is the interval at which one of the missing addresses is joined, until none is missing. It is also the time after which
+	// a full state is requested because a member's records have arrived but memberlist has not announced it. Doubling it would delay the
+	// reconnection of the two sides of a network partition; halving it would dial missing machines twice as often, and would request full
+	// states while gossip is still on its way.
 	JoinInterval = 5 * time.Second
-	// LeaveTimeout is how long leaving waits until that is sent.
+	// LeaveTimeout is how long Leave waits until its announcement has been sent.
 	LeaveTimeout = time.Second
 )
 
-// bindAttempts is how often a free port for both TCP and UDP is looked for. Twice as many: a machine without one is told so
-// later; half: a busy machine is taken for such.
+// bindAttempts is the number of additional attempts to find a port that is free for both TCP and UDP. Doubling it would delay the error on a
+// machine without such a port; with half, a busy machine might be taken to have none.
 const bindAttempts = 10
 
-// MaxMembers members that are remembered; the longest dead go first, and new names are refused while all are there.
+// MaxMembers is the maximum number of members in the table, including this one. The member that has been dead for longest is removed
+// first, and new names are rejected while all members are alive.
 const MaxMembers = 1024
 
-// DeadRetention is the time after which a dead or left member is forgotten. Longer: names of machines long gone stay in lists; shorter: one
-// that is away for a reboot is unknown, not dead.
+// DeadRetention is the time after which a dead or left member is forgotten. A longer time would keep removed machines in lists; with a
+// shorter one, a machine that reboots would become Unknown instead of Dead.
 const DeadRetention = 15 * time.Minute
 
-// Options of a member.
+// Options are the settings of a member.
 type Options struct {
 	Name        string
 	Zone        string
-	Incarnation uint64   // of this process; grows with each start
-	Bind        string   // host:port, UDP and TCP; port 0 takes a free one
-	Advertise   string   // host:port that others use; empty: as bound
-	Join        []string // host:port of some others
-	Keys        string   // the keyring's file
+	Incarnation uint64   // of this process; increases with each start
+	Bind        string   // host:port for UDP and TCP; port 0 selects a free one
+	Advertise   string   // host:port that others use; empty for the bound address
+	Join        []string // host:port of some other members
+	Keys        string   // path of the keyring file
 	Log         *logrus.Entry
 
-	// Receive receives the messages that others Send, one after the other, off memberlist's path. It may keep raw.
+	// Receive is called with the messages that other members Send, one at a time, on a goroutine that does not block memberlist. It may
+	// keep raw.
 	Receive func(from string, raw []byte)
 
-	// Transport, for tests, goes between memberlist and its sockets.
+	// Transport wraps the transport between memberlist and its sockets, for tests.
 	Transport func(memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 
-	pushPullInterval time.Duration // for tests, instead of PushPullInterval if not 0
+	pushPullInterval time.Duration // replaces PushPullInterval if not 0, for tests
 }
 
-// Members is this process's part in the gossip.
+// Members is this process's member of the gossip group, with its table of the other members.
 type Members struct {
 	options Options
 	log     *logrus.Entry
@@ -98,13 +106,13 @@
 	once sync.Once
 }
 
-// Open starts to listen and goes on trying to join the others until it has found them; it does not wait for that.
+// Open starts listening and keeps trying to join the other members in the background; it does not wait until it has joined.
 func Open(o Options) (*Members, error) {
 	if o.Name == "" || len(o.Name) > MaxNameLength || len(o.Zone) > MaxNameLength {
-		return nil, fmt.Errorf("member: a name of 1 to %d bytes is needed, a zone of at most as many", MaxNameLength)
+		return nil, fmt.Errorf("member: the name must have 1 to %d bytes and the zone at most as many", MaxNameLength)
 	}
 	if o.Log == nil {
-		return nil, errors.New("member: no log")
+		return nil, errors.New("member: Options.Log is not set")
 	}
 	keyring, err := readKeys(o.Keys)
 	if err != nil {
@@ -135,7 +143,7 @@
 	return m, nil
 }
 
-// bind listens at host:port; for port 0 it tries several, as a port that is free for TCP may be taken for UDP.
+// bind listens on host:port. For port 0 it tries several ports, because a port that is free for TCP may be in use for UDP.
 func bind(address string, lines *log.Logger) (host string, s *sockets, err error) {
 	host, port, err := parseAddress(address)
 	if err != nil {
@@ -151,7 +159,7 @@
 	return host, s, nil
 }
 
-// memberlistConfig is memberlist's configuration for this member, which listens at host and port.
+// memberlistConfig returns memberlist's configuration for this member, which listens on host and port.
 func (m *Members) memberlistConfig(host string, port int, lines *log.Logger) (*memberlist.Config, error) {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Keyring, c.Logger = m.options.Name, m.keys, lines
@@ -174,7 +182,7 @@
 		c.PushPullInterval = m.options.pushPullInterval
 	}
 	c.RequireNodeNames = false
-	c.EnableCompression = false // records are a few dozen bytes, and snapshots come compressed or not by their own maker
+	c.EnableCompression = false // records have a few dozen bytes, and the sender of a snapshot decides whether to compress it
 	d := &delegate{m}
 	c.Delegate, c.Events, c.Alive, c.Ping = d, d, d, d
 	return c, nil
@@ -186,12 +194,12 @@
 		port, err = strconv.Atoi(p)
 	}
 	if err != nil || port < 0 || port > 65535 {
-		return "", 0, fmt.Errorf("member: %q is not an address and port", s)
+		return "", 0, fmt.Errorf("member: %q is not of the form host:port", s)
 	}
 	return host, port, nil
 }
 
-// run beats, joins and forgets.
+// run renews this member's record, forgets members that have been dead for DeadRetention and joins missing members, until Close.
 func (m *Members) run() {
 	defer m.done.Done()
 	tick := time.NewTicker(time.Second)
@@ -207,7 +215,7 @@
 			}
 			nextJoin = now.Add(JoinInterval)
 			if m.table.noneAlive() {
-				nextJoin = now.Add(ProbeInterval) // nobody yet: the start of a fleet should not take longer than it must
+				nextJoin = now.Add(ProbeInterval) // no other member found yet: retry sooner, so that a starting fleet connects quickly
 			}
 		}
 		select {
@@ -218,9 +226,10 @@
 	}
 }
 
-// addressesToJoin are the addresses to join that no living member has, and those of the dead. While a name is unknown to memberlist, the
-// living are joined again too: memberlist announces a new member only so often, in a small fleet past one in a hundred,
-// and whole states, which have it, would be exchanged only after one or two PushPullInterval.
+// addressesToJoin returns the configured addresses that no alive member has, and the addresses of dead members. While memberlist does not
+// know a member whose records arrive, it also returns the addresses of the alive members. memberlist announces a new member only a limited
+// number of times, which misses one in a hundred members in a small fleet, and a full state exchange, which would contain the
+// member, follows only after one or two PushPullInterval.
 func (m *Members) addressesToJoin(now time.Time) (out []string) {
 	known, dead := m.table.addresses()
 	if m.table.hasUnknownMember(now) {
@@ -239,21 +248,21 @@
 	return out
 }
 
-// Addr is the address that others get.
+// Addr returns the address that is advertised to other members.
 func (m *Members) Addr() string { return m.list.LocalNode().Address() }
 
-// Traffic is what this member caused so far: the packets that it sent and the streams that it dialled, both ways, in
-// bytes, with 28 for the heads of each packet. Summed over the fleet it counts each byte once.
+// Traffic returns the number of bytes that this member caused so far: the packets that it sent, with 28 bytes of headers each, and both
+// directions of the streams that it dialled. Summed over the fleet, each byte is counted once.
 func (m *Members) Traffic() int64 { return m.traffic.bytes.Load() }
 
-// Packets is how many packets this member sent so far; what goes by streams is not among them.
+// Packets returns the number of packets that this member sent so far, without streams.
 func (m *Members) Packets() int64 { return m.traffic.sent.Load() }
 
-// ReloadKeys reads the keyring's file again: first add a key everywhere as the second line, then make it the first, then take the
-// old one out.
+// ReloadKeys reads the keyring file again. To rotate a key, add the new key as the second line on all members, then move it to the first
+// line, then remove the old one, with a reload after each step.
 func (m *Members) ReloadKeys() error { return reloadKeys(m.options.Keys, m.keys) }
 
-// Leave announces that this member leaves, so that it is not taken for dead. It takes LeaveTimeout at the most.
+// Leave announces that this member leaves, so that it is not taken to be dead. It takes at most LeaveTimeout.
 func (m *Members) Leave() error {
 	select {
 	case <-m.stop:
@@ -267,7 +276,7 @@
 	return m.list.Leave(LeaveTimeout)
 }
 
-// Close ends all of it without announcing it.
+// Close stops the member without announcing that it leaves.
 func (m *Members) Close() error {
 	var err error
 	m.once.Do(func() {
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain waits for memberlist's last probes, which end by their own limit some seconds after a member closed.
+// TestMain fails on leaked goroutines. It waits for memberlist's last probes, which time out some seconds after a member was closed.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	var left error
@@ -43,8 +43,8 @@
 	return path
 }
 
-// writeKeys writes keys of the test's own: a port that one test's member gave back may come to another test's member, and
-// fleets of the same keys would then become one.
+// writeKeys writes keys that are specific to the test. A port released by one test's member may be reused by another test's member, and
+// fleets with the same keys would then merge.
 func writeKeys(t *testing.T, path string, keys ...byte) {
 	t.Helper()
 	text := "# the fleet's\n"
@@ -63,11 +63,11 @@
 	return logrus.NewEntry(l)
 }
 
-// fleet opens so many members that join the first.
+// openFleet opens n members, which join the first one.
 func openFleet(t *testing.T, n int, keys string, change func(i int, o *Options)) []*Members {
 	t.Helper()
 	var all []*Members
-	t.Cleanup(func() { // together: one after the other, those that are left would look for more and more dead
+	t.Cleanup(func() { // in parallel: with one after the other, the remaining members would probe more and more dead ones
 		var closing sync.WaitGroup
 		for _, m := range all {
 			closing.Go(func() { m.Close() })
@@ -92,7 +92,7 @@
 	return all
 }
 
-// patience is how long a busy machine may take to what comes in seconds on a quiet one.
+// testTimeout is the timeout for conditions that take seconds on an idle machine and longer on a busy one.
 const testTimeout = 90 * time.Second
 
 func waitFor(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
@@ -124,7 +124,7 @@
 	}
 }
 
-// whole waits until each of them knows just these, alive, and says who knew what if that never comes.
+// waitAllAlive waits until each member knows exactly these members as alive. If the test fails, it logs what each member knows.
 func waitAllAlive(t *testing.T, all []*Members) time.Duration {
 	t.Helper()
 	t.Cleanup(func() {
@@ -135,7 +135,7 @@
 	return waitFor(t, "all alive", testTimeout, allAlive(all))
 }
 
-// views is what each of them knows: one line a member, and in it the others that are not alive or not one of all.
+// describeViews describes what each member knows: a line per member, with the others that are not alive or not in all.
 func describeViews(all []*Members) string {
 	own := map[string]string{}
 	for _, m := range all {
@@ -160,15 +160,15 @@
 	all := openFleet(t, 5, keyFile(t, 1), nil)
 	waitAllAlive(t, all)
 	all[1].SetRecord(Record{Load: 120, Pressure: 0.5, Voter: true, Version: "v9"})
-	waitFor(t, "the load is heard", testTimeout, func() bool { return all[4].Member("c01").Load == 120 })
+	waitFor(t, "c04 knows the load of c01", testTimeout, func() bool { return all[4].Member("c01").Load == 120 })
 	got := all[4].Member("c01")
 	if got.Zone != "z1" || got.Incarnation != 7 || !got.Voter || got.Version != "v9" || got.Pressure != 0.5 || got.LoadAge > 15*time.Second {
 		t.Errorf("%+v", got)
 	}
 	if x := all[0].Member("nobody"); x.State != Unknown {
-		t.Errorf("never heard of: %+v", x)
+		t.Errorf("unknown name: %+v", x)
 	}
-	// A busy machine may not have sent the word when Leave stops to wait for that; whether it came is seen below.
+	// On a busy machine Leave may time out before the announcement was sent. Whether it arrives is checked below.
 	if err := all[3].Leave(); err != nil && !strings.Contains(err.Error(), "timeout waiting for leave") {
 		t.Error(err)
 	}
@@ -176,7 +176,7 @@
 	all[2].Close()
 	waitFor(t, "c03 has left", testTimeout, func() bool { return all[0].Member("c03").State == Left })
 	took := waitFor(t, "c02 is dead", testTimeout, func() bool { return all[0].Member("c02").State == Dead })
-	t.Logf("death seen after %v", took)
+	t.Logf("dead member detected after %v", took)
 }
 
 func TestSlowPeerDoesNotDelayMessages(t *testing.T) {
@@ -202,23 +202,23 @@
 		}
 	}
 	if err := all[0].Send("c03", make([]byte, 50_000)); !errors.Is(err, ErrFull) {
-		t.Errorf("a full lane: %v", err)
+		t.Errorf("a full queue: %v", err)
 	}
-	// All of these come while the first to c03 is still on its way.
+	// All of these messages arrive while the first message to c03 is still being sent.
 	for _, n := range []int{10, MaxPacketMessage - 5, MaxPacketMessage, 300_000} {
 		want := fmt.Sprintf("c00 to c01: %d", n)
 		waitFor(t, want, testTimeout, func() bool {
 			if err := all[0].Send("c01", make([]byte, n)); err != nil && !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
-			for { // a packet may be lost, and then is sent again; what comes twice is passed over
+			for { // a packet may be lost and is then sent again; duplicates are skipped
 				select {
 				case s := <-got:
 					if s == want {
 						return true
 					}
 					if !strings.HasPrefix(s, "c00 to c01: ") {
-						t.Errorf("%s came instead of %s", s, want)
+						t.Errorf("got %s, want %s", s, want)
 					}
 				case <-time.After(time.Second):
 					return false
@@ -227,7 +227,7 @@
 		})
 	}
 	if err := all[0].Send("c03", make([]byte, 50_000)); !errors.Is(err, ErrFull) {
-		t.Errorf("the slow peer's lane, at the end: %v", err)
+		t.Errorf("the slow peer's queue at the end: %v", err)
 	}
 	if err := all[0].Send("nobody", nil); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
@@ -237,7 +237,7 @@
 	}
 }
 
-// held keeps streams to one address waiting until the test's end.
+// blockingTransport blocks dials to one address until release is closed.
 type blockingTransport struct {
 	memberlist.NodeAwareTransport
 	to      atomic.Pointer[string]
@@ -247,13 +247,13 @@
 func (h *blockingTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	if to := h.to.Load(); to != nil && a.Addr == *to {
 		<-h.release
-		return nil, errors.New("held")
+		return nil, errors.New("blocked by the test")
 	}
 	return h.NodeAwareTransport.DialAddressTimeout(a, wait)
 }
 
-// memberlist announces a new member only a few times, and by chance or loss none of them may come to one of the others. That
-// one hears the new member's records soon and then asks for it, long before whole states are exchanged.
+// memberlist announces a new member only a few times, so a member may miss all announcements by chance or packet loss. It soon receives
+// the new member's records and then requests a full state, long before the next regular exchange.
 func TestMissedNewMember(t *testing.T) {
 	t.Parallel()
 	var unreachable atomic.Pointer[string]
@@ -277,14 +277,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { newMember.Close() })
-	waitFor(t, "the new member is known to the two", testTimeout, func() bool {
+	waitFor(t, "c00 and c01 know the new member", testTimeout, func() bool {
 		return all[0].Member("c03").State == Alive && all[1].Member("c03").State == Alive && newMember.Member("c01").State == Alive
 	})
 	var before [4]int64
 	for i := range transports {
 		before[i] = transports[i].sent.Load()
 	}
-	waitFor(t, "the word of it is used up", testTimeout, func() bool { // what is new is in each packet, four times in a fleet of four
+	// Each packet carries the announcement, which is sent four times in a fleet of four.
+	waitFor(t, "the announcements of the new member are used up", testTimeout, func() bool {
 		for i, l := range transports {
 			if i != 2 && l.sent.Load() < before[i]+12 {
 				return false
@@ -293,13 +294,13 @@
 		return true
 	})
 	if x := all[2].Member("c03"); x.State != Unknown {
-		t.Logf("the deaf one knows it by another way: %+v", x)
+		t.Logf("c02 already knows the new member: %+v", x)
 	}
 	unreachable.Store(nil)
 	waitAllAlive(t, append(all, newMember))
 }
 
-// lossy loses the packets to one address, and counts all.
+// lossyTransport drops the packets to one address, and counts all packets.
 type lossyTransport struct {
 	memberlist.NodeAwareTransport
 	to   *atomic.Pointer[string]
@@ -323,11 +324,13 @@
 			o.Keys = other
 		}
 	})
-	waitFor(t, "two of one key", testTimeout, func() bool { return all[1].Member("c00").State == Alive && all[0].Member("c01").State == Alive })
+	waitFor(t, "the members with the same key know each other", testTimeout, func() bool {
+		return all[1].Member("c00").State == Alive && all[0].Member("c01").State == Alive
+	})
 	if x := all[0].Member("c02"); x.State != Unknown {
-		t.Errorf("with another key: %+v", x)
+		t.Errorf("the member with another key: %+v", x)
 	}
-	for _, step := range [][]byte{{1, 2}, {2, 1}, {2}} { // the rotation
+	for _, step := range [][]byte{{1, 2}, {2, 1}, {2}} { // the steps of a key rotation
 		writeKeys(t, path, step...)
 		for _, m := range all[:2] {
 			if err := m.ReloadKeys(); err != nil {
@@ -335,15 +338,15 @@
 			}
 		}
 	}
-	waitFor(t, "the third of the new key", testTimeout, allAlive(all))
+	waitFor(t, "all alive with the new key", testTimeout, allAlive(all))
 	if err := os.WriteFile(path, []byte("c2hvcnQ=\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := all[0].ReloadKeys(); err == nil || strings.Contains(err.Error(), "c2hvcnQ") || !strings.Contains(err.Error(), "line 1") {
-		t.Errorf("a bad key: %v", err)
+		t.Errorf("an invalid key: %v", err)
 	}
 	if _, err := Open(Options{Name: "x", Bind: "127.0.0.1:0", Log: discardLog()}); err == nil {
-		t.Error("no keyring was taken")
+		t.Error("Open accepted options without a keyring")
 	}
 }
 
@@ -357,7 +360,7 @@
 	}
 	for n := range b {
 		if _, _, err := parseRecord(b[:n]); err == nil {
-			t.Errorf("cut to %d bytes: taken", n)
+			t.Errorf("a record truncated to %d bytes was accepted", n)
 		}
 	}
 	b[0] = 2
@@ -367,11 +370,11 @@
 	negativeAge := a
 	negativeAge.age, negativeAge.loadAge = -3*time.Millisecond, -3*time.Millisecond
 	if got, _, err := parseRecord(negativeAge.append(nil)); err != nil || got.age != 0 || got.loadAge != 0 {
-		t.Errorf("made after the clock was read: %+v, %v", got, err)
+		t.Errorf("negative ages: %+v, %v", got, err)
 	}
 	a.Load = -1
 	if _, _, err := parseRecord(a.append(nil)); err == nil {
-		t.Error("a load below 0 was taken")
+		t.Error("a negative load was accepted")
 	}
 }
 
@@ -379,9 +382,9 @@
 	var n memberTable
 	n.init(Options{Name: "self"})
 	now := time.Now()
-	// memberlist may ask for the own record at once, and one without a time would pass for a day old.
+	// memberlist may ask for this member's record at once, and one without a time would seem a day old.
 	if own, _, err := parseRecord(n.allRecords(now)[1:]); err != nil || own.sequence == 0 || own.age > testTimeout {
-		t.Errorf("the first of all: %+v, %v", own, err)
+		t.Errorf("the first record: %+v, %v", own, err)
 	}
 	for i := range 2 * MaxMembers {
 		a := wireRecord{name: fmt.Sprintf("n%05d", i), incarnation: 2, sequence: 5, age: time.Minute}
@@ -390,7 +393,7 @@
 		}
 	}
 	if len(n.members) != MaxMembers-1 {
-		t.Errorf("%d remembered", len(n.members))
+		t.Errorf("%d members in the table", len(n.members))
 	}
 	const name = "n02047"
 	n.setState(&memberlist.Node{Name: name}, true)
@@ -398,27 +401,27 @@
 		t.Errorf("%+v", m)
 	}
 	if m := n.member(n.members[name], now.Add(time.Hour)); m.State != Suspect {
-		t.Errorf("silent: %+v", m)
+		t.Errorf("without a record for an hour: %+v", m)
 	}
 	for _, old := range []wireRecord{{name: name, incarnation: 2, sequence: 5}, {name: name, incarnation: 1, sequence: 9}} {
 		old.Load = 3
 		if err := n.merge(old.append(nil), now); err != nil || n.members[name].Load != 0 {
-			t.Errorf("an older word was taken: %+v", old)
+			t.Errorf("an older record was accepted: %+v", old)
 		}
 	}
 	n.setState(&memberlist.Node{Name: name}, false)
 	n.heartbeat(now.Add(2 * DeadRetention))
 	if _, ok := n.members[name]; ok {
-		t.Error("the long dead were kept")
+		t.Error("a member dead for longer than DeadRetention was kept")
 	}
 }
 
-// Not beside the other tests: fifty members in one process want its time, and what they cause then is not rest.
+// Not parallel: fifty members in one process need its CPU time, and members that are slowed down cause more than idle traffic.
 func TestTrafficAtRest(t *testing.T) {
 	for _, size := range []int{5, 50} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			if testing.Short() && size > 5 {
-				t.Skip("fifty members under the race detector keep a machine busy, which is not rest")
+				t.Skip("fifty members under the race detector keep a machine busy, so the fleet is not idle")
 			}
 			all := openFleet(t, size, keyFile(t, 1), nil)
 			took := waitAllAlive(t, all)
@@ -430,22 +433,22 @@
 			}
 			const span = 6 * time.Second
 			rate := math.Inf(1)
-			for range 5 { // a busy machine's members suspect each other now and then, which is not rest
+			for range 5 { // on a busy machine members suspect each other at times, which causes more than idle traffic
 				before := sum()
-				time.Sleep(span) // a rate can only be counted over a time
+				time.Sleep(span) // the rate is measured over this span
 				if rate = min(rate, float64(sum()-before)/span.Seconds()/float64(size)); rate <= 3000 {
 					break
 				}
 			}
-			t.Logf("%d members: all known after %v; at rest %.0f bytes/s a node sent, as many received", size, took, rate)
+			t.Logf("%d members: all known after %v; idle traffic %.0f bytes/s per node sent, and as much received", size, took, rate)
 			if rate > 3000 {
-				t.Errorf("%.0f bytes/s a node", rate)
+				t.Errorf("idle traffic of %.0f bytes/s per node, want at most 3000", rate)
 			}
 		})
 	}
 }
 
-// Streams come from the address that the member listens at, as its packets do.
+// Streams are dialled from the address on which the member listens, like its packets.
 func TestStreamsFromOwnAddress(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -464,6 +467,6 @@
 	}
 	defer in.Close()
 	if ip := in.RemoteAddr().(*net.TCPAddr).IP.String(); ip != "127.0.0.2" {
-		t.Errorf("a stream came from %s", ip)
+		t.Errorf("a stream came from %s, want 127.0.0.2", ip)
 	}
 }
--- a/internal/fleet/member/send.go
+++ b/internal/fleet/member/send.go
@@ -9,36 +9,37 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Limits of messages and of the queues that hold them.
+// Limits on messages and on their queues.
 const (
-	// MaxPacketMessage is the maximum number of bytes that go in one UDP packet, which leaves room for memberlist's heads and the encryption.
+	// MaxPacketMessage is the maximum number of message bytes in one UDP packet. The rest is for memberlist's headers and the encryption.
 	MaxPacketMessage = MaxPacketSize - 200
 	// MaxMessageSize is the maximum number of bytes of one message.
 	MaxMessageSize = 8 << 20
-	// MaxQueuedMessages is how many large messages wait for one peer; further ones are refused. Twice as many: more that is old when it
-	// comes; half: a snapshot on its way refuses the next words.
+	// MaxQueuedMessages is the maximum number of large messages queued for one peer; further ones are rejected. With twice as many, more
+	// messages would be outdated on arrival; with half, messages would be rejected while a snapshot is being sent.
 	MaxQueuedMessages = 8
-	// MaxQueuedBytes is the maximum number of bytes that wait for one peer; for all together twice this.
+	// MaxQueuedBytes is the maximum number of bytes queued for one peer; the limit for all peers together is twice this.
 	MaxQueuedBytes = 16 << 20
-	// MaxInboxMessages and MaxInboxBytes: at the most so many messages and bytes wait here; further ones are dropped, as the
-	// network might, and counted.
+	// MaxInboxMessages is the maximum number of received messages that are queued here. Further ones are dropped, as the network may do, and
+	// counted.
 	MaxInboxMessages = 1024
-	MaxInboxBytes    = 32 << 20
+	// MaxInboxBytes is the maximum number of bytes of received messages that are queued here, with the same effect.
+	MaxInboxBytes = 32 << 20
 )
 
 // Errors of Send.
 var (
-	ErrUnknown  = errors.New("member: nobody of this name was heard of")
-	ErrFull     = errors.New("member: too much waits for this peer")
+	ErrUnknown  = errors.New("member: unknown member")
+	ErrFull     = errors.New("member: the send queue is full")
 	ErrTooLarge = errors.New("member: the message is too large")
 	ErrClosed   = errors.New("member: closed")
 )
 
-// Send sends a message to a member, in one UDP packet if it fits, else over TCP in the peer's own queue, so that no slow
-// peer delays another. It does not wait, and nil is no promise that it arrives.
+// Send sends a message to a member, in one UDP packet if it fits, otherwise over TCP through a queue per peer, so that a slow peer
+// does not delay others. It does not wait, and a nil error does not mean that the message arrives.
 func (m *Members) Send(name string, raw []byte) error {
 	if len(raw) > MaxMessageSize {
-		return fmt.Errorf("%w: %d bytes, %d at the most", ErrTooLarge, len(raw), MaxMessageSize)
+		return fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(raw), MaxMessageSize)
 	}
 	node, ok := m.table.node(name)
 	if !ok {
@@ -58,12 +59,13 @@
 	return m.queues.enqueue(name, node, b)
 }
 
+// message is a large message queued for a peer.
 type message struct {
 	node memberlist.Node
 	raw  []byte
 }
 
-// queues has a queue for each peer to which something large is under way; its goroutine ends when it is empty.
+// sendQueues holds a queue of large messages for each peer that has any, with a goroutine that ends when the queue is empty.
 type sendQueues struct {
 	m        *Members
 	mu       sync.Mutex
@@ -74,63 +76,64 @@
 	done     sync.WaitGroup
 }
 
-func (l *sendQueues) init(m *Members) {
-	l.m, l.messages, l.bytes = m, map[string][]message{}, map[string]int{}
+func (q *sendQueues) init(m *Members) {
+	q.m, q.messages, q.bytes = m, map[string][]message{}, map[string]int{}
 }
 
-func (l *sendQueues) enqueue(name string, node memberlist.Node, raw []byte) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (q *sendQueues) enqueue(name string, node memberlist.Node, raw []byte) error {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed {
 		return ErrClosed
 	}
-	queue, running := l.messages[name]
-	if len(queue) >= MaxQueuedMessages || l.bytes[name]+len(raw) > MaxQueuedBytes || l.total+len(raw) > 2*MaxQueuedBytes {
+	queue, running := q.messages[name]
+	if len(queue) >= MaxQueuedMessages || q.bytes[name]+len(raw) > MaxQueuedBytes || q.total+len(raw) > 2*MaxQueuedBytes {
 		return fmt.Errorf("%w: %q", ErrFull, name)
 	}
-	l.messages[name] = append(queue, message{node, raw})
-	l.bytes[name] += len(raw)
-	l.total += len(raw)
+	q.messages[name] = append(queue, message{node, raw})
+	q.bytes[name] += len(raw)
+	q.total += len(raw)
 	if !running {
-		l.done.Add(1)
-		go l.run(name)
+		q.done.Add(1)
+		go q.run(name)
 	}
 	return nil
 }
 
-func (l *sendQueues) run(name string) {
-	defer l.done.Done()
+func (q *sendQueues) run(name string) {
+	defer q.done.Done()
 	for {
-		l.mu.Lock()
-		queue := l.messages[name]
-		if len(queue) == 0 || l.closed {
-			l.total -= l.bytes[name]
-			delete(l.messages, name)
-			delete(l.bytes, name)
-			l.mu.Unlock()
+		q.mu.Lock()
+		queue := q.messages[name]
+		if len(queue) == 0 || q.closed {
+			q.total -= q.bytes[name]
+			delete(q.messages, name)
+			delete(q.bytes, name)
+			q.mu.Unlock()
 			return
 		}
 		next := queue[0]
-		l.mu.Unlock()
-		if err := l.m.list.SendReliable(&next.node, next.raw); err != nil {
-			l.m.log.Debugf("%d bytes to %s: %v", len(next.raw), name, err)
+		q.mu.Unlock()
+		if err := q.m.list.SendReliable(&next.node, next.raw); err != nil {
+			q.m.log.Debugf("sending %d bytes to %s: %v", len(next.raw), name, err)
 		}
-		l.mu.Lock()
-		l.messages[name] = l.messages[name][1:]
-		l.bytes[name] -= len(next.raw)
-		l.total -= len(next.raw)
-		l.mu.Unlock()
+		q.mu.Lock()
+		q.messages[name] = q.messages[name][1:]
+		q.bytes[name] -= len(next.raw)
+		q.total -= len(next.raw)
+		q.mu.Unlock()
 	}
 }
 
-// close ends the queues; what is under way takes TCPTimeout at the most.
-func (l *sendQueues) close() {
-	l.mu.Lock()
-	l.closed = true
-	l.mu.Unlock()
-	l.done.Wait()
+// close ends the queues and waits for the messages being sent, for at most TCPTimeout.
+func (q *sendQueues) close() {
+	q.mu.Lock()
+	q.closed = true
+	q.mu.Unlock()
+	q.done.Wait()
 }
 
+// inbox queues received messages for Options.Receive. Each begins with the length of the sender's name and the name.
 type inbox struct {
 	receive func(from string, raw []byte)
 	queue   chan []byte
@@ -171,5 +174,5 @@
 	}
 }
 
-// Dropped is how many messages found the inbox full.
+// Dropped returns the number of received messages that were dropped because the inbox was full.
 func (m *Members) Dropped() int64 { return m.inbox.dropped.Load() }
--- a/internal/fleet/member/sockets.go
+++ b/internal/fleet/member/sockets.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// maxDatagramSize is the maximum number of bytes that UDP carries in one packet: the room to read one, as its size is not known before.
+	// maxDatagramSize is the maximum size of a UDP packet in bytes, and the size of the read buffer, because a packet's
+	// size is not known before it is read.
 	maxDatagramSize = 1 << 16
-	// kernelBufferSize is asked of the kernel for packets that wait to be read. Twice as much: more that is old after a stall;
-	// half: a stall of half the length loses some of what 300 send.
+	// kernelBufferSize is the requested size of the kernel's receive buffer in bytes. With twice the size, more packets would be outdated
+	// after a stall; with half, a stall of half the length would already lose some of the packets of 300 members.
 	kernelBufferSize = 2 << 20
-	// acceptRetryDelay follows a stream that could not be accepted, for want of descriptors. Twice as long: streams wait so much
-	// longer after it; half: twice the lines of it.
+	// acceptRetryDelay is the delay after a stream could not be accepted because file descriptors ran out. Doubling it would keep streams
+	// waiting longer afterwards; halving it would double the log lines.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// sockets listen for memberlist, by UDP and TCP at one address. memberlist's own take 64 KB of new memory for each packet,
-// however short: 20 MB a second at a leader that 300 poll, for its collector to take back. These read into one buffer and copy
-// what came.
+// sockets is a memberlist transport that listens for UDP and TCP on one address. memberlist's own transport allocates 64 KB for each
+// packet, however short: at a leader polled by 300 members that is 20 MB of garbage per second. This one reads into one buffer and
+// copies the received bytes.
 type sockets struct {
 	tcp     *net.TCPListener
 	udp     *net.UDPConn
@@ -38,7 +39,7 @@
 	once    sync.Once
 }
 
-// listen takes an address; port 0 is a free one, the same for both.
+// listen opens both sockets on the same port; port 0 selects a free one.
 func listen(host string, port int, log *log.Logger) (*sockets, error) {
 	ip := net.ParseIP(host)
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port})
@@ -60,7 +61,7 @@
 
 func (s *sockets) port() int { return s.tcp.Addr().(*net.TCPAddr).Port }
 
-// readPackets hands the packets on, each in memory of its own, since memberlist decrypts in place and keeps them.
+// readPackets passes the packets to memberlist. Each packet gets its own memory, because memberlist decrypts in place and keeps it.
 func (s *sockets) readPackets() {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -107,15 +108,15 @@
 	}
 }
 
-// FinalAdvertiseAddr is what others get: an address of the file, that which was bound, or, bound to all, the machine's
-// private one.
+// FinalAdvertiseAddr returns the address that is advertised to other members: the configured one, else the bound one, or the machine's
+// private address if bound to all addresses.
 func (s *sockets) FinalAdvertiseAddr(host string, port int) (net.IP, int, error) {
 	bound := s.tcp.Addr().(*net.TCPAddr)
 	ip := bound.IP
 	switch {
 	case host != "":
 		if ip = net.ParseIP(host); ip == nil {
-			return nil, 0, fmt.Errorf("%q is no IP address", host)
+			return nil, 0, fmt.Errorf("%q is not an IP address", host)
 		}
 	case ip.IsUnspecified():
 		private, err := sockaddr.GetPrivateIP()
@@ -123,7 +124,7 @@
 			return nil, 0, err
 		}
 		if ip = net.ParseIP(private); ip == nil {
-			return nil, 0, errors.New("bound to all addresses, none of them private: an address that others use is needed")
+			return nil, 0, errors.New("bound to all addresses, but none of them is private: an advertise address is needed")
 		}
 		port = bound.Port
 	default:
@@ -137,7 +138,7 @@
 
 func (s *sockets) WriteTo(b []byte, address string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(address)
-	if err != nil { // a name
+	if err != nil { // a host name
 		resolved, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
 			return time.Time{}, err
@@ -163,7 +164,7 @@
 func (s *sockets) PacketCh() <-chan *memberlist.Packet { return s.packets }
 func (s *sockets) StreamCh() <-chan net.Conn           { return s.streams }
 
-// Shutdown ends both, and returns once nothing of theirs runs.
+// Shutdown closes both sockets and returns when their goroutines have ended.
 func (s *sockets) Shutdown() error {
 	s.once.Do(func() {
 		close(s.stop)
--- a/internal/fleet/member/sockets_test.go
+++ b/internal/fleet/member/sockets_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A packet costs about its own size in memory, keeps what came when the next is read, and a closed pair ends at once with
-// packets and streams that nobody took.
+// Reading a packet allocates about the packet's size, its content is not overwritten by the next packet, and Shutdown returns at once
+// even if received packets and streams were not consumed.
 func TestSocketsAllocatePerPacketSize(t *testing.T) {
 	// Long: one measurement of allocations, with its set-up.
 	logger := log.New(io.Discard, "", 0)
@@ -40,7 +40,7 @@
 			}
 			return p.Buf
 		case <-time.After(10 * time.Second):
-			t.Fatal("a packet did not come")
+			t.Fatal("a packet did not arrive")
 		}
 		return nil
 	}
@@ -52,10 +52,10 @@
 	}
 	runtime.ReadMemStats(&after)
 	if each := (after.TotalAlloc - before.TotalAlloc) / packets; each > 8<<10 {
-		t.Errorf("a packet of 150 bytes takes %d bytes of new memory", each)
+		t.Errorf("a packet of 150 bytes allocates %d bytes", each)
 	}
 	if !bytes.Equal(first, bytes.Repeat([]byte{1}, 150)) {
-		t.Error("a packet that was handed on was written over")
+		t.Error("a delivered packet was overwritten")
 	}
 	if _, err := from.WriteTo([]byte{1}, address); err != nil {
 		t.Error(err)
@@ -73,7 +73,7 @@
 		select {
 		case <-end:
 		case <-time.After(10 * time.Second):
-			t.Fatal("closing does not end")
+			t.Fatal("Shutdown does not return")
 		}
 	}
 }
--- a/internal/fleet/member/states.go
+++ b/internal/fleet/member/states.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// State of a member, as far as is known here.
+// State is the state of a member as known to this process.
 type State string
 
-// States of a member.
+// The states of a member.
 const (
-	Unknown State = "unknown" // never heard, or forgotten: not healthy
+	Unknown State = "unknown" // not announced by memberlist, without a record yet, or forgotten; not healthy
 	Alive   State = "alive"   // memberlist's probes reach it and its own record is recent
-	Suspect State = "suspect" // the probes reach it, its own record is old
-	Dead    State = "dead"
-	Left    State = "left" // it announced that it leaves
+	Suspect State = "suspect" // memberlist's probes reach it, but its own record is old
+	Dead    State = "dead"    // memberlist's probes failed
+	Left    State = "left"    // it announced that it was leaving
 )
 
-// Member is one line of what is known.
+// Member is what this process knows about one member.
 type Member struct {
 	Name, Zone  string
 	State       State
-	Age         time.Duration // since its own last record was made; for Dead and Left since that was heard
+	Age         time.Duration // since the member made its last record; for Dead and Left, since that state was seen
 	Addr        string
 	Load        float64
 	LoadAge     time.Duration // of Load and Pressure
@@ -31,24 +31,24 @@
 	Version     string
 }
 
-func (n *memberTable) member(h *memberEntry, now time.Time) Member {
-	m := Member{Name: h.name, State: Unknown, Age: now.Sub(h.stateSince)}
-	if h.inMemberlist {
-		m.Addr = h.node.Address()
+func (t *memberTable) member(e *memberEntry, now time.Time) Member {
+	m := Member{Name: e.name, State: Unknown, Age: now.Sub(e.stateSince)}
+	if e.inMemberlist {
+		m.Addr = e.node.Address()
 	}
-	if h.hasRecord {
-		age := h.age + now.Sub(h.heardAt)
-		m.Zone, m.Load, m.Pressure, m.Incarnation = h.zone, h.Load, h.Pressure, h.incarnation
-		m.Voter, m.Version, m.LoadAge, m.Age = h.Voter, h.Version, h.loadAge+age, age
+	if e.hasRecord {
+		age := e.age + now.Sub(e.heardAt)
+		m.Zone, m.Load, m.Pressure, m.Incarnation = e.zone, e.Load, e.Pressure, e.incarnation
+		m.Voter, m.Version, m.LoadAge, m.Age = e.Voter, e.Version, e.loadAge+age, age
 	}
 	switch {
-	case !h.inMemberlist:
-	case !h.alive && h.hasRecord && h.leaving:
-		m.State, m.Age = Left, now.Sub(h.stateSince)
-	case !h.alive:
-		m.State, m.Age = Dead, now.Sub(h.stateSince)
-	case !h.hasRecord:
-	case m.Age > SuspectHeartbeats*n.heartbeatInterval() || h.leaving:
+	case !e.inMemberlist:
+	case !e.alive && e.hasRecord && e.leaving:
+		m.State, m.Age = Left, now.Sub(e.stateSince)
+	case !e.alive:
+		m.State, m.Age = Dead, now.Sub(e.stateSince)
+	case !e.hasRecord:
+	case m.Age > SuspectHeartbeats*t.heartbeatInterval() || e.leaving:
 		m.State = Suspect
 	default:
 		m.State = Alive
@@ -56,23 +56,23 @@
 	return m
 }
 
-// Members are all that are remembered and this one, by name.
+// Members returns all known members and this one, sorted by name.
 func (m *Members) Members() []Member {
-	n := &m.table
-	n.mu.Lock()
+	t := &m.table
+	t.mu.Lock()
 	now := time.Now()
-	out := []Member{{Name: n.self.name, Zone: n.self.zone, State: Alive, Load: n.self.Load, Pressure: n.self.Pressure,
-		LoadAge: now.Sub(n.loadAt), Incarnation: n.self.incarnation, Voter: n.self.Voter, Version: n.self.Version}}
-	for _, h := range n.members {
-		out = append(out, n.member(h, now))
+	out := []Member{{Name: t.self.name, Zone: t.self.zone, State: Alive, Load: t.self.Load, Pressure: t.self.Pressure,
+		LoadAge: now.Sub(t.loadAt), Incarnation: t.self.incarnation, Voter: t.self.Voter, Version: t.self.Version}}
+	for _, e := range t.members {
+		out = append(out, t.member(e, now))
 	}
-	n.mu.Unlock()
+	t.mu.Unlock()
 	out[0].Addr = m.Addr()
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// Member is one of them; one that was never heard of is Unknown.
+// Member returns the member with this name, in state Unknown if the name is not known.
 func (m *Members) Member(name string) Member {
 	for _, x := range m.Members() {
 		if x.Name == name {
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -12,190 +12,196 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Of the records.
+// Settings for sending records.
 const (
-	// RecordsPerSecond in the whole fleet, at rest: each member sends its own so seldom that they come to no more, but
-	// every MinHeartbeatInterval if that is longer. Twice as many: 1.2 KB/s more a node at 300; half: loads are twice as old.
-	RecordsPerSecond     = 5
+	// RecordsPerSecond is the rate of records in the whole idle fleet. Each member makes a record at the interval that gives this rate, or
+	// every MinHeartbeatInterval if that is longer. Doubling the rate would cost 1.2 KB/s more per node at 300 members; with half,
+	// loads would be twice as old.
+	RecordsPerSecond = 5
+	// MinHeartbeatInterval is the minimum interval of regular records.
 	MinHeartbeatInterval = 5 * time.Second
-	// Retransmits: each member passes a record on so often. With 3 some 94 in 100 have it from gossip and the rest from
-	// the next; 6 costs twice as much for the last 6.
+	// Retransmits is the number of times that each member passes a record on. With 3, about 94 of 100 members get a record by gossip and
+	// the others get the next one; 6 would cost twice as much to reach the remaining 6.
 	Retransmits = 3
-	// FirstRetransmits, of the first record of a new process: who misses it knows nothing of it until the next.
+	// FirstRetransmits is the same number for the first record of a new process. It is higher because a member that misses this record
+	// knows nothing about the process until the next one.
 	FirstRetransmits = 2 * Retransmits
-	// SuspectHeartbeats: after so many beats without a record of its own, a member is suspect though memberlist's probes reach it.
-	// Twice as many: a stopped process that others answer for is believed longer; half: two lost packets make a suspect.
+	// SuspectHeartbeats is the number of heartbeat intervals without a new record after which a member is Suspect although memberlist's
+	// probes reach it. With twice as many, a stopped process for which others answer would be trusted longer; with half, two lost
+	// packets would make a member Suspect.
 	SuspectHeartbeats = 4
-	// MinChangeInterval: a change (load by a quarter, pressure by a tenth, voter, version) is sent at once, but not more often.
+	// MinChangeInterval is the minimum interval of records sent because of a change: load by a quarter, pressure by 0.1, voter or version.
+	// Such a change is otherwise sent at once.
 	MinChangeInterval = 5 * time.Second
 	minLoadChange     = 0.25
 	minPressureChange = 0.1
 )
 
-// memberEntry is all that is known of one.
+// memberEntry is the table entry of one other member.
 type memberEntry struct {
 	wireRecord
-	hasRecord       bool      // a record was heard
-	heardAt         time.Time // when, by our own clock
-	retransmitsLeft int       // how often it is still to be passed on
-	inMemberlist    bool      // memberlist knows it,
-	alive           bool      // as alive
-	stateSince      time.Time // of that
+	hasRecord       bool      // a record has arrived
+	heardAt         time.Time // when the record arrived, by the local clock
+	retransmitsLeft int       // how many times the record is still to be passed on
+	inMemberlist    bool      // memberlist has announced it
+	alive           bool      // memberlist reports it as alive
+	stateSince      time.Time // when the entry was made, or inMemberlist or alive last changed
 	node            memberlist.Node
 }
 
 type memberTable struct {
 	mu              sync.Mutex
 	self            wireRecord
-	recordMadeAt    time.Time // of the self's record
+	recordMadeAt    time.Time // when the last record of self was made
 	loadAt          time.Time
 	retransmitsLeft int
 	changed         bool
-	lastRecord      Record // as sent last
+	lastRecord      Record // the record as last made
 	members         map[string]*memberEntry
-	rejected        int            // names over MaxMembers
-	toSend          []*memberEntry // reused by broadcast
+	rejected        int            // number of names rejected because of MaxMembers
+	toSend          []*memberEntry // scratch buffer of broadcast
 }
 
-func (n *memberTable) init(o Options) {
-	n.self = wireRecord{name: o.Name, zone: o.Zone, incarnation: o.Incarnation}
-	n.members = map[string]*memberEntry{}
-	n.loadAt = time.Now()
-	n.makeRecord(n.loadAt) // memberlist announces this member at once, and a record without a time would pass for a day old
+func (t *memberTable) init(o Options) {
+	t.self = wireRecord{name: o.Name, zone: o.Zone, incarnation: o.Incarnation}
+	t.members = map[string]*memberEntry{}
+	t.loadAt = time.Now()
+	t.makeRecord(t.loadAt) // memberlist may ask for the record at once, and one without a time would seem a day old
 }
 
-// SetRecord says what to send from now on. Small changes wait for the next beat.
+// SetRecord sets the record to send from now on. Small changes wait for the next heartbeat.
 func (m *Members) SetRecord(r Record) {
-	n := &m.table
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.self.Record, n.loadAt = r, time.Now()
-	if math.Abs(r.Load-n.lastRecord.Load) > minLoadChange*n.lastRecord.Load || math.Abs(r.Pressure-n.lastRecord.Pressure) > minPressureChange ||
-		r.Voter != n.lastRecord.Voter || r.Version != n.lastRecord.Version {
-		n.changed = true
+	t := &m.table
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.self.Record, t.loadAt = r, time.Now()
+	if math.Abs(r.Load-t.lastRecord.Load) > minLoadChange*t.lastRecord.Load || math.Abs(r.Pressure-t.lastRecord.Pressure) > minPressureChange ||
+		r.Voter != t.lastRecord.Voter || r.Version != t.lastRecord.Version {
+		t.changed = true
 	}
 }
 
-// heartbeatInterval is how often a member sends its record.
-func (n *memberTable) heartbeatInterval() time.Duration {
-	return max(MinHeartbeatInterval, time.Duration(len(n.members)+1)*time.Second/RecordsPerSecond)
+// heartbeatInterval returns the interval at which each member makes a new record.
+func (t *memberTable) heartbeatInterval() time.Duration {
+	return max(MinHeartbeatInterval, time.Duration(len(t.members)+1)*time.Second/RecordsPerSecond)
 }
 
-// heartbeat makes the self's record anew if it is time, and forgets the long dead.
-func (n *memberTable) heartbeat(now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for name, h := range n.members {
-		if !h.alive && now.Sub(h.stateSince) > DeadRetention {
-			delete(n.members, name)
+// heartbeat makes a new record of this member if one is due, and forgets members that have been dead for DeadRetention.
+func (t *memberTable) heartbeat(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name, e := range t.members {
+		if !e.alive && now.Sub(e.stateSince) > DeadRetention {
+			delete(t.members, name)
 		}
 	}
-	if age := now.Sub(n.recordMadeAt); age >= n.heartbeatInterval() || n.changed && age >= MinChangeInterval {
-		n.makeRecord(now)
+	if age := now.Sub(t.recordMadeAt); age >= t.heartbeatInterval() || t.changed && age >= MinChangeInterval {
+		t.makeRecord(now)
 	}
 }
 
-func (n *memberTable) makeRecord(now time.Time) {
-	n.self.sequence++
-	n.recordMadeAt, n.retransmitsLeft, n.changed, n.lastRecord = now, Retransmits, false, n.self.Record
-	if n.self.sequence == 1 {
-		n.retransmitsLeft = FirstRetransmits
+func (t *memberTable) makeRecord(now time.Time) {
+	t.self.sequence++
+	t.recordMadeAt, t.retransmitsLeft, t.changed, t.lastRecord = now, Retransmits, false, t.self.Record
+	if t.self.sequence == 1 {
+		t.retransmitsLeft = FirstRetransmits
 	}
-	n.self.loadAge = now.Sub(n.loadAt)
+	t.self.loadAge = now.Sub(t.loadAt)
 }
 
-func (n *memberTable) leave() (leaveRecord []byte) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.self.leaving = true
-	n.makeRecord(time.Now())
-	return n.appendOwn([]byte{kindRecords}, n.recordMadeAt)
+func (t *memberTable) leave() (leaveRecord []byte) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.self.leaving = true
+	t.makeRecord(time.Now())
+	return t.appendOwn([]byte{kindRecords}, t.recordMadeAt)
 }
 
-func (n *memberTable) appendOwn(b []byte, now time.Time) []byte {
-	self := n.self
-	self.age = now.Sub(n.recordMadeAt)
+func (t *memberTable) appendOwn(b []byte, now time.Time) []byte {
+	self := t.self
+	self.age = now.Sub(t.recordMadeAt)
 	return self.append(b)
 }
 
-// merge merges records, one after the other.
-func (n *memberTable) merge(b []byte, now time.Time) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// merge parses a sequence of records and stores those of other members that are newer than the known ones.
+func (t *memberTable) merge(b []byte, now time.Time) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for len(b) > 0 {
-		a, rest, err := parseRecord(b)
+		r, rest, err := parseRecord(b)
 		if err != nil {
 			return err
 		}
 		b = rest
-		if a.name == n.self.name {
+		if r.name == t.self.name {
 			continue
 		}
-		h := n.entry(a.name, now)
-		if h == nil || h.hasRecord && !a.newerThan(&h.wireRecord) {
+		e := t.entry(r.name, now)
+		if e == nil || e.hasRecord && !r.newerThan(&e.wireRecord) {
 			continue
 		}
-		first := !h.hasRecord || a.incarnation != h.incarnation
-		h.wireRecord, h.hasRecord, h.heardAt, h.retransmitsLeft = a, true, now, Retransmits
+		first := !e.hasRecord || r.incarnation != e.incarnation
+		e.wireRecord, e.hasRecord, e.heardAt, e.retransmitsLeft = r, true, now, Retransmits
 		if first {
-			h.retransmitsLeft = FirstRetransmits
+			e.retransmitsLeft = FirstRetransmits
 		}
 	}
 	return nil
 }
 
-// entry finds or makes a member's line, or nil if the table is full.
-func (n *memberTable) entry(name string, now time.Time) *memberEntry {
-	if h := n.members[name]; h != nil {
-		return h
+// entry returns the entry of a member and creates it if needed. It returns nil if the table is full of alive members.
+func (t *memberTable) entry(name string, now time.Time) *memberEntry {
+	if e := t.members[name]; e != nil {
+		return e
 	}
-	if len(n.members) >= MaxMembers-1 {
+	if len(t.members) >= MaxMembers-1 {
 		oldest := ""
-		for k, h := range n.members {
-			if o := n.members[oldest]; !h.alive && (o == nil || h.stateSince.Before(o.stateSince) || h.stateSince.Equal(o.stateSince) && k < oldest) {
+		for k, e := range t.members {
+			if o := t.members[oldest]; !e.alive && (o == nil || e.stateSince.Before(o.stateSince) || e.stateSince.Equal(o.stateSince) && k < oldest) {
 				oldest = k
 			}
 		}
 		if oldest == "" {
-			n.rejected++
+			t.rejected++
 			return nil
 		}
-		delete(n.members, oldest)
+		delete(t.members, oldest)
 	}
-	h := &memberEntry{stateSince: now, wireRecord: wireRecord{name: name}}
-	n.members[name] = h
-	return h
+	e := &memberEntry{stateSince: now, wireRecord: wireRecord{name: name}}
+	t.members[name] = e
+	return e
 }
 
-// broadcast gives records to pass on, the freshest first, in at most so many bytes.
-func (n *memberTable) broadcast(limit int, now time.Time) []byte {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// broadcast returns a message of at most limit bytes with this member's record and then those to pass on, the newest
+// (with the most retransmits left) first. It returns nil if there is none.
+func (t *memberTable) broadcast(limit int, now time.Time) []byte {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	b := []byte{kindRecords}
-	if n.retransmitsLeft > 0 {
-		if next := n.appendOwn(b, now); len(next) <= limit {
+	if t.retransmitsLeft > 0 {
+		if next := t.appendOwn(b, now); len(next) <= limit {
 			b = next
-			n.retransmitsLeft--
+			t.retransmitsLeft--
 		}
 	}
-	n.toSend = n.toSend[:0]
-	for _, h := range n.members {
-		if h.retransmitsLeft > 0 {
-			n.toSend = append(n.toSend, h)
+	t.toSend = t.toSend[:0]
+	for _, e := range t.members {
+		if e.retransmitsLeft > 0 {
+			t.toSend = append(t.toSend, e)
 		}
 	}
-	slices.SortFunc(n.toSend, func(a, b *memberEntry) int {
+	slices.SortFunc(t.toSend, func(a, b *memberEntry) int {
 		return cmp.Or(b.retransmitsLeft-a.retransmitsLeft, cmp.Compare(a.name, b.name))
 	})
-	for _, h := range n.toSend {
-		a := h.wireRecord
-		a.age += now.Sub(h.heardAt)
-		next := a.append(b)
+	for _, e := range t.toSend {
+		r := e.wireRecord
+		r.age += now.Sub(e.heardAt)
+		next := r.append(b)
 		if len(next) > limit {
 			break
 		}
 		b = next
-		h.retransmitsLeft--
+		e.retransmitsLeft--
 	}
 	if len(b) == 1 {
 		return nil
@@ -203,102 +209,102 @@
 	return b
 }
 
-// allRecords gives all records, for an exchange of whole states.
-func (n *memberTable) allRecords(now time.Time) []byte {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	b := n.appendOwn([]byte{kindRecords}, now)
-	for _, h := range n.members {
-		if h.hasRecord && h.alive {
-			a := h.wireRecord
-			a.age += now.Sub(h.heardAt)
-			b = a.append(b)
+// allRecords returns a message with the records of this member and all alive members, for a full state exchange.
+func (t *memberTable) allRecords(now time.Time) []byte {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	b := t.appendOwn([]byte{kindRecords}, now)
+	for _, e := range t.members {
+		if e.hasRecord && e.alive {
+			r := e.wireRecord
+			r.age += now.Sub(e.heardAt)
+			b = r.append(b)
 		}
 	}
 	return b
 }
 
-func (n *memberTable) setState(node *memberlist.Node, up bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if node.Name == n.self.name {
+func (t *memberTable) setState(node *memberlist.Node, up bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if node.Name == t.self.name {
 		return
 	}
 	now := time.Now()
-	if h := n.entry(node.Name, now); h != nil {
-		if h.alive != up || !h.inMemberlist {
-			h.stateSince = now
+	if e := t.entry(node.Name, now); e != nil {
+		if e.alive != up || !e.inMemberlist {
+			e.stateSince = now
 		}
-		h.inMemberlist, h.alive, h.node = true, up, *node
+		e.inMemberlist, e.alive, e.node = true, up, *node
 	}
 }
 
-// limit says whether a name may come in.
-func (n *memberTable) checkCapacity(name string) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if name != n.self.name && n.entry(name, time.Now()) == nil {
-		return fmt.Errorf("member: %q is one over the %d members that are remembered", name, MaxMembers)
+// checkCapacity returns an error if the table has no room for a new name.
+func (t *memberTable) checkCapacity(name string) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if name != t.self.name && t.entry(name, time.Now()) == nil {
+		return fmt.Errorf("member: %q exceeds the maximum of %d members", name, MaxMembers)
 	}
 	return nil
 }
 
-func (n *memberTable) noneAlive() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, h := range n.members {
-		if h.alive {
+func (t *memberTable) noneAlive() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.members {
+		if e.alive {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *memberTable) addresses() (live map[string]bool, dead []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (t *memberTable) addresses() (live map[string]bool, dead []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	live = map[string]bool{}
-	for _, h := range n.members {
+	for _, e := range t.members {
 		switch {
-		case h.alive:
-			live[h.node.Address()] = true
-		case h.inMemberlist && !h.leaving:
-			dead = append(dead, h.node.Address())
+		case e.alive:
+			live[e.node.Address()] = true
+		case e.inMemberlist && !e.leaving:
+			dead = append(dead, e.node.Address())
 		}
 	}
 	sort.Strings(dead)
 	return live, dead
 }
 
-// hasUnknownMember says whether a member's recent record has come for at least JoinInterval, but memberlist never announced it.
-func (n *memberTable) hasUnknownMember(now time.Time) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, h := range n.members {
-		if h.hasRecord && !h.inMemberlist && !h.leaving && now.Sub(h.stateSince) >= JoinInterval && h.age+now.Sub(h.heardAt) <= SuspectHeartbeats*n.heartbeatInterval() {
+// hasUnknownMember reports whether there is a member with a recent record, known for at least JoinInterval, that memberlist has not announced.
+func (t *memberTable) hasUnknownMember(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.members {
+		if e.hasRecord && !e.inMemberlist && !e.leaving && now.Sub(e.stateSince) >= JoinInterval && e.age+now.Sub(e.heardAt) <= SuspectHeartbeats*t.heartbeatInterval() {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *memberTable) nodes() (out []memberlist.Node) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, h := range n.members {
-		if h.alive {
-			out = append(out, h.node)
+func (t *memberTable) nodes() (out []memberlist.Node) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.members {
+		if e.alive {
+			out = append(out, e.node)
 		}
 	}
 	return out
 }
 
-func (n *memberTable) node(name string) (memberlist.Node, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	h := n.members[name]
-	if h == nil || !h.inMemberlist {
+func (t *memberTable) node(name string) (memberlist.Node, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.members[name]
+	if e == nil || !e.inMemberlist {
 		return memberlist.Node{}, false
 	}
-	return h.node, true
+	return e.node, true
 }
--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -62,13 +62,13 @@
 }
 
 // checkReported checks V2 for a drain that is reported as applied.
-func (v *View) checkReported(now time.Duration, l drain) {
-	if v.machines[l.machine].Kind == maintenance.Coordinator {
+func (v *View) checkReported(now time.Duration, d drain) {
+	if v.machines[d.machine].Kind == maintenance.Coordinator {
 		return
 	}
-	if since, ok := v.checks.appliedSince[l.machine]; !ok || now-since < v.limits.Grace {
+	if since, ok := v.checks.appliedSince[d.machine]; !ok || now-since < v.limits.Grace {
 		v.checks.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
-			l.machine, now, ok, since, v.limits.Grace)
+			d.machine, now, ok, since, v.limits.Grace)
 	}
 }
 
--- a/internal/fleet/view/drains.go
+++ b/internal/fleet/view/drains.go
@@ -28,11 +28,11 @@
 // After a gap it restarts the Grace of drains that are not reported yet: requests that were being sent when the process stalled
 // are sent only when it resumes.
 func (v *View) confirmDrains(now time.Duration, gap bool) {
-	reported := func(l drain) bool {
-		return slices.ContainsFunc(v.polls.reported, func(s DrainStatus) bool { return s.Fence == l.fence && s.Machine == l.machine })
+	reported := func(d drain) bool {
+		return slices.ContainsFunc(v.polls.reported, func(s DrainStatus) bool { return s.Fence == d.fence && s.Machine == d.machine })
 	}
-	for i, l := range v.drains {
-		if !l.confirmed || gap && !reported(l) {
+	for i, d := range v.drains {
+		if !d.confirmed || gap && !reported(d) {
 			v.drains[i].confirmed, v.drains[i].graceFrom = true, now
 		}
 	}
@@ -44,8 +44,8 @@
 	if !v.applied {
 		return
 	}
-	v.drains = slices.DeleteFunc(v.drains, func(l drain) bool {
-		return !slices.ContainsFunc(v.live, func(it maintenance.Item) bool { return it.Fence == l.fence && it.Machine == l.machine })
+	v.drains = slices.DeleteFunc(v.drains, func(d drain) bool {
+		return !slices.ContainsFunc(v.live, func(it maintenance.Item) bool { return it.Fence == d.fence && it.Machine == d.machine })
 	})
 	for _, it := range v.live {
 		if i := v.drainIndex(it.Fence); i >= 0 {
@@ -53,13 +53,13 @@
 		}
 	}
 	if v.cutOff {
-		v.drains = slices.DeleteFunc(v.drains, func(l drain) bool { return now >= v.grantEnd(l.until) })
+		v.drains = slices.DeleteFunc(v.drains, func(d drain) bool { return now >= v.grantEnd(d.until) })
 	}
 }
 
 // drainIndex returns the index in v.drains of the drain for the grant with this fence, or -1.
 func (v *View) drainIndex(fence uint64) int {
-	return slices.IndexFunc(v.drains, func(l drain) bool { return l.fence == fence })
+	return slices.IndexFunc(v.drains, func(d drain) bool { return d.fence == fence })
 }
 
 // grantEnd returns the local time by which the agreed time until has passed for certain, whatever the clock drift.
@@ -77,22 +77,22 @@
 	for _, it := range v.live {
 		m := v.machines[it.Machine]
 		if i := v.drainIndex(it.Fence); i >= 0 {
-			if l := &v.drains[i]; l.rejectedReason != "" && it.Phase != maintenance.Granted && v.shardWithoutHolder(m) == "" {
-				*l = drain{machine: l.machine, fence: l.fence, until: l.until, graceFrom: now, applied: true}
+			if d := &v.drains[i]; d.rejectedReason != "" && it.Phase != maintenance.Granted && v.shardWithoutHolder(m) == "" {
+				*d = drain{machine: d.machine, fence: d.fence, until: d.until, graceFrom: now, applied: true}
 			}
 			continue
 		}
 		if v.cutOff && now >= v.grantEnd(it.Until) {
 			continue
 		}
-		l := drain{machine: it.Machine, fence: it.Fence, until: it.Until, graceFrom: now, applied: m.Kind != maintenance.Coordinator}
-		if l.applied {
-			if l.rejectedReason = v.shardWithoutHolder(m); l.rejectedReason != "" {
-				l.applied = false
-				v.log("the drain of %s (grant %d) is not applied: %s", l.machine, l.fence, l.rejectedReason)
+		d := drain{machine: it.Machine, fence: it.Fence, until: it.Until, graceFrom: now, applied: m.Kind != maintenance.Coordinator}
+		if d.applied {
+			if d.rejectedReason = v.shardWithoutHolder(m); d.rejectedReason != "" {
+				d.applied = false
+				v.log("the drain of %s (grant %d) is not applied: %s", d.machine, d.fence, d.rejectedReason)
 			}
 		}
-		v.drains = append(v.drains, l)
+		v.drains = append(v.drains, d)
 	}
 	slices.SortFunc(v.drains, byFence)
 }
@@ -102,7 +102,7 @@
 // up removes no holder.
 func (v *View) shardWithoutHolder(m maintenance.Machine) string {
 	drained := func(name string) bool {
-		return slices.ContainsFunc(v.drains, func(l drain) bool { return l.applied && l.machine == name }) ||
+		return slices.ContainsFunc(v.drains, func(d drain) bool { return d.applied && d.machine == name }) ||
 			slices.ContainsFunc(v.previousDrains, func(o previousDrain) bool { return o.machine == name })
 	}
 	up := map[int]int{} // number of replicas up by cell, without the machine
@@ -141,9 +141,9 @@
 func (v *View) emitDrains(now time.Duration) {
 	var names []string
 	v.dropEndedPrevious(now)
-	for _, l := range v.drains {
-		if l.applied {
-			names = append(names, l.machine)
+	for _, d := range v.drains {
+		if d.applied {
+			names = append(names, d.machine)
 		}
 	}
 	for _, o := range v.previousDrains {
--- a/internal/fleet/view/epoch.go
+++ b/internal/fleet/view/epoch.go
@@ -18,12 +18,12 @@
 // end by the local clock, or until their machine has restarted.
 func (v *View) beginEpoch(epoch uint64) {
 	if v.applied {
-		for _, l := range v.drains {
-			if !l.applied {
+		for _, d := range v.drains {
+			if !d.applied {
 				continue
 			}
-			o := previousDrain{machine: l.machine, ends: v.grantEnd(l.until)}
-			if i := v.liveGrantIndex(l.machine); i >= 0 {
+			o := previousDrain{machine: d.machine, ends: v.grantEnd(d.until)}
+			if i := v.liveGrantIndex(d.machine); i >= 0 {
 				o.start = v.live[i].StartedAt
 			}
 			v.previousDrains = append(v.previousDrains, o)
--- a/internal/fleet/view/polls.go
+++ b/internal/fleet/view/polls.go
@@ -97,16 +97,16 @@
 // drainStatuses returns the statuses that may be reported now: drains that have been applied for Grace, and rejected ones.
 func (v *View) drainStatuses(now time.Duration) []DrainStatus {
 	var statuses []DrainStatus
-	for _, l := range v.drains {
+	for _, d := range v.drains {
 		if len(statuses) == peerproto.MaxDrains {
 			break
 		}
 		switch {
-		case l.rejectedReason != "":
-			statuses = append(statuses, DrainStatus{Machine: l.machine, Fence: l.fence, Rejected: true, Reason: l.rejectedReason})
-		case !l.applied || now-l.graceFrom >= v.limits.Grace:
-			statuses = append(statuses, DrainStatus{Machine: l.machine, Fence: l.fence})
-			v.checkReported(now, l)
+		case d.rejectedReason != "":
+			statuses = append(statuses, DrainStatus{Machine: d.machine, Fence: d.fence, Rejected: true, Reason: d.rejectedReason})
+		case !d.applied || now-d.graceFrom >= v.limits.Grace:
+			statuses = append(statuses, DrainStatus{Machine: d.machine, Fence: d.fence})
+			v.checkReported(now, d)
 		}
 	}
 	return statuses
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -149,7 +149,7 @@
 	limits                  maintenance.Limits
 	highestFence            uint64 // highest fence seen so far
 	caughtUp                bool   // a complete answer has arrived while a state was applied
-	highestFenceBeforeStart uint64 // highest fence seen until caughtUp; the co-ordinator does not leave for these grants, which precede this process
+	highestFenceBeforeStart uint64 // highest fence seen until caughtUp; emitLeave ignores these grants, made before this process
 	leftByFence             uint64 // fence of the last grant for which MayLeave was emitted
 
 	replicasKnown bool
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -184,7 +184,8 @@
 	r.run(s)
 	// Shards held by cells 1 and 2 have only r1 up, those held by cells 2 and 3 only r3. r2 is not up, so draining it removes no holder.
 	r.expect("drains", r.drains, "[r2]")
-	r.expect("rejections reported", strings.Contains(r.lastReported(), "{r1 7 true shard 1 would be left") && strings.Contains(r.lastReported(), "{r3 8 true shard 2"), true)
+	r.expect("rejections reported",
+		strings.Contains(r.lastReported(), "{r1 7 true shard 1 would be left") && strings.Contains(r.lastReported(), "{r3 8 true shard 2"), true)
 	r.applyItems(r.item("r1", 7, maintenance.Acknowledged), r.item("r3", 8, maintenance.Granted), r.item("r2", 9, maintenance.Granted))
 	r.run(s)
 	r.expect("an acknowledged grant whose drain would leave a shard without a holder", r.drains, "[r2]")
