--- a/internal/fleet/member/keys.go
+++ b/internal/fleet/member/keys.go
@@ -66,11 +66,11 @@
 		return fmt.Errorf("member: changing the primary key: %w", err)
 	}
 	for _, old := range append([][]byte{}, ring.GetKeys()...) {
-		kept := false
+		inUse := false
 		for _, k := range keys {
-			kept = kept || bytes.Equal(k, old)
+			inUse = inUse || bytes.Equal(k, old)
 		}
-		if !kept {
+		if !inUse {
 			if err := ring.RemoveKey(old); err != nil {
 				return fmt.Errorf("member: removing a key from the keyring: %w", err)
 			}
--- a/internal/fleet/member/states.go
+++ b/internal/fleet/member/states.go
@@ -37,7 +37,7 @@
 		m.Addr = e.node.Address()
 	}
 	if e.hasRecord {
-		age := e.age + now.Sub(e.heardAt)
+		age := e.age + now.Sub(e.receivedAt)
 		m.Zone, m.Load, m.Pressure, m.Incarnation = e.zone, e.Load, e.Pressure, e.incarnation
 		m.Voter, m.Version, m.LoadAge, m.Age = e.Voter, e.Version, e.loadAge+age, age
 	}
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -41,7 +41,7 @@
 type memberEntry struct {
 	wireRecord
 	hasRecord       bool      // a record has arrived
-	heardAt         time.Time // when the record arrived, by the local clock
+	receivedAt      time.Time // when the record arrived, by the local clock
 	retransmitsLeft int       // how many times the record is still to be passed on
 	inMemberlist    bool      // memberlist has announced it
 	alive           bool      // memberlist reports it as alive
@@ -141,7 +141,7 @@
 			continue
 		}
 		first := !e.hasRecord || r.incarnation != e.incarnation
-		e.wireRecord, e.hasRecord, e.heardAt, e.retransmitsLeft = r, true, now, Retransmits
+		e.wireRecord, e.hasRecord, e.receivedAt, e.retransmitsLeft = r, true, now, Retransmits
 		if first {
 			e.retransmitsLeft = FirstRetransmits
 		}
@@ -195,7 +195,7 @@
 	})
 	for _, e := range t.toSend {
 		r := e.wireRecord
-		r.age += now.Sub(e.heardAt)
+		r.age += now.Sub(e.receivedAt)
 		next := r.append(b)
 		if len(next) > limit {
 			break
@@ -217,7 +217,7 @@
 	for _, e := range t.members {
 		if e.hasRecord && e.alive {
 			r := e.wireRecord
-			r.age += now.Sub(e.heardAt)
+			r.age += now.Sub(e.receivedAt)
 			b = r.append(b)
 		}
 	}
@@ -281,7 +281,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.members {
-		if e.hasRecord && !e.inMemberlist && !e.leaving && now.Sub(e.stateSince) >= JoinInterval && e.age+now.Sub(e.heardAt) <= SuspectHeartbeats*t.heartbeatInterval() {
+		if e.hasRecord && !e.inMemberlist && !e.leaving && now.Sub(e.stateSince) >= JoinInterval && e.age+now.Sub(e.receivedAt) <= SuspectHeartbeats*t.heartbeatInterval() {
 			return true
 		}
 	}
