--- a/internal/fleet/raftgroup/change.go
+++ b/internal/fleet/raftgroup/change.go
@@ -9,12 +9,12 @@
 
 // Errors of a change of voters.
 var (
-	ErrChangeInProgress = errors.New("raftgroup: another change of voters is under way")
-	ErrNoQuorum         = errors.New("raftgroup: too few voters would answer")
-	ErrReplaceSelf      = errors.New("raftgroup: the leader cannot replace itself, hand over first")
+	ErrChangeInProgress = errors.New("raftgroup: another change of voters is in progress")
+	ErrNoQuorum         = errors.New("raftgroup: the change would leave too few responsive voters")
+	ErrReplaceSelf      = errors.New("raftgroup: the leader cannot replace itself; transfer leadership first")
 )
 
-// Voters are the voters in the configuration that this one knows last.
+// Voters returns the voters of the latest configuration that this voter knows.
 func (g *Group) Voters() ([]Voter, error) {
 	f := g.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -29,11 +29,11 @@
 	return out, nil
 }
 
-// Replace puts one voter in another's place: the new one comes in first and the old one goes then, or, if the old one is
-// silent, the other way round. It is refused while another change runs, and where at any step a majority would not be
-// left of those that answer now, without the new one (but a raft group of one only needs it to take a connection). An old
-// one named "" adds a voter only, a new one with no name takes the old one out only. A call that was cut off half way
-// is finished by calling it again.
+// Replace replaces the voter old by the voter with. It adds the new voter first and then removes the old one; if the old one
+// does not respond, it removes it first. Replace fails while another change is in progress, and if after any step the voters
+// that respond now, not counting the new one, would not form a majority. As an exception, a group of one may grow if the new
+// voter accepts a connection. If old is "", the new voter is only added; if with has no name, old is only removed. A call that
+// was interrupted is completed by calling Replace again.
 func (g *Group) Replace(old string, with Voter) error {
 	if !g.changeMu.TryLock() {
 		return ErrChangeInProgress
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// checkCanReplace checks that this voter leads, is not the one that is to go, and still holds the lead now.
+// checkCanReplace checks that this voter is the leader, is not the voter to be removed, and that a majority confirms its leadership.
 func (g *Group) checkCanReplace(old string) error {
 	if g.raft.State() != raft.Leader {
 		return g.notLeaderError()
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// planReplace orders the steps that put with in old's place, and fails where a step would not leave a quorum of the
-// voters that answer now.
+// planReplace returns the steps that replace old by with, in order. It fails if after a step the voters that respond now would
+// not form a quorum.
 func (g *Group) planReplace(now []Voter, old string, with Voter) ([]func() error, error) {
 	addresses := make(map[string]string, len(now))
 	for _, voter := range now {
@@ -83,7 +83,7 @@
 	addr, there := addresses[with.Name]
 	add := with.Name != "" && !there
 	if there && addr != with.Addr {
-		return nil, fmt.Errorf("raftgroup: %s is a voter at %s; give a new one a new name", with.Name, addr)
+		return nil, fmt.Errorf("raftgroup: %s is already a voter at %s; a new voter needs a new name", with.Name, addr)
 	}
 	size := len(now)
 	answer, oldSilent := g.countResponsive(addresses, old)
@@ -101,7 +101,7 @@
 	case add:
 		err := checkQuorum(size+1, answer)
 		if err != nil && checkQuorum(size+1, answer+1) == nil && g.canConnect(with.Addr) {
-			err = nil // a raft group of one grows, and the new one is there
+			err = nil // a group of one grows, and the new voter accepts connections
 		}
 		return []func() error{addStep}, err
 	case drop:
@@ -110,7 +110,7 @@
 	return nil, nil
 }
 
-// answering counts the voters among addresses that are not silent now, and tells whether old is silent.
+// answering counts the voters among addresses that respond now, and reports whether old does not.
 func (g *Group) countResponsive(addresses map[string]string, old string) (answer int, oldSilent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,29 +122,29 @@
 	return answer, g.unresponsive[old]
 }
 
-// quorum fails where answer voters of size are not a majority of them.
+// quorum fails if the number of responsive voters is not a majority of size.
 func checkQuorum(size, answer int) error {
 	if answer < size/2+1 {
-		return fmt.Errorf("%w: %d of %d, %d are needed", ErrNoQuorum, answer, size, size/2+1)
+		return fmt.Errorf("%w: %d of %d would respond, %d are needed", ErrNoQuorum, answer, size, size/2+1)
 	}
 	return nil
 }
 
-// addVoter adds with as a voter, on top of the configuration that was committed last.
+// addVoter adds a voter to the latest configuration.
 func (g *Group) addVoter(with Voter) error {
 	return g.changeConfiguration(func(prev uint64) raft.IndexFuture {
 		return g.raft.AddVoter(raft.ServerID(with.Name), raft.ServerAddress(with.Addr), prev, ChangeTimeout)
 	})
 }
 
-// removeVoter takes old out, on top of the configuration that was committed last.
+// removeVoter removes a voter from the latest configuration.
 func (g *Group) removeVoter(old string) error {
 	return g.changeConfiguration(func(prev uint64) raft.IndexFuture {
 		return g.raft.RemoveServer(raft.ServerID(old), prev, ChangeTimeout)
 	})
 }
 
-// answers says whether an address takes a connection now.
+// answers reports whether an address accepts a connection now.
 func (g *Group) canConnect(addr string) bool {
 	conn, err := g.stream.Dial(raft.ServerAddress(addr), IOTimeout)
 	if err != nil {
@@ -154,7 +154,8 @@
 	return true
 }
 
-// step makes one change on top of the configuration that was committed last, and no other.
+// step applies change to the latest configuration. The change fails if the configuration has changed
+// in the meantime.
 func (g *Group) changeConfiguration(change func(prev uint64) raft.IndexFuture) error {
 	conf := g.raft.GetConfiguration()
 	if err := conf.Error(); err != nil {
@@ -166,8 +167,9 @@
 	return nil
 }
 
-// TransferLeadership gives the lead to another voter, before this one leaves. One that does not lead has nothing to give. It takes
-// ElectionTimeout at the most; if nobody can take it, this one leads on and says so.
+// TransferLeadership passes leadership to another voter, for use before this voter shuts down. If this voter does not lead, it
+// does nothing. It takes at most ElectionTimeout; if no other voter can take over, this voter remains leader and an error is
+// returned.
 func (g *Group) TransferLeadership() error {
 	if g.raft.State() != raft.Leader {
 		return nil
@@ -176,7 +178,7 @@
 		if g.raft.State() != raft.Leader {
 			return nil
 		}
-		return fmt.Errorf("raftgroup: nobody took the lead: %w", err)
+		return fmt.Errorf("raftgroup: no other voter took over leadership: %w", err)
 	}
 	return nil
 }
--- a/internal/fleet/raftgroup/cluster_test.go
+++ b/internal/fleet/raftgroup/cluster_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// list is a machine that keeps what was applied.
+// list is a state machine that records the applied commands.
 type recordingMachine struct {
 	Words   []string
 	Indexes []uint64
@@ -30,9 +30,9 @@
 func (l *recordingMachine) Apply(index uint64, raw []byte) error {
 	switch string(raw) {
 	case "refused":
-		return errors.New("the machine refuses")
+		return errors.New("the machine rejects it")
 	case "panic":
-		panic("the machine is at a loss")
+		panic("test panic")
 	}
 	if n := len(l.Indexes); n > 0 && l.Indexes[n-1] >= index {
 		return fmt.Errorf("entry %d after %d", index, l.Indexes[n-1])
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// links are directed; what goes over one that is cut is swallowed, as a network does it.
+// links controls the directed connections between voters. Data sent over a cut link is dropped silently, as on a network.
 type links struct {
 	mu         sync.Mutex
 	cut        map[[2]string]bool
 	conns      map[*faultyConn]bool
 	bytes      atomic.Int64
-	writeDelay atomic.Int64 // each write waits for so many nanoseconds
+	writeDelay atomic.Int64 // delay of each write, in nanoseconds
 }
 
 func (l *links) setCut(cut bool, pairs ...[2]string) {
@@ -65,7 +65,7 @@
 	for _, p := range pairs {
 		l.cut[p] = cut
 	}
-	if !cut { // what was swallowed does not come any more
+	if !cut { // a stream that lost data cannot continue
 		for c := range l.conns {
 			c.Conn.Close()
 		}
@@ -133,7 +133,7 @@
 	return c.Conn.Close()
 }
 
-// cluster is a raft group in one process.
+// cluster is a raft group whose voters all run in this process.
 type cluster struct {
 	t         *testing.T
 	dir       string
@@ -146,7 +146,7 @@
 
 var addressCount atomic.Int64
 
-// free gives an address of this process's own in the loopback network, so that nobody else takes its port.
+// free returns a loopback address that is unique to this process, so that no other process uses its port.
 func freeAddr(*testing.T) string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+n/250, 1+n%250, 7000+os.Getpid()%10_000)
@@ -210,7 +210,7 @@
 	return Voter{}
 }
 
-// patience is how long a busy machine may take to what comes in seconds on a quiet one.
+// patience limits waits that take seconds on an idle machine and much longer on a busy one.
 const waitLimit = 90 * time.Second
 
 func waitFor(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
@@ -225,7 +225,7 @@
 	}
 }
 
-// leader waits for one that leads and can propose, other than the one named.
+// leader waits for a leader other than but that can commit entries.
 func (c *cluster) leader(but string) (name string, took time.Duration) {
 	c.t.Helper()
 	took = waitFor(c.t, "a leader", waitLimit, func() bool {
@@ -260,11 +260,11 @@
 	return s
 }
 
-// same waits until all open seats have applied the same.
+// same waits until all open voters have the same state and returns it.
 func (c *cluster) waitUntilEqual() string {
 	c.t.Helper()
 	var first string
-	waitFor(c.t, "all the same", waitLimit, func() bool {
+	waitFor(c.t, "all voters have the same state", waitLimit, func() bool {
 		first = ""
 		for name := range c.groups {
 			if s := c.state(name); first == "" {
--- a/internal/fleet/raftgroup/disks_test.go
+++ b/internal/fleet/raftgroup/disks_test.go
@@ -14,13 +14,13 @@
 	"birchcart/internal/fleet/store"
 )
 
-// disks are those of seats, which take nothing any more from one moment on.
+// disks holds the open store file of each voter, so that a test can make its writes fail.
 type disks struct {
 	mu    sync.Mutex
 	files map[string]*os.File
 }
 
-// hold has a voter's store open its file by way of these.
+// hold records the file that a voter's store opens.
 func (d *disks) trackFile(o *Options) {
 	o.Store.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
@@ -34,7 +34,7 @@
 	}
 }
 
-// fill lets each further write of a voter's store fail, until it is opened again.
+// fill makes all further writes of a voter's store fail until it is opened again.
 func (d *disks) failWrites(t *testing.T, name string) {
 	t.Helper()
 	null, err := os.Open(os.DevNull)
@@ -49,7 +49,7 @@
 	}
 }
 
-// names of the voters, as the one that leads has them.
+// names returns the sorted names of the leader's voters, separated by spaces.
 func (c *cluster) voterNames() string {
 	lead, _ := c.leader("")
 	voters, err := c.groups[lead].Voters()
@@ -64,7 +64,7 @@
 	return strings.Join(names, " ")
 }
 
-// swap replaces a voter, and asks again until it has come to pass, whoever leads.
+// swap calls Replace on the current leader until the change has taken effect.
 func (c *cluster) replaceUntilDone(old string, with Voter) {
 	c.t.Helper()
 	waitFor(c.t, with.Name+" votes in place of "+old, waitLimit, func() bool {
@@ -81,11 +81,11 @@
 	})
 }
 
-// While a voter is replaced the disk of the new one, of the old one or of the leader takes no more, or its file is torn by
-// a crash. A voter whose log failed says so, and is taken again once there is room. One whose log is torn is not taken again,
-// nor begun anew: it may have voted. Another takes its place, and in the end all have each word once.
+// While a voter is replaced, the disk of the new voter, of the old one or of the leader becomes full, or its file is torn by a
+// crash. A voter whose write failed reports it and may rejoin once its disk has space. A voter with a torn log must neither
+// rejoin nor start empty, because it may have voted; another voter replaces it. In the end, all voters hold each command once.
 func TestReplaceWithFullOrTornDisk(t *testing.T) {
-	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
+	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
 	for _, kind := range []string{"full", "torn"} {
 		for _, at := range []string{"new", "old", "leader"} {
@@ -104,7 +104,7 @@
 				c.open(next, false)
 				bad := map[string]string{"new": next.Name, "old": old, "leader": lead}[at]
 				if kind == "torn" {
-					if err := c.groups[lead].Replace("", next); err != nil { // half way
+					if err := c.groups[lead].Replace("", next); err != nil { // first half of the replacement
 						t.Log(err)
 					}
 					c.close(bad)
@@ -115,7 +115,7 @@
 						if err == nil {
 							s.Close()
 						}
-						t.Fatalf("a torn log: %v", err)
+						t.Fatalf("opening a torn log: %v", err)
 					}
 					c.replaceUntilDone(old, next)
 					if bad != old {
@@ -128,17 +128,17 @@
 						t.Log(err)
 					}
 					if err := propose(c.groups[lead], "b"); at == "leader" && err == nil {
-						t.Error("taken on a full disk")
+						t.Error("a proposal was committed on a full disk")
 					}
 					again := func() {
-						waitFor(t, "it says so", waitLimit, func() bool { return c.groups[bad].Failed() != nil })
+						waitFor(t, "the voter reports the failure", waitLimit, func() bool { return c.groups[bad].Failed() != nil })
 						c.close(bad)
 						c.open(c.voter(bad), false)
 					}
-					if at == "leader" { // without it, and before the new one is there, too few would answer
+					if at == "leader" { // without it, before the new voter is added, too few voters respond
 						again()
 					}
-					c.replaceUntilDone(old, next) // which needs no word of the others' bad ones
+					c.replaceUntilDone(old, next) // does not depend on the failed voter
 					if at == "new" {
 						again()
 					}
@@ -147,26 +147,27 @@
 					c.close(old)
 				}
 				lead, _ = c.leader("")
-				waitFor(t, "a word is taken", waitLimit, func() bool {
+				waitFor(t, "a command is committed", waitLimit, func() bool {
 					lead, _ = c.leader("")
 					return propose(c.groups[lead], "c") == nil
 				})
 				if s := c.waitUntilEqual(); strings.Count(s, `"a"`) != 1 || strings.Count(s, `"b"`) > 1 || !strings.Contains(s, `"c"`) || len(c.groups) != 3 {
-					t.Errorf("%s at %d seats", s, len(c.groups))
+					t.Errorf("%s at %d voters", s, len(c.groups))
 				}
 			})
 		}
 	}
 }
 
-// A voter is replaced while clocks run 1 % apart: each voter's in turn is the slow one among fast ones. The leader is cut off
-// from all in the middle, as it was about to finish; it takes no word that the others do not have, and they finish.
+// A voter is replaced while one clock runs slower than the others, each clock being 1 % off; the leader, the old and the new voter
+// have the slow clock in turn. Half way through, the leader is cut off from all others. It must not commit any command that
+// the others do not have, and the others complete the replacement.
 func TestReplaceWithClockDrift(t *testing.T) {
-	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
+	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
 	slowest, fastest := Options{clockFactor: 1.01}, Options{clockFactor: 0.99}
 	if slowest.scaleTimeout(LeaderLeaseTimeout) >= fastest.scaleTimeout(HeartbeatTimeout) {
-		t.Error("a leader that is cut off may still hold its lease when another is elected")
+		t.Error("an isolated leader may still hold its lease when another leader is elected")
 	}
 	for _, slow := range []string{"leader", "old", "new"} {
 		t.Run(slow, func(t *testing.T) {
@@ -185,7 +186,7 @@
 			next := Voter{"v3", freeAddr(t)}
 			c.voters = append(c.voters, next)
 			role[lead], role[old], role[next.Name] = "leader", "old", "new"
-			for _, name := range []string{lead, old} { // by their new clocks
+			for _, name := range []string{lead, old} { // reopen with the slow clock
 				if role[name] == slow {
 					c.close(name)
 					c.open(c.voter(name), false)
@@ -212,18 +213,18 @@
 			c.links.setCut(true, cut...)
 			began := time.Now()
 			if err := propose(c.groups[lead], "b"); err == nil {
-				t.Error("a word is taken without a majority")
+				t.Error("a command was committed without a majority")
 			}
 			now, _ := c.leader(lead)
 			t.Logf("%s leads %v after the cut", now, time.Since(began).Round(time.Millisecond))
-			waitFor(t, "who was cut off leads no more", waitLimit, func() bool { return c.groups[lead].Verify() != nil })
+			waitFor(t, "the isolated leader steps down", waitLimit, func() bool { return c.groups[lead].Verify() != nil })
 			if now != old {
-				_ = c.groups[now].Replace(old, next) // before the cut is over, if they can
+				_ = c.groups[now].Replace(old, next) // may succeed while the old leader is cut off
 			}
 			c.links.setCut(false, cut...)
 			c.replaceUntilDone(old, next)
 			c.close(old)
-			waitFor(t, "a word is taken", waitLimit, func() bool {
+			waitFor(t, "a command is committed", waitLimit, func() bool {
 				now, _ = c.leader("")
 				return propose(c.groups[now], "c") == nil
 			})
--- a/internal/fleet/raftgroup/failstop.go
+++ b/internal/fleet/raftgroup/failstop.go
@@ -9,9 +9,9 @@
 	"birchcart/internal/fleet/store"
 )
 
-// failStopStore is the store as raft sees it. Raft panics where it cannot keep its term or read its log, which would end a process
-// that serves queries. So at such an error this voter goes out of the raft group, and the goroutine of raft's that
-// met it ends here: raft starts all of them so that they may.
+// failStopStore is the store that is passed to raft. Raft panics when it cannot persist its term or read its log, which would
+// crash a process that serves queries. On such an error, failStopStore takes this voter out of the raft group and ends the raft
+// goroutine that made the call. Raft starts each of its goroutines in a way that permits this.
 type failStopStore struct {
 	*store.Store
 	fail func(error)
--- a/internal/fleet/raftgroup/fsm.go
+++ b/internal/fleet/raftgroup/fsm.go
@@ -10,13 +10,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// Entry is one committed and applied command. Raft's own entries take indexes too, so these have gaps.
+// Entry is one committed and applied command. Indexes of successive entries may have gaps because raft's internal entries also
+// take indexes.
 type Entry struct {
 	Index uint64
 	Raw   []byte
 }
 
-// fsm is raft's state machine: the machine, and the latest entries for those that ask what is new.
+// fsm implements raft.FSM. It applies commands to the machine and buffers the most recent entries for Since.
 type fsm struct {
 	maxEntries int
 
@@ -24,9 +25,9 @@
 	machine             Machine
 	recent              []Entry
 	recentBytes         int
-	floor               uint64 // the ring has all entries after this
-	applied             uint64 // of the machine
-	cachedSnapshot      []byte // a snapshot at cachedSnapshotIndex, kept while the ring goes on from it
+	floor               uint64 // recent holds all entries after this index
+	applied             uint64 // index of the last entry applied to the machine
+	cachedSnapshot      []byte // snapshot at cachedSnapshotIndex; valid while recent holds all entries after it
 	cachedSnapshotIndex uint64
 	updates             chan struct{}
 }
@@ -39,7 +40,7 @@
 	return s
 }
 
-// Apply is raft's call for each committed command.
+// Apply is called by raft for each committed command.
 func (s *fsm) Apply(l *raft.Log) any {
 	if l.Type != raft.LogCommand {
 		return nil
@@ -57,7 +58,7 @@
 		cut++
 	}
 	if cut > 0 {
-		s.recent = s.recent[cut:] // append moves it to new room now and then, which frees the old
+		s.recent = s.recent[cut:] // a later append reallocates, which frees the dropped entries
 	}
 	if s.cachedSnapshotIndex < s.floor {
 		s.cachedSnapshot = nil
@@ -72,7 +73,7 @@
 	return err
 }
 
-// apply makes an error of a panic: the same at all voters, since the machine is the same.
+// apply converts a panic of the machine into an error. All voters get the same error because the machine is deterministic.
 func (s *fsm) apply(index uint64, raw []byte) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -82,13 +83,17 @@
 	return s.machine.Apply(index, raw)
 }
 
-// A snapshot on disk and between voters: version 1 | index of the last command 8 | what the machine saved. Raft's store has
-// the sum of the file, the machine its own.
+// Format of a snapshot on disk and between voters, with sizes in bytes:
+//
+//	version 1 | index of the last command 8 | state saved by the machine
+//
+// It has no checksum: raft's snapshot store checks the file, and the machine checks its own state.
 const snapshotVersion = 1
 
 type fsmSnapshot struct{ raw []byte }
 
-// Snapshot is raft's call. The machine's state is saved at once: it is small, and applying goes on meanwhile.
+// Snapshot is called by raft. It serializes the machine's state immediately, which is fast because the state is small, so that
+// entries can be applied while raft writes the snapshot.
 func (s *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +113,7 @@
 
 func (fsmSnapshot) Release() {}
 
-// Restore is raft's call with a snapshot.
+// Restore is called by raft to load a snapshot.
 func (s *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	raw, err := io.ReadAll(r)
@@ -116,10 +121,10 @@
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	if len(raw) < 9 {
-		return errors.New("raftgroup: the snapshot is cut short")
+		return errors.New("raftgroup: the snapshot is truncated")
 	}
 	if raw[0] != snapshotVersion {
-		return fmt.Errorf("raftgroup: a snapshot of version %d, this program knows %d", raw[0], snapshotVersion)
+		return fmt.Errorf("raftgroup: snapshot version %d is not supported, this program supports %d", raw[0], snapshotVersion)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,9 +140,9 @@
 	return nil
 }
 
-// Since gives what was committed and applied here after an index: entries, as many as go into so many bytes but at least
-// one, or, for who is too far behind, a snapshot, after which the next call goes on. at is the index that the asker has
-// reached with them.
+// Since returns what was applied on this voter after index: either entries, up to mostBytes in total but at least one if there
+// is any, or a snapshot if the buffer no longer holds all entries after index. at is the index that the caller reaches with the
+// result and passes to the next call.
 func (g *Group) Since(index uint64, mostBytes int) (entries []Entry, snapshot []byte, at uint64) {
 	s := g.fsm
 	s.mu.Lock()
@@ -146,7 +151,7 @@
 		if s.cachedSnapshot == nil || s.cachedSnapshotIndex < s.floor {
 			raw, err := s.machine.Save()
 			if err != nil {
-				g.log.Errorf("no snapshot for one at %d: %v", index, err)
+				g.log.Errorf("cannot save a snapshot for a reader at index %d: %v", index, err)
 				return nil, nil, index
 			}
 			s.cachedSnapshot, s.cachedSnapshotIndex = raw, s.applied
@@ -172,17 +177,17 @@
 	return entries, nil, at
 }
 
-// AppliedIndex is the index of the last command that was applied here.
+// AppliedIndex returns the index of the last command that was applied on this voter.
 func (g *Group) AppliedIndex() uint64 {
 	g.fsm.mu.Lock()
 	defer g.fsm.mu.Unlock()
 	return g.fsm.applied
 }
 
-// Updates has a word whenever something was applied since the last was taken.
+// Updates returns a channel that holds a value if something was applied since the last receive.
 func (g *Group) Updates() <-chan struct{} { return g.fsm.updates }
 
-// WithLock calls f while nothing is applied, so that it may read the machine. It must not wait.
+// WithLock calls f while no entry is applied, so that f may read the machine. f must not block.
 func (g *Group) WithLock(f func()) {
 	g.fsm.mu.Lock()
 	defer g.fsm.mu.Unlock()
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -1,6 +1,6 @@
-// Package raftgroup keeps what must be agreed: 1, 3 or 5 voters keep one log (raft over its own TCP connections, on the store's
-// disk) and apply it to one machine each, the state machine. All other co-ordinators have no vote; they ask a voter for what
-// was committed since their index, see Since. Nothing here is waited for by any query.
+// Package raftgroup replicates the fleet's agreed state. A group of 1, 3 or 5 voters replicates one raft log over its own TCP
+// connections, persists it with package store, and each voter applies it to its state machine. All other co-ordinators have
+// no vote; they ask a voter for what was committed after their index, see Since. No query waits for this package.
 package raftgroup
 
 import (
@@ -17,69 +17,80 @@
 	"birchcart/internal/fleet/store"
 )
 
-// Times of the raft group.
+// Timeouts and intervals of the raft group.
 const (
-	// HeartbeatTimeout: a voter that heard no leader for this, or up to twice this (drawn anew each time), asks for an election.
-	// Twice as long: a leader's death costs over 3 s where the first election is split; half: a pause of one process elects anew.
+	// HeartbeatTimeout is the minimum time without a heartbeat after which a voter starts an election; each wait is drawn at
+	// random from one to two times this value. With twice the value, replacing a dead leader takes over 3 s if the first
+	// election is split; with half, a pause of one process triggers an election.
 	HeartbeatTimeout = 500 * time.Millisecond
-	// ElectionTimeout: a candidate that has no majority after this, or up to twice this, asks again. As HeartbeatTimeout.
+	// ElectionTimeout is the minimum time after which a candidate without a majority starts another election, at random up
+	// to twice this value. The limits of HeartbeatTimeout apply.
 	ElectionTimeout = 500 * time.Millisecond
-	// LeaderLeaseTimeout: a leader that heard no majority for this steps down. It must be less than HeartbeatTimeout, so that an old leader
-	// is silent before another is elected. Half: it steps down at short pauses; twice: refused.
+	// LeaderLeaseTimeout is how long a leader without contact to a majority stays leader. It must be less than
+	// HeartbeatTimeout, so that an old leader has stepped down before another is elected. With half the value, the leader steps
+	// down at short pauses; raft rejects twice the value.
 	LeaderLeaseTimeout = 400 * time.Millisecond
-	// CommitTimeout: without proposals, voters are told the commit index after this to twice this. Twice as long: the last entry
-	// is applied 0.4 s later at the others; half: some 2 KB/s more between the leader and each voter, at rest.
+	// CommitTimeout is the delay, at random up to twice this value, after which an idle leader sends the commit index to the
+	// voters. With twice the value, the other voters apply the last entry 0.4 s later; with half, an idle leader sends each
+	// voter about 2 KB/s more.
 	CommitTimeout = 100 * time.Millisecond
-	// IOTimeout is the most that a connect or a write to a voter may take; a snapshot has this for each 256 KB. Twice as long:
-	// a dead link is noticed later, though not by the election; half: a snapshot fails on a narrow link.
+	// IOTimeout limits a connect or a write to a voter; a snapshot gets this time for each 256 KB. With twice the value, a dead
+	// link is detected later, though elections do not depend on it; with half, snapshots fail on slow links.
 	IOTimeout = time.Second
-	// EnqueueTimeout is how long a proposal waits to enter the log, BarrierTimeout how long an elected leader takes at the most to apply
-	// what was committed before it says that it leads (then it tries again).
+	// EnqueueTimeout limits how long a proposal waits to enter the log.
 	EnqueueTimeout = time.Second
+	// BarrierTimeout limits each attempt of a new leader to apply all earlier committed entries before it reports that it
+	// leads. The leader then tries again.
 	BarrierTimeout = 5 * time.Second
-	// ChangeTimeout is the most that each step of a change of voters takes; what was begun may still come to pass.
+	// ChangeTimeout limits each step of a change of voters. A step that timed out may still take effect.
 	ChangeTimeout = 5 * time.Second
 )
 
-// Bounds of the raft group.
+// Size limits of the raft group.
 const (
-	// MaxPendingProposals are under way at once; further ones get ErrBusy.
+	// MaxPendingProposals limits concurrent proposals; further ones fail with ErrBusy.
 	MaxPendingProposals = 256
-	// MaxCommandSize is the most bytes of one command, the state machine's MaxEntrySize.
+	// MaxCommandSize is the maximum size of one command in bytes. It equals the state machine's MaxEntrySize.
 	MaxCommandSize = 1 << 20
-	// SnapshotThreshold: so many entries after the last, a snapshot is made and the log cut to TrailingLogs. Twice as many:
-	// a restart applies twice as much; half: twice as many writes of whole states.
+	// SnapshotThreshold is the number of new entries after which raft takes a snapshot. With twice the value, a restart
+	// applies twice as many entries; with half, the whole state is written twice as often.
 	SnapshotThreshold = 2048
-	TrailingLogs      = 1024
-	// SnapshotInterval: so often it is looked whether one is due, or after up to twice this.
+	// TrailingLogs is the number of entries that stay in the log after a snapshot.
+	TrailingLogs = 1024
+	// SnapshotInterval is the interval, at random up to twice this value, at which raft checks whether a snapshot is due.
 	SnapshotInterval = 30 * time.Second
-	// MaxBufferedEntries and MaxBufferedBytes: of the entries that Since gives one by one, the oldest go first; who is further behind gets a
-	// snapshot.
+	// MaxBufferedEntries limits the entries in memory that Since returns one by one. The oldest are dropped first; a reader
+	// that needs dropped entries gets a snapshot.
 	MaxBufferedEntries = 4096
-	MaxBufferedBytes   = 4 << 20
+	// MaxBufferedBytes limits the total size of these entries.
+	MaxBufferedBytes = 4 << 20
 )
 
-// Errors. Those that the machine returned come back as they are.
+// Errors of the raft group. Propose returns errors of the state machine unchanged.
 var (
-	// ErrOutcomeUnknown: the proposal may or may not take effect; the same command, with its id, may be proposed again.
-	ErrOutcomeUnknown = errors.New("raftgroup: it is not known whether the proposal was taken")
-	ErrBusy           = errors.New("raftgroup: too many proposals are under way")
-	ErrTooLarge       = errors.New("raftgroup: the command is too large")
-	ErrClosed         = errors.New("raftgroup: closed")
+	// ErrOutcomeUnknown means that the proposal may or may not take effect. The same command, with the same id, may be
+	// proposed again.
+	ErrOutcomeUnknown = errors.New("raftgroup: it is unknown whether the proposal was committed")
+	// ErrBusy means that MaxPendingProposals are pending or that raft did not accept the proposal within EnqueueTimeout.
+	ErrBusy = errors.New("raftgroup: too many proposals are pending")
+	// ErrTooLarge means that a command exceeds MaxCommandSize.
+	ErrTooLarge = errors.New("raftgroup: the command is too large")
+	// ErrClosed means that this voter was closed.
+	ErrClosed = errors.New("raftgroup: closed")
 )
 
-// NotLeaderError is returned where only the leader can do something; it names the leader, if one is known here.
+// NotLeaderError is returned by operations that only the leader can perform. It names the leader if this voter knows one.
 type NotLeaderError struct{ Name, Addr string }
 
 func (e *NotLeaderError) Error() string {
 	if e.Name == "" {
-		return "raftgroup: not the leader, and none is known"
+		return "raftgroup: not the leader, and no leader is known"
 	}
-	return fmt.Sprintf("raftgroup: not the leader, that is %s at %s", e.Name, e.Addr)
+	return fmt.Sprintf("raftgroup: not the leader; the leader is %s at %s", e.Name, e.Addr)
 }
 
-// Machine is what the log is applied to. Apply must be deterministic and returns an error for what it refuses. It is called
-// by one goroutine at a time; use WithLock to read it.
+// Machine is the state machine to which the log is applied. Apply must be deterministic and returns an error for a command
+// that it rejects. Its methods are called by one goroutine at a time; use WithLock to read its state.
 type Machine interface {
 	Apply(index uint64, raw []byte) error
 	Save() ([]byte, error)
@@ -89,36 +100,37 @@
 // Voter names one voter of the raft group and its address.
 type Voter struct{ Name, Addr string }
 
-// Options of a raft group's voter.
+// Options configure one voter of a raft group.
 type Options struct {
 	Name      string
-	Dir       string // of the store; one process at a time
+	Dir       string // directory of the store; used by one process at a time
 	Bind      string // host:port to listen on
-	Advertise string // host:port that others use; empty: as bound
+	Advertise string // host:port that other voters connect to; empty means the bound address
 	Voters    []Voter
-	// Bootstrap sets the first council up with Voters where Dir holds none. All of the first voters may say so, with the same
-	// Voters. A voter whose disk was lost must not: it would forget its votes. It comes back under a new name, see Replace.
+	// Bootstrap writes a first configuration with Voters if Dir holds no raft state. Each of the first voters may set it, with
+	// the same Voters. A voter that lost its disk must not set it, because it would forget its votes; it must rejoin under a new
+	// name, see Replace.
 	Bootstrap bool
 	Machine   Machine
 	Log       *logrus.Entry
 
-	// Stream may go between raft and its connections: encryption, or a test's faults.
+	// Stream optionally wraps raft's connections, for example with encryption or with injected faults in tests.
 	Stream func(raft.StreamLayer) raft.StreamLayer
 
-	// TimeoutFactor multiplies HeartbeatTimeout, ElectionTimeout and LeaderLeaseTimeout, for machines so loaded that a process waits for its turn
-	// for long; 0 is 1. All voters must have the same.
+	// TimeoutFactor multiplies HeartbeatTimeout, ElectionTimeout and LeaderLeaseTimeout, for machines under such load that
+	// processes wait long for CPU time; 0 means 1. All voters must use the same value.
 	TimeoutFactor int
-	// pace is how much slower this voter's clock runs than others', for tests: its times are so much longer. 0 is 1.
+	// pace simulates a slow or fast clock in tests: this voter's timeouts are multiplied by it. 0 means 1.
 	clockFactor float64
 
-	// SnapshotThreshold, TrailingLogs, MaxBufferedEntries: 0 for the constants.
+	// SnapshotThreshold, if not 0, replaces the constants SnapshotThreshold and TrailingLogs by the two fields.
 	SnapshotThreshold, TrailingLogs uint64
-	MaxBufferedEntries              int
+	MaxBufferedEntries              int // 0 means the constant
 	Store                           store.Options
 }
 
-// State is a change of this voter: elected in a term, with all that was committed before applied; no longer leading; or, with
-// Failed, out of the raft group until it is opened again because its store cannot write.
+// State is a change in this voter's role. With Leading, it was elected in Term and has applied all earlier committed entries.
+// Without Leading, it leads no longer. With Failed, its store failed and it has left the raft group until it is opened again.
 type State struct {
 	Leading bool
 	Term    uint64
@@ -133,29 +145,29 @@
 	store          *store.Store
 	trans          *raft.NetworkTransport
 	streamLayer    *streamLayer
-	stream         raft.StreamLayer // around it
+	stream         raft.StreamLayer // streamLayer, wrapped by Options.Stream if set
 	fsm            *fsm
 	proposalSlots  chan struct{}
 	leaderCh       chan bool
 	stateChanges   chan State
 	stop           chan struct{}
-	ready          chan struct{} // closed once raft is set, or never will be
+	ready          chan struct{} // closed once NewRaft has succeeded or failed
 	done           sync.WaitGroup
 	closeOnce      sync.Once
 	shutdownOnce   sync.Once
-	shutdownFuture raft.Future // of raft
+	shutdownFuture raft.Future // of raft's shutdown
 
-	changeMu sync.Mutex // one change of voters at a time
+	changeMu sync.Mutex // held during a change of voters
 
 	mu           sync.Mutex
 	failed       error
-	unresponsive map[string]bool // voters that do not answer this leader
+	unresponsive map[string]bool // voters that do not answer this leader's heartbeats
 }
 
 // Open starts this voter in the raft group. It does not wait for a leader.
 func Open(o Options) (*Group, error) {
 	if o.Name == "" || o.Machine == nil || o.Log == nil {
-		return nil, errors.New("raftgroup: a name, a machine and a log are needed")
+		return nil, errors.New("raftgroup: a name, a machine and a log are required")
 	}
 	c := &Group{
 		options: o, log: o.Log, proposalSlots: make(chan struct{}, MaxPendingProposals), leaderCh: make(chan bool, 16), stateChanges: make(chan State, 16),
@@ -173,7 +185,7 @@
 			return nil, err
 		}
 	}
-	// In a goroutine of its own, which a failing store may end; see failStopStore.
+	// NewRaft runs in its own goroutine because a store failure may end that goroutine; see failStopStore.
 	go func() {
 		defer close(c.ready)
 		defer func() {
@@ -194,7 +206,7 @@
 	return c, nil
 }
 
-// prepared is what a raft is made of.
+// prepared are the parts from which raft is built.
 type components struct {
 	conf          *raft.Config
 	store         *store.Store
@@ -229,7 +241,7 @@
 	if o.SnapshotThreshold > 0 {
 		p.conf.SnapshotThreshold, p.conf.TrailingLogs = o.SnapshotThreshold, o.TrailingLogs
 	}
-	p.conf.ShutdownOnRemove = false // the process decides when it closes its voter
+	p.conf.ShutdownOnRemove = false // the process itself closes its voter
 	p.conf.NoLegacyTelemetry = true
 	p.conf.Logger = log
 
@@ -250,18 +262,19 @@
 	if o.Stream != nil {
 		p.stream = o.Stream(p.streamLayer)
 	}
-	// One request at a time to a voter: with more the engine's sender waits for room that its reader, who left when the
-	// connection broke, never makes, and a voter never ends (the sender can't see the end there). The log moves a few times a second.
+	// MaxRPCsInFlight is 1 because pipelining can deadlock in the raft library: when the connection breaks, the goroutine that
+	// reads responses exits, the sender waits forever for free capacity without noticing a shutdown, and the voter never stops.
+	// Without pipelining the throughput is still sufficient: the log changes only a few times a second.
 	p.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: p.stream, MaxPool: 3, MaxRPCsInFlight: 1, Timeout: IOTimeout, Logger: log,
 	})
 	return p, nil
 }
 
-// Propose puts a command into the log and waits until it was applied here, or until ctx ends. Only the leader can.
+// Propose appends a command to the log and waits until it is applied on this voter or ctx ends. Only the leader can propose.
 func (g *Group) Propose(ctx context.Context, raw []byte) error {
 	if len(raw) > MaxCommandSize {
-		return fmt.Errorf("%w: %d bytes, %d at the most", ErrTooLarge, len(raw), MaxCommandSize)
+		return fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(raw), MaxCommandSize)
 	}
 	if g.raft.State() != raft.Leader {
 		return g.notLeaderError()
@@ -293,11 +306,12 @@
 	}
 }
 
-// ProposeTimeout is how long ProposeWithin waits for the end of one proposal. Twice as long: a place among those under way is held so
-// much longer while there is no majority; half: one that a slow disk takes is not known to have acted.
+// ProposeTimeout limits how long ProposeWithin waits for one proposal. With twice the value, a proposal occupies one of the
+// MaxPendingProposals slots twice as long while there is no majority; with half, the outcome of a proposal on a slow disk is
+// reported as unknown.
 const ProposeTimeout = 3 * time.Second
 
-// ProposeWithin is Propose for ProposeTimeout at the most.
+// ProposeWithin calls Propose with a timeout of ProposeTimeout.
 func (g *Group) ProposeWithin(raw []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), ProposeTimeout)
 	defer cancel()
@@ -310,7 +324,7 @@
 		return g.notLeaderError()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return ErrBusy
-	default: // leadership lost, shut down, a write of the log failed
+	default: // leadership lost, shut down, or a log write failed
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 }
@@ -318,34 +332,35 @@
 func (g *Group) notLeaderError() error {
 	name, addr := g.Leader()
 	if name == g.options.Name {
-		name, addr = "", "" // it is about to step down
+		name, addr = "", "" // this voter is about to step down
 	}
 	return &NotLeaderError{name, addr}
 }
 
-// Leader is the one that this voter believes in, or "".
+// Leader returns the leader that this voter knows, or empty strings.
 func (g *Group) Leader() (name, addr string) {
 	a, id := g.raft.LeaderWithID()
 	return string(id), string(a)
 }
 
-// LastIndex is the index of the newest entry in this voter's log, committed or not; 0 for an empty one.
+// LastIndex returns the index of the newest entry in this voter's log, committed or not; 0 for an empty log.
 func (g *Group) LastIndex() uint64 { return g.raft.LastIndex() }
 
-// Changes tells of elections and their ends; of 16 that nobody took, the oldest goes.
+// Changes returns a channel of state changes. It buffers 16; when it is full, the oldest is dropped.
 func (g *Group) Changes() <-chan State { return g.stateChanges }
 
-// Addr is the address that others are told.
+// Addr returns the address that is advertised to the other voters.
 func (g *Group) Addr() string { return string(g.trans.LocalAddr()) }
 
-// Failed is why this voter is out of the raft group, or nil.
+// Failed returns the store error because of which this voter left the raft group, or nil.
 func (g *Group) Failed() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.failed
 }
 
-// Close stops this voter and leaves its store as it is, without a word; see TransferLeadership for before.
+// Close stops this voter without notifying the others and keeps its store on disk. To give up
+// leadership first, call TransferLeadership.
 func (g *Group) Close() error {
 	var err error
 	g.closeOnce.Do(func() {
@@ -357,11 +372,11 @@
 	return err
 }
 
-// shutdown ends raft once; each caller may wait for it.
+// shutdown stops raft on its first call and returns the future of that shutdown to every caller.
 func (g *Group) shutdown() raft.Future {
 	g.shutdownOnce.Do(func() {
 		g.shutdownFuture = g.raft.Shutdown()
-		_ = g.streamLayer.Close() // so that nothing of raft's waits for a link
+		_ = g.streamLayer.Close() // so that no raft goroutine keeps waiting for a connection
 	})
 	return g.shutdownFuture
 }
--- a/internal/fleet/raftgroup/group_test.go
+++ b/internal/fleet/raftgroup/group_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Not beside the others: it measures.
+// Not parallel because it measures times.
 func TestElectionTimeAfterLeaderCrash(t *testing.T) {
 	for n, kills := range map[int]int{3: 5, 5: 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -26,10 +26,10 @@
 			}
 			sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
 			most := took[len(took)-1]
-			t.Logf("%d voters: leader killed %d times, a new one after %v (middle), %v (most)", n, kills, took[kills/2], most)
-			// On a quiet machine all are under 3 s; one that has ten times as many runnable threads as cores takes longer.
+			t.Logf("%d voters: leader killed %d times, a new one after %v (median), %v (maximum)", n, kills, took[kills/2], most)
+			// On an idle machine each election takes under 3 s; with ten runnable threads per core it takes longer.
 			if took[kills/2] > 3*time.Second || most > 8*time.Second {
-				t.Error("too long")
+				t.Error("the elections took too long")
 			}
 			if s := c.waitUntilEqual(); !strings.Contains(s, fmt.Sprintf(`"word %d"],`, kills-1)) || strings.Count(s, "word") != kills {
 				t.Error(s)
@@ -56,15 +56,15 @@
 				}
 			}
 			c.links.setCut(true, pairs...)
-			err := propose(c.groups[old], "by the one cut off")
+			err := propose(c.groups[old], "by the isolated leader")
 			if err == nil {
-				t.Error("what the one cut off proposed was taken")
+				t.Error("a proposal of the isolated leader was committed")
 			}
 			now, _ := c.leader(old)
 			c.mustPropose(now, "after")
 			var not *NotLeaderError
 			if err := propose(c.groups[old], "again"); !errors.As(err, &not) {
-				t.Errorf("the one cut off: %v", err)
+				t.Errorf("proposal by the isolated leader: %v", err)
 			}
 			c.links.setCut(false, pairs...)
 			if s := c.waitUntilEqual(); !strings.Contains(s, `["before","after"]`) {
@@ -75,7 +75,7 @@
 }
 
 func TestLaggingVoterAndReaderGetSnapshot(t *testing.T) {
-	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
+	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
 	c := newCluster(t, 3, func(o *Options) {
 		o.SnapshotThreshold, o.TrailingLogs, o.MaxBufferedEntries, o.TimeoutFactor = 200, 20, 100, 4
@@ -94,13 +94,13 @@
 		go func() {
 			defer func() { <-room; wait.Done() }()
 			for start := time.Now(); time.Since(start) < 30*time.Second; time.Sleep(time.Millisecond) {
-				for _, s := range c.groups { // the lead may pass on where the machine is loaded
+				for _, s := range c.groups { // the leader may change on a loaded machine
 					if propose(s, fmt.Sprint(i)) == nil {
 						return
 					}
 				}
 			}
-			t.Errorf("%d was not taken", i)
+			t.Errorf("command %d was not committed", i)
 		}()
 	}
 	wait.Wait()
@@ -111,15 +111,15 @@
 		}
 	}
 	s := c.open(behind, false)
-	waitFor(t, "the one behind has all", waitLimit, func() bool { return s.AppliedIndex() == c.groups[lead].AppliedIndex() })
+	waitFor(t, "the lagging voter has applied all entries", waitLimit, func() bool { return s.AppliedIndex() == c.groups[lead].AppliedIndex() })
 	c.waitUntilEqual()
 	s.WithLock(func() {
 		if c.machines[behind.Name].loads == 0 {
-			t.Error("it did not get a snapshot")
+			t.Error("the lagging voter did not load a snapshot")
 		}
 	})
 
-	// One without a vote, from nothing.
+	// A reader without a vote starts from an empty state.
 	copied := &recordingMachine{}
 	at, snapshots, calls := uint64(0), 0, 0
 	for at < c.groups[lead].AppliedIndex() && calls < 100 {
@@ -145,26 +145,26 @@
 		}
 	}
 	if b, _ := copied.Save(); snapshots != 1 || string(b) != c.state(lead) {
-		t.Errorf("%d snapshots; it has other than the leader", snapshots)
+		t.Errorf("%d snapshots, 1 expected; the reader's state may differ from the leader's", snapshots)
 	}
 	if e, s, next := c.groups[lead].Since(1<<40, 100); e != nil || s != nil || next != 1<<40 {
-		t.Error("one ahead got something")
+		t.Error("a reader ahead of the log got entries or a snapshot")
 	}
 }
 
 func TestReplaceAndTransferLeadership(t *testing.T) {
-	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
+	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
 	c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 4 })
 	lead, _ := c.leader("")
 	c.mustPropose(lead, "a")
 	const span = 2 * time.Second
 	before := c.links.bytes.Load()
-	time.Sleep(span) // a rate can only be counted over a time
+	time.Sleep(span) // the rate is measured over this span
 	rate := float64(c.links.bytes.Load()-before) / span.Seconds()
-	t.Logf("3 voters at rest: %.0f bytes/s over both links", rate)
+	t.Logf("3 idle voters: %.0f bytes/s over both links", rate)
 	if rate > 20_000 {
-		t.Error("too many")
+		t.Error("idle voters send too many bytes")
 	}
 	var others []string
 	for _, v := range c.voters {
@@ -177,7 +177,7 @@
 	c.open(v3, false)
 	var not *NotLeaderError
 	if err := c.groups[others[0]].Replace(others[1], v3); !errors.As(err, &not) || not.Name != lead {
-		t.Errorf("by another than the leader: %v", err)
+		t.Errorf("Replace on a follower: %v", err)
 	}
 	if err := c.groups[lead].Replace(lead, v3); !errors.Is(err, ErrReplaceSelf) {
 		t.Error(err)
@@ -193,21 +193,21 @@
 	c.close(others[0])
 	c.mustPropose(lead, "b")
 
-	// One is silent: another cannot be replaced then, but it can.
+	// While one voter does not respond, no other voter can be replaced, but that one can.
 	c.close(others[1])
-	waitFor(t, "its silence is seen", waitLimit, func() bool {
+	waitFor(t, "the leader notices that the voter does not respond", waitLimit, func() bool {
 		c.groups[lead].mu.Lock()
 		defer c.groups[lead].mu.Unlock()
 		return c.groups[lead].unresponsive[others[1]]
 	})
 	if now, _ := c.leader(""); now != lead {
-		t.Fatalf("the lead passed from %s to %s by itself: the machine is too loaded for this test", lead, now)
+		t.Fatalf("leadership moved from %s to %s without a transfer: the machine is too loaded for this test", lead, now)
 	}
 	v4 := Voter{"v4", freeAddr(t)}
 	c.voters = append(c.voters, v4)
 	c.open(v4, false)
 	if err := c.groups[lead].Replace("v3", v4); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("with one silent: %v", err)
+		t.Errorf("Replace while another voter does not respond: %v", err)
 	}
 	if err := c.groups[lead].Replace(others[1], v4); err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 		t.Fatal(err)
 	}
 	now, took := c.leader(lead)
-	t.Logf("handed over in %v", took)
+	t.Logf("leadership transferred in %v", took)
 	c.close(lead)
 	if err := c.groups[now].Replace(lead, Voter{}); !errors.Is(err, ErrNoQuorum) && err != nil {
 		t.Error(err)
@@ -260,13 +260,13 @@
 			c.close(name)
 		}
 	}
-	try(c.options(c.voters[0]), nil, 0, Voter{"n1", freeAddr(t)}, Voter{"n2", freeAddr(t)}) // one that survived
+	try(c.options(c.voters[0]), nil, 0, Voter{"n1", freeAddr(t)}, Voter{"n2", freeAddr(t)}) // from the directory of a surviving voter
 	try(c.options(Voter{"m0", freeAddr(t)}), snapshot, at, Voter{"m1", freeAddr(t)}, Voter{"m2", freeAddr(t)})
 	if err := Restore(c.options(Voter{"m0", freeAddr(t)}), snapshot, at); err == nil || !strings.Contains(err.Error(), "holds a raft group already") {
 		t.Error(err)
 	}
 	if err := Restore(c.options(Voter{"e", freeAddr(t)}), []byte("torn"), at); err == nil {
-		t.Error("a torn snapshot was taken")
+		t.Error("a torn snapshot was restored")
 	}
 	if err := Restore(c.options(Voter{"f", freeAddr(t)}), nil, 0); err == nil || !strings.Contains(err.Error(), "holds no raft group") {
 		t.Error(err)
@@ -282,15 +282,15 @@
 	c.mustPropose(lead, "x")
 	breakDisk(lead)
 	if err := propose(c.groups[lead], "on a broken disk"); err == nil {
-		t.Error("taken")
+		t.Error("a proposal was committed on a broken disk")
 	}
-	waitFor(t, "it says so", waitLimit, func() bool { return c.groups[lead].Failed() != nil })
+	waitFor(t, "the leader reports the failure", waitLimit, func() bool { return c.groups[lead].Failed() != nil })
 	now, _ := c.leader(lead)
 	c.mustPropose(now, "y")
 	c.close(lead)
 	c.open(c.voter(lead), false)
 	c.waitUntilEqual()
-	// One that must note a new term and cannot, where raft itself would panic.
+	// A follower that cannot persist a new term must leave the group; raft alone would panic.
 	lead, _ = c.leader("")
 	other := "v0"
 	if lead == other {
@@ -298,7 +298,7 @@
 	}
 	breakDisk(other)
 	c.close(lead)
-	waitFor(t, "the other says so", waitLimit, func() bool { return c.groups[other].Failed() != nil })
+	waitFor(t, "the follower reports the failure", waitLimit, func() bool { return c.groups[other].Failed() != nil })
 	c.close(other)
 	c.open(c.voter(other), false)
 	c.leader("")
--- a/internal/fleet/raftgroup/leadership.go
+++ b/internal/fleet/raftgroup/leadership.go
@@ -4,7 +4,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// announce tells of elections, once what was committed before is applied.
+// announce publishes changes of leadership. It reports that this voter leads only after all earlier committed entries
+// are applied.
 func (g *Group) watchLeadership() {
 	defer g.done.Done()
 	leading, announced := false, false
@@ -27,12 +28,13 @@
 				announced = true
 				g.publish(State{Leading: true, Term: term})
 			} else if g.raft.State() != raft.Leader {
-				break // the end is on its way
+				break // raft will send false on leaderCh
 			}
 		}
 	}
 }
 
+// publish sends a state change and drops the oldest ones if the channel is full.
 func (g *Group) publish(s State) {
 	for {
 		select {
@@ -47,7 +49,7 @@
 	}
 }
 
-// fail takes this voter out of the raft group: its store cannot be relied on.
+// fail takes this voter out of the raft group because its store is no longer reliable.
 func (g *Group) fail(err error) {
 	g.mu.Lock()
 	first := g.failed == nil
@@ -58,7 +60,7 @@
 	if !first {
 		return
 	}
-	g.log.Errorf("out of the raft group until opened again: %v", err)
+	g.log.Errorf("the store failed, this voter leaves the raft group until it is opened again: %v", err)
 	g.publish(State{Failed: err})
 	go func() {
 		if <-g.ready; g.raft != nil {
@@ -67,7 +69,8 @@
 	}()
 }
 
-// observe notes which voters answer this leader. It is called by raft and keeps nothing.
+// observe records which voters respond to this leader. Raft calls it as an observer's filter; it returns false so that no
+// observation is queued.
 func (g *Group) observe(o *raft.Observation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/raftgroup/propose_test.go
+++ b/internal/fleet/raftgroup/propose_test.go
@@ -15,10 +15,10 @@
 	if st := <-s.Changes(); !st.Leading || st.Term == 0 {
 		t.Errorf("%+v", st)
 	}
-	if err := propose(s, "refused"); err == nil || err.Error() != "the machine refuses" {
+	if err := propose(s, "refused"); err == nil || err.Error() != "the machine rejects it" {
 		t.Error(err)
 	}
-	if err := propose(s, "panic"); err == nil || !strings.Contains(err.Error(), "at a loss") {
+	if err := propose(s, "panic"); err == nil || !strings.Contains(err.Error(), "test panic") {
 		t.Error(err)
 	}
 	if err := propose(s, strings.Repeat("x", MaxCommandSize+1)); !errors.Is(err, ErrTooLarge) {
@@ -28,12 +28,12 @@
 	select {
 	case <-s.Updates():
 	case <-time.After(waitLimit):
-		t.Error("no news")
+		t.Error("no update after a proposal")
 	}
-	if err := s.TransferLeadership(); err == nil || !strings.Contains(err.Error(), "nobody took the lead") {
+	if err := s.TransferLeadership(); err == nil || !strings.Contains(err.Error(), "no other voter took over leadership") {
 		t.Error(err)
 	}
 	if _, err := Open(c.options(c.voters[0])); err == nil {
-		t.Error("two seats in one directory")
+		t.Error("two voters opened one directory")
 	}
 }
--- a/internal/fleet/raftgroup/replace_test.go
+++ b/internal/fleet/raftgroup/replace_test.go
@@ -15,10 +15,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A voter is replaced while something fails at the new one, and the call is made again until it has come to pass, as the
-// leader does every few seconds: in the end the voters are the wanted ones and all have each word once.
+// A voter is replaced while the new one fails, and Replace is repeated until it succeeds, as the leader does every few seconds.
+// In the end the voters are the expected ones and all hold each command once.
 func TestReplaceUnderFaults(t *testing.T) {
-	// Long: one scenario on one cluster, whose steps build on each other in the order that they are told.
+	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
 	for _, kind := range []string{"repeated", "cut to the new one", "cut from the new one", "cut both", "crash, disk kept", "late"} {
 		t.Run(kind, func(t *testing.T) {
@@ -52,7 +52,7 @@
 				t.Log(err)
 			}
 			if err := propose(c.groups[lead], "b"); err != nil {
-				t.Logf("while it fails: %v", err)
+				t.Logf("proposal during the fault: %v", err)
 			}
 			c.links.setCut(false, cut...)
 			c.links.writeDelay.Store(0)
@@ -60,7 +60,7 @@
 				c.open(next, false)
 			}
 			var names []string
-			waitFor(t, "the voters are the wanted ones", waitLimit, func() bool {
+			waitFor(t, "the voters are the expected ones", waitLimit, func() bool {
 				lead, _ = c.leader("")
 				if lead == old {
 					_ = c.groups[lead].TransferLeadership()
@@ -82,10 +82,10 @@
 				return err == nil && len(names) == 3 && !strings.Contains(fmt.Sprint(names), old)
 			})
 			if fmt.Sprint(names) != fmt.Sprint(votersWithout(old)) {
-				t.Errorf("%v vote", names)
+				t.Errorf("unexpected voters %v", names)
 			}
 			c.close(old)
-			waitFor(t, "a word is taken", waitLimit, func() bool {
+			waitFor(t, "a command is committed", waitLimit, func() bool {
 				lead, _ = c.leader("")
 				return propose(c.groups[lead], "c") == nil
 			})
@@ -106,7 +106,7 @@
 	return out
 }
 
-// kept is what is logged.
+// kept collects log output.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -118,10 +118,11 @@
 	return k.b.Write(p)
 }
 
-// A voter whose majority is lost tries for it without end and writes at most one line of a kind in each window.
+// A voter without a majority retries elections without end. It must log at most one line of each kind per window of the log
+// adapter.
 func TestLogRateWithoutQuorum(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it waits for over two windows of the log")
+		t.Skip("takes longer than two windows of the log adapter")
 	}
 	t.Parallel()
 	const span = 22 * time.Second
@@ -137,11 +138,11 @@
 	c.leader("")
 	c.close("v1")
 	c.close("v2")
-	waitFor(t, "it stands for election", waitLimit, func() bool { return c.groups["v0"].raft.State() == raft.Candidate })
+	waitFor(t, "the voter is a candidate", waitLimit, func() bool { return c.groups["v0"].raft.State() == raft.Candidate })
 	out.mu.Lock()
 	out.b.Reset()
 	out.mu.Unlock()
-	time.Sleep(span) // lines can only be counted over a time
+	time.Sleep(span) // lines are counted over this span
 	var not *NotLeaderError
 	if err := propose(c.groups["v0"], "alone"); !errors.As(err, &not) {
 		t.Error(err)
--- a/internal/fleet/raftgroup/restore.go
+++ b/internal/fleet/raftgroup/restore.go
@@ -10,25 +10,25 @@
 	"github.com/hashicorp/raft"
 )
 
-// Restore is the written step for when a majority of the raft group is lost for good, with no voter open on o.Dir. It leaves there
-// a raft group of one, o.Name at o.Advertise (or o.Bind); opened, it leads at once, and Replace("", voter) adds the others, one at a
-// time, each with an empty directory.
+// Restore recovers a raft group whose majority is permanently lost. No voter may be open on o.Dir. Restore writes a raft group
+// of one voter there, o.Name at o.Advertise (or o.Bind). Once opened, that voter leads at once, and Replace("", voter) adds the
+// others one at a time, each with an empty directory.
 //
-// Without a snapshot it goes on from what o.Dir holds: a voter that survived. Entries that only the lost ones had are
-// gone, and one that was not committed may become so. With a snapshot (what Since or a state machine's Save gave at some
-// co-ordinator, and its index) the directory must hold no council.
+// Without a snapshot, Restore continues from the state of a surviving voter in o.Dir. Entries that only the lost voters held
+// are lost, and an entry that was not committed may become committed. With a snapshot (returned by Since or by a state
+// machine's Save on any co-ordinator) and its index, o.Dir must not hold a raft group.
 //
-// Co-ordinators without a vote may be ahead of it, and the lost voters' disks may come back: they hold what no longer is. To
-// tell the machine's state from theirs is up to what o.Machine saves.
+// Co-ordinators without a vote may be ahead of the restored state, and disks of lost voters may reappear; both then hold
+// obsolete state. The state that o.Machine saves must make it possible to tell the restored state from theirs.
 func Restore(o Options, snapshot []byte, at uint64) (err error) {
 	addr := o.Advertise
 	if addr == "" {
 		addr = o.Bind
 	}
 	if o.Name == "" || o.Machine == nil || o.Log == nil || addr == "" {
-		return errors.New("raftgroup: a name, an address, a machine and a log are needed")
+		return errors.New("raftgroup: a name, an address, a machine and a log are required")
 	}
-	o.Bind = "127.0.0.1:0" // nobody is talked to
+	o.Bind = "127.0.0.1:0" // no connection is made
 	o.Advertise, o.Stream = addr, nil
 	p, err := newComponents(o, func(error) {})
 	if err != nil {
@@ -45,9 +45,9 @@
 			return fmt.Errorf("raftgroup: %s holds a raft group already; a snapshot is restored into an empty directory", o.Dir)
 		}
 		if at == 0 {
-			return errors.New("raftgroup: the snapshot's index is needed")
+			return errors.New("raftgroup: the index of the snapshot is required")
 		}
-		// Checked by the machine before anything is written.
+		// The machine checks the snapshot before anything is written.
 		raw := append(binary.BigEndian.AppendUint64([]byte{snapshotVersion}, at), snapshot...)
 		if err := newFSM(o).Restore(io.NopCloser(bytes.NewReader(raw))); err != nil {
 			return err
@@ -68,14 +68,14 @@
 	return nil
 }
 
-// bootstrap writes the first configuration where there is no council yet.
+// bootstrap writes the first configuration if o.Dir holds no raft state.
 func bootstrap(o Options, p *components) error {
 	has, err := raft.HasExistingState(p.store, p.store, p.snaps)
 	if err != nil || has {
 		return err
 	}
 	if n := len(o.Voters); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("raftgroup: %d voters, 1, 3 or 5 are wanted", n)
+		return fmt.Errorf("raftgroup: %d voters are configured, 1, 3 or 5 are required", n)
 	}
 	var first raft.Configuration
 	self := false
@@ -84,7 +84,7 @@
 		self = self || v.Name == o.Name
 	}
 	if !self {
-		return fmt.Errorf("raftgroup: %s is none of the voters", o.Name)
+		return fmt.Errorf("raftgroup: %s is not in the list of voters", o.Name)
 	}
 	if err := raft.BootstrapCluster(p.conf, p.store, p.store, p.snaps, p.trans, first); err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
--- a/internal/fleet/raftgroup/transport.go
+++ b/internal/fleet/raftgroup/transport.go
@@ -11,14 +11,16 @@
 	"birchcart/internal/fleet/sourceaddr"
 )
 
-// MaxConns connections are open at once, both ways; further ones are refused. Raft holds up to some 10 to each voter.
+// MaxConns limits open connections, incoming and outgoing together; further ones are refused. Raft holds up to about 10 to
+// each voter.
 const MaxConns = 128
 
-// streamLayer is raft's TCP layer. Raft leaves its connections open when it ends; this closes them.
+// streamLayer implements raft.StreamLayer over TCP. It tracks all connections and closes them in Close, because raft leaves
+// them open when it shuts down.
 type streamLayer struct {
 	net.Listener
 	addr     net.Addr
-	sourceIP net.IP // where it listens
+	sourceIP net.IP // address it listens on, also used as the source of outgoing connections
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
@@ -72,14 +74,14 @@
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= MaxConns {
 		conn.Close()
-		return nil, fmt.Errorf("raftgroup: %d connections are open, closing: %v", len(s.conns), s.closed)
+		return nil, fmt.Errorf("raftgroup: connection refused: %d are open, closed: %v", len(s.conns), s.closed)
 	}
 	c := &trackedConn{conn, s}
 	s.conns[c] = true
 	return c, nil
 }
 
-// Close ends the listening and all connections. It may be called again.
+// Close closes the listener and all connections. It may be called more than once.
 func (s *streamLayer) Close() error {
 	s.mu.Lock()
 	first := !s.closed
--- a/internal/fleet/raftgroup/verify.go
+++ b/internal/fleet/raftgroup/verify.go
@@ -1,7 +1,7 @@
 package raftgroup
 
-// Verify asks a majority whether this voter still leads. With nil it did after the call began, so no other led before
-// then; it takes one round to the voters, and LeaderLeaseTimeout at the most.
+// Verify asks a majority whether this voter is still the leader. If it returns nil, this voter led at some time after the call
+// began, so no other voter had replaced it before that. It takes one round trip to the voters and at most LeaderLeaseTimeout.
 func (g *Group) Verify() error {
 	if err := g.raft.VerifyLeader().Error(); err != nil {
 		return g.wrapRaftError(err)
