--- a/internal/fleet/store/archive.go
+++ b/internal/fleet/store/archive.go
@@ -8,7 +8,8 @@
 	"path/filepath"
 )
 
-// Archive moves the raft group's files into a folder of that name beside them, so that no voter opens them again. They are kept.
+// Archive moves the raft group's files in dir to a new subdirectory, so that no voter opens them again. The files are kept. The
+// subdirectory is called name, or name-2 and so on if that exists.
 func Archive(dir, name string) error {
 	to := filepath.Join(dir, name)
 	for i := 2; ; i++ {
@@ -29,5 +30,5 @@
 	return nil
 }
 
-// MaxArchives of one name; one more needs an operator to remove them.
+// MaxArchives limits the archives with the same name. Beyond it, Archive fails until an operator removes some.
 const MaxArchives = 8
--- a/internal/fleet/store/archive_test.go
+++ b/internal/fleet/store/archive_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What an outlived seat leaves is kept, and no seat finds it.
+// Archive must keep the files of each earlier voter in the directory and fail after MaxArchives.
 func TestArchiveKeepsFilesUpToLimit(t *testing.T) {
 	dir := t.TempDir()
 	for range MaxArchives {
@@ -21,6 +21,6 @@
 		t.Errorf("%v", left)
 	}
 	if Archive(dir, "era-1") == nil {
-		t.Error("without end")
+		t.Error("more than MaxArchives archives were made")
 	}
 }
--- a/internal/fleet/store/inspect.go
+++ b/internal/fleet/store/inspect.go
@@ -9,8 +9,9 @@
 	"os"
 )
 
-// bbolt maps its file and believes the lengths that its head pages state: one that was cut short would end the process at the
-// first touch past its end. So the two head pages are read as plain bytes first.
+// Layout of bbolt's two meta pages. bbolt maps its file into memory and trusts the sizes in the meta pages: with a truncated
+// file, the first access past its end would kill the process. checkMetaPages therefore reads the meta pages with plain file
+// reads first.
 const (
 	metaMagic      = 0xED0CDAED
 	metaFormat     = 2
@@ -18,7 +19,7 @@
 	metaSize       = 64 // magic 4, version 4, page size 4, flags 4, root 16, freelist 8, pages 8, txid 8, sum 8
 )
 
-// inspect says whether the file is to be made (none yet), or refuses it in words.
+// inspect reports whether the file does not exist yet, and returns an error if it is truncated or damaged.
 func checkMetaPages(path string) (fresh bool, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -35,7 +36,7 @@
 	size := info.Size()
 	var newest, pages, pageSize uint64
 	heads := 0
-	for _, at := range []int64{0, 4096, 8192, 16384, 32768, 65536} { // the second head page is at one page's size
+	for _, at := range []int64{0, 4096, 8192, 16384, 32768, 65536} { // the second meta page is at the page size
 		if at != 0 && pageSize != 0 && uint64(at) != pageSize {
 			continue
 		}
@@ -58,12 +59,12 @@
 			pageSize = uint64(binary.NativeEndian.Uint32(b[8:]))
 		}
 	}
-	// With one of them bbolt would go on from the write before the last, and what was acknowledged since would be gone.
+	// With only one valid meta page, bbolt would open the state before the last write and lose what was acknowledged since.
 	if heads < 2 {
-		return false, fmt.Errorf("%w: %s has %d whole head pages of 2 in %d bytes", ErrTorn, path, heads, size)
+		return false, fmt.Errorf("%w: %s has %d valid meta pages of 2 in %d bytes", ErrTorn, path, heads, size)
 	}
 	if pages >= 1<<40 || uint64(size) < pages*pageSize {
-		return false, fmt.Errorf("%w: %s has %d bytes and says it has %d pages of %d", ErrTorn, path, size, pages, pageSize)
+		return false, fmt.Errorf("%w: %s has %d bytes, its meta page states %d pages of %d bytes", ErrTorn, path, size, pages, pageSize)
 	}
 	return false, nil
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps the raft group's log and votes on disk: raft's log and stable store in one bbolt file, and its
-// snapshots in files beside it. What it has acknowledged is on disk (an fsync for each write); what it cannot write it
-// says, and from then on writes nothing more: after a failed write nobody knows what the file holds, and a voter
-// that went on could vote twice or lose what it promised. Opened again, the file tells what it holds.
+// Package store persists the raft group's log and votes: raft's log store and stable store in one bbolt file, and its snapshots
+// in files beside it. Each write is synced to disk before it is acknowledged. After a failed write, the store rejects all
+// further writes until it is opened again: the contents of the file are then uncertain, and a voter that continued could vote
+// twice or lose acknowledged entries. Open reads the file and checks what it holds.
 package store
 
 import (
@@ -22,36 +22,36 @@
 )
 
 const (
-	// Version of the file and of each entry in it. A newer one is refused.
+	// Version is the format version of the file and of each entry in it. Newer versions are rejected.
 	Version = 1
 
-	// File is the name of the log's file in its directory. It keeps the name that earlier versions wrote, so that
-	// their directories are read as they are.
+	// File is the name of the bbolt file in the store's directory. It stays the same as in earlier versions, so that their
+	// directories can be opened unchanged.
 	File = "council.db"
 
-	// SnapshotDir is the name of the folder of snapshots beside it.
+	// SnapshotDir is the name of the directory of snapshots beside File.
 	SnapshotDir = "snapshots"
-	// LockFile is what a process holds while it has the directory.
+	// LockFile is the name of the file that a process locks while it uses the directory.
 	LockFile = "council.lock"
 
-	// MaxSize is the most the file grows to, in bytes. Snapshots keep the log to some ten thousand entries, so it
-	// is reached only if no snapshot can be written for long; then writes fail and this voter stops voting. Twice
-	// as large: a full disk comes first; half: long bursts of large commands come near it.
+	// MaxSize is the maximum size of the file in bytes. Snapshots limit the log to about ten thousand entries, so the file
+	// reaches MaxSize only if no snapshot can be written for a long time; then writes fail and this voter stops voting. With
+	// twice the value, the disk is full first; with half, long bursts of large commands come close to the limit.
 	MaxSize = 256 << 20
 
-	// LockWait is how long Open waits for another process to let go of the file. Longer only hides that two
-	// processes were started in one directory; shorter than a process's end takes, a quick restart fails.
+	// LockWait is how long Open waits for another process to release the lock. A longer wait only hides that two processes
+	// were started in one directory; with a wait shorter than the shutdown of a process, a quick restart fails.
 	LockWait = 3 * time.Second
 
-	// SnapshotsRetained is how many snapshots stay on disk: the newest and the one before it, in case the newest is torn.
+	// SnapshotsRetained is the number of snapshots kept on disk: the newest, and the previous one in case the newest is torn.
 	SnapshotsRetained = 2
 )
 
-// Errors of the store. All others wrap what the disk said.
+// Errors of the store. All other errors wrap an error of the operating system or of bbolt.
 var (
-	ErrFailed = errors.New("store: an earlier write failed, nothing more is written until it is opened again")
+	ErrFailed = errors.New("store: an earlier write failed, all writes are rejected until the store is opened again")
 	ErrTorn   = errors.New("store: the file is torn or damaged")
-	ErrNewer  = errors.New("store: the file is of a newer version")
+	ErrNewer  = errors.New("store: the file has a newer version")
 )
 
 var (
@@ -64,25 +64,25 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Store is raft.LogStore and raft.StableStore.
+// Store implements raft.LogStore and raft.StableStore.
 type Store struct {
 	db      *bolt.DB
-	dirLock *os.File // the lock of its directory
+	dirLock *os.File // locked LockFile
 
 	mu     sync.Mutex
-	failed error // the first failed write
+	failed error // error of the first failed write
 }
 
-// Options of a store that only tests set.
+// Options configure a store. Only tests set them.
 type Options struct {
 	OpenFile func(name string, flag int, mode os.FileMode) (*os.File, error)
-	MaxSize  int           // 0: MaxSize
-	LockWait time.Duration // 0: LockWait
+	MaxSize  int           // 0 means the constant MaxSize
+	LockWait time.Duration // 0 means the constant LockWait
 }
 
-// Open opens or makes the store in a directory. What is there is read and checked as a whole and written anew (which
-// also gives back the room of what was compacted), so nothing is believed of the file that has no sum. ErrTorn and ErrNewer
-// say why one is refused, and it is left as it is.
+// Open opens the store in a directory, or creates it. It reads and checks an existing file completely and copies its contents
+// to a new file, so that no part of the file without a checksum is trusted; this also reclaims the space of compacted entries.
+// A file that is rejected with ErrTorn or ErrNewer is left unchanged.
 func Open(dir string, o Options) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -148,7 +148,7 @@
 	return openFile(path, o, false)
 }
 
-// lockDir takes the directory for this process, waiting up to wait for another to let it go.
+// lockDir locks the directory for this process. It waits up to wait for another process to release it.
 func lockDir(path string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return s, nil
 }
 
-// copyTo reads all of an old file, checks it, and writes it into a new one.
+// copyTo reads and checks the whole store and copies it to another one.
 func (s *Store) copyTo(to *Store) error {
 	return s.read(func(tx *bolt.Tx) error {
 		meta, entries, stable := tx.Bucket(bucketMeta), tx.Bucket(bucketLog), tx.Bucket(bucketStable)
@@ -190,7 +190,7 @@
 			return fmt.Errorf("%w: no version", ErrTorn)
 		}
 		if n := binary.BigEndian.Uint64(v); n != Version {
-			return fmt.Errorf("%w: %d, this program knows %d", ErrNewer, n, Version)
+			return fmt.Errorf("%w: version %d, this program supports %d", ErrNewer, n, Version)
 		}
 		values := 0
 		if err := stable.ForEach(func(k, v []byte) error {
@@ -204,7 +204,7 @@
 			return err
 		}
 		if n := meta.Get(keyValueCount); len(n) != 8 || binary.BigEndian.Uint64(n) != uint64(values) {
-			return fmt.Errorf("%w: it holds %d values and noted %x", ErrTorn, values, n)
+			return fmt.Errorf("%w: it holds %d values, the recorded count is %x", ErrTorn, values, n)
 		}
 		var first, last uint64
 		var batch []*raft.Log
@@ -218,7 +218,7 @@
 				return err
 			}
 			if last != 0 && l.Index != last+1 {
-				return fmt.Errorf("%w: entry %d after %d", ErrTorn, l.Index, last)
+				return fmt.Errorf("%w: entry %d follows entry %d", ErrTorn, l.Index, last)
 			}
 			if first == 0 {
 				first = l.Index
@@ -232,18 +232,20 @@
 			return err
 		}
 		if noted := meta.Get(keyBounds); string(noted) != string(encodeBounds(first, last)) {
-			return fmt.Errorf("%w: it holds entries %d to %d and noted others (%x)", ErrTorn, first, last, noted)
+			return fmt.Errorf("%w: it holds entries %d to %d, the recorded bounds differ (%x)", ErrTorn, first, last, noted)
 		}
 		return flush()
 	})
 }
 
-// ends notes the first and last entry beside the log, in the same write, so that a log cut short is seen.
+// ends encodes the indexes of the first and last entry. They are stored in the same transaction as the log, so that
+// missing entries at either end are detected.
 func encodeBounds(first, last uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
 }
 
-// recordBounds notes that, and how many values there are, which raft adds to once or twice.
+// recordBounds stores the bounds of the log and the number of stable values. Counting the values is cheap: raft creates only a
+// few.
 func recordBounds(tx *bolt.Tx) error {
 	c := tx.Bucket(bucketLog).Cursor()
 	var first, last uint64
@@ -264,14 +266,14 @@
 	return meta.Put(keyBounds, encodeBounds(first, last))
 }
 
-// Failed is the first write that failed, or nil.
+// Failed returns the error of the first write that failed, or nil.
 func (s *Store) Failed() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// Close ends the use of the file.
+// Close closes the file and releases the directory lock.
 func (s *Store) Close() error {
 	err := recoverFaults(s.db.Close)
 	if s.dirLock != nil {
@@ -280,7 +282,7 @@
 	return err
 }
 
-// Size is the file's size in bytes.
+// Size returns the size of the file in bytes.
 func (s *Store) Size() (n int64) {
 	_ = s.read(func(tx *bolt.Tx) error { n = tx.Size(); return nil })
 	return n
@@ -303,7 +305,8 @@
 	return recoverFaults(func() error { return s.db.View(f) })
 }
 
-// guard makes errors of bbolt's panics and of faults in its mapped file, which a damaged file or a bad disk may raise.
+// guard converts panics of bbolt and memory faults in its mapped file into errors. A damaged file or a failing disk can
+// cause both.
 func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -314,7 +317,7 @@
 	return f()
 }
 
-// Snapshots is raft's own store of snapshots in files, which checks their sums, in the same directory.
+// Snapshots opens raft's file snapshot store in the same directory. It verifies the checksums of snapshots.
 func Snapshots(dir string, log hclog.Logger) (*raft.FileSnapshotStore, error) {
 	s, err := raft.NewFileSnapshotStoreWithLogger(dir, SnapshotsRetained, log)
 	if err != nil {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -38,10 +38,10 @@
 	return &raft.Log{Index: i, Term: 1 + i/100, Data: []byte(strings.Repeat(strconv.FormatUint(i, 10)+" ", int(i%40)))}
 }
 
-// child writes until it is killed and says what was acknowledged: "last first term". With a limit, it says each
-// error, and ends at a success after one.
+// child runs in a child process. It writes until it is killed and prints what was acknowledged as
+// "acked last first term". With a limit, it prints the first error, checks that the next write fails as well, and returns.
 func writeUntilKilled(dir string) {
-	// Long: the child process's whole script, which the test that kills it reads line by line in this order.
+	// This is the complete program of the child process; runChild parses its output line by line.
 	o := Options{}
 	limit := os.Getenv("STORE_LIMIT")
 	var file *os.File
@@ -68,7 +68,7 @@
 	}
 	rng := rand.New(rand.NewSource(time.Now().UnixNano()))
 	for step := 0; ; step++ {
-		if kind == "step" && step == n { // from here on each write of the file fails
+		if kind == "step" && step == n { // from here on, all writes to the file fail
 			null, _ := os.Open(os.DevNull)
 			_ = syscall.Dup3(int(null.Fd()), int(file.Fd()), 0)
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// play runs a child, kills it after a time, and gives what it acknowledged last.
+// play runs a child process, kills it after a time, and returns what it acknowledged last and its other output.
 func runChild(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, said string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
@@ -122,7 +122,7 @@
 	lines := bufio.NewScanner(out)
 	var kill *time.Timer
 	for lines.Scan() {
-		if kill == nil { // the time counts from its first word
+		if kill == nil { // the time counts from the first line of output
 			kill = time.AfterFunc(after, func() { _ = c.Process.Kill() })
 		}
 		if _, err := fmt.Sscanf(lines.Text(), "acked %d %d %d", &last, &first, &term); err != nil {
@@ -211,7 +211,7 @@
 			break
 		}
 		if i > 16 {
-			t.Fatal("over its most")
+			t.Fatal("the file exceeds its maximum size")
 		}
 	}
 	if s.Failed() == nil || s.Size() > 1<<20 {
@@ -247,7 +247,7 @@
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := Open(dir, Options{}); err == nil && n == len(whole)/2 { // only pages that nothing used are gone
+		if s, err := Open(dir, Options{}); err == nil && n == len(whole)/2 { // only unused pages are missing
 			s.Close()
 			checkStore(t, dir, 200, 1, 7)
 		} else if !errors.Is(err, ErrTorn) {
@@ -270,11 +270,11 @@
 			continue
 		}
 		s.Close()
-		checkStore(t, dir, 200, 1, 7) // in pages that nothing uses, or refused: nothing else
+		checkStore(t, dir, 200, 1, 7) // the damage must be in unused pages
 	}
 	t.Logf("%d of 60 damaged files refused, the others whole", refused)
 	if refused < 8 {
-		t.Error("too few refused for the test to mean something")
+		t.Error("too few files were refused for a meaningful test")
 	}
 }
 
@@ -288,7 +288,7 @@
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "2, this program knows 1") {
+	if _, err := Open(dir, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "version 2, this program supports 1") {
 		t.Errorf("%v", err)
 	}
 }
@@ -305,7 +305,7 @@
 	}
 }
 
-// snapshotOnFullDisk writes a snapshot, one more that the disk has no room for, and one after there is room again.
+// snapshotOnFullDisk writes a snapshot, several that do not fit on the disk, and one after the disk has space again.
 func snapshotOnFullDisk(dir string) error {
 	snaps, err := Snapshots(dir, hclog.NewNullLogger())
 	if err != nil {
@@ -345,9 +345,9 @@
 	if err := errors.Join(write(5, 50<<10), newest(5, 50<<10), limit(100<<10)); err != nil {
 		return err
 	}
-	for index := uint64(6); index < 12; index++ { // more than are kept
+	for index := uint64(6); index < 12; index++ { // more than SnapshotsRetained
 		if write(index, 300<<10) == nil {
-			return errors.New("a snapshot was taken that the disk has no room for")
+			return errors.New("a snapshot that does not fit on the disk was written")
 		}
 		if err := newest(5, 50<<10); err != nil {
 			return err
@@ -356,7 +356,7 @@
 	return errors.Join(limit(1<<40), write(12, 300<<10), newest(12, 300<<10))
 }
 
-// A snapshot that the disk has no room for is an error, and leaves the one before as the newest.
+// Writing a snapshot that does not fit on the disk must fail and leave the previous snapshot as the newest.
 func TestSnapshotOnFullDisk(t *testing.T) {
 	if _, _, _, said := runChild(t, t.TempDir(), "snapshot", time.Minute); said != "<nil>\n" {
 		t.Error(said)
