--- a/internal/fleet/raftgroup/change.go
+++ b/internal/fleet/raftgroup/change.go
@@ -42,11 +42,11 @@
 	if err := g.checkCanReplace(old); err != nil {
 		return err
 	}
-	now, err := g.Voters()
+	voters, err := g.Voters()
 	if err != nil {
 		return err
 	}
-	steps, err := g.planReplace(now, old, with)
+	steps, err := g.planReplace(voters, old, with)
 	if err != nil {
 		return err
 	}
@@ -74,58 +74,58 @@
 
 // planReplace returns the steps that replace old by with, in order. It fails if after a step the voters that respond now would
 // not form a quorum.
-func (g *Group) planReplace(now []Voter, old string, with Voter) ([]func() error, error) {
-	addresses := make(map[string]string, len(now))
-	for _, voter := range now {
+func (g *Group) planReplace(voters []Voter, old string, with Voter) ([]func() error, error) {
+	addresses := make(map[string]string, len(voters))
+	for _, voter := range voters {
 		addresses[voter.Name] = voter.Addr
 	}
-	_, drop := addresses[old]
-	addr, there := addresses[with.Name]
-	add := with.Name != "" && !there
-	if there && addr != with.Addr {
+	_, remove := addresses[old]
+	addr, exists := addresses[with.Name]
+	add := with.Name != "" && !exists
+	if exists && addr != with.Addr {
 		return nil, fmt.Errorf("raftgroup: %s is already a voter at %s; a new voter needs a new name", with.Name, addr)
 	}
-	size := len(now)
-	answer, oldSilent := g.countResponsive(addresses, old)
-	after := answer
-	if drop && !oldSilent {
-		after--
+	size := len(voters)
+	responsive, oldUnresponsive := g.countResponsive(addresses, old)
+	remaining := responsive
+	if remove && !oldUnresponsive {
+		remaining--
 	}
 	addStep := func() error { return g.addVoter(with) }
-	dropStep := func() error { return g.removeVoter(old) }
+	removeStep := func() error { return g.removeVoter(old) }
 	switch {
-	case add && drop && oldSilent:
-		return []func() error{dropStep, addStep}, errors.Join(checkQuorum(size-1, after), checkQuorum(size, after))
-	case add && drop:
-		return []func() error{addStep, dropStep}, errors.Join(checkQuorum(size+1, answer), checkQuorum(size, after))
+	case add && remove && oldUnresponsive:
+		return []func() error{removeStep, addStep}, errors.Join(checkQuorum(size-1, remaining), checkQuorum(size, remaining))
+	case add && remove:
+		return []func() error{addStep, removeStep}, errors.Join(checkQuorum(size+1, responsive), checkQuorum(size, remaining))
 	case add:
-		err := checkQuorum(size+1, answer)
-		if err != nil && checkQuorum(size+1, answer+1) == nil && g.canConnect(with.Addr) {
+		err := checkQuorum(size+1, responsive)
+		if err != nil && checkQuorum(size+1, responsive+1) == nil && g.canConnect(with.Addr) {
 			err = nil // a group of one grows, and the new voter accepts connections
 		}
 		return []func() error{addStep}, err
-	case drop:
-		return []func() error{dropStep}, checkQuorum(size-1, after)
+	case remove:
+		return []func() error{removeStep}, checkQuorum(size-1, remaining)
 	}
 	return nil, nil
 }
 
-// answering counts the voters among addresses that respond now, and reports whether old does not.
-func (g *Group) countResponsive(addresses map[string]string, old string) (answer int, oldSilent bool) {
+// countResponsive counts the voters among addresses that respond now, and reports whether old does not.
+func (g *Group) countResponsive(addresses map[string]string, old string) (responsive int, oldUnresponsive bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name := range addresses {
 		if !g.unresponsive[name] {
-			answer++
+			responsive++
 		}
 	}
-	return answer, g.unresponsive[old]
+	return responsive, g.unresponsive[old]
 }
 
-// quorum fails if the number of responsive voters is not a majority of size.
-func checkQuorum(size, answer int) error {
-	if answer < size/2+1 {
-		return fmt.Errorf("%w: %d of %d would respond, %d are needed", ErrNoQuorum, answer, size, size/2+1)
+// checkQuorum fails if the number of responsive voters is not a majority of size.
+func checkQuorum(size, responsive int) error {
+	if responsive < size/2+1 {
+		return fmt.Errorf("%w: %d of %d would respond, %d are needed", ErrNoQuorum, responsive, size, size/2+1)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 	})
 }
 
-// answers reports whether an address accepts a connection now.
+// canConnect reports whether an address accepts a connection now.
 func (g *Group) canConnect(addr string) bool {
 	conn, err := g.stream.Dial(raft.ServerAddress(addr), IOTimeout)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return true
 }
 
-// step applies change to the latest configuration. The change fails if the configuration has changed
+// changeConfiguration applies change to the latest configuration. The change fails if the configuration has changed
 // in the meantime.
 func (g *Group) changeConfiguration(change func(prev uint64) raft.IndexFuture) error {
 	conf := g.raft.GetConfiguration()
--- a/internal/fleet/raftgroup/cluster_test.go
+++ b/internal/fleet/raftgroup/cluster_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// list is a state machine that records the applied commands.
+// recordingMachine is a state machine that records the applied commands.
 type recordingMachine struct {
 	Words   []string
 	Indexes []uint64
@@ -146,7 +146,7 @@
 
 var addressCount atomic.Int64
 
-// free returns a loopback address that is unique to this process, so that no other process uses its port.
+// freeAddr returns a loopback address that is unique to this process, so that no other process uses its port.
 func freeAddr(*testing.T) string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+n/250, 1+n%250, 7000+os.Getpid()%10_000)
@@ -210,7 +210,7 @@
 	return Voter{}
 }
 
-// patience limits waits that take seconds on an idle machine and much longer on a busy one.
+// waitLimit limits waits that take seconds on an idle machine and much longer on a busy one.
 const waitLimit = 90 * time.Second
 
 func waitFor(t *testing.T, what string, limit time.Duration, f func() bool) time.Duration {
@@ -226,11 +226,11 @@
 }
 
 // leader waits for a leader other than but that can commit entries.
-func (c *cluster) leader(but string) (name string, took time.Duration) {
+func (c *cluster) leader(except string) (name string, took time.Duration) {
 	c.t.Helper()
 	took = waitFor(c.t, "a leader", waitLimit, func() bool {
 		for n, s := range c.groups {
-			if n != but && s.raft.State() == raft.Leader && s.raft.Barrier(time.Second).Error() == nil {
+			if n != except && s.raft.State() == raft.Leader && s.raft.Barrier(time.Second).Error() == nil {
 				name = n
 				return true
 			}
@@ -260,7 +260,7 @@
 	return s
 }
 
-// same waits until all open voters have the same state and returns it.
+// waitUntilEqual waits until all open voters have the same state and returns it.
 func (c *cluster) waitUntilEqual() string {
 	c.t.Helper()
 	var first string
--- a/internal/fleet/raftgroup/disks_test.go
+++ b/internal/fleet/raftgroup/disks_test.go
@@ -20,7 +20,7 @@
 	files map[string]*os.File
 }
 
-// hold records the file that a voter's store opens.
+// trackFile records the file that a voter's store opens.
 func (d *disks) trackFile(o *Options) {
 	o.Store.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
@@ -34,7 +34,7 @@
 	}
 }
 
-// fill makes all further writes of a voter's store fail until it is opened again.
+// failWrites makes all further writes of a voter's store fail until it is opened again.
 func (d *disks) failWrites(t *testing.T, name string) {
 	t.Helper()
 	null, err := os.Open(os.DevNull)
@@ -49,7 +49,7 @@
 	}
 }
 
-// names returns the sorted names of the leader's voters, separated by spaces.
+// voterNames returns the sorted names of the leader's voters, separated by spaces.
 func (c *cluster) voterNames() string {
 	lead, _ := c.leader("")
 	voters, err := c.groups[lead].Voters()
@@ -64,7 +64,7 @@
 	return strings.Join(names, " ")
 }
 
-// swap calls Replace on the current leader until the change has taken effect.
+// replaceUntilDone calls Replace on the current leader until the change has taken effect.
 func (c *cluster) replaceUntilDone(old string, with Voter) {
 	c.t.Helper()
 	waitFor(c.t, with.Name+" votes in place of "+old, waitLimit, func() bool {
@@ -102,45 +102,45 @@
 				next, other := Voter{"v3", freeAddr(t)}, Voter{"v4", freeAddr(t)}
 				c.voters = append(c.voters, next, other)
 				c.open(next, false)
-				bad := map[string]string{"new": next.Name, "old": old, "leader": lead}[at]
+				failing := map[string]string{"new": next.Name, "old": old, "leader": lead}[at]
 				if kind == "torn" {
 					if err := c.groups[lead].Replace("", next); err != nil { // first half of the replacement
 						t.Log(err)
 					}
-					c.close(bad)
-					if err := os.Truncate(filepath.Join(c.dir, bad, store.File), 5000); err != nil {
+					c.close(failing)
+					if err := os.Truncate(filepath.Join(c.dir, failing, store.File), 5000); err != nil {
 						t.Fatal(err)
 					}
-					if s, err := Open(c.options(c.voter(bad))); !errors.Is(err, store.ErrTorn) {
+					if s, err := Open(c.options(c.voter(failing))); !errors.Is(err, store.ErrTorn) {
 						if err == nil {
 							s.Close()
 						}
 						t.Fatalf("opening a torn log: %v", err)
 					}
 					c.replaceUntilDone(old, next)
-					if bad != old {
+					if failing != old {
 						c.open(other, false)
-						c.replaceUntilDone(bad, other)
+						c.replaceUntilDone(failing, other)
 					}
 				} else {
-					d.failWrites(t, bad)
+					d.failWrites(t, failing)
 					if err := c.groups[lead].Replace(old, next); err != nil {
 						t.Log(err)
 					}
 					if err := propose(c.groups[lead], "b"); at == "leader" && err == nil {
 						t.Error("a proposal was committed on a full disk")
 					}
-					again := func() {
-						waitFor(t, "the voter reports the failure", waitLimit, func() bool { return c.groups[bad].Failed() != nil })
-						c.close(bad)
-						c.open(c.voter(bad), false)
+					reopenFailed := func() {
+						waitFor(t, "the voter reports the failure", waitLimit, func() bool { return c.groups[failing].Failed() != nil })
+						c.close(failing)
+						c.open(c.voter(failing), false)
 					}
 					if at == "leader" { // without it, before the new voter is added, too few voters respond
-						again()
+						reopenFailed()
 					}
 					c.replaceUntilDone(old, next) // does not depend on the failed voter
 					if at == "new" {
-						again()
+						reopenFailed()
 					}
 				}
 				if c.groups[old] != nil {
--- a/internal/fleet/raftgroup/failstop.go
+++ b/internal/fleet/raftgroup/failstop.go
@@ -17,36 +17,36 @@
 	fail func(error)
 }
 
-func (g *failStopStore) SetUint64(k []byte, n uint64) error {
-	if err := g.Store.SetUint64(k, n); err != nil {
-		g.fail(err)
+func (s *failStopStore) SetUint64(k []byte, n uint64) error {
+	if err := s.Store.SetUint64(k, n); err != nil {
+		s.fail(err)
 		runtime.Goexit()
 	}
 	return nil
 }
 
-func (g *failStopStore) Set(k, v []byte) error { return g.report(g.Store.Set(k, v)) }
+func (s *failStopStore) Set(k, v []byte) error { return s.report(s.Store.Set(k, v)) }
 
-func (g *failStopStore) StoreLog(l *raft.Log) error { return g.report(g.Store.StoreLog(l)) }
+func (s *failStopStore) StoreLog(l *raft.Log) error { return s.report(s.Store.StoreLog(l)) }
 
-func (g *failStopStore) StoreLogs(l []*raft.Log) error { return g.report(g.Store.StoreLogs(l)) }
+func (s *failStopStore) StoreLogs(l []*raft.Log) error { return s.report(s.Store.StoreLogs(l)) }
 
-func (g *failStopStore) DeleteRange(low, high uint64) error {
-	return g.report(g.Store.DeleteRange(low, high))
+func (s *failStopStore) DeleteRange(low, high uint64) error {
+	return s.report(s.Store.DeleteRange(low, high))
 }
 
-func (g *failStopStore) GetLog(index uint64, l *raft.Log) error {
-	err := g.Store.GetLog(index, l)
+func (s *failStopStore) GetLog(index uint64, l *raft.Log) error {
+	err := s.Store.GetLog(index, l)
 	if err != nil && !errors.Is(err, raft.ErrLogNotFound) {
-		g.fail(err)
+		s.fail(err)
 		runtime.Goexit()
 	}
 	return err
 }
 
-func (g *failStopStore) report(err error) error {
+func (s *failStopStore) report(err error) error {
 	if err != nil {
-		g.fail(err)
+		s.fail(err)
 	}
 	return err
 }
--- a/internal/fleet/raftgroup/fsm.go
+++ b/internal/fleet/raftgroup/fsm.go
@@ -51,14 +51,14 @@
 	s.applied = l.Index
 	s.recent = append(s.recent, Entry{l.Index, l.Data})
 	s.recentBytes += len(l.Data)
-	cut := 0
-	for len(s.recent)-cut > s.maxEntries || s.recentBytes > MaxBufferedBytes && len(s.recent)-cut > 1 {
-		s.floor = s.recent[cut].Index
-		s.recentBytes -= len(s.recent[cut].Raw)
-		cut++
-	}
-	if cut > 0 {
-		s.recent = s.recent[cut:] // a later append reallocates, which frees the dropped entries
+	dropped := 0
+	for len(s.recent)-dropped > s.maxEntries || s.recentBytes > MaxBufferedBytes && len(s.recent)-dropped > 1 {
+		s.floor = s.recent[dropped].Index
+		s.recentBytes -= len(s.recent[dropped].Raw)
+		dropped++
+	}
+	if dropped > 0 {
+		s.recent = s.recent[dropped:] // a later append reallocates, which frees the dropped entries
 	}
 	if s.cachedSnapshotIndex < s.floor {
 		s.cachedSnapshot = nil
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -120,7 +120,7 @@
 	// TimeoutFactor multiplies HeartbeatTimeout, ElectionTimeout and LeaderLeaseTimeout, for machines under such load that
 	// processes wait long for CPU time; 0 means 1. All voters must use the same value.
 	TimeoutFactor int
-	// pace simulates a slow or fast clock in tests: this voter's timeouts are multiplied by it. 0 means 1.
+	// clockFactor simulates a slow or fast clock in tests: this voter's timeouts are multiplied by it. 0 means 1.
 	clockFactor float64
 
 	// SnapshotThreshold, if not 0, replaces the constants SnapshotThreshold and TrailingLogs by the two fields.
@@ -169,16 +169,16 @@
 	if o.Name == "" || o.Machine == nil || o.Log == nil {
 		return nil, errors.New("raftgroup: a name, a machine and a log are required")
 	}
-	c := &Group{
+	g := &Group{
 		options: o, log: o.Log, proposalSlots: make(chan struct{}, MaxPendingProposals), leaderCh: make(chan bool, 16), stateChanges: make(chan State, 16),
 		stop: make(chan struct{}), ready: make(chan struct{}), unresponsive: map[string]bool{}, fsm: newFSM(o),
 	}
-	p, err := newComponents(o, c.fail)
+	p, err := newComponents(o, g.fail)
 	if err != nil {
 		return nil, err
 	}
-	c.store, c.trans, c.streamLayer, c.stream = p.store, p.trans, p.streamLayer, p.stream
-	p.conf.NotifyCh = c.leaderCh
+	g.store, g.trans, g.streamLayer, g.stream = p.store, p.trans, p.streamLayer, p.stream
+	p.conf.NotifyCh = g.leaderCh
 	if o.Bootstrap {
 		if err := bootstrap(o, p); err != nil {
 			p.close()
@@ -187,26 +187,26 @@
 	}
 	// NewRaft runs in its own goroutine because a store failure may end that goroutine; see failStopStore.
 	go func() {
-		defer close(c.ready)
+		defer close(g.ready)
 		defer func() {
 			if r := recover(); r != nil {
 				err = fmt.Errorf("raftgroup: %v", r)
 			}
 		}()
-		c.raft, err = raft.NewRaft(p.conf, c.fsm, p.failStopStore, p.failStopStore, p.snaps, p.trans)
+		g.raft, err = raft.NewRaft(p.conf, g.fsm, p.failStopStore, p.failStopStore, p.snaps, p.trans)
 	}()
-	<-c.ready
-	if c.raft == nil {
+	<-g.ready
+	if g.raft == nil {
 		p.close()
-		return nil, errors.Join(err, c.Failed())
+		return nil, errors.Join(err, g.Failed())
 	}
-	c.raft.RegisterObserver(raft.NewObserver(nil, false, c.observe))
-	c.done.Add(1)
-	go c.watchLeadership()
-	return c, nil
+	g.raft.RegisterObserver(raft.NewObserver(nil, false, g.observe))
+	g.done.Add(1)
+	go g.watchLeadership()
+	return g, nil
 }
 
-// prepared are the parts from which raft is built.
+// components are the parts from which raft is built.
 type components struct {
 	conf          *raft.Config
 	store         *store.Store
--- a/internal/fleet/raftgroup/group_test.go
+++ b/internal/fleet/raftgroup/group_test.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Not parallel because it measures times.
+// TestElectionTimeAfterLeaderCrash is not parallel because it measures times.
 func TestElectionTimeAfterLeaderCrash(t *testing.T) {
 	for n, kills := range map[int]int{3: 5, 5: 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := newCluster(t, n, func(o *Options) { o.TimeoutFactor = 1 })
-			var took []time.Duration
+			var durations []time.Duration
 			for i := range kills {
 				old, _ := c.leader("")
 				c.mustPropose(old, fmt.Sprint("word ", i))
 				c.close(old)
 				_, d := c.leader(old)
-				took = append(took, d)
+				durations = append(durations, d)
 				c.open(c.voter(old), false)
 			}
-			sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-			most := took[len(took)-1]
-			t.Logf("%d voters: leader killed %d times, a new one after %v (median), %v (maximum)", n, kills, took[kills/2], most)
+			sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+			longest := durations[len(durations)-1]
+			t.Logf("%d voters: leader killed %d times, a new one after %v (median), %v (maximum)", n, kills, durations[kills/2], longest)
 			// On an idle machine each election takes under 3 s; with ten runnable threads per core it takes longer.
-			if took[kills/2] > 3*time.Second || most > 8*time.Second {
+			if durations[kills/2] > 3*time.Second || longest > 8*time.Second {
 				t.Error("the elections took too long")
 			}
 			if s := c.waitUntilEqual(); !strings.Contains(s, fmt.Sprintf(`"word %d"],`, kills-1)) || strings.Count(s, "word") != kills {
@@ -62,8 +62,8 @@
 			}
 			now, _ := c.leader(old)
 			c.mustPropose(now, "after")
-			var not *NotLeaderError
-			if err := propose(c.groups[old], "again"); !errors.As(err, &not) {
+			var notLeader *NotLeaderError
+			if err := propose(c.groups[old], "again"); !errors.As(err, &notLeader) {
 				t.Errorf("proposal by the isolated leader: %v", err)
 			}
 			c.links.setCut(false, pairs...)
@@ -81,18 +81,18 @@
 		o.SnapshotThreshold, o.TrailingLogs, o.MaxBufferedEntries, o.TimeoutFactor = 200, 20, 100, 4
 	})
 	lead, _ := c.leader("")
-	behind := c.voters[0]
-	if behind.Name == lead {
-		behind = c.voters[1]
+	lagging := c.voters[0]
+	if lagging.Name == lead {
+		lagging = c.voters[1]
 	}
-	c.close(behind.Name)
+	c.close(lagging.Name)
 	var wait sync.WaitGroup
-	room := make(chan struct{}, 32)
+	semaphore := make(chan struct{}, 32)
 	for i := range 1000 {
 		wait.Add(1)
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
-			defer func() { <-room; wait.Done() }()
+			defer func() { <-semaphore; wait.Done() }()
 			for start := time.Now(); time.Since(start) < 30*time.Second; time.Sleep(time.Millisecond) {
 				for _, s := range c.groups { // the leader may change on a loaded machine
 					if propose(s, fmt.Sprint(i)) == nil {
@@ -110,28 +110,28 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
-	s := c.open(behind, false)
+	s := c.open(lagging, false)
 	waitFor(t, "the lagging voter has applied all entries", waitLimit, func() bool { return s.AppliedIndex() == c.groups[lead].AppliedIndex() })
 	c.waitUntilEqual()
 	s.WithLock(func() {
-		if c.machines[behind.Name].loads == 0 {
+		if c.machines[lagging.Name].loads == 0 {
 			t.Error("the lagging voter did not load a snapshot")
 		}
 	})
 
 	// A reader without a vote starts from an empty state.
-	copied := &recordingMachine{}
+	reader := &recordingMachine{}
 	at, snapshots, calls := uint64(0), 0, 0
 	for at < c.groups[lead].AppliedIndex() && calls < 100 {
 		entries, snapshot, next := c.groups[lead].Since(at, 100)
 		if snapshot != nil {
 			snapshots++
-			if err := copied.Load(snapshot); err != nil {
+			if err := reader.Load(snapshot); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, e := range entries {
-			if err := copied.Apply(e.Index, e.Raw); err != nil {
+			if err := reader.Apply(e.Index, e.Raw); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -140,11 +140,11 @@
 	c.mustPropose(lead, "one more")
 	entries, _, _ := c.groups[lead].Since(at, 100)
 	for _, e := range entries {
-		if err := copied.Apply(e.Index, e.Raw); err != nil {
+		if err := reader.Apply(e.Index, e.Raw); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b, _ := copied.Save(); snapshots != 1 || string(b) != c.state(lead) {
+	if b, _ := reader.Save(); snapshots != 1 || string(b) != c.state(lead) {
 		t.Errorf("%d snapshots, 1 expected; the reader's state may differ from the leader's", snapshots)
 	}
 	if e, s, next := c.groups[lead].Since(1<<40, 100); e != nil || s != nil || next != 1<<40 {
@@ -175,8 +175,8 @@
 	v3 := Voter{"v3", freeAddr(t)}
 	c.voters = append(c.voters, v3)
 	c.open(v3, false)
-	var not *NotLeaderError
-	if err := c.groups[others[0]].Replace(others[1], v3); !errors.As(err, &not) || not.Name != lead {
+	var notLeader *NotLeaderError
+	if err := c.groups[others[0]].Replace(others[1], v3); !errors.As(err, &notLeader) || notLeader.Name != lead {
 		t.Errorf("Replace on a follower: %v", err)
 	}
 	if err := c.groups[lead].Replace(lead, v3); !errors.Is(err, ErrReplaceSelf) {
--- a/internal/fleet/raftgroup/leadership.go
+++ b/internal/fleet/raftgroup/leadership.go
@@ -4,7 +4,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// announce publishes changes of leadership. It reports that this voter leads only after all earlier committed entries
+// watchLeadership publishes changes of leadership. It reports that this voter leads only after all earlier committed entries
 // are applied.
 func (g *Group) watchLeadership() {
 	defer g.done.Done()
--- a/internal/fleet/raftgroup/replace_test.go
+++ b/internal/fleet/raftgroup/replace_test.go
@@ -33,15 +33,15 @@
 			next := Voter{"v3", freeAddr(t)}
 			c.voters = append(c.voters, next)
 			c.open(next, false)
-			at := c.voter(lead).Addr
+			leaderAddr := c.voter(lead).Addr
 			var cut [][2]string
 			switch kind {
 			case "cut to the new one":
-				cut = [][2]string{{at, next.Addr}}
+				cut = [][2]string{{leaderAddr, next.Addr}}
 			case "cut from the new one":
-				cut = [][2]string{{next.Addr, at}}
+				cut = [][2]string{{next.Addr, leaderAddr}}
 			case "cut both":
-				cut = [][2]string{{at, next.Addr}, {next.Addr, at}}
+				cut = [][2]string{{leaderAddr, next.Addr}, {next.Addr, leaderAddr}}
 			case "crash, disk kept":
 				c.close(next.Name)
 			case "late":
@@ -106,7 +106,7 @@
 	return out
 }
 
-// kept collects log output.
+// logBuffer collects log output.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -143,25 +143,25 @@
 	out.b.Reset()
 	out.mu.Unlock()
 	time.Sleep(span) // lines are counted over this span
-	var not *NotLeaderError
-	if err := propose(c.groups["v0"], "alone"); !errors.As(err, &not) {
+	var notLeader *NotLeaderError
+	if err := propose(c.groups["v0"], "alone"); !errors.As(err, &notLeader) {
 		t.Error(err)
 	}
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	kinds, lines := map[string]int{}, 0
+	linesByKind, lines := map[string]int{}, 0
 	for line := range strings.Lines(out.b.String()) {
 		lines++
 		k, _, _ := strings.Cut(strings.TrimFunc(strings.TrimLeftFunc(line, unicode.IsSpace), unicode.IsSpace), ": ")
-		kinds[strings.Map(func(r rune) rune {
+		linesByKind[strings.Map(func(r rune) rune {
 			if unicode.IsDigit(r) {
 				return -1
 			}
 			return r
 		}, k+line[min(len(line), len(k)):min(len(line), len(k)+40)])]++
 	}
-	t.Logf("%d lines of %d kinds in %v", lines, len(kinds), span)
-	for k, n := range kinds {
+	t.Logf("%d lines of %d kinds in %v", lines, len(linesByKind), span)
+	for k, n := range linesByKind {
 		if n > 4 {
 			t.Errorf("%d lines of %q", n, k)
 		}
--- a/internal/fleet/raftgroup/restore.go
+++ b/internal/fleet/raftgroup/restore.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
 	}
-	one := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(addr)}}}
+	configuration := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(addr)}}}
 	if snapshot != nil {
 		if has {
 			return fmt.Errorf("raftgroup: %s holds a raft group already; a snapshot is restored into an empty directory", o.Dir)
@@ -52,7 +52,7 @@
 		if err := newFSM(o).Restore(io.NopCloser(bytes.NewReader(raw))); err != nil {
 			return err
 		}
-		sink, err := p.snaps.Create(raft.SnapshotVersionMax, at, 1, one, 1, p.trans)
+		sink, err := p.snaps.Create(raft.SnapshotVersionMax, at, 1, configuration, 1, p.trans)
 		if err != nil {
 			return fmt.Errorf("raftgroup: %w", err)
 		}
@@ -62,7 +62,7 @@
 	} else if !has {
 		return fmt.Errorf("raftgroup: %s holds no raft group, and no snapshot was given", o.Dir)
 	}
-	if err := raft.RecoverCluster(p.conf, newFSM(o), p.store, p.store, p.snaps, p.trans, one); err != nil {
+	if err := raft.RecoverCluster(p.conf, newFSM(o), p.store, p.store, p.snaps, p.trans, configuration); err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	return nil
--- a/internal/fleet/raftgroup/transport.go
+++ b/internal/fleet/raftgroup/transport.go
@@ -105,9 +105,9 @@
 	layer *streamLayer
 }
 
-func (h *trackedConn) Close() error {
-	h.layer.mu.Lock()
-	delete(h.layer.conns, h)
-	h.layer.mu.Unlock()
-	return h.Conn.Close()
+func (c *trackedConn) Close() error {
+	c.layer.mu.Lock()
+	delete(c.layer.conns, c)
+	c.layer.mu.Unlock()
+	return c.Conn.Close()
 }
--- a/internal/fleet/store/inspect.go
+++ b/internal/fleet/store/inspect.go
@@ -19,8 +19,8 @@
 	metaSize       = 64 // magic 4, version 4, page size 4, flags 4, root 16, freelist 8, pages 8, txid 8, sum 8
 )
 
-// inspect reports whether the file does not exist yet, and returns an error if it is truncated or damaged.
-func checkMetaPages(path string) (fresh bool, err error) {
+// checkMetaPages reports whether the file does not exist yet, and returns an error if it is truncated or damaged.
+func checkMetaPages(path string) (missing bool, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return true, nil
@@ -34,8 +34,8 @@
 		return false, fmt.Errorf("store: %w", err)
 	}
 	size := info.Size()
-	var newest, pages, pageSize uint64
-	heads := 0
+	var newestTx, pages, pageSize uint64
+	validPages := 0
 	for _, at := range []int64{0, 4096, 8192, 16384, 32768, 65536} { // the second meta page is at the page size
 		if at != 0 && pageSize != 0 && uint64(at) != pageSize {
 			continue
@@ -53,15 +53,15 @@
 			sum.Sum64() != binary.NativeEndian.Uint64(b[metaSize-8:]) {
 			continue
 		}
-		heads++
-		if tx := binary.NativeEndian.Uint64(b[48:]); tx >= newest {
-			newest, pages = tx, binary.NativeEndian.Uint64(b[40:])
+		validPages++
+		if tx := binary.NativeEndian.Uint64(b[48:]); tx >= newestTx {
+			newestTx, pages = tx, binary.NativeEndian.Uint64(b[40:])
 			pageSize = uint64(binary.NativeEndian.Uint32(b[8:]))
 		}
 	}
 	// With only one valid meta page, bbolt would open the state before the last write and lose what was acknowledged since.
-	if heads < 2 {
-		return false, fmt.Errorf("%w: %s has %d valid meta pages of 2 in %d bytes", ErrTorn, path, heads, size)
+	if validPages < 2 {
+		return false, fmt.Errorf("%w: %s has %d valid meta pages of 2 in %d bytes", ErrTorn, path, validPages, size)
 	}
 	if pages >= 1<<40 || uint64(size) < pages*pageSize {
 		return false, fmt.Errorf("%w: %s has %d bytes, its meta page states %d pages of %d bytes", ErrTorn, path, size, pages, pageSize)
--- a/internal/fleet/store/log.go
+++ b/internal/fleet/store/log.go
@@ -35,7 +35,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Update(crc32.Checksum(indexKey(l.Index), castagnoli), castagnoli, b))
 }
 
-// decode checks and decodes an entry. It copies the data because bbolt returns slices of its mapped file.
+// decodeEntry checks and decodes an entry. It copies the data because bbolt returns slices of its mapped file.
 func decodeEntry(k, v []byte, l *raft.Log) error {
 	if len(k) != 8 || len(v) < entryHeaderSize+4 {
 		return fmt.Errorf("%w: an entry has only %d bytes or a key of the wrong length", ErrTorn, len(v))
@@ -162,7 +162,7 @@
 	return out, err
 }
 
-// value checks and copies a value written by Set.
+// decodeValue checks and copies a value written by Set.
 func decodeValue(k, v []byte) ([]byte, error) {
 	if len(v) < 5 {
 		return nil, fmt.Errorf("%w: value %q is too short", ErrTorn, k)
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -108,7 +108,7 @@
 
 func open(dir string, o Options) (*Store, error) {
 	path, temporary := filepath.Join(dir, File), filepath.Join(dir, File+".new")
-	fresh, err := checkMetaPages(path)
+	missing, err := checkMetaPages(path)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		}
 		return tx.Bucket(bucketMeta).Put(keyVersion, binary.BigEndian.AppendUint64(nil, Version))
 	})
-	if err == nil && !fresh {
+	if err == nil && !missing {
 		var old *Store
 		if old, err = openFile(path, o, true); err == nil {
 			err = errors.Join(old.copyTo(s), old.Close())
@@ -238,7 +238,7 @@
 	})
 }
 
-// ends encodes the indexes of the first and last entry. They are stored in the same transaction as the log, so that
+// encodeBounds encodes the indexes of the first and last entry. They are stored in the same transaction as the log, so that
 // missing entries at either end are detected.
 func encodeBounds(first, last uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
@@ -305,7 +305,7 @@
 	return recoverFaults(func() error { return s.db.View(f) })
 }
 
-// guard converts panics of bbolt and memory faults in its mapped file into errors. A damaged file or a failing disk can
+// recoverFaults converts panics of bbolt and memory faults in its mapped file into errors. A damaged file or a failing disk can
 // cause both.
 func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -38,7 +38,7 @@
 	return &raft.Log{Index: i, Term: 1 + i/100, Data: []byte(strings.Repeat(strconv.FormatUint(i, 10)+" ", int(i%40)))}
 }
 
-// child runs in a child process. It writes until it is killed and prints what was acknowledged as
+// writeUntilKilled runs in a child process. It writes until it is killed and prints what was acknowledged as
 // "acked last first term". With a limit, it prints the first error, checks that the next write fails as well, and returns.
 func writeUntilKilled(dir string) {
 	// This is the complete program of the child process; runChild parses its output line by line.
@@ -106,8 +106,8 @@
 	}
 }
 
-// play runs a child process, kills it after a time, and returns what it acknowledged last and its other output.
-func runChild(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, said string) {
+// runChild runs a child process, kills it after a time, and returns what it acknowledged last and its other output.
+func runChild(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, output string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "STORE_CHILD="+dir, "STORE_LIMIT="+limit)
@@ -126,14 +126,14 @@
 			kill = time.AfterFunc(after, func() { _ = c.Process.Kill() })
 		}
 		if _, err := fmt.Sscanf(lines.Text(), "acked %d %d %d", &last, &first, &term); err != nil {
-			said += lines.Text() + "\n"
+			output += lines.Text() + "\n"
 		}
 	}
 	_ = c.Wait()
 	if kill != nil {
 		kill.Stop()
 	}
-	return last, first, term, said
+	return last, first, term, output
 }
 
 func checkStore(t *testing.T, dir string, last, first, term uint64) {
@@ -165,9 +165,9 @@
 	}
 	acked := uint64(0)
 	for range rounds {
-		last, first, term, said := runChild(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
-		if said != "" {
-			t.Fatal(said)
+		last, first, term, output := runChild(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
+		if output != "" {
+			t.Fatal(output)
 		}
 		acked = max(acked, last)
 		checkStore(t, dir, last, first, term)
@@ -186,14 +186,14 @@
 	}
 	for _, limit := range limits {
 		dir := t.TempDir()
-		last, first, term, said := runChild(t, dir, limit, 10*time.Second)
-		if strings.Contains(said, "wrong") {
-			t.Errorf("%s: %s", limit, said)
+		last, first, term, output := runChild(t, dir, limit, 10*time.Second)
+		if strings.Contains(output, "wrong") {
+			t.Errorf("%s: %s", limit, output)
 		}
-		if strings.Contains(said, "failed") {
+		if strings.Contains(output, "failed") {
 			failures++
 		} else {
-			t.Errorf("%s: no write failed: %s", limit, said)
+			t.Errorf("%s: no write failed: %s", limit, output)
 		}
 		checkStore(t, dir, last, first, term)
 	}
@@ -311,10 +311,10 @@
 	if err != nil {
 		return err
 	}
-	one := raft.Configuration{Servers: []raft.Server{{ID: "a", Address: "a:1"}}}
-	_, wire := raft.NewInmemTransport("a:1")
+	configuration := raft.Configuration{Servers: []raft.Server{{ID: "a", Address: "a:1"}}}
+	_, transport := raft.NewInmemTransport("a:1")
 	write := func(index uint64, size int) error {
-		sink, err := snaps.Create(raft.SnapshotVersionMax, index, 1, one, 1, wire)
+		sink, err := snaps.Create(raft.SnapshotVersionMax, index, 1, configuration, 1, transport)
 		if err != nil {
 			return err
 		}
@@ -323,7 +323,7 @@
 		}
 		return sink.Close()
 	}
-	newest := func(index uint64, size int) error {
+	checkNewest := func(index uint64, size int) error {
 		all, err := snaps.List()
 		if err != nil || len(all) == 0 || all[0].Index != index {
 			return fmt.Errorf("%d is not the newest of %v: %w", index, all, err)
@@ -339,26 +339,26 @@
 		}
 		return nil
 	}
-	limit := func(n uint64) error {
+	setSizeLimit := func(n uint64) error {
 		return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: 1 << 40})
 	}
-	if err := errors.Join(write(5, 50<<10), newest(5, 50<<10), limit(100<<10)); err != nil {
+	if err := errors.Join(write(5, 50<<10), checkNewest(5, 50<<10), setSizeLimit(100<<10)); err != nil {
 		return err
 	}
 	for index := uint64(6); index < 12; index++ { // more than SnapshotsRetained
 		if write(index, 300<<10) == nil {
 			return errors.New("a snapshot that does not fit on the disk was written")
 		}
-		if err := newest(5, 50<<10); err != nil {
+		if err := checkNewest(5, 50<<10); err != nil {
 			return err
 		}
 	}
-	return errors.Join(limit(1<<40), write(12, 300<<10), newest(12, 300<<10))
+	return errors.Join(setSizeLimit(1<<40), write(12, 300<<10), checkNewest(12, 300<<10))
 }
 
 // Writing a snapshot that does not fit on the disk must fail and leave the previous snapshot as the newest.
 func TestSnapshotOnFullDisk(t *testing.T) {
-	if _, _, _, said := runChild(t, t.TempDir(), "snapshot", time.Minute); said != "<nil>\n" {
-		t.Error(said)
+	if _, _, _, output := runChild(t, t.TempDir(), "snapshot", time.Minute); output != "<nil>\n" {
+		t.Error(output)
 	}
 }
