--- a/internal/fleet/raftgroup/cluster_test.go
+++ b/internal/fleet/raftgroup/cluster_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// leader waits for a leader other than but that can commit entries.
+// leader waits for a leader that can commit entries, ignoring the voter named except.
 func (c *cluster) leader(except string) (name string, took time.Duration) {
 	c.t.Helper()
 	took = waitFor(c.t, "a leader", waitLimit, func() bool {
--- a/internal/fleet/raftgroup/disks_test.go
+++ b/internal/fleet/raftgroup/disks_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// voterNames returns the sorted names of the leader's voters, separated by spaces.
+// voterNames returns the sorted names of the voters in the leader's configuration, separated by spaces.
 func (c *cluster) voterNames() string {
 	lead, _ := c.leader("")
 	voters, err := c.groups[lead].Voters()
--- a/internal/fleet/raftgroup/group.go
+++ b/internal/fleet/raftgroup/group.go
@@ -62,7 +62,7 @@
 	// MaxBufferedEntries limits the entries in memory that Since returns one by one. The oldest are dropped first; a reader
 	// that needs dropped entries gets a snapshot.
 	MaxBufferedEntries = 4096
-	// MaxBufferedBytes limits the total size of these entries.
+	// MaxBufferedBytes limits the total size of these entries; the newest entry is always kept.
 	MaxBufferedBytes = 4 << 20
 )
 
@@ -151,7 +151,7 @@
 	leaderCh       chan bool
 	stateChanges   chan State
 	stop           chan struct{}
-	ready          chan struct{} // closed once NewRaft has succeeded or failed
+	ready          chan struct{} // closed once NewRaft has succeeded (raft is set) or failed
 	done           sync.WaitGroup
 	closeOnce      sync.Once
 	shutdownOnce   sync.Once
--- a/internal/fleet/raftgroup/replace_test.go
+++ b/internal/fleet/raftgroup/replace_test.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A voter is replaced while the new one fails, and Replace is repeated until it succeeds, as the leader does every few seconds.
-// In the end the voters are the expected ones and all hold each command once.
+// A voter is replaced while the new voter or its links fail, and Replace is repeated until it succeeds, as the leader does
+// every few seconds. In the end the voters are the expected ones and all hold each command once.
 func TestReplaceUnderFaults(t *testing.T) {
 	// One long scenario: each step on the cluster depends on the previous ones.
 	t.Parallel()
