--- a/internal/fleet/raftgroup/group_test.go
+++ b/internal/fleet/raftgroup/group_test.go
@@ -238,7 +238,7 @@
 	for name := range c.groups {
 		c.close(name)
 	}
-	try := func(o Options, snapshot []byte, at uint64, others ...Voter) {
+	restoreAndCheck := func(o Options, snapshot []byte, at uint64, others ...Voter) {
 		t.Helper()
 		if err := Restore(o, snapshot, at); err != nil {
 			t.Fatal(err)
@@ -260,8 +260,8 @@
 			c.close(name)
 		}
 	}
-	try(c.options(c.voters[0]), nil, 0, Voter{"n1", freeAddr(t)}, Voter{"n2", freeAddr(t)}) // from the directory of a surviving voter
-	try(c.options(Voter{"m0", freeAddr(t)}), snapshot, at, Voter{"m1", freeAddr(t)}, Voter{"m2", freeAddr(t)})
+	restoreAndCheck(c.options(c.voters[0]), nil, 0, Voter{"n1", freeAddr(t)}, Voter{"n2", freeAddr(t)}) // from the directory of a surviving voter
+	restoreAndCheck(c.options(Voter{"m0", freeAddr(t)}), snapshot, at, Voter{"m1", freeAddr(t)}, Voter{"m2", freeAddr(t)})
 	if err := Restore(c.options(Voter{"m0", freeAddr(t)}), snapshot, at); err == nil || !strings.Contains(err.Error(), "holds a raft group already") {
 		t.Error(err)
 	}
--- a/internal/fleet/raftgroup/restore.go
+++ b/internal/fleet/raftgroup/restore.go
@@ -35,13 +35,13 @@
 		return err
 	}
 	defer p.close()
-	has, err := raft.HasExistingState(p.store, p.store, p.snaps)
+	hasState, err := raft.HasExistingState(p.store, p.store, p.snaps)
 	if err != nil {
 		return fmt.Errorf("raftgroup: %w", err)
 	}
 	configuration := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(addr)}}}
 	if snapshot != nil {
-		if has {
+		if hasState {
 			return fmt.Errorf("raftgroup: %s holds a raft group already; a snapshot is restored into an empty directory", o.Dir)
 		}
 		if at == 0 {
@@ -59,7 +59,7 @@
 		if err := (fsmSnapshot{raw}).Persist(sink); err != nil {
 			return fmt.Errorf("raftgroup: %w", err)
 		}
-	} else if !has {
+	} else if !hasState {
 		return fmt.Errorf("raftgroup: %s holds no raft group, and no snapshot was given", o.Dir)
 	}
 	if err := raft.RecoverCluster(p.conf, newFSM(o), p.store, p.store, p.snaps, p.trans, configuration); err != nil {
@@ -70,8 +70,8 @@
 
 // bootstrap writes the first configuration if o.Dir holds no raft state.
 func bootstrap(o Options, p *components) error {
-	has, err := raft.HasExistingState(p.store, p.store, p.snaps)
-	if err != nil || has {
+	hasState, err := raft.HasExistingState(p.store, p.store, p.snaps)
+	if err != nil || hasState {
 		return err
 	}
 	if n := len(o.Voters); n != 1 && n != 3 && n != 5 {
