--- a/internal/fleet/peerproto/check.go
+++ b/internal/fleet/peerproto/check.go
@@ -28,7 +28,7 @@
 		return fmt.Errorf("a poll reports %d drains, %d at most", len(p.Drains), MaxDrains)
 	}
 	if p.Sequence == 0 {
-		return errors.New("a poll has no number")
+		return errors.New("a poll has no sequence number")
 	}
 	if math.IsNaN(p.Load) || p.Load < 0 || math.IsInf(p.Load, 0) {
 		return fmt.Errorf("a poll reports a load of %v", p.Load)
@@ -37,7 +37,7 @@
 		return fmt.Errorf("a poll reports a clock at %v", p.Wall)
 	}
 	if x := p.Sessions; x != nil && (x.Owned < 0 || x.Open < 0 || x.Queries < 0 || x.Memory < 0 || len(x.Idle) > MaxIdleSessions) {
-		return fmt.Errorf("a poll reports sessions %d, open %d of %d, %d bytes, %d idle; %d of those at most", x.Owned, x.Open, x.Queries, x.Memory, len(x.Idle), MaxIdleSessions)
+		return fmt.Errorf("a poll has invalid session counts: owned %d, open %d of %d, memory %d bytes, idle %d of at most %d", x.Owned, x.Open, x.Queries, x.Memory, len(x.Idle), MaxIdleSessions)
 	}
 	if x := p.Sessions; x != nil {
 		if len(x.Unsafe) > MaxUnsafeQueries {
@@ -45,73 +45,73 @@
 		}
 		for _, o := range x.Unsafe {
 			if o.TimeLeft <= 0 || o.TimeLeft > MaxOpenTime {
-				return fmt.Errorf("a poll reports an unsafe query of %s that is open for %v", o.ID, o.TimeLeft)
+				return fmt.Errorf("a poll reports an unsafe query of %s that may be open for %v", o.ID, o.TimeLeft)
 			}
 		}
 	}
 	for _, l := range p.Drains {
 		if l.Fence == 0 {
-			return fmt.Errorf("a drain of %.40q has no fence", l.Machine)
+			return fmt.Errorf("a drain of %.40q has no fencing number", l.Machine)
 		}
-		if err := errors.Join(checkName("a drain's machine", l.Machine), checkLength("a rejection", l.Reason)); err != nil {
+		if err := errors.Join(checkName("a drain's machine", l.Machine), checkLength("the reason of a rejected drain", l.Reason)); err != nil {
 			return err
 		}
 	}
 	return checkName("the sender", p.From)
 }
 
-func (w Reply) check() error {
-	if w.Sequence == 0 {
-		return errors.New("a reply answers no poll")
+func (r Reply) check() error {
+	if r.Sequence == 0 {
+		return errors.New("a reply has no sequence number of a poll")
 	}
-	hasState := len(w.Snapshot) > 0 || len(w.Packed) > 0
-	if len(w.Entries) > 0 && hasState || len(w.Snapshot) > 0 && len(w.Packed) > 0 {
-		return errors.New("a reply has more than one of entries, a snapshot and a packed one")
+	hasState := len(r.Snapshot) > 0 || len(r.Packed) > 0
+	if len(r.Entries) > 0 && hasState || len(r.Snapshot) > 0 && len(r.Packed) > 0 {
+		return errors.New("a reply has more than one of entries, a snapshot and a compressed snapshot")
 	}
-	if !w.FromLeader && (len(w.Entries) > 0 || hasState) {
-		return errors.New("a reply of one that does not lead has entries or a snapshot")
+	if !r.FromLeader && (len(r.Entries) > 0 || hasState) {
+		return errors.New("a reply of a co-ordinator that does not lead has entries or a snapshot")
 	}
-	if !w.FromLeader && w.NotInInventory {
-		return errors.New("a reply of one that does not lead says who is in the inventory")
+	if !r.FromLeader && r.NotInInventory {
+		return errors.New("a reply of a co-ordinator that does not lead says that the sender of the poll is not in the inventory")
 	}
-	if len(w.Entries) > MaxEntries {
-		return fmt.Errorf("a reply has %d entries, %d at most", len(w.Entries), MaxEntries)
+	if len(r.Entries) > MaxEntries {
+		return fmt.Errorf("a reply has %d entries, %d at most", len(r.Entries), MaxEntries)
 	}
-	if len(w.Snapshot) > MaxSnapshotSize {
-		return fmt.Errorf("a snapshot has %d bytes, %d at most", len(w.Snapshot), MaxSnapshotSize)
+	if len(r.Snapshot) > MaxSnapshotSize {
+		return fmt.Errorf("a snapshot has %d bytes, %d at most", len(r.Snapshot), MaxSnapshotSize)
 	}
-	if len(w.Packed) > MaxCompressedSize {
-		return fmt.Errorf("a packed snapshot has %d bytes, %d at most", len(w.Packed), MaxCompressedSize)
+	if len(r.Packed) > MaxCompressedSize {
+		return fmt.Errorf("a compressed snapshot has %d bytes, %d at most", len(r.Packed), MaxCompressedSize)
 	}
-	total, before := 0, w.After
-	for _, e := range w.Entries {
-		if e.Index <= before || e.Index > w.Index {
-			return fmt.Errorf("entry %d does not lie after %d and up to %d", e.Index, before, w.Index)
+	total, before := 0, r.After
+	for _, e := range r.Entries {
+		if e.Index <= before || e.Index > r.Index {
+			return fmt.Errorf("index of entry %d is not after %d and up to %d", e.Index, before, r.Index)
 		}
 		before = e.Index
 		total += len(e.Raw)
 	}
 	if limit := MaxEntriesSize; total > limit {
-		if len(w.Entries) == 1 {
+		if len(r.Entries) == 1 {
 			limit = MaxEntrySize
 		}
 		if total > limit {
 			return fmt.Errorf("entries have %d bytes, %d at most", total, limit)
 		}
 	}
-	return errors.Join(checkName("the sender", w.From), checkLength("the leader", w.Leader))
+	return errors.Join(checkName("the sender", r.From), checkLength("the leader", r.Leader))
 }
 
-func (a FileReport) check() error {
-	if len(a.Requests.Requests) > MaxRequests {
-		return fmt.Errorf("an ask has %d requests, %d at most", len(a.Requests.Requests), MaxRequests)
+func (f FileReport) check() error {
+	if len(f.Requests.Requests) > MaxRequests {
+		return fmt.Errorf("a file report has %d requests, %d at most", len(f.Requests.Requests), MaxRequests)
 	}
-	for _, r := range a.Requests.Requests {
+	for _, r := range f.Requests.Requests {
 		if err := checkRequest(r); err != nil {
 			return err
 		}
 	}
-	return checkName("the sender", a.From)
+	return checkName("the sender", f.From)
 }
 
 func checkRequest(r maintenance.Request) error {
@@ -119,7 +119,7 @@
 		return fmt.Errorf("request %.40q has %d names, %d at most", r.ID, len(r.Names), MaxNames)
 	}
 	for _, n := range r.Names {
-		if err := checkName("a machine that is asked for", n); err != nil {
+		if err := checkName("a requested machine", n); err != nil {
 			return err
 		}
 	}
@@ -128,16 +128,16 @@
 
 func (a SessionActions) check() error {
 	if a.Sequence == 0 {
-		return errors.New("a message of acts has no number")
+		return errors.New("a message of session actions has no sequence number")
 	}
 	if n := len(a.Actions); n == 0 || n > session.MaxActs {
-		return fmt.Errorf("a message of %d acts, 1 to %d are right", n, session.MaxActs)
+		return fmt.Errorf("a message has %d session actions, 1 to %d are allowed", n, session.MaxActs)
 	}
 	for _, x := range a.Actions {
 		if len(x.State) > session.MaxStateBytes {
-			return fmt.Errorf("an act carries a state of %d bytes, %d at most", len(x.State), session.MaxStateBytes)
+			return fmt.Errorf("a session action has a state of %d bytes, %d at most", len(x.State), session.MaxStateBytes)
 		}
-		if err := checkLength("the reason of an act", x.Reason); err != nil {
+		if err := checkLength("the reason of a session action", x.Reason); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/peerproto/compat_test.go
+++ b/internal/fleet/peerproto/compat_test.go
@@ -9,8 +9,8 @@
 	"birchcart/internal/fleet/session"
 )
 
-// TestWireFormatIsUnchanged holds the bytes on the wire to those that the version of 7c55f5a wrote, so that co-ordinators of
-// both versions understand each other.
+// TestWireFormatIsUnchanged compares encoded messages with the bytes that the program wrote at commit 7c55f5a, so that
+// co-ordinators of both versions can exchange messages.
 func TestWireFormatIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -40,7 +40,7 @@
 			}
 			back, err := Decode([]byte(c.bytes))
 			if err != nil || !reflect.DeepEqual(back, c.message) {
-				t.Errorf("the earlier version's bytes are read as %+v, %v", back, err)
+				t.Errorf("the earlier version's bytes are decoded as %+v, %v", back, err)
 			}
 		})
 	}
--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -35,40 +35,39 @@
 		}
 		back, err := Decode(raw)
 		if err != nil || !reflect.DeepEqual(back, m) {
-			t.Errorf("%+v came back as %+v, %v", m, back, err)
+			t.Errorf("%+v was decoded as %+v, %v", m, back, err)
 		}
 	}
 }
 
 func TestEncodeAndDecodeEnforceLimits(t *testing.T) {
-	// Long: one table with a row for each bound.
 	long := strings.Repeat("x", MaxNameLength+1)
 	for _, c := range []struct {
-		says string
+		text string
 		m    Message
 	}{
-		{"no number", Poll{From: "a"}},
+		{"no sequence number", Poll{From: "a"}},
 		{"the sender has no name", Poll{Sequence: 1}},
 		{"1024 at most", Poll{Sequence: 1, From: long}},
 		{"drains, 4096", Poll{Sequence: 1, From: "a", Drains: make([]DrainStatus, MaxDrains+1)}},
-		{"no fence", Poll{Sequence: 1, From: "a", Drains: []DrainStatus{{Machine: "r"}}}},
+		{"no fencing number", Poll{Sequence: 1, From: "a", Drains: []DrainStatus{{Machine: "r"}}}},
 		{"a load of -1", Poll{Sequence: 1, From: "a", Load: -1}},
 		{"a load of NaN", Poll{Sequence: 1, From: "a", Load: math.NaN()}},
 		{"open -1 of 0", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Open: -1}}},
-		{"1025 idle", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Idle: make([]session.ID, MaxIdleSessions+1)}}},
+		{"idle 1025 of at most 1024", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Idle: make([]session.ID, MaxIdleSessions+1)}}},
 		{"257 unsafe queries, 256", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: make([]UnsafeQuery, MaxUnsafeQueries+1)}}},
 		{"open for 0s", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: make([]UnsafeQuery, 1)}}},
 		{"open for 24h0m0.000000001s", Poll{From: "a", Sequence: 1, Sessions: &SessionLoad{Unsafe: []UnsafeQuery{{TimeLeft: MaxOpenTime + 1}}}}},
 		{"a clock at -1ns", Poll{Sequence: 1, From: "a", Wall: -1}},
-		{"answers no poll", Reply{From: "a"}},
+		{"no sequence number of a poll", Reply{From: "a"}},
 		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{1, nil}}, Snapshot: []byte{1}}},
 		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{1, nil}}, Packed: []byte{1}}},
 		{"more than one of entries", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Snapshot: []byte{1}, Packed: []byte{1}}},
 		{"does not lead", Reply{Sequence: 1, From: "a", Index: 1, Packed: []byte{1}}},
 		{"5242880 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Packed: make([]byte, MaxCompressedSize+1)}},
 		{"does not lead", Reply{Sequence: 1, From: "a", Index: 1, Entries: []Entry{{1, nil}}}},
-		{"entry 3 does not lie after 3", Reply{Sequence: 1, From: "a", FromLeader: true, After: 3, Index: 3, Entries: []Entry{{3, nil}}}},
-		{"entry 2 does not lie after 2", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 3, Entries: []Entry{{2, nil}, {2, nil}}}},
+		{"entry 3 is not after 3", Reply{Sequence: 1, From: "a", FromLeader: true, After: 3, Index: 3, Entries: []Entry{{3, nil}}}},
+		{"entry 2 is not after 2", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 3, Entries: []Entry{{2, nil}, {2, nil}}}},
 		{"up to 1", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Entries: []Entry{{2, nil}}}},
 		{"entries, 4096", Reply{Sequence: 1, From: "a", FromLeader: true, Entries: make([]Entry, MaxEntries+1)}},
 		{"524288 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 2, Entries: []Entry{{1, make([]byte, MaxEntriesSize)}, {2, make([]byte, 1)}}}},
@@ -76,28 +75,28 @@
 		{"16777216 at most", Reply{Sequence: 1, From: "a", FromLeader: true, Index: 1, Snapshot: make([]byte, MaxSnapshotSize+1)}},
 		{"requests, 1024", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: make([]maintenance.Request, MaxRequests+1)}}},
 		{"names, 16384", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Names: make([]string, MaxNames+1)}}}}},
-		{"of 0 acts", SessionActions{From: "a", Sequence: 1}},
-		{"of 10001 acts", SessionActions{From: "a", Sequence: 1, Actions: make([]session.Act, session.MaxActs+1)}},
-		{"no number", SessionActions{From: "a", Actions: make([]session.Act, 1)}},
+		{"has 0 session actions", SessionActions{From: "a", Sequence: 1}},
+		{"has 10001 session actions", SessionActions{From: "a", Sequence: 1, Actions: make([]session.Act, session.MaxActs+1)}},
+		{"no sequence number", SessionActions{From: "a", Actions: make([]session.Act, 1)}},
 		{"a state of 1025", SessionActions{From: "a", Sequence: 1, Actions: []session.Act{{State: make([]byte, session.MaxStateBytes+1)}}}},
 		{"a reason has 1025", FileReport{From: "a", Requests: maintenance.RequestsBody{Requests: []maintenance.Request{{ID: "q", Reason: long}}}}},
 	} {
-		if _, err := Encode(c.m); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%T was to say %q, said %v", c.m, c.says, err)
+		if _, err := Encode(c.m); err == nil || !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%T: want an error with %q, got %v", c.m, c.text, err)
 		}
 	}
-	for raw, says := range map[string]string{
+	for raw, text := range map[string]string{
 		"":                                    "0 bytes",
 		"\x01":                                "1 bytes",
 		"\x01z{}":                             "unknown kind",
-		"\x01p{":                              "could not be read",
+		"\x01p{":                              "could not be decoded",
 		"\x01p" + `{"from":"a","no":1}x`:      "1 bytes too many",
-		"\x01p" + `{"from":"a"}`:              "no number",
+		"\x01p" + `{"from":"a"}`:              "no sequence number",
 		"\x01p" + `{"from":"a","no":1,"b":1}`: "unknown field",
 		"\x01p" + strings.Repeat(" ", MaxPollSize): "at most",
 	} {
-		if _, err := Decode([]byte(raw)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%.30q was to say %q, said %v", raw, says, err)
+		if _, err := Decode([]byte(raw)); err == nil || !strings.Contains(err.Error(), text) {
+			t.Errorf("%.30q: want an error with %q, got %v", raw, text, err)
 		}
 	}
 	raw, _ := Encode(validMessages[0])
@@ -112,35 +111,35 @@
 	for i := range 10 {
 		all = append(all, Entry{uint64(i + 1), make([]byte, MaxEntriesSize/4)})
 	}
-	w := Reply{Sequence: 1, From: "a", FromLeader: true, Index: 10}
+	r := Reply{Sequence: 1, From: "a", FromLeader: true, Index: 10}
 	var got []uint64
 	for rounds := 0; len(got) < 10 && rounds < 4; rounds++ {
-		if err := w.SetEntries(all[len(got):]); err != nil {
+		if err := r.SetEntries(all[len(got):]); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Encode(w); err != nil || w.Truncated != (len(got)+len(w.Entries) < 10) {
-			t.Fatalf("%d entries after %d, more %v, %v", len(w.Entries), len(got), w.Truncated, err)
+		if _, err := Encode(r); err != nil || r.Truncated != (len(got)+len(r.Entries) < 10) {
+			t.Fatalf("%d entries after %d, truncated %v, %v", len(r.Entries), len(got), r.Truncated, err)
 		}
-		for _, e := range w.Entries {
+		for _, e := range r.Entries {
 			got = append(got, e.Index)
 		}
-		w.After = got[len(got)-1]
+		r.After = got[len(got)-1]
 	}
 	if fmt.Sprint(got) != "[1 2 3 4 5 6 7 8 9 10]" {
 		t.Error(got)
 	}
-	if err := w.SetEntries(make([]Entry, MaxEntries+1)); err != nil || len(w.Entries) != MaxEntries || !w.Truncated {
-		t.Errorf("%d entries in a word, more %v, %v", len(w.Entries), w.Truncated, err)
+	if err := r.SetEntries(make([]Entry, MaxEntries+1)); err != nil || len(r.Entries) != MaxEntries || !r.Truncated {
+		t.Errorf("%d entries in a reply, truncated %v, %v", len(r.Entries), r.Truncated, err)
 	}
-	w = Reply{Sequence: 1, From: "a", FromLeader: true, Index: 2}
-	if err := w.SetEntries([]Entry{{1, make([]byte, MaxEntrySize)}, {2, nil}}); err != nil || len(w.Entries) != 1 || !w.Truncated {
-		t.Errorf("%d entries beside a large one: %v", len(w.Entries), err)
+	r = Reply{Sequence: 1, From: "a", FromLeader: true, Index: 2}
+	if err := r.SetEntries([]Entry{{1, make([]byte, MaxEntrySize)}, {2, nil}}); err != nil || len(r.Entries) != 1 || !r.Truncated {
+		t.Errorf("%d entries beside a large one: %v", len(r.Entries), err)
 	}
-	if _, err := Encode(w); err != nil {
+	if _, err := Encode(r); err != nil {
 		t.Error(err)
 	}
-	if w.SetEntries([]Entry{{1, make([]byte, MaxEntrySize+1)}}) == nil {
-		t.Error("an entry that can't be sent was taken")
+	if r.SetEntries([]Entry{{1, make([]byte, MaxEntrySize+1)}}) == nil {
+		t.Error("an entry that cannot be sent was accepted")
 	}
 }
 
@@ -154,20 +153,20 @@
 		m, err := Decode(raw)
 		if err != nil {
 			if m != nil || err.Error() == "" {
-				t.Fatalf("refused without words, or with a message: %v, %v", m, err)
+				t.Fatalf("rejected without an error text, or with a message: %v, %v", m, err)
 			}
 			return
 		}
 		again, err := Encode(m)
 		if err != nil {
-			t.Fatalf("what was read can't be sent: %v", err)
+			t.Fatalf("a decoded message cannot be encoded: %v", err)
 		}
 		back, err := Decode(again)
 		if err != nil {
-			t.Fatalf("what was sent can't be read: %v", err)
+			t.Fatalf("an encoded message cannot be decoded: %v", err)
 		}
 		if third, err := Encode(back); err != nil || !bytes.Equal(again, third) {
-			t.Fatalf("%+v came back as %+v, %v", m, back, err)
+			t.Fatalf("%+v was decoded as %+v, %v", m, back, err)
 		}
 	})
 }
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -1,7 +1,8 @@
-// Package statemachine is the replicated state machine, the one deterministic state that the agreed log of the co-ordinators is applied to: an envelope of
-// versioned commands around the parts that decide. A command acts once, fencing numbers only grow, agreed time never
-// goes back, and the same commands give the same bytes at every co-ordinator. It is pure: no clock, goroutine or I/O,
-// and not for use by two goroutines at once, not even to read.
+// Package statemachine implements the replicated state machine to which every co-ordinator applies the agreed log. It
+// wraps the state machines of the individual parts in an envelope of versioned commands, command ids, fencing numbers and
+// agreed time. A command takes effect at most once, fencing numbers only increase, agreed time never goes back, and the
+// same commands produce the same bytes at every co-ordinator. The package uses no clock, goroutine or I/O. A Machine is
+// not safe for concurrent use, not even for concurrent reads.
 package statemachine
 
 import (
@@ -14,61 +15,70 @@
 	"birchcart/internal/fleet/compress"
 )
 
-// Version of the commands and of the snapshot. Another one is refused in words, never guessed.
+// Version is the version of the commands and of the snapshot. Any other version is rejected with an error that names it.
 const Version = 1
 
 const (
-	// IDRetention is how long, in agreed time, the id of a command is kept; a command older than that is refused, so that
-	// one forgotten can not act again. Twice too short: a proposal that sat in a deposed leader's log is refused as
-	// stale and proposed again; twice too long: twice the ids in each snapshot.
+	// IDRetention is how long, in agreed time, the id of a command is kept. An older command is rejected, so that a command
+	// whose id was dropped cannot take effect again. With half the retention, a proposal that waited in a deposed leader's
+	// log is rejected as stale and has to be proposed again; twice the retention doubles the ids in each snapshot.
 	IDRetention = 10 * time.Minute
-	// MaxRetainedIDs ids are kept. The oldest goes first, and with it all commands as old as it was are refused. At 100
-	// commands a second it holds for IDRetention.
+	// MaxRetainedIDs is the number of ids that are kept. Past it the oldest id is dropped, and from then on every command
+	// that is as old as the dropped one is rejected. At 100 commands a second it suffices for IDRetention.
 	MaxRetainedIDs = 65_536
-	// MaxCommandSize bytes in a command as it is read. An operators' file that names 10,000 machines a few times takes some 2 MB;
-	// inventories come in parts, see lead.
+	// MaxCommandSize is the maximum size in bytes of an uncompressed command. An operators' file that names 10,000 machines a
+	// few times takes about 2 MB. Inventories are split over several commands, see lead.
 	MaxCommandSize = 4 << 20
-	// MaxEntrySize bytes of a command as it lies in the log, packed or not: what the raft group takes, and what one word to a
-	// follower may bring. Twice as much holds a narrow link between voters for longer than an election takes; half as much
-	// refuses files of some 6,000 names that do not resemble each other.
+	// MaxEntrySize is the maximum size in bytes of a command in the log, compressed or not. It is also the largest entry that
+	// the raft group accepts and that one reply to a follower may carry. Twice as much would occupy a narrow link between
+	// voters for longer than an election takes; half as much would reject files of about 6,000 dissimilar names.
 	MaxEntrySize = 1 << 20
-	// CompressAbove bytes a command is packed. Twice as much: larger entries where the links are narrow; half: more entries that a
-	// program which does not know them yet halts at.
+	// CompressAbove is the size in bytes above which a command is compressed. Twice as much would put larger entries on narrow
+	// links; half as much would create more entries at which a program halts that cannot read compressed commands yet.
 	CompressAbove = 256 << 10
-	// MaxTime since the epoch is a time in the year 2220: past it, sums of times would overflow.
+	// MaxTime is the latest agreed time, in the year 2220, as a duration since the Unix epoch. Later times could overflow
+	// when they are added.
 	MaxTime = 250 * 365 * 24 * time.Hour
-	// MaxIDLength bytes in an id.
+	// MaxIDLength is the maximum length of a command id in bytes.
 	MaxIDLength = 128
 )
 
 // Errors of Apply.
 var (
-	ErrRejected  = errors.New("statemachine: refused")                           // by the part; only index and time moved
-	ErrDuplicate = errors.New("statemachine: this command was applied before")   // only index and time moved
-	ErrStale     = errors.New("statemachine: older than what is remembered")     // only the index moved
-	ErrVersion   = errors.New("statemachine: not of a version known here")       // this instance's part in the fleet halts
-	ErrIndex     = errors.New("statemachine: index is not past the one applied") // nothing moved
-	// ErrUnknown is what a part wraps for a kind or a field that it does not know: a newer program has proposed it, and
-	// going on without it would let the copies differ, so the state machine halts.
-	ErrUnknown = errors.New("unknown here")
+	// ErrRejected says that the command is unreadable or that its part rejected it. For an unreadable command only the index
+	// advances, otherwise the index and the time.
+	ErrRejected = errors.New("statemachine: command rejected")
+	// ErrDuplicate says that a command of this id was applied already. Only the index and the time advance.
+	ErrDuplicate = errors.New("statemachine: this command was applied before")
+	// ErrStale says that the command is too old to be checked against the retained ids. Only the index advances.
+	ErrStale = errors.New("statemachine: command is older than the retained ids")
+	// ErrVersion says that a command or a snapshot has another version, or a part, kind or field that this program does not
+	// know. Such a command halts the state machine, and with it this instance's part in the fleet.
+	ErrVersion = errors.New("statemachine: unsupported version")
+	// ErrIndex says that the index is not greater than the last applied one. The state does not change.
+	ErrIndex = errors.New("statemachine: index is not after the last applied one")
+	// ErrUnknown is wrapped by a part for a kind or a field that it does not know. A newer program proposed it, and
+	// skipping it would let the copies diverge, so the state machine halts.
+	ErrUnknown = errors.New("unknown kind or field")
 )
 
 // Command is one entry of the agreed log.
 type Command struct {
 	V    int    `json:"v"`
-	ID   string `json:"id"`   // acts once; a repetition keeps its At
-	Part string `json:"part"` // the part that it is for
+	ID   string `json:"id"`   // takes effect once; a retry keeps the same At
+	Part string `json:"part"` // name of the part that applies it
 	Kind string `json:"kind"`
-	// At is the agreed time, since the Unix epoch: the later of the leader's clock and the state machine's Now when it
-	// proposed. A leader whose clock is behind and that left Now out of it would only propose what is stale.
+	// At is the agreed time of the command since the Unix epoch: the later of the leader's clock and the state machine's
+	// Now at the time of the proposal. Without Now, a leader whose clock is behind would propose only stale commands.
 	At   time.Duration   `json:"at"`
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// versionPacked is of a command that is packed: another program must halt at it, not refuse it.
+// versionPacked is the version of a compressed command. It differs from Version so that a program that cannot read
+// compressed commands halts instead of rejecting the command.
 const versionPacked = 2
 
-// packed is a command whose bytes are packed into Z.
+// packed holds the compressed bytes of a command in Z.
 type packed struct {
 	V int    `json:"v"`
 	Z []byte `json:"z"`
@@ -76,7 +86,8 @@
 
 var packedPrefix = fmt.Appendf(nil, `{"v":%d,"z":"`, versionPacked)
 
-// Encode gives the bytes for the log, packed if they are many. It fails for a command that Decode would refuse.
+// Encode returns the bytes for the log, compressed if they exceed CompressAbove. It fails for a command that Decode would
+// reject.
 func (c Command) Encode() ([]byte, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -103,15 +114,16 @@
 		small = raw
 	}
 	if len(small) > MaxEntrySize {
-		return nil, fmt.Errorf("statemachine: command %s has %d bytes, packed %d, of which %d are allowed", c.ID, len(raw), len(small), MaxEntrySize)
+		return nil, fmt.Errorf("statemachine: command %s has %d bytes, %d after compression, %d are allowed", c.ID, len(raw), len(small), MaxEntrySize)
 	}
 	return small, nil
 }
 
-// Decode reads a command. Another version gives ErrVersion, whatever else is in it, as does a field that is not known.
+// Decode decodes a command. It returns ErrVersion for any other version, whatever else the command contains, and for an
+// unknown field.
 func Decode(raw []byte) (Command, error) {
 	if len(raw) > MaxCommandSize {
-		return Command{}, fmt.Errorf("statemachine: a command of %d bytes, %d are allowed", len(raw), MaxCommandSize)
+		return Command{}, fmt.Errorf("statemachine: command has %d bytes, %d are allowed", len(raw), MaxCommandSize)
 	}
 	if bytes.HasPrefix(raw, packedPrefix) {
 		var p packed
@@ -123,7 +135,7 @@
 			return Command{}, fmt.Errorf("%w: %w", ErrVersion, err)
 		}
 		if err != nil {
-			return Command{}, fmt.Errorf("statemachine: packed command can not be read: %w", err)
+			return Command{}, fmt.Errorf("statemachine: compressed command cannot be decoded: %w", err)
 		}
 	}
 	var c Command
@@ -137,7 +149,7 @@
 		case errors.Is(err, ErrUnknown):
 			return Command{}, fmt.Errorf("%w: %w", ErrVersion, err)
 		}
-		return Command{}, fmt.Errorf("statemachine: command can not be read: %w", err)
+		return Command{}, fmt.Errorf("statemachine: command cannot be decoded: %w", err)
 	}
 	return c, c.validate()
 }
@@ -147,17 +159,17 @@
 	case c.V != Version:
 		return fmt.Errorf("%w: command version %d, this program reads %d", ErrVersion, c.V, Version)
 	case c.ID == "" || len(c.ID) > MaxIDLength:
-		return fmt.Errorf("statemachine: a command's id has 1 to %d bytes, not %d", MaxIDLength, len(c.ID))
+		return fmt.Errorf("statemachine: command id must have 1 to %d bytes, has %d", MaxIDLength, len(c.ID))
 	case c.Part == "" || c.Kind == "":
-		return fmt.Errorf("statemachine: command %s names no part or no kind", c.ID)
+		return fmt.Errorf("statemachine: command %s has no part or no kind", c.ID)
 	case c.At < 0 || c.At > MaxTime:
-		return fmt.Errorf("statemachine: command %s is of %v since the epoch, it has to be within 0 and %v", c.ID, c.At, MaxTime)
+		return fmt.Errorf("statemachine: time of command %s is %v since the epoch, must be between 0 and %v", c.ID, c.At, MaxTime)
 	}
 	return nil
 }
 
-// DecodeStrict reads the whole of raw into into. A field that into does not have gives ErrUnknown: who wrote it knows more
-// than this program.
+// DecodeStrict decodes the single JSON value in raw into into. It returns ErrUnknown for a field that into does not have,
+// because only a newer program can have written it.
 func DecodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -168,7 +180,7 @@
 		return err
 	}
 	if d.More() {
-		return errors.New("more than one value")
+		return errors.New("more than one JSON value")
 	}
 	return nil
 }
--- a/internal/fleet/statemachine/compat_test.go
+++ b/internal/fleet/statemachine/compat_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestSnapshotOfEarlierVersionLoads reads a snapshot that the package wrote under its earlier name (ledger, at 7c55f5a):
-// three commands and a new epoch. It has to load, give the same state, and be saved again to the same bytes.
+// TestSnapshotOfEarlierVersionLoads loads a snapshot that this package wrote at commit 7c55f5a, when it was called ledger.
+// The snapshot holds three commands and a new epoch. It must load, yield the same state, and be saved to the same bytes.
 func TestSnapshotOfEarlierVersionLoads(t *testing.T) {
 	old, err := os.ReadFile("testdata/snapshot-of-7c55f5a.txt")
 	if err != nil {
@@ -39,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if now, err := replayed.Save(); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("the same commands give other bytes than the earlier version did (%v):\n%s\n%s", err, now, old)
+		t.Errorf("the same commands produce other bytes than in the earlier version (%v):\n%s\n%s", err, now, old)
 	}
 }
--- a/internal/fleet/statemachine/epoch.go
+++ b/internal/fleet/statemachine/epoch.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
-// FenceGap is left between the fencing numbers of two epochs: what was granted after the copy that a raft group is set up from
-// is known to the site's tools and to other copies, and to no one here. Twice as much costs nothing; half is still more
-// than ten grants for each of 10,000 machines, and more than a log keeps in the month that a voter may have been away.
+// FenceGap is the gap between the fencing numbers of two epochs. Grants issued after the copy was made from which a raft
+// group is set up are known to the site's tools and to other copies, but not to this copy, and their fencing numbers must
+// not be reused. Half the gap is still more than ten grants for each of 10,000 machines, and more than a log keeps in the
+// month that a voter may have been absent; a larger gap costs nothing.
 const FenceGap = 1 << 18
 
-// Renewer is a Part that has something to end when a raft group is set up anew; nothing may be granted before until.
+// Renewer is a Part that has to end some of its state when a raft group is set up again from a copy. It must not grant
+// anything before until.
 type Renewer interface{ Renew(until time.Duration) }
 
-// Renew begins a new epoch, for a raft group that is set up anew from this copy when others may have been ahead of it. at is
-// agreed time by the clock of who does it; what was granted by others may go on until until. The epoch is the later of the
-// next number and at in whole seconds: of two that were set up from copies of one log, the later one counts.
-func (l *Machine) Renew(at, until time.Duration) error {
+// Renew begins a new epoch. It is used when a raft group is set up again from this copy although other copies may have
+// been ahead of it. at is the agreed time by the clock of the process that sets the group up; grants issued by the former
+// group may last until until. The new epoch is the larger of the next number and at in whole seconds, so that of two groups
+// that were set up from copies of one log the later one has the higher epoch.
+func (m *Machine) Renew(at, until time.Duration) error {
 	switch {
-	case l.halted != nil:
-		return fmt.Errorf("statemachine: halted, no new epoch: %w", l.halted)
+	case m.halted != nil:
+		return fmt.Errorf("statemachine: cannot begin a new epoch while halted: %w", m.halted)
 	case at < 0 || at > MaxTime || until < at || until > MaxTime:
-		return fmt.Errorf("statemachine: a new epoch at %v, with grants until %v", at, until)
+		return fmt.Errorf("statemachine: invalid times for a new epoch: at %v, with grants until %v", at, until)
 	}
-	l.now = max(l.now, at)
-	l.epoch = max(l.epoch+1, uint64(at/time.Second))
-	l.fence += FenceGap
-	for _, name := range l.names {
-		l.parts[name].Tick(l.now)
-		if p, ok := l.parts[name].(Renewer); ok {
+	m.now = max(m.now, at)
+	m.epoch = max(m.epoch+1, uint64(at/time.Second))
+	m.fence += FenceGap
+	for _, name := range m.names {
+		m.parts[name].Tick(m.now)
+		if p, ok := m.parts[name].(Renewer); ok {
 			p.Renew(until)
 		}
 	}
-	l.dropExpiredIDs()
+	m.dropExpiredIDs()
 	return nil
 }
--- a/internal/fleet/statemachine/machine_test.go
+++ b/internal/fleet/statemachine/machine_test.go
@@ -14,7 +14,7 @@
 	"birchcart/internal/fleet/compress"
 )
 
-// book is a part that writes down what acted, in order.
+// book is a part that records the commands that took effect, in order.
 type book struct {
 	Now   time.Duration
 	Lines []string
@@ -24,7 +24,7 @@
 
 func (b *book) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
 	if now != b.Now {
-		return fmt.Errorf("no tick before %v", now)
+		return fmt.Errorf("no Tick at %v before Apply", now)
 	}
 	n := fence()
 	switch kind {
@@ -53,7 +53,7 @@
 	return b
 }
 
-// The same commands, with any repetition and with snapshots at any point, leave the same state.
+// The same commands must lead to the same state, with commands repeated and snapshots loaded at any point.
 func TestRepetitionAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, _ := newTestMachine()
@@ -75,11 +75,11 @@
 				at++
 				j := rapid.IntRange(0, i).Draw(t, "which")
 				if err := other.Apply(at, log[j]); !errors.Is(err, ErrDuplicate) && !errors.Is(err, ErrStale) {
-					t.Fatalf("command %d once more: %v", j, err)
+					t.Fatalf("command %d repeated: %v", j, err)
 				}
 			}
 			if other.Fence() != fence || other.Now() != before {
-				t.Fatalf("a repetition moved the fence from %d to %d or time", fence, other.Fence())
+				t.Fatalf("a repeated command moved the fence from %d to %d, or the time", fence, other.Fence())
 			}
 			if rapid.Bool().Draw(t, "snapshot") {
 				b, err := other.Save()
@@ -91,7 +91,7 @@
 					t.Fatal(err)
 				}
 				if again, _ := other.Save(); !bytes.Equal(again, b) || other.Index() != at {
-					t.Fatalf("%s\nloaded and saved is\n%s", b, again)
+					t.Fatalf("%s\nafter loading and saving is\n%s", b, again)
 				}
 			}
 			if err := errors.Join(plain.Check(), other.Check()); err != nil {
@@ -104,123 +104,123 @@
 	})
 }
 
-func wantError(t *testing.T, err error, is error, words string) {
+func wantError(t *testing.T, err error, target error, text string) {
 	t.Helper()
-	if !errors.Is(err, is) || !strings.Contains(err.Error(), words) {
-		t.Fatalf("%v, want %v with %q", err, is, words)
+	if !errors.Is(err, target) || !strings.Contains(err.Error(), text) {
+		t.Fatalf("%v, want %v with %q", err, target, text)
 	}
 }
 
 func TestOrderTimeAndFence(t *testing.T) {
-	l, b := newTestMachine()
-	if err := l.Apply(3, encodeBookCommand("a", "put", time.Hour)); err != nil {
+	m, b := newTestMachine()
+	if err := m.Apply(3, encodeBookCommand("a", "put", time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	wantError(t, l.Apply(3, encodeBookCommand("b", "put", time.Hour)), ErrIndex, "3, applied up to 3")
-	wantError(t, l.Apply(4, encodeBookCommand("c", "refuse", 2*time.Hour)), ErrRejected, "not now")
-	if l.Index() != 4 || l.Now() != 2*time.Hour || l.Fence() != 1 {
-		t.Fatalf("index %d, now %v, fence %d", l.Index(), l.Now(), l.Fence())
+	wantError(t, m.Apply(3, encodeBookCommand("b", "put", time.Hour)), ErrIndex, "3, applied up to 3")
+	wantError(t, m.Apply(4, encodeBookCommand("c", "refuse", 2*time.Hour)), ErrRejected, "not now")
+	if m.Index() != 4 || m.Now() != 2*time.Hour || m.Fence() != 1 {
+		t.Fatalf("index %d, now %v, fence %d", m.Index(), m.Now(), m.Fence())
 	}
-	if err := l.Apply(5, encodeBookCommand("d", "put", 2*time.Hour-IDRetention)); err != nil { // late, not stale
+	if err := m.Apply(5, encodeBookCommand("d", "put", 2*time.Hour-IDRetention)); err != nil { // behind agreed time, but not stale
 		t.Fatal(err)
 	}
-	wantError(t, l.Apply(6, encodeBookCommand("e", "put", 2*time.Hour-IDRetention-1)), ErrStale, "e is 10m0.000000001s behind")
-	wantError(t, l.Apply(7, []byte("{")), ErrRejected, "can not be read")
-	wantError(t, l.Apply(8, encodeBookCommand("", "put", 3*time.Hour)), ErrRejected, "id has 1 to")
-	wantError(t, l.Apply(9, encodeBookCommand("f", "put", MaxTime+1)), ErrRejected, "since the epoch")
-	if got := strings.Join(b.Lines, ", "); got != `"a" 1 1h0m0s, "d" 2 2h0m0s` || l.Index() != 9 {
+	wantError(t, m.Apply(6, encodeBookCommand("e", "put", 2*time.Hour-IDRetention-1)), ErrStale, "e is 10m0.000000001s behind")
+	wantError(t, m.Apply(7, []byte("{")), ErrRejected, "command cannot be decoded")
+	wantError(t, m.Apply(8, encodeBookCommand("", "put", 3*time.Hour)), ErrRejected, "id must have 1 to")
+	wantError(t, m.Apply(9, encodeBookCommand("f", "put", MaxTime+1)), ErrRejected, "since the epoch")
+	if got := strings.Join(b.Lines, ", "); got != `"a" 1 1h0m0s, "d" 2 2h0m0s` || m.Index() != 9 {
 		t.Fatal(got)
 	}
 }
 
-// Full of ids, the oldest goes, and nothing as old as it can act again.
+// Past MaxRetainedIDs the oldest id is dropped, and no command as old as the dropped one may take effect again.
 func TestOldestIDIsDroppedAtLimit(t *testing.T) {
-	l, _ := newTestMachine()
+	m, _ := newTestMachine()
 	for i := range MaxRetainedIDs + 1 {
-		if err := l.Apply(uint64(i+1), encodeBookCommand(fmt.Sprint(i), "put", time.Hour+time.Duration(i/2))); err != nil {
+		if err := m.Apply(uint64(i+1), encodeBookCommand(fmt.Sprint(i), "put", time.Hour+time.Duration(i/2))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Check(); err != nil {
+	if err := m.Check(); err != nil {
 		t.Fatal(err)
 	}
-	wantError(t, l.Apply(1<<20, encodeBookCommand("0", "put", time.Hour)), ErrStale, "")
-	wantError(t, l.Apply(1<<20+1, encodeBookCommand("2", "put", time.Hour+1)), ErrDuplicate, "")
+	wantError(t, m.Apply(1<<20, encodeBookCommand("0", "put", time.Hour)), ErrStale, "")
+	wantError(t, m.Apply(1<<20+1, encodeBookCommand("2", "put", time.Hour+1)), ErrDuplicate, "")
 }
 
 func TestUnknownHalts(t *testing.T) {
-	for words, entry := range map[string][]byte{
+	for message, entry := range map[string][]byte{
 		"command version 2, this program reads 1": encodeCommand(2, "x", "book", "put", 1),
 		`part "pool"`:              encodeCommand(1, "x", "pool", "put", 1),
 		"command version 7":        []byte(`{"v":7,"id":5,"deadline":2}`),
 		`kind "new"`:               encodeCommand(1, "x", "book", "new", 1),
 		`unknown field "deadline"`: []byte(`{"v":1,"id":"x","part":"book","kind":"put","at":1,"deadline":2}`),
 	} {
-		l, _ := newTestMachine()
-		kept, _ := l.Save()
-		wantError(t, l.Apply(1, entry), ErrVersion, words)
-		wantError(t, l.Apply(2, encodeBookCommand("y", "put", 1)), ErrVersion, "entry 1")
-		if l.Halted() == nil || l.Index() != 0 {
-			t.Fatalf("halted: %v at %d", l.Halted(), l.Index())
+		m, _ := newTestMachine()
+		kept, _ := m.Save()
+		wantError(t, m.Apply(1, entry), ErrVersion, message)
+		wantError(t, m.Apply(2, encodeBookCommand("y", "put", 1)), ErrVersion, "entry 1")
+		if m.Halted() == nil || m.Index() != 0 {
+			t.Fatalf("halted: %v at %d", m.Halted(), m.Index())
 		}
-		if _, err := l.Save(); err == nil {
-			t.Fatal("a halted state machine gives a snapshot")
+		if _, err := m.Save(); err == nil {
+			t.Fatal("a halted state machine saved a snapshot")
 		}
-		if err := l.Load(kept); err != nil || l.Halted() != nil {
-			t.Fatal(err, l.Halted())
+		if err := m.Load(kept); err != nil || m.Halted() != nil {
+			t.Fatal(err, m.Halted())
 		}
 	}
 }
 
 func TestTornSnapshots(t *testing.T) {
-	l, b := newTestMachine()
-	if err := l.Apply(1, encodeBookCommand("a", "put", 1)); err != nil {
+	m, b := newTestMachine()
+	if err := m.Apply(1, encodeBookCommand("a", "put", 1)); err != nil {
 		t.Fatal(err)
 	}
-	good, _ := l.Save()
+	good, _ := m.Save()
 	into, kept := newTestMachine()
 	*kept = *b
 	before := into.Digest()
 	for n := range good {
 		if into.Load(good[:n]) == nil {
-			t.Fatalf("taken with %d of %d bytes", n, len(good))
+			t.Fatalf("loaded with %d of %d bytes", n, len(good))
 		}
 		bad := bytes.Clone(good)
 		bad[n] ^= 1
 		if into.Load(bad) == nil {
-			t.Fatalf("taken with byte %d changed", n)
+			t.Fatalf("loaded with byte %d changed", n)
 		}
 	}
 	newer := bytes.Replace(good, []byte("birchcart-ledger 1 "), []byte("birchcart-ledger 2 "), 1)
 	wantError(t, into.Load(newer), ErrVersion, "snapshot version 2, this program reads 1")
 	two := New(map[string]Part{"book": &book{}, "pool": &book{}})
-	wantError(t, two.Load(good), ErrVersion, "without \"pool\", which this program has")
+	wantError(t, two.Load(good), ErrVersion, "without \"pool\", which this program requires")
 	if into.Digest() != before {
-		t.Fatal("a refused snapshot changed the state")
+		t.Fatal("a rejected snapshot changed the state")
 	}
 }
 
-// A part that refuses its bytes leaves all parts as they were.
+// If one part fails to load, all parts must keep their former state.
 func TestLoadTakesAllOrNothing(t *testing.T) {
 	from := New(map[string]Part{"a": &book{Lines: []string{"new"}}, "b": &book{}})
 	kept := &book{Lines: []string{"old"}}
 	into := New(map[string]Part{"a": kept, "b": &rejectingPart{}})
 	b, _ := from.Save()
 	if into.Load(b) == nil || kept.Lines[0] != "old" {
-		t.Fatalf("kept %v", kept.Lines)
+		t.Fatalf("the load succeeded or changed the other part: %v", kept.Lines)
 	}
 }
 
 type rejectingPart struct{ book }
 
-// latecomer is a part that came to the state machine after "book".
+// optionalPart is a part that was added to the state machine after "book".
 type optionalPart struct{ book }
 
-func (l *optionalPart) Empty() bool { return len(l.Lines) == 0 }
-func (l *optionalPart) Clear()      { l.book = book{} }
+func (o *optionalPart) Empty() bool { return len(o.Lines) == 0 }
+func (o *optionalPart) Clear()      { o.book = book{} }
 
-// A part that came later is left out of snapshots until it holds something, and emptied by one without it; when another part
-// refuses its bytes it is as it was. Programs without it refuse those with it.
+// An Optional part must be left out of snapshots while it is empty, be cleared by loading a snapshot without it, and keep its
+// state if another part fails to load. Programs without the part must reject snapshots that contain it.
 func TestOptionalPartIsOmittedWhileEmpty(t *testing.T) {
 	late := &optionalPart{}
 	older, newer := New(map[string]Part{"book": &book{}}), New(map[string]Part{"book": &book{}, "a": late})
@@ -235,8 +235,8 @@
 	if err := New(map[string]Part{"book": &book{}, "a": again}).Load(with); err != nil || len(again.Lines) != 1 {
 		t.Error(err, again.Lines)
 	}
-	if picky := New(map[string]Part{"a": late, "book": &rejectingPart{}}); picky.Load(plain) == nil || len(late.Lines) != 1 {
-		t.Error("a refused snapshot without the part has emptied it")
+	if failing := New(map[string]Part{"a": late, "book": &rejectingPart{}}); failing.Load(plain) == nil || len(late.Lines) != 1 {
+		t.Error("a rejected snapshot without the optional part cleared it")
 	}
 	if err := newer.Load(plain); err != nil || !late.Empty() {
 		t.Error(err, late.Lines)
@@ -245,8 +245,8 @@
 
 func (*rejectingPart) Load([]byte) error { return errors.New("not this") }
 
-// A large command goes into the log packed and acts as it would; a packed one that is torn, or holds too much, is refused
-// alike everywhere, and one of a later form halts.
+// A large command is compressed for the log and takes effect like any other. A compressed command that is truncated or too
+// large must be rejected, because every co-ordinator rejects it alike; one of a newer version or with an unknown field halts.
 func TestPackedCommands(t *testing.T) {
 	large := strings.Repeat("name ", CompressAbove/4)
 	body, _ := json.Marshal(large)
@@ -255,14 +255,14 @@
 	if err != nil || len(raw) > CompressAbove/4 || !bytes.HasPrefix(raw, packedPrefix) {
 		t.Fatalf("%d bytes: %v", len(raw), err)
 	}
-	l, b := newTestMachine()
-	if err := l.Apply(1, raw); err != nil || len(b.Lines) != 1 || !strings.HasPrefix(b.Lines[0], string(body)) {
+	m, b := newTestMachine()
+	if err := m.Apply(1, raw); err != nil || len(b.Lines) != 1 || !strings.HasPrefix(b.Lines[0], string(body)) {
 		t.Fatalf("%v, %d lines", err, len(b.Lines))
 	}
-	if err := l.Apply(2, raw); !errors.Is(err, ErrDuplicate) {
+	if err := m.Apply(2, raw); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	hold := func(inner []byte) []byte {
+	packedCommand := func(inner []byte) []byte {
 		z, err := compress.Pack(inner)
 		if err != nil {
 			t.Fatal(err)
@@ -271,26 +271,26 @@
 		return out
 	}
 	index := uint64(2)
-	for what, raw := range map[string][]byte{
-		"torn":       hold(raw[:len(raw)/2])[:40],
+	for name, raw := range map[string][]byte{
+		"truncated":  packedCommand(raw[:len(raw)/2])[:40],
 		"no frame":   []byte(`{"v":2,"z":"AAAA"}`),
-		"too much":   hold(make([]byte, MaxCommandSize+1)),
-		"no command": hold([]byte("{}x")),
+		"too large":  packedCommand(make([]byte, MaxCommandSize+1)),
+		"no command": packedCommand([]byte("{}x")),
 	} {
 		index++
-		if err := l.Apply(index, raw); !errors.Is(err, ErrRejected) || l.Halted() != nil || l.Index() != index {
-			t.Errorf("%s: %v, stands at %d", what, err, l.Index())
+		if err := m.Apply(index, raw); !errors.Is(err, ErrRejected) || m.Halted() != nil || m.Index() != index {
+			t.Errorf("%s: %v, index %d", name, err, m.Index())
 		}
 	}
-	for _, raw := range [][]byte{hold(raw), []byte(`{"v":2,"z":"AAAA","y":1}`), []byte(`{"v":2,"part":"book"}`), hold(bytes.Replace(mustEncode(t, "9"), []byte(`"v":1`), []byte(`"v":3`), 1))} {
-		l, _ := newTestMachine()
-		if err := l.Apply(1, raw); !errors.Is(err, ErrVersion) || l.Halted() == nil || l.Index() != 0 {
+	for _, raw := range [][]byte{packedCommand(raw), []byte(`{"v":2,"z":"AAAA","y":1}`), []byte(`{"v":2,"part":"book"}`), packedCommand(bytes.Replace(mustEncode(t, "9"), []byte(`"v":1`), []byte(`"v":3`), 1))} {
+		m, _ := newTestMachine()
+		if err := m.Apply(1, raw); !errors.Is(err, ErrVersion) || m.Halted() == nil || m.Index() != 0 {
 			t.Errorf("%.60s: %v", raw, err)
 		}
 	}
 	c.Body, _ = json.Marshal(strings.Repeat(large, 100))
 	if _, err := c.Encode(); err == nil || !strings.Contains(err.Error(), "are allowed") {
-		t.Errorf("a command over all bounds: %v", err)
+		t.Errorf("a command that is too large even when compressed: %v", err)
 	}
 }
 
--- a/internal/fleet/statemachine/snapshot.go
+++ b/internal/fleet/statemachine/snapshot.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// magic begins the one line before a snapshot's body: magic, version, length of the body in bytes, its SHA-256. It
-// keeps the name of the package that first wrote it, so that snapshots of earlier versions are read as they are.
+// magic is the first field of the header line of a snapshot, which consists of magic, version, length of the body in
+// bytes, and SHA-256 of the body. It is the former name of this package, kept so that snapshots of earlier versions can
+// be loaded.
 const magic = "birchcart-ledger"
 
 type snapshot struct {
@@ -27,7 +28,7 @@
 	Now       time.Duration `json:"now"`
 	Fence     uint64        `json:"fence"`
 	StaleUpTo time.Duration `json:"over"`
-	Epoch     uint64        `json:"era,omitempty"` // 0, as in older ones: the first
+	Epoch     uint64        `json:"era,omitempty"` // 0 means the first epoch, as in older snapshots
 	Seen      []id          `json:"seen,omitempty"`
 	Parts     []savedPart   `json:"parts"`
 }
@@ -37,16 +38,16 @@
 	Raw  json.RawMessage `json:"raw"`
 }
 
-func (l *Machine) state() (state, error) {
-	st := state{Now: l.now, Fence: l.fence, StaleUpTo: l.staleUpTo, Seen: l.seen}
-	if l.epoch > 1 {
-		st.Epoch = l.epoch
+func (m *Machine) state() (state, error) {
+	st := state{Now: m.now, Fence: m.fence, StaleUpTo: m.staleUpTo, Seen: m.seen}
+	if m.epoch > 1 {
+		st.Epoch = m.epoch
 	}
-	for _, name := range l.names {
-		if p, ok := l.parts[name].(Optional); ok && p.Empty() {
+	for _, name := range m.names {
+		if p, ok := m.parts[name].(Optional); ok && p.Empty() {
 			continue
 		}
-		raw, err := l.parts[name].Save()
+		raw, err := m.parts[name].Save()
 		if err != nil {
 			return state{}, fmt.Errorf("statemachine: part %s: %w", name, err)
 		}
@@ -55,17 +56,17 @@
 	return st, nil
 }
 
-// Save gives the whole state with version and checksum. A halted state machine gives none: the log would be cut behind an
-// entry that was not applied.
-func (l *Machine) Save() ([]byte, error) {
-	if l.halted != nil {
-		return nil, fmt.Errorf("statemachine: halted, no snapshot: %w", l.halted)
+// Save returns a snapshot of the whole state with version and checksum. It fails if the state machine has halted, because
+// the log would be truncated although an entry was not applied.
+func (m *Machine) Save() ([]byte, error) {
+	if m.halted != nil {
+		return nil, fmt.Errorf("statemachine: cannot save a snapshot while halted: %w", m.halted)
 	}
-	st, err := l.state()
+	st, err := m.state()
 	if err != nil {
 		return nil, err
 	}
-	body, err := json.Marshal(snapshot{l.index, st})
+	body, err := json.Marshal(snapshot{m.index, st})
 	if err != nil {
 		return nil, fmt.Errorf("statemachine: snapshot: %w", err)
 	}
@@ -74,64 +75,65 @@
 	return append([]byte(head), body...), nil
 }
 
-// Load takes a snapshot's state in place of its own and ends a halt. One that is torn, not one, or of another version is
-// refused in words and changes nothing.
-func (l *Machine) Load(raw []byte) error {
+// Load replaces the state by that of a snapshot and ends a halt. If the data is truncated, damaged, no snapshot, or of
+// another version, it returns an error and changes nothing.
+func (m *Machine) Load(raw []byte) error {
 	body, err := checkHeader(raw)
 	if err != nil {
 		return err
 	}
 	var snap snapshot
 	if err := DecodeStrict(body, &snap); err != nil {
-		return fmt.Errorf("statemachine: snapshot can not be read: %w", err)
+		return fmt.Errorf("statemachine: snapshot cannot be decoded: %w", err)
 	}
 	if len(snap.Seen) > MaxRetainedIDs {
-		return fmt.Errorf("statemachine: snapshot with %d ids, %d are allowed", len(snap.Seen), MaxRetainedIDs)
+		return fmt.Errorf("statemachine: snapshot has %d ids, %d are allowed", len(snap.Seen), MaxRetainedIDs)
 	}
 	ids := make(map[string]bool, len(snap.Seen))
 	for _, s := range snap.Seen {
 		ids[s.ID] = true
 	}
-	if err := l.checkPartNames(snap.Parts); err != nil {
+	if err := m.checkPartNames(snap.Parts); err != nil {
 		return err
 	}
-	before, err := l.state()
+	before, err := m.state()
 	if err != nil {
 		return err
 	}
-	if err := l.loadParts(snap.Parts); err != nil {
-		return errors.Join(err, l.loadParts(before.Parts))
+	if err := m.loadParts(snap.Parts); err != nil {
+		return errors.Join(err, m.loadParts(before.Parts))
 	}
-	l.index, l.now, l.fence, l.staleUpTo, l.seen, l.ids = snap.Index, snap.Now, snap.Fence, snap.StaleUpTo, snap.Seen, ids
-	l.epoch = max(snap.Epoch, 1)
-	l.halted = nil
+	m.index, m.now, m.fence, m.staleUpTo, m.seen, m.ids = snap.Index, snap.Now, snap.Fence, snap.StaleUpTo, snap.Seen, ids
+	m.epoch = max(snap.Epoch, 1)
+	m.halted = nil
 	return nil
 }
 
-// known refuses a snapshot's parts if one is not a part here, or one of here that is no Optional is missing.
-func (l *Machine) checkPartNames(parts []savedPart) error {
+// checkPartNames returns an error if the parts of a snapshot are not sorted, include an unknown one, or lack a part of this
+// state machine that is not Optional.
+func (m *Machine) checkPartNames(parts []savedPart) error {
 	for i, p := range parts {
-		if l.parts[p.Name] == nil || i > 0 && parts[i-1].Name >= p.Name {
-			return fmt.Errorf("%w: snapshot of part %q, which this program does not have in that place", ErrVersion, p.Name)
+		if m.parts[p.Name] == nil || i > 0 && parts[i-1].Name >= p.Name {
+			return fmt.Errorf("%w: snapshot of part %q, which this program does not have in that position", ErrVersion, p.Name)
 		}
 	}
-	for _, name := range l.names {
-		_, later := l.parts[name].(Optional)
+	for _, name := range m.names {
+		_, later := m.parts[name].(Optional)
 		if !later && !slices.ContainsFunc(parts, func(p savedPart) bool { return p.Name == name }) {
-			return fmt.Errorf("%w: snapshot of %d parts without %q, which this program has", ErrVersion, len(parts), name)
+			return fmt.Errorf("%w: snapshot has %d parts without %q, which this program requires", ErrVersion, len(parts), name)
 		}
 	}
 	return nil
 }
 
-// fill loads parts that are known; a Optional that is not among them is emptied.
-func (l *Machine) loadParts(parts []savedPart) error {
-	for _, name := range l.names {
+// loadParts loads parts that checkPartNames has accepted, and clears each Optional that is not among them.
+func (m *Machine) loadParts(parts []savedPart) error {
+	for _, name := range m.names {
 		if len(parts) == 0 || parts[0].Name != name {
-			l.parts[name].(Optional).Clear()
+			m.parts[name].(Optional).Clear()
 			continue
 		}
-		if err := l.parts[name].Load(parts[0].Raw); err != nil {
+		if err := m.parts[name].Load(parts[0].Raw); err != nil {
 			return fmt.Errorf("statemachine: part %s: %w", name, err)
 		}
 		parts = parts[1:]
@@ -139,30 +141,30 @@
 	return nil
 }
 
-// open checks the line before the body.
+// checkHeader verifies the header line of a snapshot and returns the body.
 func checkHeader(raw []byte) ([]byte, error) {
 	line, body, ok := bytes.Cut(raw, []byte("\n"))
-	words := strings.Fields(string(line[:min(len(line), 256)]))
-	if !ok || len(words) != 4 || words[0] != magic {
-		return nil, errors.New("statemachine: not a snapshot, or one torn in its first line")
+	fields := strings.Fields(string(line[:min(len(line), 256)]))
+	if !ok || len(fields) != 4 || fields[0] != magic {
+		return nil, errors.New("statemachine: not a snapshot, or truncated in its header line")
 	}
-	if words[1] != strconv.Itoa(Version) {
-		return nil, fmt.Errorf("%w: snapshot version %s, this program reads %d", ErrVersion, words[1], Version)
+	if fields[1] != strconv.Itoa(Version) {
+		return nil, fmt.Errorf("%w: snapshot version %s, this program reads %d", ErrVersion, fields[1], Version)
 	}
-	if words[2] != strconv.Itoa(len(body)) {
-		return nil, fmt.Errorf("statemachine: snapshot is torn: %d bytes, %s were written", len(body), words[2])
+	if fields[2] != strconv.Itoa(len(body)) {
+		return nil, fmt.Errorf("statemachine: snapshot is truncated: body has %d bytes, header says %s", len(body), fields[2])
 	}
 	sum := sha256.Sum256(body)
-	if hex.EncodeToString(sum[:]) != words[3] {
-		return nil, errors.New("statemachine: snapshot is damaged: its checksum is another")
+	if hex.EncodeToString(sum[:]) != fields[3] {
+		return nil, errors.New("statemachine: snapshot is damaged: checksum mismatch")
 	}
 	return body, nil
 }
 
-// Digest of all that is agreed but the index, which repetitions move: equal for equal states. 0 if a part can not be
-// saved.
-func (l *Machine) Digest() uint64 {
-	st, err := l.state()
+// Digest returns a hash of the agreed state, equal for equal states. The index is left out because repeated commands
+// advance it. Digest returns 0 if a part cannot be saved.
+func (m *Machine) Digest() uint64 {
+	st, err := m.state()
 	if err != nil {
 		return 0
 	}
