--- a/internal/fleet/peerproto/cache.go
+++ b/internal/fleet/peerproto/cache.go
@@ -1,13 +1,14 @@
 package peerproto
 
-// SnapshotCache caches the newest snapshot in its encoded form, so that it is encoded once for all followers that need it.
+// SnapshotCache caches the newest snapshot as Reply.SetSnapshot prepares it, so that a large snapshot is compressed once for
+// all followers that need it.
 type SnapshotCache struct {
 	Index, Epoch uint64
 	reply        Reply
 	err          error
 }
 
-// SetSnapshot puts the snapshot raw, taken at the given index and epoch, into a reply. It encodes raw only if the cache
+// SetSnapshot puts the snapshot raw, taken at the given index and epoch, into a reply. It prepares raw only if the cache
 // holds the snapshot of another index or epoch.
 func (s *SnapshotCache) SetSnapshot(r *Reply, raw []byte, index, epoch uint64) error {
 	if s.Index != index || s.Epoch != epoch {
--- a/internal/fleet/peerproto/peerproto.go
+++ b/internal/fleet/peerproto/peerproto.go
@@ -32,7 +32,8 @@
 	// larger than CompressAbove.
 	MaxSnapshotSize = 16 << 20
 	// CompressAbove is the size in bytes above which a snapshot is compressed. Twice as much would occupy a narrow link for
-	// longer. Half as much would make smaller states unreadable for older programs that cannot read compressed snapshots.
+	// longer. Half as much would send smaller states in a form that older programs, which may run beside newer ones, cannot
+	// read.
 	CompressAbove = 1 << 20
 	// MaxCompressedSize is the maximum size in bytes of a compressed snapshot: the largest message that gossip accepts, less a
 	// third for the encoding in JSON. MaxStateSize is the maximum size after decompression. The largest state, with dissimilar
@@ -75,7 +76,7 @@
 	Machine  string `json:"machine"`
 	Fence    uint64 `json:"fence"`
 	Rejected bool   `json:"refused,omitempty"` // the drain was not applied and will not be under this fencing number
-	Reason   string `json:"why,omitempty"`     // reason of a rejection
+	Reason   string `json:"why,omitempty"`     // why the drain was rejected
 }
 
 // Poll asks the leader, or any voter while the leader is unknown, for the commands that were agreed after Index.
@@ -179,7 +180,7 @@
 		return err
 	}
 	if len(packed) > MaxCompressedSize {
-		return fmt.Errorf("a state of %d bytes has %d when compressed, %d at most", len(raw), len(packed), MaxCompressedSize)
+		return fmt.Errorf("a state of %d bytes has %d packed, %d at most", len(raw), len(packed), MaxCompressedSize)
 	}
 	r.Packed = packed
 	return nil
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -27,7 +27,7 @@
 	// that is as old as the dropped one is rejected. At 100 commands a second it suffices for IDRetention.
 	MaxRetainedIDs = 65_536
 	// MaxCommandSize is the maximum size in bytes of an uncompressed command. An operators' file that names 10,000 machines a
-	// few times takes about 2 MB. Inventories are split over several commands, see lead.
+	// few times takes about 2 MB. Package drainctl splits an inventory over several commands.
 	MaxCommandSize = 4 << 20
 	// MaxEntrySize is the maximum size in bytes of a command in the log, compressed or not. It is also the largest entry that
 	// the raft group accepts and that one reply to a follower may carry. Twice as much would occupy a narrow link between
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// DecodeStrict decodes the single JSON value in raw into into. It returns ErrUnknown for a field that into does not have,
-// because only a newer program can have written it.
+// DecodeStrict decodes raw, which must hold a single JSON value, and stores the value in into. It returns ErrUnknown for a
+// field that into does not have, because only a newer program can have written it.
 func DecodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
--- a/internal/fleet/statemachine/epoch.go
+++ b/internal/fleet/statemachine/epoch.go
@@ -11,14 +11,14 @@
 // month that a voter may have been absent; a larger gap costs nothing.
 const FenceGap = 1 << 18
 
-// Renewer is a Part that has to end some of its state when a raft group is set up again from a copy. It must not grant
-// anything before until.
+// Renewer is a Part that has to end some of its state when a raft group is set up again from a copy. The part must not grant
+// anything before the time until.
 type Renewer interface{ Renew(until time.Duration) }
 
 // Renew begins a new epoch. It is used when a raft group is set up again from this copy although other copies may have
-// been ahead of it. at is the agreed time by the clock of the process that sets the group up; grants issued by the former
-// group may last until until. The new epoch is the larger of the next number and at in whole seconds, so that of two groups
-// that were set up from copies of one log the later one has the higher epoch.
+// been ahead of it. The parameter at is the agreed time by the clock of the process that sets the group up, and until is the
+// time at which the last grants issued by the former group may end. The new epoch is the larger of the next number and at in
+// whole seconds, so that of two groups that were set up from copies of one log the later one has the higher epoch.
 func (m *Machine) Renew(at, until time.Duration) error {
 	switch {
 	case m.halted != nil:
