--- a/internal/fleet/laneconfig/agreed_test.go
+++ b/internal/fleet/laneconfig/agreed_test.go
@@ -76,7 +76,7 @@
 	damaged.Sum, long.Packed = long.Sum[:63]+"-", make([]byte, MaxPackedSize+1)
 	for want, b := range map[string]any{
 		"revision 4 is not above revision 4": packText(t, 4, "other"), "revision 3 is not above revision 4": packText(t, 3, "other"), "revision 0": packText(t, 0, ""), "but the command contains": damaged,
-		"262145 bytes compressed": long, "4194304 at most": deep, "revision 1099511627777": packText(t, MaxRevision+1, "x"), "cannot unmarshal": 3,
+		"262145 bytes compressed": long, "limit 4194304": deep, "revision 1099511627777": packText(t, MaxRevision+1, "x"), "cannot unmarshal": 3,
 	} {
 		if err := a.Apply(start, nil, KindSet, mustJSON(t, b)); err == nil || errors.Is(err, statemachine.ErrUnknown) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
--- a/internal/fleet/lanes/race_test.go
+++ b/internal/fleet/lanes/race_test.go
@@ -2,4 +2,4 @@
 
 package lanes
 
-const race = true
+const raceEnabled = true
