--- a/cmd/birchcart-fleet/cost_test.go
+++ b/cmd/birchcart-fleet/cost_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	costRate  = 1000            // queries/s
-	costSlice = 2 * time.Second // with and without sessions in turn: what else the machine does meets both
-	costRest  = 5 * time.Second // longer than the timers of queries that are over live
-	costConns = 256             // few of them are open at once, but while sessions are opened
-	costKept  = 1000            // sessions that the stream asks in turn
+	costRate        = 1000            // queries/s
+	costSlice       = 2 * time.Second // slices with and without sessions alternate, so that other load on the machine affects both
+	costSettleTime  = 5 * time.Second // longer than the lifetime of the timers of finished queries
+	costConnections = 256             // most are in use only while sessions are opened
+	costSessions    = 1000            // sessions that the query stream uses in turn
 )
 
-// cpu is the CPU of a process so far, by its clock in the kernel: /proc has it in hundredths of a second only.
+// cpu returns the CPU time that a process has used, from its kernel clock: /proc has a resolution of only 10 ms.
 func (s *site) cpu(i int) time.Duration {
 	s.Helper()
 	var t unix.Timespec
@@ -37,34 +37,36 @@
 	return time.Duration(t.Nano())
 }
 
-// asker keeps connections to one co-ordinator.
-type asker struct {
+// loadClient sends queries to one co-ordinator over persistent connections.
+type loadClient struct {
 	*site
-	to    string
-	conns chan *bufio.ReadWriter
-	no    atomic.Int64
-	mu    sync.Mutex
-	fates map[int]int // answers by status, since they were last told
+	to           string
+	conns        chan *bufio.ReadWriter
+	lastNumber   atomic.Int64
+	mu           sync.Mutex
+	statusCounts map[int]int // answers by status since the last call of takeStatusCounts
 }
 
-func newAsker(s *site, to int) *asker {
-	a := &asker{site: s, to: s.serve[to], conns: make(chan *bufio.ReadWriter, costConns), fates: map[int]int{}}
-	for range costConns {
+// newLoadClient returns a client of one co-ordinator.
+func newLoadClient(s *site, to int) *loadClient {
+	a := &loadClient{site: s, to: s.serve[to], conns: make(chan *bufio.ReadWriter, costConnections), statusCounts: map[int]int{}}
+	for range costConnections {
 		a.conns <- nil
 	}
 	return a
 }
 
-// one asks for that many shards, of a session unless it is "", and gives the status, 0 without an answer.
-func (a *asker) one(shards int, session string) (status int) {
+// query sends a query for that many shards, as part of a session unless it is "". It returns the status, or 0 without an
+// answer.
+func (a *loadClient) query(shards int, session string) (status int) {
 	c := <-a.conns
 	defer func() {
 		if status == 0 {
-			c = nil // another one the next time
+			c = nil // the next query opens a new connection
 		}
 		a.conns <- c
 		a.mu.Lock()
-		a.fates[status]++
+		a.statusCounts[status]++
 		a.mu.Unlock()
 	}()
 	if c == nil {
@@ -75,7 +77,7 @@
 		a.Cleanup(func() { nc.Close() })
 		c = bufio.NewReadWriter(bufio.NewReader(nc), bufio.NewWriter(nc))
 	}
-	n := a.no.Add(1)
+	n := a.lastNumber.Add(1)
 	var body strings.Builder
 	for i := range shards {
 		fmt.Fprintf(&body, `,{"bucket":%d,"part":%g}`, (int(n)+i)%6, 1/float64(shards))
@@ -100,17 +102,17 @@
 	return r.StatusCode
 }
 
-// told gives the answers by status, and forgets them.
-func (a *asker) told() map[int]int {
+// takeStatusCounts returns the answers by status and resets them.
+func (a *loadClient) takeStatusCounts() map[int]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	f := a.fates
-	a.fates = map[int]int{}
+	f := a.statusCounts
+	a.statusCounts = map[int]int{}
 	return f
 }
 
-// slice asks at costRate for a slice of time, whatever becomes of the queries before, and counts those served.
-func (a *asker) slice(shards int, session func(i int) string) (sent, served int) {
+// sendSlice sends queries at costRate for costSlice, without waiting for earlier answers, and counts those served.
+func (a *loadClient) sendSlice(shards int, session func(i int) string) (sent, served int) {
 	var wg sync.WaitGroup
 	var ok atomic.Int64
 	at := time.Now()
@@ -118,7 +120,7 @@
 		at = at.Add(time.Second / costRate)
 		time.Sleep(time.Until(at))
 		wg.Go(func() {
-			if a.one(shards, session(sent)) == 200 {
+			if a.query(shards, session(sent)) == 200 {
 				ok.Add(1)
 			}
 		})
@@ -127,22 +129,23 @@
 	return sent, int(ok.Load())
 }
 
-// open has these sessions served once each.
-func (a *asker) open(from, to int) {
+// openSessions opens sessions by one served query each.
+func (a *loadClient) openSessions(from, to int) {
 	a.Helper()
-	a.ask(from, to, func(i int) string { return "s" + strconv.Itoa(i) })
+	a.queryUntilServed(from, to, func(i int) string { return "s" + strconv.Itoa(i) })
 }
 
-// ask asks until each query is served, many at a time.
-func (a *asker) ask(from, to int, session func(i int) string) {
+// queryUntilServed sends one query per index, many concurrently, and repeats each until it is served. It gives up after
+// 10,000 failures.
+func (a *loadClient) queryUntilServed(from, to int, session func(i int) string) {
 	a.Helper()
 	var next, failed atomic.Int64
 	next.Store(int64(from))
 	var wg sync.WaitGroup
-	for range costConns {
+	for range costConnections {
 		wg.Go(func() {
 			for i := int(next.Add(1)) - 1; i < to && failed.Load() < 10_000; i = int(next.Add(1)) - 1 {
-				for a.one(1, session(i)) != 200 && failed.Add(1) < 10_000 {
+				for a.query(1, session(i)) != 200 && failed.Add(1) < 10_000 {
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
@@ -150,27 +153,28 @@
 	}
 	wg.Wait()
 	if n := failed.Load(); n >= 10_000 {
-		a.Fatalf("queries are not served: by status %v", a.told())
+		a.Fatalf("queries are not served: by status %v", a.takeStatusCounts())
 	}
 }
 
-// What pinned sessions cost one process between others of a real fleet: its CPU for a query, with a session and without, in
-// turn, and its memory with 0, 10,000 and 100,000 sessions open. `make session-cost`; rounds by BIRCHCART_SESSION_COST.
+// Measures the cost of sessions in one process of a fleet: its CPU time per query, alternating with and without a session,
+// and its memory with 0, 10,000 and 100,000 open sessions. Run by `make session-cost`; BIRCHCART_SESSION_COST sets the
+// number of rounds.
 func TestSessionCost(t *testing.T) {
 	rounds, _ := strconv.Atoi(os.Getenv("BIRCHCART_SESSION_COST"))
 	if rounds <= 0 {
 		t.Skip("BIRCHCART_SESSION_COST is not set")
 	}
 	s := newSite(t, 3, 0, 1, 2)
-	s.extra["sessions"] = map[string]any{"header": "X-Session", "classes": []string{"search"}, "slots_per_replica": 3000, "sessions_most": 250_000, "idle_s": 3600, "slots": 16}
-	s.extra["lease_ms"] = 20_000 // a busy machine's late polls are not what is measured
+	s.extraSettings["sessions"] = map[string]any{"header": "X-Session", "classes": []string{"search"}, "slots_per_replica": 3000, "sessions_most": 250_000, "idle_s": 3600, "slots": 16}
+	s.extraSettings["lease_ms"] = 20_000 // long, so that late polls on a busy machine do not affect the measurement
 	if os.Getenv(measureVariable) == "" {
 		t.Setenv(measureVariable, s.dir)
 	}
 	s.startAll()
-	s.until("a session is served", func() bool { status, _, _ := s.pinned(0, "a"); return status == 200 })
-	a := newAsker(s, 0)
-	a.open(0, costKept)
+	s.waitFor("a session is served", func() bool { status, _, _ := s.querySession(0, "a"); return status == 200 })
+	a := newLoadClient(s, 0)
+	a.openSessions(0, costSessions)
 	leads := strings.Contains(s.logs[0].String(), "leads the raft group")
 	for _, shards := range []int{1, 4} {
 		a.compare(rounds, shards, leads)
@@ -178,77 +182,78 @@
 	if os.Getenv("BIRCHCART_MEASURE_PROFILE") != "" {
 		s.procs[0].Process.Signal(syscall.SIGTERM)
 		s.procs[0].Wait()
-		t.Skip("the profile is taken; no memory")
+		t.Skip("profile taken; memory is not measured")
 	}
-	// What so many queries leave behind is not the sessions'.
-	a.ask(0, 20_000, func(int) string { return "" })
-	time.Sleep(costRest)
-	none, other := s.memory(0), s.memory(1)
-	open := costKept
+	// Memory that remains after many queries must not be attributed to the sessions.
+	a.queryUntilServed(0, 20_000, func(int) string { return "" })
+	time.Sleep(costSettleTime)
+	ownerBase, otherBase := s.memory(0), s.memory(1)
+	opened := costSessions
 	for _, many := range []int{10_000, 100_000} {
 		began := time.Now()
-		a.open(open, many)
-		t.Logf("%d sessions opened in %v", many-open, time.Since(began).Round(time.Millisecond))
-		open = many
+		a.openSessions(opened, many)
+		t.Logf("%d sessions opened in %v", many-opened, time.Since(began).Round(time.Millisecond))
+		opened = many
 		before, at := s.cpu(0), time.Now()
-		time.Sleep(costRest)
+		time.Sleep(costSettleTime)
 		idle := float64(s.cpu(0)-before) / float64(time.Since(at))
-		m, o, more := s.memory(0), s.memory(1), many-costKept
+		ownerNow, otherNow, added := s.memory(0), s.memory(1), many-costSessions
 		t.Logf("%d sessions: owner %.1f MB as it was, %.1f MB resident and %.1f MB heap after a collection, so %d and %d bytes a session; one that owns none %d and %d; idle %.2f %% of a core",
-			many, mb(m.asItWas), mb(m.resident), mb(m.heap), (m.resident-none.resident)/more, (m.heap-none.heap)/more,
-			(o.resident-other.resident)/more, (o.heap-other.heap)/more, 100*idle)
-		if many == 100_000 && (m.heap-none.heap)/more >= 400 {
-			t.Errorf("%d bytes of heap a session, 400 at most", (m.heap-none.heap)/more)
+			many, megabytes(ownerNow.beforeGC), megabytes(ownerNow.resident), megabytes(ownerNow.heap), (ownerNow.resident-ownerBase.resident)/added, (ownerNow.heap-ownerBase.heap)/added,
+			(otherNow.resident-otherBase.resident)/added, (otherNow.heap-otherBase.heap)/added, 100*idle)
+		if many == 100_000 && (ownerNow.heap-ownerBase.heap)/added >= 400 {
+			t.Errorf("%d bytes of heap a session, 400 at most", (ownerNow.heap-ownerBase.heap)/added)
 		}
 	}
 }
 
-func mb(bytes int) float64 { return float64(bytes) / 1e6 }
+// megabytes converts bytes to units of 1e6 bytes.
+func megabytes(bytes int) float64 { return float64(bytes) / 1e6 }
 
-// compare has the stream with and without sessions, which of them first in turn.
-func (a *asker) compare(rounds, shards int, leads bool) {
+// compare measures the query stream with and without sessions in pairs, and alternates which of the two comes first.
+func (a *loadClient) compare(rounds, shards int, leads bool) {
 	a.Helper()
-	var each [2][]float64 // µs of CPU for a query, without and with
+	var costs [2][]float64 // µs of CPU per query, without and with sessions
 	var share []float64
 	var ticks [2]time.Duration
 	var served [2]int
-	of := [2]func(int) string{func(int) string { return "" }, func(i int) string { return "s" + strconv.Itoa(i%costKept) }}
+	sessionOf := [2]func(int) string{func(int) string { return "" }, func(i int) string { return "s" + strconv.Itoa(i%costSessions) }}
 	for round := range rounds {
-		var took [2]float64
-		whole := true
+		var cost [2]float64
+		complete := true
 		for turn := range 2 {
 			arm := (turn + round) % 2
-			a.told()
-			cpu, tick := a.cpu(0), a.ticks(0)
-			sent, ok := a.slice(shards, of[arm])
+			a.takeStatusCounts()
+			cpu, tick := a.cpu(0), a.procCPU(0)
+			sent, ok := a.sendSlice(shards, sessionOf[arm])
 			used := a.cpu(0) - cpu
-			tick = a.ticks(0) - tick
+			tick = a.procCPU(0) - tick
 			ticks[arm], served[arm] = ticks[arm]+tick, served[arm]+ok
-			took[arm] = float64(used.Microseconds()) / float64(max(1, ok))
+			cost[arm] = float64(used.Microseconds()) / float64(max(1, ok))
 			if ok < sent*99/100 {
-				a.Logf("round %d, with sessions %v, does not count: by status %v", round, arm == 1, a.told())
-				whole = false
+				a.Logf("round %d, with sessions %v, does not count: by status %v", round, arm == 1, a.takeStatusCounts())
+				complete = false
 			}
 		}
-		if !whole {
+		if !complete {
 			continue
 		}
-		for arm := range took {
-			each[arm] = append(each[arm], took[arm])
+		for arm := range cost {
+			costs[arm] = append(costs[arm], cost[arm])
 		}
-		share = append(share, took[1]/took[0]-1)
+		share = append(share, cost[1]/cost[0]-1)
 	}
 	if rounds = len(share); rounds == 0 {
-		a.Error("no round was served whole")
+		a.Error("no round was served completely")
 		return
 	}
-	for arm := range each {
-		slices.Sort(each[arm])
+	for arm := range costs {
+		slices.Sort(costs[arm])
 	}
 	slices.Sort(share)
-	mid := func(v []float64) float64 { return v[len(v)/2] }
+	median := func(v []float64) float64 { return v[len(v)/2] }
 	a.Logf("%d shards, %d rounds, the co-ordinator leads: %v; µs of CPU a query, median (least, most): without %.1f (%.1f, %.1f), with %.1f (%.1f, %.1f); the pair's difference %+.1f %% (%+.1f, quarter %+.1f, %+.1f, %+.1f); by utime and stime over all %+.1f %%, %d and %d served",
-		shards, rounds, leads, mid(each[0]), each[0][0], each[0][rounds-1], mid(each[1]), each[1][0], each[1][rounds-1],
-		100*mid(share), 100*share[0], 100*share[rounds/4], 100*share[rounds*3/4], 100*share[rounds-1],
+		shards, rounds, leads, median(costs[0]), costs[0][0], costs[0][rounds-1], median(costs[1]), costs[1][0], costs[1][rounds-1],
+		100*median(share), 100*share[0], 100*share[rounds/4], 100*share[rounds*3/4], 100*share[rounds-1],
 		100*(ticks[1].Seconds()/float64(max(1, served[1]))/(ticks[0].Seconds()/float64(max(1, served[0])))-1), served[0], served[1])
 }
--- a/cmd/birchcart-fleet/lanes_test.go
+++ b/cmd/birchcart-fleet/lanes_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// The file's lanes are agreed on once, for voters and others alike; those of a higher revision take their place, and a
-// co-ordinator that starts anew goes by what is agreed. One whose file says something else under the same revision is told of it.
-func TestLanesAreAgreedOn(t *testing.T) {
+// The lanes in the operators' file are agreed on by the fleet and apply at every co-ordinator, voter or not. Lanes with a
+// higher revision replace them, and a restarted co-ordinator applies the agreed lanes. If a file has different lanes under
+// the same revision, the leader logs the difference.
+func TestLaneConfigurationAgreed(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 0, 1, 2)
 	lanes := func(lane string) map[string]any {
@@ -20,29 +21,29 @@
 			},
 		}
 	}
-	s.extra["lanes"] = lanes("gold")
+	s.extraSettings["lanes"] = lanes("gold")
 	s.startAll()
 	inForce := func(revision int) {
 		t.Helper()
 		for i := range s.serve {
-			s.until(fmt.Sprintf("revision %d at n%d", revision, i), s.says(i, fmt.Sprintf(`msg="lanes are in force" node=n%d part=fleet revision=%d `, i, revision)))
+			s.waitFor(fmt.Sprintf("revision %d at n%d", revision, i), s.logContains(i, fmt.Sprintf(`msg="lanes are in force" node=n%d part=fleet revision=%d `, i, revision)))
 		}
 	}
 	inForce(1)
-	s.extra["lanes"] = lanes("rest")
-	s.ask(false)
-	s.hangUp()
+	s.extraSettings["lanes"] = lanes("rest")
+	s.writeOperatorFiles(false)
+	s.reloadAll()
 	inForce(2)
 	s.procs[3].Process.Kill()
 	s.procs[3].Wait()
 	s.start(3)
-	s.until("n3 has what was agreed", s.says(3, `msg="lanes are in force" node=n3 part=fleet revision=2 `))
-	s.extra["lanes"], s.revision = lanes("gold"), 1 // the same revision, with something else
-	s.ask(false)
-	s.hangUp()
-	s.until("the leader tells of it", func() bool {
+	s.waitFor("n3 applies the agreed lanes", s.logContains(3, `msg="lanes are in force" node=n3 part=fleet revision=2 `))
+	s.extraSettings["lanes"], s.revision = lanes("gold"), 1 // the same revision with different lanes
+	s.writeOperatorFiles(false)
+	s.reloadAll()
+	s.waitFor("the leader logs the difference", func() bool {
 		for i := range s.serve {
-			if s.says(i, "the file's lanes differ from those agreed under the same revision")() {
+			if s.logContains(i, "the file's lanes differ from those agreed under the same revision")() {
 				return true
 			}
 		}
--- a/cmd/birchcart-fleet/main.go
+++ b/cmd/birchcart-fleet/main.go
@@ -1,5 +1,5 @@
-// Command birchcart-fleet is birchcart with the fleet linked in: it serves alike, and with a `fleet` section of the operators'
-// file settles with other co-ordinators which machine may go out for work, and when.
+// Command birchcart-fleet is birchcart with fleet support. It serves queries in the same way. With a `fleet` section in the
+// operators' file, it agrees with the other co-ordinators which machine may go out of service for maintenance, and when.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"birchcart/internal/serve"
 )
 
-// command is the command line.
+// command defines the commands and global flags of the command line.
 type command struct {
 	LogLevel string `help:"Least level that is logged: debug, info, warn or error; over the operators' file's, info without either." default:"" enum:",debug,info,warn,error" env:"EDGE_LOG_LEVEL"`
 
@@ -77,12 +77,13 @@
 }
 
 func main() {
-	// Before anything else, and for good: a SIGHUP that nobody waits for ends a process, at its start and in its
-	// drain as well. The same holds for SIGPIPE once whoever reads the log has gone.
+	// The signals are set up first and never reset. An unhandled SIGHUP would terminate the process, also during
+	// startup or a drain, and so would a SIGPIPE after the reader of the log has exited.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	// A file that may not grow is an error of the write, as a full disk is, and not the end of the process.
+	// With SIGXFSZ ignored, a write beyond the file size limit returns an error, as on a full disk. Otherwise the signal
+	// would terminate the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	var cmd command
 	ctx := kong.Parse(&cmd, kong.Name("birchcart-fleet"),
--- a/cmd/birchcart-fleet/main_test.go
+++ b/cmd/birchcart-fleet/main_test.go
@@ -16,11 +16,11 @@
 	"birchcart/internal/testproc"
 )
 
-func TestMain(m *testing.M) { testproc.Main(m, measured) }
+func TestMain(m *testing.M) { testproc.Main(m, mainWithMeasurement) }
 
-// A machine that is asked for in all files is granted once, told, gets nothing new from any co-ordinator, goes, comes
-// back and is done, while queries are answered; the co-ordinators then end cleanly.
-func TestOneMachineGoesAndComesBack(t *testing.T) {
+// A machine for which all files request maintenance is granted once and acknowledged, gets no new parts from any
+// co-ordinator, goes out, returns and is done, while queries are answered. The co-ordinators then exit cleanly.
+func TestMachineMaintenanceCycle(t *testing.T) {
 	t.Parallel()
 	for _, processes := range []int{3, 5} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
@@ -30,10 +30,10 @@
 			}
 			s := newSite(t, processes, 0, 1, 2)
 			s.startAll()
-			end := s.stream()
-			s.ask(false, map[string]any{"names": []string{"r0"}, "reason": "disk", "for_s": 20})
-			s.hangUp()
-			s.until("told", s.phase("r0", maintenance.Acknowledged))
+			end := s.startQueries()
+			s.writeOperatorFiles(false, map[string]any{"names": []string{"r0"}, "reason": "disk", "for_s": 20})
+			s.reloadAll()
+			s.waitFor("the drain is acknowledged", s.phaseReached("r0", maintenance.Acknowledged))
 			var fences []uint64
 			for i := range s.serve {
 				g := s.grants(i)
@@ -47,12 +47,12 @@
 				t.Errorf("fences %v", fences)
 			}
 			before, others := len(s.fleet.Replicas[0].Asked()), len(s.fleet.Replicas[6].Asked())
-			s.until("more queries", func() bool { return len(s.fleet.Replicas[6].Asked()) > others+20 })
+			s.waitFor("more queries", func() bool { return len(s.fleet.Replicas[6].Asked()) > others+20 })
 			if after := len(s.fleet.Replicas[0].Asked()); after != before {
-				t.Errorf("%d parts went to r0 after it was told", after-before)
+				t.Errorf("%d parts were sent to r0 after its drain was acknowledged", after-before)
 			}
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) { e.Status = "Terminating" })
-			s.until("out", s.phase("r0", maintenance.Out))
+			s.waitFor("out", s.phaseReached("r0", maintenance.Out))
 			s.fleet.Replicas[0].Crash()
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) { e.Status = "Gone" })
 			time.Sleep(300 * time.Millisecond)
@@ -62,8 +62,8 @@
 			s.fleet.Discovery.Set("r0", func(e *standin.Endpoint) {
 				e.Status, e.Since, e.Address = "Ready", time.Now().UnixMilli(), s.fleet.Replicas[0].Address()
 			})
-			s.until("done", s.phase("r0", maintenance.Done))
-			s.until("parts at r0 again", func() bool { return len(s.fleet.Replicas[0].Asked()) > before })
+			s.waitFor("done", s.phaseReached("r0", maintenance.Done))
+			s.waitFor("parts at r0 again", func() bool { return len(s.fleet.Replicas[0].Asked()) > before })
 			if sent, answered, whole := end(); sent < 100 || answered != sent || whole < sent*9/10 {
 				t.Errorf("%d of %d queries were answered, %d whole", answered, sent, whole)
 			}
@@ -80,106 +80,108 @@
 	}
 }
 
-// A machine is told, and discovery still says Ready. A co-ordinator that starts then, a new one or one whose disk was lost,
-// sends nothing there from its first query on: before it listens it hears what was agreed. One that can't hear it listens
-// a second later all the same.
-func TestAStartHearsOfWhatIsToldFirst(t *testing.T) {
+// A machine's drain is acknowledged while discovery still reports it as Ready. A co-ordinator that starts then, either new
+// or with a lost disk, must not send to that machine, not even for its first query: it must learn the agreed drains before
+// it listens. If it can't reach the raft group, it must listen all the same, after a second.
+func TestStartLearnsDrainsBeforeListening(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 5, 0, 1, 2)
 	s.startOnly(4)
-	s.ask(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 60})
-	s.hangUp()
-	s.until("told", func() bool { return len(s.grants(0).Grants) == 1 })
+	s.writeOperatorFiles(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 60})
+	s.reloadAll()
+	s.waitFor("the drain is acknowledged", func() bool { return len(s.grants(0).Grants) == 1 })
 	s.procs[3].Process.Kill()
 	s.procs[3].Wait()
 	if err := os.RemoveAll(filepath.Join(s.dir, "disk3")); err != nil {
 		t.Fatal(err)
 	}
-	for i, what := range []string{3: "one whose disk was lost", 4: "a new one"} {
-		if what == "" {
+	for i, kind := range []string{3: "a co-ordinator with a lost disk", 4: "a new co-ordinator"} {
+		if kind == "" {
 			continue
 		}
 		before, others := len(s.fleet.Replicas[5].Asked()), len(s.fleet.Replicas[11].Asked())
 		s.start(i)
-		end := s.streamTo(i)
-		s.until("queries", func() bool { return len(s.fleet.Replicas[11].Asked()) > others+100 })
+		end := s.startQueriesTo(i)
+		s.waitFor("queries", func() bool { return len(s.fleet.Replicas[11].Asked()) > others+100 })
 		if _, _, whole := end(); whole == 0 {
-			t.Errorf("%s answered no query", what)
+			t.Errorf("%s answered no query", kind)
 		}
-		if after := len(s.fleet.Replicas[5].Asked()); after != before || s.says(i, "is not known yet")() {
-			t.Errorf("%s sent %d parts to r5 after it was told:\n%s", what, after-before, s.logs[i].String())
+		if after := len(s.fleet.Replicas[5].Asked()); after != before || s.logContains(i, "is not known yet")() {
+			t.Errorf("%s sent %d parts to r5 after its drain was acknowledged:\n%s", kind, after-before, s.logs[i].String())
 		}
 	}
-	for _, i := range []int{0, 1, 2, 4} { // without a raft group
+	for _, i := range []int{0, 1, 2, 4} { // no raft group is left
 		s.procs[i].Process.Kill()
 		s.procs[i].Wait()
 	}
 	began := time.Now()
 	s.start(4)
-	s.until("n4 serves alone", s.says(4, "is not known yet: serving as one that is cut off"))
-	s.until("n4 listens", s.says(4, "msg=serving "))
+	s.waitFor("n4 serves alone", s.logContains(4, "is not known yet: serving as one that is cut off"))
+	s.waitFor("n4 listens", s.logContains(4, "msg=serving "))
 	if took := time.Since(began); took < time.Second || took > 4*time.Second {
 		t.Errorf("n4 listens after %v", took)
 	}
 }
 
-// A drain that the disk does not take would be lost by a restart: it is laid, but not said as laid, so the machine is not
-// told before the disk has it.
-func TestWhatTheDiskDoesNotTakeIsNotSaidAsLaid(t *testing.T) {
+// A drain that could not be written to disk would be lost by a restart. It must be applied but not confirmed, so that the
+// machine's drain is not acknowledged before it is on disk.
+func TestDrainNotAcknowledgedUntilPersisted(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 0, 1, 2)
 	s.startAll()
-	s.until("n3 follows", s.says(3, "in touch with the raft group"))
+	s.waitFor("n3 follows", s.logContains(3, "in touch with the raft group"))
 	laid := filepath.Join(s.dir, "disk3", "laid.json")
 	if err := os.MkdirAll(filepath.Join(laid, "in its place"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s.ask(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 60})
-	s.hangUp()
-	s.until("the disk does not take it", s.says(3, "can't be kept on disk"))
-	s.until("granted, as all files say", s.phase("r5", maintenance.Granted))
+	s.writeOperatorFiles(false, map[string]any{"names": []string{"r5"}, "reason": "disk", "for_s": 60})
+	s.reloadAll()
+	s.waitFor("writing the drain to disk fails", s.logContains(3, "can't be kept on disk"))
+	s.waitFor("all grants files have the grant", s.phaseReached("r5", maintenance.Granted))
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if !s.phase("r5", maintenance.Granted)() {
+		if !s.phaseReached("r5", maintenance.Granted)() {
 			t.Fatalf("%+v", s.grants(0).Items)
 		}
 	}
 	if err := os.RemoveAll(laid); err != nil {
 		t.Fatal(err)
 	}
-	s.until("told", s.phase("r5", maintenance.Acknowledged))
+	s.waitFor("the drain is acknowledged", s.phaseReached("r5", maintenance.Acknowledged))
 	if raw, err := os.ReadFile(laid); err != nil || !strings.Contains(string(raw), `"r5"`) {
 		t.Errorf("%s %v", raw, err)
 	}
 }
 
-// A co-ordinator that is asked for drains and ends by itself once all others know, and is done when it is back.
-func TestCoordinatorGoesByItself(t *testing.T) {
+// A co-ordinator whose machine is granted maintenance must drain and exit by itself once all others know, and its request
+// must be done when it is back.
+func TestCoordinatorDrainsItselfForMaintenance(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 0, 1, 2)
-	s.extra["drain_self"] = true
+	s.extraSettings["drain_self"] = true
 	s.startAll()
-	s.until("n3 follows", s.says(3, "in touch with the raft group"))
-	s.ask(false, map[string]any{"names": []string{"n3"}, "reason": "kernel", "for_s": 30})
-	s.hangUp()
+	s.waitFor("n3 follows", s.logContains(3, "in touch with the raft group"))
+	s.writeOperatorFiles(false, map[string]any{"names": []string{"n3"}, "reason": "kernel", "for_s": 30})
+	s.reloadAll()
 	ended := make(chan error, 1)
 	go func() { ended <- s.procs[3].Wait() }()
 	select {
 	case err := <-ended:
-		if err != nil || !s.says(3, "goes for work")() || !s.says(3, "msg=ended")() {
+		if err != nil || !s.logContains(3, "goes for work")() || !s.logContains(3, "msg=ended")() {
 			t.Fatalf("n3 ended with %v:\n%s", err, s.logs[3].String())
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("n3 did not go:\n%s", s.logs[3].String())
+		t.Fatalf("n3 did not exit:\n%s", s.logs[3].String())
 	}
 	s.start(3)
-	s.until("done", s.phase("n3", maintenance.Done))
-	if s.says(3, "goes for work")() {
-		t.Error("n3 went again")
+	s.waitFor("done", s.phaseReached("n3", maintenance.Done))
+	if s.logContains(3, "goes for work")() {
+		t.Error("n3 drained itself a second time")
 	}
 }
 
-// What can't be started names the place in the operators' file. Without the section it serves as birchcart does.
-func TestBadStarts(t *testing.T) {
+// An invalid start must name the setting in the operators' file. Without the fleet section the program serves as birchcart
+// does.
+func TestInvalidStartReportsReason(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3, 0, 1, 2)
 	taken, err := net.Listen("tcp", s.raftGroup[1])
@@ -206,25 +208,25 @@
 		{2, "lease_ms", 3000, "$.fleet.gossip", "address already in use"},
 		{2, "lease_ms", 30, "$.fleet.lease_ms", "from 2000 to 60000 ms is right"},
 	} {
-		s.extra = map[string]any{c.key: c.value}
-		s.ask(true)
+		s.extraSettings = map[string]any{c.key: c.value}
+		s.writeOperatorFiles(true)
 		out, err := testproc.Command("serve", "--config", filepath.Join(s.dir, fmt.Sprint("config", c.i)),
 			"--operator", filepath.Join(s.dir, fmt.Sprint("operator", c.i))).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), c.wants) || !strings.Contains(string(out), c.verbose) {
 			t.Errorf("%s %v: %v, %s", c.key, c.value, err, out)
 		}
 	}
-	s.extra = nil
-	s.ask(true)
+	s.extraSettings = nil
+	s.writeOperatorFiles(true)
 	out, err := testproc.Command("check", "--config", filepath.Join(s.dir, "config0"), "--operator", filepath.Join(s.dir, "operator0")).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "fleet of 3 voters, 0 requests, revision 7") {
 		t.Errorf("%v, %s", err, out)
 	}
 	for i := range 3 {
-		s.file(fmt.Sprint("operator", i), []byte(`{"version":1}`))
+		s.writeFile(fmt.Sprint("operator", i), []byte(`{"version":1}`))
 	}
 	s.start(0)
-	s.until("it serves alone", s.says(0, "has no fleet"))
+	s.waitFor("n0 serves without a fleet", s.logContains(0, "has no fleet"))
 	s.procs[0].Process.Signal(syscall.SIGTERM)
 	if err := s.procs[0].Wait(); err != nil {
 		t.Error(err)
--- a/cmd/birchcart-fleet/measured_test.go
+++ b/cmd/birchcart-fleet/measured_test.go
@@ -13,34 +13,36 @@
 	"time"
 )
 
-// measureVariable names a folder for what a process says of its own memory and, at its end, where its CPU went.
+// measureVariable names the environment variable with the folder to which a process writes its heap size and, at its exit,
+// its CPU profile.
 const measureVariable = "BIRCHCART_MEASURE"
 
-// measured is main for processes of which a test asks the cost: at each SIGUSR2 it collects, gives back what is free, and
-// writes the heap in use; from the first one on it takes a profile of its CPU.
-func measured() {
+// mainWithMeasurement is main for processes whose cost a test measures. On each SIGUSR2 the process runs the garbage
+// collector, returns free memory to the system, and writes the heap in use. If BIRCHCART_MEASURE_PROFILE is set, it also
+// takes a CPU profile from its start to its exit.
+func mainWithMeasurement() {
 	dir := os.Getenv(measureVariable)
 	if dir == "" {
 		main()
 		return
 	}
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR2)
+	requests := make(chan os.Signal, 1)
+	signal.Notify(requests, syscall.SIGUSR2)
 	if os.Getenv("BIRCHCART_MEASURE_PROFILE") != "" {
 		if f, err := os.Create(filepath.Join(dir, fmt.Sprintf("cpu%d.pprof", os.Getpid()))); err == nil && pprof.StartCPUProfile(f) == nil {
 			defer pprof.StopCPUProfile()
 		}
 	}
 	go func() {
-		for range asked {
+		for range requests {
 			runtime.GC()
 			debug.FreeOSMemory()
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			at := filepath.Join(dir, fmt.Sprint("heap", os.Getpid()))
-			os.WriteFile(at+".new", fmt.Append(nil, m.HeapAlloc), 0o600)
-			os.Rename(at+".new", at)
-			if f, err := os.Create(at + ".pprof"); err == nil {
+			path := filepath.Join(dir, fmt.Sprint("heap", os.Getpid()))
+			os.WriteFile(path+".new", fmt.Append(nil, m.HeapAlloc), 0o600)
+			os.Rename(path+".new", path)
+			if f, err := os.Create(path + ".pprof"); err == nil {
 				pprof.WriteHeapProfile(f)
 				f.Close()
 			}
@@ -49,10 +51,11 @@
 	main()
 }
 
-// memory of a process: what it had at that moment, and after a collection what is resident and what of it is heap.
-type memory struct{ asItWas, resident, heap int }
+// memoryUsage is the memory of a process in bytes: resident before a garbage collection, and resident and heap after it.
+type memoryUsage struct{ beforeGC, resident, heap int }
 
-func (s *site) memory(i int) (m memory) {
+// memory measures the memory of a process.
+func (s *site) memory(i int) (m memoryUsage) {
 	s.Helper()
 	pid := s.procs[i].Process.Pid
 	resident := func() (kb int) {
@@ -64,19 +67,19 @@
 		fmt.Sscan(after, &kb)
 		return kb << 10
 	}
-	m.asItWas = resident()
-	at := filepath.Join(os.Getenv(measureVariable), fmt.Sprint("heap", pid))
-	os.Remove(at)
+	m.beforeGC = resident()
+	path := filepath.Join(os.Getenv(measureVariable), fmt.Sprint("heap", pid))
+	os.Remove(path)
 	s.procs[i].Process.Signal(syscall.SIGUSR2)
-	s.until("a collection", func() bool { raw, err := os.ReadFile(at); return err == nil && len(raw) > 0 })
-	raw, _ := os.ReadFile(at)
+	s.waitFor("a garbage collection", func() bool { raw, err := os.ReadFile(path); return err == nil && len(raw) > 0 })
+	raw, _ := os.ReadFile(path)
 	fmt.Sscan(string(raw), &m.heap)
 	m.resident = resident()
 	return m
 }
 
-// ticks is the CPU of a process in user and kernel mode as /proc/PID/stat has it, to a hundredth of a second.
-func (s *site) ticks(i int) time.Duration {
+// procCPU returns the CPU time of a process in user and kernel mode from /proc/PID/stat, which has a resolution of 10 ms.
+func (s *site) procCPU(i int) time.Duration {
 	s.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.procs[i].Process.Pid))
 	if err != nil {
--- a/cmd/birchcart-fleet/storm_test.go
+++ b/cmd/birchcart-fleet/storm_test.go
@@ -13,29 +13,30 @@
 	"birchcart/internal/standin"
 )
 
-// line is a queue in front of each replica, which answers one part after the other.
-type line struct {
-	mu   sync.Mutex
-	free map[int]time.Time
+// replicaQueue models replicas that process one part at a time, each with a queue.
+type replicaQueue struct {
+	mu     sync.Mutex
+	freeAt map[int]time.Time
 }
 
-func (l *line) wait(at int, each time.Duration) time.Duration {
+// enqueue adds a part to the queue of a replica and returns the time until it is answered.
+func (l *replicaQueue) enqueue(at int, each time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free[at].Before(now) {
-		l.free[at] = now
+	if l.freeAt[at].Before(now) {
+		l.freeAt[at] = now
 	}
-	l.free[at] = l.free[at].Add(each)
-	return l.free[at].Sub(now)
+	l.freeAt[at] = l.freeAt[at].Add(each)
+	return l.freeAt[at].Sub(now)
 }
 
-// tally is what came of queries.
-type tally struct{ sent, served, refused int }
+// queryCounts counts queries by their outcome.
+type queryCounts struct{ sent, served, refused int }
 
-// laned sends queries of one part to a co-ordinator at an even rate until ctx ends, and waits for all answers. Those sent before
-// counts is closed are not in the tally.
-func (s *site) laned(ctx context.Context, to int, mark string, rate float64, counts <-chan struct{}) (sum tally) {
+// sendAtRate sends queries of one part to a co-ordinator at a constant rate until ctx is cancelled, and waits for all
+// answers. Queries sent before countFrom is closed are not counted.
+func (s *site) sendAtRate(ctx context.Context, to int, mark string, rate float64, countFrom <-chan struct{}) (sum queryCounts) {
 	client := &http.Client{Timeout: 4 * time.Second}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -48,15 +49,15 @@
 			wg.Wait()
 			return sum
 		}
-		no, counted := asked.Add(1), false
+		number, counted := requestCount.Add(1), false
 		select {
-		case <-counts:
+		case <-countFrom:
 			counted = true
 		default:
 		}
 		wg.Go(func() {
-			r, _ := http.NewRequest("POST", "http://"+s.serve[to]+"/search", strings.NewReader(fmt.Sprintf(`{"buckets":[{"bucket":%d,"part":1.0}],"body":"00"}`, no%6)))
-			r.Header.Set("X-Request-ID", fmt.Sprint("s", no))
+			r, _ := http.NewRequest("POST", "http://"+s.serve[to]+"/search", strings.NewReader(fmt.Sprintf(`{"buckets":[{"bucket":%d,"part":1.0}],"body":"00"}`, number%6)))
+			r.Header.Set("X-Request-ID", fmt.Sprint("s", number))
 			r.Header.Set("X-Timeout-Ms", "2000")
 			if mark != "" {
 				r.Header.Set("X-Account", mark)
@@ -83,44 +84,45 @@
 	}
 }
 
-// A flood of the standard lane, most of it at one co-ordinator, presses the fleet: all shed that lane, and who is premium is served
-// within its guarantee. One whose fleet is gone goes on by itself, and sheds no more once its own queries are in time.
-func TestAStormByLanes(t *testing.T) {
+// A flood of queries of the standard lane, most of it at one co-ordinator, overloads the fleet. All co-ordinators must shed
+// that lane, and the premium account must be served within its guarantee. A co-ordinator that has lost the rest of the
+// fleet must continue alone, and stop shedding once its own queries are answered in time.
+func TestLoadSheddingByLane(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3, 0, 1, 2)
-	q := &line{free: map[int]time.Time{}}
-	for i := range s.fleet.Replicas { // 120 parts a second in all
+	queue := &replicaQueue{freeAt: map[int]time.Time{}}
+	for i := range s.fleet.Replicas { // 120 parts a second in total
 		s.fleet.SetScript(i, func(standin.Asked) standin.Does {
-			return standin.Does{After: q.wait(i, 100*time.Millisecond), Value: []byte("v")}
+			return standin.Does{After: queue.enqueue(i, 100*time.Millisecond), Value: []byte("v")}
 		})
 	}
-	s.extra["lanes"] = map[string]any{
+	s.extraSettings["lanes"] = map[string]any{
 		"header": "X-Account", "lanes": []any{map[string]any{"name": "gold"}, map[string]any{"name": "rest"}},
 		"accounts": []any{map[string]any{"name": "a", "lane": "gold", "marks": []string{"k1"}, "guarantee": 0.4}},
 	}
 	s.startAll()
 	for i := range s.serve {
-		s.until("lanes are agreed on", s.says(i, `msg="lanes are in force"`))
+		s.waitFor("lanes are agreed on", s.logContains(i, `msg="lanes are in force"`))
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	counts := make(chan struct{})
-	premium, standard := make([]tally, 3), make([]tally, 3)
+	countFrom := make(chan struct{})
+	premium, standard := make([]queryCounts, 3), make([]queryCounts, 3)
 	var flood sync.WaitGroup
 	for i, rate := range []float64{150, 45, 45} {
-		flood.Go(func() { premium[i] = s.laned(ctx, i, "k1", 4, counts) })
-		flood.Go(func() { standard[i] = s.laned(ctx, i, "", rate, counts) })
+		flood.Go(func() { premium[i] = s.sendAtRate(ctx, i, "k1", 4, countFrom) })
+		flood.Go(func() { standard[i] = s.sendAtRate(ctx, i, "", rate, countFrom) })
 	}
 	for i := range s.serve {
-		s.until("all shed", s.says(i, "the fleet sheds load by lanes"))
+		s.waitFor("all co-ordinators shed load", s.logContains(i, "the fleet sheds load by lanes"))
 	}
 	time.Sleep(8 * time.Second)
-	close(counts)
+	close(countFrom)
 	time.Sleep(6 * time.Second)
 	stop()
 	flood.Wait()
-	t.Logf("2 x: premium %v, standard %v", premium, standard)
-	sum := func(of []tally) (x tally) {
+	t.Logf("at twice the capacity: premium %v, standard %v", premium, standard)
+	sum := func(of []queryCounts) (x queryCounts) {
 		for _, o := range of {
 			x.sent, x.served, x.refused = x.sent+o.sent, x.served+o.served, x.refused+o.refused
 		}
@@ -134,14 +136,14 @@
 		s.procs[i].Process.Kill()
 		s.procs[i].Wait()
 	}
-	s.until("n0 knows that it hears nobody", s.says(0, "fleet_known=false"))
-	s.until("n0 serves what it is asked", func() bool {
+	s.waitFor("n0 detects that it has lost the fleet", s.logContains(0, "fleet_known=false"))
+	s.waitFor("n0 serves all queries", func() bool {
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		var both sync.WaitGroup
-		var p, o tally
-		both.Go(func() { p = s.laned(ctx, 0, "k1", 10, counts) })
-		both.Go(func() { o = s.laned(ctx, 0, "", 20, counts) })
+		var p, o queryCounts
+		both.Go(func() { p = s.sendAtRate(ctx, 0, "k1", 10, countFrom) })
+		both.Go(func() { o = s.sendAtRate(ctx, 0, "", 20, countFrom) })
 		both.Wait()
 		return p.sent >= 5 && p.served == p.sent && o.sent >= 10 && o.served == o.sent
 	})
