--- a/internal/fleet/peerproto/peerproto_test.go
+++ b/internal/fleet/peerproto/peerproto_test.go
@@ -41,6 +41,7 @@
 }
 
 func TestEncodeAndDecodeEnforceLimits(t *testing.T) {
+	// Long: one table with a row for each limit.
 	long := strings.Repeat("x", MaxNameLength+1)
 	for _, c := range []struct {
 		text string
--- a/internal/fleet/raftgroup/disks_test.go
+++ b/internal/fleet/raftgroup/disks_test.go
@@ -85,7 +85,7 @@
 // crash. A voter whose write failed reports it and may rejoin once its disk has space. A voter with a torn log must neither
 // rejoin nor start empty, because it may have voted; another voter replaces it. In the end, all voters hold each command once.
 func TestReplaceWithFullOrTornDisk(t *testing.T) {
-	// One long scenario: each step on the cluster depends on the previous ones.
+	// Long: one scenario, in which each step on the cluster depends on the previous ones.
 	t.Parallel()
 	for _, kind := range []string{"full", "torn"} {
 		for _, at := range []string{"new", "old", "leader"} {
@@ -163,7 +163,7 @@
 // have the slow clock in turn. Half way through, the leader is cut off from all others. It must not commit any command that
 // the others do not have, and the others complete the replacement.
 func TestReplaceWithClockDrift(t *testing.T) {
-	// One long scenario: each step on the cluster depends on the previous ones.
+	// Long: one scenario, in which each step on the cluster depends on the previous ones.
 	t.Parallel()
 	slowest, fastest := Options{clockFactor: 1.01}, Options{clockFactor: 0.99}
 	if slowest.scaleTimeout(LeaderLeaseTimeout) >= fastest.scaleTimeout(HeartbeatTimeout) {
--- a/internal/fleet/raftgroup/group_test.go
+++ b/internal/fleet/raftgroup/group_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestLaggingVoterAndReaderGetSnapshot(t *testing.T) {
-	// One long scenario: each step on the cluster depends on the previous ones.
+	// Long: one scenario, in which each step on the cluster depends on the previous ones.
 	t.Parallel()
 	c := newCluster(t, 3, func(o *Options) {
 		o.SnapshotThreshold, o.TrailingLogs, o.MaxBufferedEntries, o.TimeoutFactor = 200, 20, 100, 4
@@ -153,7 +153,7 @@
 }
 
 func TestReplaceAndTransferLeadership(t *testing.T) {
-	// One long scenario: each step on the cluster depends on the previous ones.
+	// Long: one scenario, in which each step on the cluster depends on the previous ones.
 	t.Parallel()
 	c := newCluster(t, 3, func(o *Options) { o.TimeoutFactor = 4 })
 	lead, _ := c.leader("")
--- a/internal/fleet/raftgroup/replace_test.go
+++ b/internal/fleet/raftgroup/replace_test.go
@@ -18,7 +18,7 @@
 // A voter is replaced while the new voter or its links fail, and Replace is repeated until it succeeds, as the leader does
 // every few seconds. In the end the voters are the expected ones and all hold each command once.
 func TestReplaceUnderFaults(t *testing.T) {
-	// One long scenario: each step on the cluster depends on the previous ones.
+	// Long: one scenario, in which each step on the cluster depends on the previous ones.
 	t.Parallel()
 	for _, kind := range []string{"repeated", "cut to the new one", "cut from the new one", "cut both", "crash, disk kept", "late"} {
 		t.Run(kind, func(t *testing.T) {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -41,7 +41,7 @@
 // writeUntilKilled runs in a child process. It writes until it is killed and prints what was acknowledged as
 // "acked last first term". With a limit, it prints the first error, checks that the next write fails as well, and returns.
 func writeUntilKilled(dir string) {
-	// This is the complete program of the child process; runChild parses its output line by line.
+	// Long: the complete program of the child process; runChild parses its output line by line.
 	o := Options{}
 	limit := os.Getenv("STORE_LIMIT")
 	var file *os.File
