--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -18,27 +18,28 @@
 	"birchcart/policy"
 )
 
-// shared is a discovery that all co-ordinators call, and that serves calls in turn: one takes serveTime, and one that would
-// wait for longer than turnAway is refused, which takes refuseTime. A call that is left is served all the same.
-type shared struct {
+// sharedServer is a discovery service that all co-ordinators share and that serves calls one after another. Each call takes
+// serveTime. A call that would be queued for longer than maxQueueTime is rejected, which takes rejectTime. A call that its client
+// cancels is served all the same.
+type sharedServer struct {
 	ln net.Listener
 
-	mu      sync.Mutex
-	busy    time.Time // until then
-	drained bool      // the next version, in which the replica drains, is there
-	refused int
-	muted   chan struct{} // closed when the watches that are open fall silent
+	mu        sync.Mutex
+	busyUntil time.Time // end of the calls that are accepted so far
+	drained   bool      // the list is at index 2: v1 is replaced by v2
+	rejected  int
+	silenced  chan struct{} // closed to silence the open watches
 }
 
 const (
-	callers    = 12
-	serveTime  = 50 * time.Millisecond
-	refuseTime = 10 * time.Millisecond
-	turnAway   = 300 * time.Millisecond // some have to come again
+	clientCount  = 12
+	serveTime    = 50 * time.Millisecond
+	rejectTime   = 10 * time.Millisecond
+	maxQueueTime = 300 * time.Millisecond // short enough that some clients have to retry
 )
 
 // serve answers the calls of one connection.
-func (s *shared) serve(nc net.Conn) {
+func (s *sharedServer) serve(nc net.Conn) {
 	defer nc.Close()
 	for r := bufio.NewReader(nc); ; {
 		line, err := r.ReadString('\n')
@@ -50,14 +51,14 @@
 				return
 			}
 		}
-		taken, wait := s.call()
+		accepted, wait := s.admit()
 		time.Sleep(wait)
 		target := strings.Fields(line)[1]
 		switch {
-		case !taken:
+		case !accepted:
 			io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		case target == "/api/targets":
-			io.WriteString(nc, whole(s.list(true)))
+			io.WriteString(nc, httpResponse(s.list(true)))
 		default:
 			s.watch(nc, strings.HasSuffix(target, "after=1"))
 			return
@@ -65,44 +66,46 @@
 	}
 }
 
-// call takes one call, and tells how long it waits for its turn.
-func (s *shared) call() (taken bool, wait time.Duration) {
+// admit accepts or rejects a call, and returns how long the response to an accepted call takes.
+func (s *sharedServer) admit() (accepted bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.busy.Before(now) {
-		s.busy = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	if s.busy.Sub(now) > turnAway {
-		s.busy = s.busy.Add(refuseTime)
-		s.refused++
+	if s.busyUntil.Sub(now) > maxQueueTime {
+		s.busyUntil = s.busyUntil.Add(rejectTime)
+		s.rejected++
 		return false, 0
 	}
-	s.busy = s.busy.Add(serveTime)
-	return true, s.busy.Sub(now)
+	s.busyUntil = s.busyUntil.Add(serveTime)
+	return true, s.busyUntil.Sub(now)
 }
 
-func (s *shared) list(full bool) string {
+// list returns the current list, as a full list or as a change.
+func (s *sharedServer) list(full bool) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.drained {
-		return list(2, full, entry("v2", "Ready"))
+		return listJSON(2, full, endpointJSON("v2", "Ready"))
 	}
-	return list(1, full, entry("v1", "Ready"))
+	return listJSON(1, full, endpointJSON("v1", "Ready"))
 }
 
-// watch says first what was missed, and then that nothing changes, until it falls silent.
-func (s *shared) watch(nc net.Conn, behind bool) {
+// watch answers a watch: it sends a change that the client has missed, and then heartbeats until it is silenced.
+// outdated means that the client has the list at index 1.
+func (s *sharedServer) watch(nc net.Conn, outdated bool) {
 	s.mu.Lock()
-	muted, drained := s.muted, s.drained
+	silenced, drained := s.silenced, s.drained
 	s.mu.Unlock()
-	if io.WriteString(nc, opened); drained && behind {
+	if io.WriteString(nc, watchHead); drained && outdated {
 		io.WriteString(nc, chunk(s.list(false)+"\n"))
 	}
 	for {
 		select {
-		case <-muted:
-			io.Copy(io.Discard, nc) // until the other side leaves
+		case <-silenced:
+			io.Copy(io.Discard, nc) // until the client closes the connection
 			return
 		case <-time.After(100 * time.Millisecond):
 			if _, err := io.WriteString(nc, chunk("\n")); err != nil {
@@ -112,11 +115,11 @@
 	}
 }
 
-// All watches of a discovery that many co-ordinators share fall silent at once, and a change comes right after. Each has it
-// before it counts as told, although discovery can't take all calls at once: calls that are left unanswered, and calls
-// that follow a refusal at once, would keep it busy for ever.
-func TestManyAskASharedDiscovery(t *testing.T) {
-	s := &shared{ln: loopback(t), muted: make(chan struct{})}
+// Guards against retries that overload a shared discovery: all watches fall silent at once, and a change follows. Each client must
+// have the change before it counts as delivered, although discovery cannot serve all calls at once. Calls that are cancelled before
+// their response, and retries right after a rejection, would keep discovery busy forever.
+func TestSharedDiscoveryServesAllClientsAfterSilence(t *testing.T) {
+	s := &sharedServer{ln: listenLoopback(t), silenced: make(chan struct{})}
 	go func() {
 		for {
 			nc, err := s.ln.Accept()
@@ -127,54 +130,55 @@
 		}
 	}()
 	t.Cleanup(func() { s.ln.Close() })
-	var heard []func(string) time.Time
-	for range callers {
-		c, names, _ := runs(t, s.ln.Addr().String(), true)
+	var waitFuncs []func(string) time.Time
+	for range clientCount {
+		c, waitForReplica, _ := startClient(t, s.ln.Addr().String(), true)
 		c.Watch()
-		heard = append(heard, names)
+		waitFuncs = append(waitFuncs, waitForReplica)
 	}
-	for _, names := range heard {
-		names("v1")
+	for _, waitForReplica := range waitFuncs {
+		waitForReplica("v1")
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) { // all watches are open
-		if s.mu.Lock(); s.busy.Before(time.Now()) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // until all watches are open
+		if s.mu.Lock(); s.busyUntil.Before(time.Now()) {
 			break
 		}
-		if s.mu.Unlock(); time.Now().After(end) {
-			t.Fatal("the calls at the start were never served")
+		if s.mu.Unlock(); time.Now().After(deadline) {
+			t.Fatal("the first calls were not served in time")
 		}
 	}
-	silent := time.Now()
+	silentSince := time.Now()
 	s.drained = true
-	close(s.muted)
-	s.muted = make(chan struct{})
+	close(s.silenced)
+	s.silenced = make(chan struct{})
 	s.mu.Unlock()
-	for i, names := range heard {
-		at := names("v2")
-		if late := at.Sub(silent) - toldBy; late > 0 {
-			t.Errorf("co-ordinator %d heard %v after it counts as told", i, late)
+	for i, waitForReplica := range waitFuncs {
+		receivedAt := waitForReplica("v2")
+		if late := receivedAt.Sub(silentSince) - deliveryLimit; late > 0 {
+			t.Errorf("client %d received the change %v after it counts as delivered", i, late)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Log(fmt.Sprint(s.refused, " calls were refused"))
+	t.Log(fmt.Sprint(s.rejected, " calls were rejected"))
 }
 
-// Where the list is asked for, one that is held from before the start is watched at once: the answer tells what has changed.
-func TestAHeldListIsWatchedAtOnce(t *testing.T) {
-	a := newAgent(t)
+// With a shared discovery, a client that knows a list from before the start requests a watch at once: the response begins with the
+// changes since that list.
+func TestSharedDiscoveryWatchesKnownListAtOnce(t *testing.T) {
+	a := newManualAgent(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &sink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
-	c := New(&config.Config{Discovery: a.address(), Policy: policy.Config{MustAsk: true}, Limits: calm}, 5, s, logrus.NewEntry(log))
+	s := &testSink{make(chan exchange.ReplicaList, 10), make(chan struct{}, 10)}
+	c := New(&config.Config{Discovery: a.address(), Policy: policy.Config{MustSubscribe: true}, Limits: longLimits}, 5, s, logrus.NewEntry(log))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.Run(ctx)
 	c.Watch()
 	nc, r := a.accept()
-	a.expect(r, "/api/targets?watch=1&after=5")
-	io.WriteString(nc, opened+chunk(list(6, false, entry("a", "Terminating"))+"\n"))
+	a.expectRequest(r, "/api/targets?watch=1&after=5")
+	io.WriteString(nc, watchHead+chunk(listJSON(6, false, endpointJSON("a", "Terminating"))+"\n"))
 	if l := s.next(t); l.Full || len(l.Entries) != 1 || l.Entries[0].State != policy.Draining {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v, want a change that drains the replica", l)
 	}
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -11,15 +11,19 @@
 )
 
 const (
-	listTarget            = "/api/targets"
-	maxConcurrentRequests = 5 // connections to the agent that wait for an answer at the same time; of the descriptors reserved for all but the peers
+	listTarget = "/api/targets"
+
+	// maxConcurrentRequests limits the connections to the agent that wait for a response. Their descriptors are part of the number
+	// that the limits reserve for everything but the connections to peers.
+	maxConcurrentRequests = 5
 )
 
+// watchTarget returns the target of a watch for the changes after an index.
 func watchTarget(after int64) string {
 	return listTarget + "?watch=1&after=" + strconv.FormatInt(after, 10)
 }
 
-// requestResult is the outcome of one attempt.
+// requestResult is the result of one attempt.
 type requestResult struct {
 	attempt   int
 	startedAt time.Time
@@ -27,63 +31,65 @@
 	err       error
 }
 
-// request requests what is needed, the full list or a watch, until it has an answer or the head of one. Each attempt has its own
-// connection and the retry policy's answerTime. Of an agent the next one begins RedialMost later at the latest, beside those
-// that still wait: an agent that is silent while discovery is down may never answer what it was asked then, and what it has
-// counts as notified from the moment of its return. The first answer counts and the others are cancelled. Where the decisions
-// poll, an attempt that fails after WatchSilence of failures ends the request, so that they are notified.
+// request repeats attempts for the full list or a watch, whichever is needed, until one has the complete list or the response head
+// of the watch. Each attempt has its own connection and the retry policy's answerTime. With an agent, the next attempt begins at
+// most RedialMost later, even while earlier ones are in flight: an agent that is silent while discovery is down may never answer
+// the requests of that time, and the changes that it has count as delivered from the moment of its recovery. The first response
+// is used and the other attempts are cancelled. Where the policy requests the watches, an attempt that fails after WatchSilence of
+// failures ends the request, so that the policy is notified.
 func (f *feed) request(ctx context.Context) (*stream, error) {
 	c := f.client
-	began := time.Now()
+	requestedAt := time.Now()
 	answers := make(chan requestResult, maxConcurrentRequests)
-	open := map[int]context.CancelFunc{}
+	inFlight := map[int]context.CancelFunc{}
 	defer func() {
-		for _, cancel := range open {
+		for _, cancel := range inFlight {
 			cancel()
 		}
 	}()
-	due := f.firstRequestAt(began)
+	due := f.firstRequestAt(requestedAt)
 	c.logRequest(f)
-	for no := 0; ; {
-		var again <-chan time.Time
-		if len(open) < c.retry.maxConcurrent {
-			again = time.After(time.Until(due))
+	for attempts := 0; ; {
+		var retryTimer <-chan time.Time
+		if len(inFlight) < c.retry.maxConcurrent {
+			retryTimer = time.After(time.Until(due))
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-again:
-			no++
-			n, whole, index := no, f.needsFullList(), f.index
-			each, cancel := context.WithCancel(ctx)
-			open[n] = cancel
+		case <-retryTimer:
+			attempts++
+			attempt, fullList, index := attempts, f.needsFullList(), f.index
+			attemptCtx, cancel := context.WithCancel(ctx)
+			inFlight[attempt] = cancel
 			c.feeds.Go(func() {
-				asked := time.Now()
-				s, err := f.attempt(each, whole, index)
-				answers <- requestResult{n, asked, s, err}
+				startedAt := time.Now()
+				s, err := f.attempt(attemptCtx, fullList, index)
+				answers <- requestResult{attempt, startedAt, s, err}
 			})
 			due = time.Now().Add(c.limits.RedialMost)
-		case a := <-answers:
-			cancel := open[a.attempt]
-			if delete(open, a.attempt); a.err == nil {
-				a.stream.cancel = cancel
-				return a.stream, nil
+		case result := <-answers:
+			cancel := inFlight[result.attempt]
+			if delete(inFlight, result.attempt); result.err == nil {
+				result.stream.cancel = cancel
+				return result.stream, nil
 			}
 			cancel()
-			c.logRequestFailure(f, a.err)
+			c.logRequestFailure(f, result.err)
 			f.backoff = c.retry.nextBackoff(f.backoff)
-			f.watchNext = false // what that connection was for has failed
-			due = f.nextRequestAt(a, due)
-			if c.onDemand && c.isActive(f) && time.Since(began) >= c.limits.WatchSilence {
+			f.watchNext = false // the watch that was to follow the full list has failed
+			due = f.nextRequestAt(result, due)
+			if c.onDemand && c.isActive(f) && time.Since(requestedAt) >= c.limits.WatchSilence {
 				f.resumeAt = due
-				return nil, errOnDemandTimeout
+				return nil, errRequestsFailed
 			}
 		}
 	}
 }
 
-// firstRequestAt is when the first attempt of a request is due. One that was left so that the decisions are notified goes on where
-// it was: with a whole backoff on top, what discovery has at its return would come after the time at which it counts as notified.
+// firstRequestAt returns when the first attempt of a request is due. A request that was interrupted to notify the policy resumes
+// at its next attempt: with a full backoff on top, changes that discovery has after an outage would be read after the time at
+// which they count as delivered.
 func (f *feed) firstRequestAt(now time.Time) time.Time {
 	if at := f.resumeAt; !at.IsZero() {
 		f.resumeAt = time.Time{}
@@ -92,29 +98,30 @@
 	return now.Add(f.client.retry.jitter(f.backoff))
 }
 
-// nextRequestAt is when the next attempt is due once one has failed; due is when it would have been.
-func (f *feed) nextRequestAt(a requestResult, due time.Time) time.Time {
-	if f.client.retry.shared { // from its beginning: one that got no answer in its time has waited already
-		return a.startedAt.Add(f.client.retry.jitter(f.backoff))
+// nextRequestAt returns when the next attempt is due after one has failed; due is when it would be without the failure.
+func (f *feed) nextRequestAt(result requestResult, due time.Time) time.Time {
+	if f.client.retry.shared { // counted from the start of the attempt: one that timed out has waited already
+		return result.startedAt.Add(f.client.retry.jitter(f.backoff))
 	}
-	if soon := time.Now().Add(f.backoff); soon.Before(due) {
-		return soon
+	if retryAt := time.Now().Add(f.backoff); retryAt.Before(due) {
+		return retryAt
 	}
 	return due
 }
 
-// attempt is one attempt. Its connection is closed when the context ends.
-func (f *feed) attempt(ctx context.Context, whole bool, index int64) (*stream, error) {
-	lim := &f.client.limits
-	d := net.Dialer{Timeout: f.client.retry.firstByteTime}
-	began := time.Now()
-	nc, err := d.DialContext(ctx, "tcp", f.address)
+// attempt connects and sends one request. It returns once the full list is read or the response head of the watch has arrived. The
+// connection is closed when the context ends.
+func (f *feed) attempt(ctx context.Context, fullList bool, index int64) (*stream, error) {
+	limits := &f.client.limits
+	dialer := net.Dialer{Timeout: f.client.retry.firstByteTime}
+	startedAt := time.Now()
+	rawConn, err := dialer.DialContext(ctx, "tcp", f.address)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := newListConn(nc)
+	conn, err := newListConn(rawConn)
 	if err != nil {
-		nc.Close()
+		rawConn.Close()
 		return nil, err
 	}
 	f.client.conns.add(conn)
@@ -122,12 +129,12 @@
 		conn.Close()
 		f.client.conns.remove(conn)
 	})
-	s := &stream{conn: conn, fullList: whole, startedAt: began, deadline: began.Add(f.client.retry.firstByteTime), answerBy: began.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: lim.ListBytes}}
-	s.splitter.Limits = h1.Limits{Head: lim.HeadBytes}
+	s := &stream{conn: conn, fullList: fullList, startedAt: startedAt, deadline: startedAt.Add(f.client.retry.firstByteTime), answerDeadline: startedAt.Add(f.client.retry.answerTime), objects: objectScanner{maxSize: limits.ListBytes}}
+	s.splitter.Limits = h1.Limits{Head: limits.HeadBytes}
 	s.scanner = bufio.NewScanner(s)
-	s.scanner.Buffer(nil, lim.HeadBytes+lim.BodyBytes)
+	s.scanner.Buffer(nil, limits.HeadBytes+limits.BodyBytes)
 	s.scanner.Split(s.splitter.Split)
-	if !whole {
+	if !fullList {
 		return s, s.sendGet(watchTarget(index), f.address)
 	}
 	if err := s.sendGet(listTarget, f.address); err != nil {
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -10,7 +10,7 @@
 	"birchcart/policy"
 )
 
-// execute carries out one action.
+// execute carries out one action of the policy.
 func (e *Exchange) execute(a *policy.Action) {
 	switch a.Verb {
 	case policy.Send:
@@ -40,19 +40,19 @@
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// send puts an attempt into this turn's call to its replica.
+// send starts an attempt and adds it to this turn's call to its replica.
 func (e *Exchange) send(act *policy.Action) {
 	pt := e.parts[act.Part]
 	if pt == nil || pt.query.closed || e.replicasByID[act.Replica] == nil {
-		e.log.WithField("part", act.Part).Error("the decisions sent what is not open")
+		e.log.WithField("part", act.Part).Error("send ignored: unknown part or replica, or the query is closed")
 		return
 	}
 	a := &Attempt{
 		ID: pt.frameID, Shard: pt.shard, Text: pt.query.Text, Due: pt.query.Due, Previous: pt.previous, Complete: pt.complete,
-		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.decisionTime(e.turnAt),
+		part: pt, replica: act.Replica, number: len(pt.attempts), sentAt: e.policyTime(e.turnAt),
 	}
-	if act.TryFor > 0 {
-		if due := e.turnAt.Add(duration(act.TryFor)); due.Before(a.Due) {
+	if act.AttemptTimeout > 0 {
+		if due := e.turnAt.Add(duration(act.AttemptTimeout)); due.Before(a.Due) {
 			a.Due = due
 		}
 	}
@@ -60,7 +60,7 @@
 	pt.query.sent = true
 	pt.query.openAttempts++
 	e.counters.attempts++
-	e.load.change(e.turnAt, 1)
+	e.load.add(e.turnAt, 1)
 	e.schedule(a.Due.Sub(e.turnAt).Seconds(), timer{attempt: a})
 	e.traceAttempt(a)
 	for i := range e.outgoing {
@@ -72,24 +72,25 @@
 	e.outgoing = append(e.outgoing, outgoingCall{a.replica, []*Attempt{a}})
 }
 
-// flush hands this turn's calls to the replica side. The first step of a query ends where the first part of
-// its second arrives, and what arrives before that is known everywhere is rejected. So the part that opens
-// a second step goes ahead, and calls with others of that step follow after a short gap.
+// flush hands this turn's calls to the replica side. The first step of a query ends when the first part of its
+// second step arrives at a replica; other parts of the second step are rejected until this is known everywhere.
+// The part that opens a second step is therefore sent at once, and calls with other parts of that step only after
+// StepGap.
 func (e *Exchange) flush() {
-	var later []outgoingCall
+	var delayed []outgoingCall
 	for _, c := range e.outgoing {
 		if len(c.attempts) == 0 {
 			continue
 		}
-		if e.nextStepOf(c) {
-			later = append(later, c)
+		if e.needsStepGap(c) {
+			delayed = append(delayed, c)
 			continue
 		}
 		e.replicas.Send(c.replica, c.attempts)
 	}
-	if len(later) > 0 {
-		time.Sleep(e.limits.StepGap) // far less than the least gap between turns
-		for _, c := range later {
+	if len(delayed) > 0 {
+		time.Sleep(e.limits.StepGap) // far shorter than the minimum gap between turns
+		for _, c := range delayed {
 			e.replicas.Send(c.replica, c.attempts)
 		}
 	}
@@ -97,35 +98,36 @@
 	e.outgoing = e.outgoing[:0]
 }
 
-// nextStepOf tells whether a call holds a part of a second step that has been opened in this turn; a part that
-// opens one is noted.
-func (e *Exchange) nextStepOf(c outgoingCall) bool {
+// needsStepGap reports whether a call holds a part of a second step that another part has already opened in this
+// turn. If a part of the call opens a second step, it records the time on the query.
+func (e *Exchange) needsStepGap(c outgoingCall) bool {
 	wait := false
 	for _, a := range c.attempts {
 		q := a.part.query
 		if a.Previous == nil {
 			continue
 		}
-		if q.opened.IsZero() {
-			q.opened = e.turnAt
-		} else if q.opened.Equal(e.turnAt) {
+		if q.secondStepAt.IsZero() {
+			q.secondStepAt = e.turnAt
+		} else if q.secondStepAt.Equal(e.turnAt) {
 			wait = true
 		}
 	}
 	return wait
 }
 
-// answer ends a query from what is in, or its first step where its class has a second.
+// answer replies to a query with the values received so far. If the query's class has a second step and the query
+// is in its first, answer starts the second step instead.
 func (e *Exchange) answer(a *policy.Action) {
 	q := e.queries[a.Query]
 	if q == nil {
 		return
 	}
 	if n := e.config.Classes[q.Class].FollowUp; n > 0 && q.step == 1 {
-		e.secondStep(q, n, a.Full)
+		e.startSecondStep(q, n, a.Complete)
 		return
 	}
-	r := Reply{Complete: a.Full}
+	r := Reply{Complete: a.Complete}
 	for _, pt := range q.parts {
 		if pt.answered {
 			r.Values = append(r.Values, Value{pt.shard, pt.value})
@@ -134,33 +136,33 @@
 	e.finish(a.Query, r)
 }
 
-// secondStep closes the first step and asks the shards with the highest scores, n at most; its parts reach
-// the decisions with the next turn.
-func (e *Exchange) secondStep(q *query, n int, whole bool) {
-	var in []*part
+// startSecondStep closes the first step and creates parts for at most n shards, those with the highest scores. The
+// policy receives the new parts in the next turn.
+func (e *Exchange) startSecondStep(q *query, n int, complete bool) {
+	var answered []*part
 	for _, pt := range q.parts {
 		if pt.answered {
-			in = append(in, pt)
+			answered = append(answered, pt)
 		}
 	}
-	from := make([]int, len(in))
-	for i, pt := range in {
-		from[i] = pt.shard
+	answeredShards := make([]int, len(answered))
+	for i, pt := range answered {
+		answeredShards[i] = pt.shard
 	}
-	slices.Sort(from)
-	slices.SortStableFunc(in, func(a, b *part) int {
+	slices.Sort(answeredShards)
+	slices.SortStableFunc(answered, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.shard, b.shard))
 	})
-	in = in[:min(n, len(in))]
+	answered = answered[:min(n, len(answered))]
 	q.step = 2
 	e.closeStep(q)
 	q.parts = nil
-	for _, pt := range in {
-		e.deferred = append(e.deferred, e.newPart(q, &part{shard: pt.shard, previous: from, complete: whole}, 1/float64(len(in)), 0))
+	for _, pt := range answered {
+		e.deferred = append(e.deferred, e.newPart(q, &part{shard: pt.shard, previous: answeredShards, complete: complete}, 1/float64(len(answered)), 0))
 	}
 }
 
-// finish gives a query its one answer. What of it is not yet written is taken back before.
+// finish closes a query and sends its only reply. Attempts that are not yet written are cancelled before the reply.
 func (e *Exchange) finish(id uint64, r Reply) {
 	q := e.queries[id]
 	if q == nil {
@@ -171,15 +173,15 @@
 	}
 	q.served = r.Status == Served
 	e.close(q, LaneOutcome{Status: r.Status})
-	e.recordEnd(q, r.ending(), len(r.Values))
-	q.count(r)
+	e.recordEnd(q, r.recordStatus(), len(r.Values))
+	q.countReply(r)
 	e.counters.replies[r.Status]++
 	e.counters.reasons[r.Reason]++
 	if e.debug() {
 		e.log.WithFields(logrus.Fields{
 			"query": q.ID, "class": e.names.Classes[q.Class], "status": r.Status, "whole": r.Complete,
 			"found": len(r.Values), "step": q.step, "reason": r.Reason.String(), "took": e.turnAt.Sub(q.Received),
-		}).Debug("a query ended")
+		}).Debug("query ended")
 	}
 	q.Reply(r)
 }
--- a/internal/exchange/record.go
+++ b/internal/exchange/record.go
@@ -5,10 +5,10 @@
 	"birchcart/internal/route"
 )
 
-// Record writes what comes and how it ends to w from now on. It must be called before Run.
+// Record writes a record of each query and of its end to w. It must be called before Run.
 func (e *Exchange) Record(w *record.Writer) { e.record = w }
 
-// recordQuery notes a query as it was taken in, or rejected.
+// recordQuery records a query when it arrives, including one that a gate then rejects.
 func (e *Exchange) recordQuery(q *query) {
 	if e.record == nil {
 		return
@@ -31,15 +31,15 @@
 	e.record.Put(r)
 }
 
-// recordEnd notes how a query ended.
-func (e *Exchange) recordEnd(q *query, status string, in int) {
+// recordEnd records how a query ended and how many values its reply has.
+func (e *Exchange) recordEnd(q *query, status string, values int) {
 	if e.record != nil {
-		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: in})
+		e.record.Put(record.Record{Kind: "end", Micros: e.record.Since(e.turnAt), Number: q.id, Status: status, In: values})
 	}
 }
 
-// ending names a reply in records.
-func (r *Reply) ending() string {
+// recordStatus returns the status of a reply as records name it.
+func (r *Reply) recordStatus() string {
 	switch {
 	case r.Status == Served && r.Complete:
 		return "whole"
--- a/internal/exchange/routes.go
+++ b/internal/exchange/routes.go
@@ -7,42 +7,42 @@
 	"birchcart/internal/route"
 )
 
-// routes is one table in force, with the state of its gate and its sums. Queries keep the one that they were taken
-// under, so a new table changes nothing for them.
-type routes struct {
+// routeState is a route table with the state of its gate and its counters. A query keeps the routeState by which it was admitted,
+// so a new table does not affect it.
+type routeState struct {
 	table    *route.Table
 	gate     *admission.Gate
 	counters []routeCounters
 }
 
-// routeCounters count by route since the last summary.
+// routeCounters counts the queries of one route since the last summary.
 type routeCounters struct {
-	taken, whole, short, refused, failed int
-	turned                               [len(admission.Reasons)]int // away before the decisions, by reason
+	admitted, complete, partial, refused, failed int
+	rejected                                     [len(admission.Reasons)]int // by the route's gate, by reason
 }
 
-// SetRoutes puts a table into force for queries from now on, nil for none. It may be called from anywhere. Rooms begin
-// empty: what is open was taken under the table before.
+// SetRoutes sets the route table for queries opened from now on, nil for none. It may be called from any goroutine. The new table's
+// query limits count from zero: queries already open still count against the table by which they were admitted.
 func (e *Exchange) SetRoutes(t *route.Table) {
 	if t == nil {
-		e.enqueue(&routes{})
+		e.enqueue(&routeState{})
 		return
 	}
 	rules := make([]admission.Rule, len(t.Routes))
 	for i := range t.Routes {
 		rules[i] = admission.Rule(t.Routes[i].Room)
 	}
-	e.enqueue(&routes{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
+	e.enqueue(&routeState{table: t, gate: admission.New(rules, len(e.names.Tenants), e.config.Seed), counters: make([]routeCounters, len(rules))})
 }
 
-// handleRoutes takes a new table.
-func (e *Exchange) handleRoutes(r *routes) {
+// handleRoutes replaces the route table.
+func (e *Exchange) handleRoutes(r *routeState) {
 	if e.routes = r; r.table == nil {
 		e.routes = nil
 	}
 }
 
-// routeOf finds a query's route in the table in force; -1 for none.
+// routeOf returns the index of a query's route in the current table, -1 for none.
 func (e *Exchange) routeOf(q *query) int {
 	if e.routes == nil {
 		return -1
@@ -59,7 +59,7 @@
 	})
 }
 
-// admit finds a query's route and asks the lanes and its gate. What is rejected is answered at once.
+// admit finds a query's route, then asks the lane gate and the route's gate. It replies at once if either rejects the query.
 func (e *Exchange) admit(q *query) bool {
 	r := e.routes
 	i := e.routeOf(q)
@@ -70,36 +70,36 @@
 		return true
 	}
 	d := r.gate.Admit(e.turnAt, i, q.Tenant, q.Client, q.Retry)
-	if d.Reason != admission.Taken {
-		r.counters[i].turned[d.Reason]++
+	if d.Reason != admission.Admitted {
+		r.counters[i].rejected[d.Reason]++
 		e.counters.replies[Rejected]++
-		e.leaveLane(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
+		e.notifyLaneGate(q, LaneOutcome{Status: Rejected, RejectedByRoute: true})
 		q.Reply(Reply{Status: Rejected, RetryAfter: e.retryAfter(d.After)})
 		return false
 	}
 	q.routes, q.route = r, i
-	r.counters[i].taken++
+	r.counters[i].admitted++
 	return true
 }
 
-// releaseRoute gives back the room of a query that has ended.
+// releaseRoute tells the gate of a query's route that the query has ended, so that it no longer counts as open.
 func (e *Exchange) releaseRoute(q *query) {
 	if q.routes != nil {
-		q.routes.gate.Done(q.route)
+		q.routes.gate.Release(q.route)
 	}
 }
 
-// count takes the end of a query into its route's sums.
-func (q *query) count(r Reply) {
+// countReply counts the reply of a query in the counters of its route.
+func (q *query) countReply(r Reply) {
 	if q.routes == nil {
 		return
 	}
 	s := &q.routes.counters[q.route]
 	switch {
 	case r.Status == Served && r.Complete:
-		s.whole++
+		s.complete++
 	case r.Status == Served:
-		s.short++
+		s.partial++
 	case r.Status == Rejected:
 		s.refused++
 	default:
@@ -107,7 +107,7 @@
 	}
 }
 
-// logRoutes logs a line for each route on which something happened.
+// logRoutes logs the counters of each route that had queries since the last summary, then resets them.
 func (e *Exchange) logRoutes() {
 	if e.routes == nil {
 		return
@@ -118,11 +118,11 @@
 			continue
 		}
 		f := logrus.Fields{
-			"route": e.routes.table.Routes[i].Name, "taken": s.taken, "whole": s.whole, "short": s.short, "refused": s.refused, "failed": s.failed,
+			"route": e.routes.table.Routes[i].Name, "taken": s.admitted, "whole": s.complete, "short": s.partial, "refused": s.refused, "failed": s.failed,
 			"open": e.routes.gate.Open(i),
 		}
-		for reason := admission.Taken + 1; int(reason) < len(admission.Reasons); reason++ {
-			if n := s.turned[reason]; n > 0 {
+		for reason := admission.Admitted + 1; int(reason) < len(admission.Reasons); reason++ {
+			if n := s.rejected[reason]; n > 0 {
 				f["turned_away_"+admission.Reasons[reason]] = n
 			}
 		}
--- a/internal/fleet/completed/completed_test.go
+++ b/internal/fleet/completed/completed_test.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-func of(n int) Entry {
-	return Entry{ID: IDOf(fmt.Sprint("q", n)), How: MayHaveRun, Seq: uint32(n)}
+func newEntry(n int) Entry {
+	return Entry{ID: IDOf(fmt.Sprint("q", n)), Outcome: MayHaveRun, Seq: uint32(n)}
 }
 
-func TestRecord(t *testing.T) {
+func TestRecordAddFindAndShift(t *testing.T) {
 	var r Record
-	for n := 1; n <= Most+2; n++ {
-		r = r.Note(of(n))
+	for n := 1; n <= MaxEntries+2; n++ {
+		r = r.Add(newEntry(n))
 	}
-	_, second := r.Find(of(2).ID)
-	third, known := r.Find(of(3).ID)
-	if len(r) != Most || second || !known || third != of(3) || !third.Bars(0) {
-		t.Fatalf("the oldest do not go first: %+v", r)
+	_, second := r.Find(newEntry(2).ID)
+	third, known := r.Find(newEntry(3).ID)
+	if len(r) != MaxEntries || second || !known || third != newEntry(3) || !third.BlocksRepeat(0) {
+		t.Fatalf("oldest entries not dropped first: %+v", r)
 	}
-	if again := r.Note(Entry{}); len(again) != Most || IDOf("") != (ID{}) {
-		t.Fatal("one without an id is remembered")
+	if again := r.Add(Entry{}); len(again) != MaxEntries || IDOf("") != (ID{}) {
+		t.Fatal("query without an id was added")
 	}
 	if _, none := r.Find(ID{}); none {
-		t.Fatal("one without an id is found")
+		t.Fatal("query without an id was found")
 	}
-	// A keyed one: its first window counts, and a repeat that may run beyond it does not begin.
-	k := of(20).Keys(10 * time.Second)
-	r = r.Note(k).Note(Entry{ID: k.ID, How: Served, Seq: 21}.Keys(15 * time.Second))
-	if e, _ := r.Find(k.ID); e.Until() != 10*time.Second || e.How != Served || e.Seq != 21 || e.Bars(10*time.Second) || !e.Bars(10*time.Second+1) || len(r) != Most {
+	// A keyed query: the window that ends first counts, and blocks repeats that may run beyond it.
+	k := newEntry(20).WithWindowEnd(10 * time.Second)
+	r = r.Add(k).Add(Entry{ID: k.ID, Outcome: Served, Seq: 21}.WithWindowEnd(15 * time.Second))
+	if e, _ := r.Find(k.ID); e.WindowEnd() != 10*time.Second || e.Outcome != Served || e.Seq != 21 || e.BlocksRepeat(10*time.Second) || !e.BlocksRepeat(10*time.Second+1) || len(r) != MaxEntries {
 		t.Fatalf("%+v", e)
 	}
-	// One that was unsafe once stays so.
-	if e, _ := r.Note(Entry{ID: of(20).ID, How: MayHaveRun, Seq: 22}).Find(k.ID); e.Keyed || !e.Bars(0) || e.How != Served {
+	// An entry that was not keyed once never becomes keyed.
+	if e, _ := r.Add(Entry{ID: newEntry(20).ID, Outcome: MayHaveRun, Seq: 22}).Find(k.ID); e.Keyed || !e.BlocksRepeat(0) || e.Outcome != Served {
 		t.Fatalf("%+v", e)
 	}
 	r = Record{k}
-	r.Shift(-3 * time.Second)
-	if r[0].Until() != 7*time.Second {
-		t.Fatal(r[0].Until())
+	r.ShiftWindows(-3 * time.Second)
+	if r[0].WindowEnd() != 7*time.Second {
+		t.Fatal(r[0].WindowEnd())
 	}
-	r.Shift(-time.Hour)
-	if !r[0].Bars(1) {
-		t.Fatal("a window that is over")
+	r.ShiftWindows(-time.Hour)
+	if !r[0].BlocksRepeat(1) {
+		t.Fatal("an expired window doesn't block a repeat")
 	}
 }
 
-// The hash is part of the form that a hand carries, and no two of many short ids have the same.
-func TestIDs(t *testing.T) {
+// The hash is part of the encoding in hand-overs and must not change. Short ids must not collide.
+func TestIDOfIsStableAndUnique(t *testing.T) {
 	if got := fmt.Sprintf("%x", IDOf("a1")); got != "1307b5454dbb" {
 		t.Fatal(got)
 	}
@@ -65,60 +65,60 @@
 	}
 }
 
-func TestSaved(t *testing.T) {
-	r := Record{of(1), of(2).Keys(7 * time.Second), of(5)}
-	r[2].How = Served
-	const ahead = 1_700_000_000 * time.Second
-	raw := r.Save(9, ahead, 1024)
-	got, err := Load(raw, 9, ahead)
+func TestSaveAndLoad(t *testing.T) {
+	r := Record{newEntry(1), newEntry(2).WithWindowEnd(7 * time.Second), newEntry(5)}
+	r[2].Outcome = Served
+	const clockOffset = 1_700_000_000 * time.Second
+	raw := r.Save(9, clockOffset, 1024)
+	got, err := Load(raw, 9, clockOffset)
 	if err != nil || !reflect.DeepEqual(got, r) || len(raw) > 3*15 {
 		t.Fatalf("%+v, %v, %d bytes", got, err, len(raw))
 	}
-	if part, err := Load(r.Save(9, ahead, len(raw)-1), 9, ahead); err != nil || !reflect.DeepEqual(part, r[1:]) {
-		t.Fatalf("what does not fit: %+v, %v", part, err)
+	if part, err := Load(r.Save(9, clockOffset, len(raw)-1), 9, clockOffset); err != nil || !reflect.DeepEqual(part, r[1:]) {
+		t.Fatalf("entries that don't fit must be dropped: %+v, %v", part, err)
 	}
 	if none, err := Load(nil, 0, 0); len(none) > 0 || err != nil || r.Save(9, 0, 5) != nil || (Record{}).Save(1, 0, 99) != nil {
 		t.Fatal(none, err)
 	}
-	if late, err := Load(raw, 9, ahead+time.Hour); err != nil || late[1].Until() != 0 {
-		t.Fatalf("a window that ended long ago: %+v, %v", late, err)
+	if late, err := Load(raw, 9, clockOffset+time.Hour); err != nil || late[1].WindowEnd() != 0 {
+		t.Fatalf("window that ended long ago: %+v, %v", late, err)
 	}
-	spoilt := func(at int, b byte) []byte {
+	corrupt := func(at int, b byte) []byte {
 		s := append([]byte(nil), raw...)
 		s[at] = b
 		return s
 	}
-	twice := append(append([]byte{1, 2}, raw[2:10]...), raw[2:10]...)
-	twice[17] = 1
+	duplicated := append(append([]byte{1, 2}, raw[2:10]...), raw[2:10]...)
+	duplicated[17] = 1
 	for name, bad := range map[string][]byte{
-		"unknown version of a record of queries: 2, known is 1": spoilt(0, 2), "torn": raw[:len(raw)-1], "torn, or": {1}, "more than 8": spoilt(1, 9), "ended as 3": spoilt(8, 3),
-		"8 behind 9 after one 8": append(append([]byte{1, 2}, raw[2:10]...), append([]byte{9, 9, 9, 9, 9, 9}, raw[8:10]...)...), "twice": twice,
-		"too many": append(append([]byte(nil), raw...), 0), "none's": append([]byte{1, 1, 0, 0, 0, 0, 0, 0}, raw[8:10]...), "9 behind 9": spoilt(9, 9),
+		"unknown version of a record of queries: 2, known is 1": corrupt(0, 2), "truncated": raw[:len(raw)-1], "truncated, or": {1}, "more than 8": corrupt(1, 9), "unknown outcome 3": corrupt(8, 3),
+		"8 behind 9 after one 8": append(append([]byte{1, 2}, raw[2:10]...), append([]byte{9, 9, 9, 9, 9, 9}, raw[8:10]...)...), "twice": duplicated,
+		"too many": append(append([]byte(nil), raw...), 0), "empty ID": append([]byte{1, 1, 0, 0, 0, 0, 0, 0}, raw[8:10]...), "9 behind 9": corrupt(9, 9),
 	} {
-		if _, err := Load(bad, 9, ahead); err == nil || !strings.Contains(err.Error(), name) || errors.Is(err, ErrVersion) != strings.Contains(name, "version") {
+		if _, err := Load(bad, 9, clockOffset); err == nil || !strings.Contains(err.Error(), name) || errors.Is(err, ErrVersion) != strings.Contains(name, "version") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(Record{of(1), of(2).Keys(time.Second)}.Save(4, 0, 99), uint64(4), int64(0))
+	f.Add(Record{newEntry(1), newEntry(2).WithWindowEnd(time.Second)}.Save(4, 0, 99), uint64(4), int64(0))
 	f.Add([]byte{2, 0}, uint64(1), int64(1))
-	f.Fuzz(func(t *testing.T, raw []byte, seq uint64, ahead int64) {
-		a := time.Duration(ahead%(1<<40)) / Unit * Unit
-		r, err := Load(raw, seq, a)
+	f.Fuzz(func(t *testing.T, raw []byte, seq uint64, offset int64) {
+		clockOffset := time.Duration(offset%(1<<40)) / TimeUnit * TimeUnit
+		r, err := Load(raw, seq, clockOffset)
 		if err != nil {
 			return
 		}
-		if len(r) > Most {
+		if len(r) > MaxEntries {
 			t.Fatal(len(r))
 		}
-		again, err := Load(r.Save(seq, a, 1<<10), seq, a)
+		again, err := Load(r.Save(seq, clockOffset, 1<<10), seq, clockOffset)
 		if err != nil || !reflect.DeepEqual(again, r) && len(r)+len(again) > 0 {
 			t.Fatalf("%+v, then %+v, %v", r, again, err)
 		}
-		e := Entry{ID: IDOf(string(raw)), How: Served}
-		if r = r.Note(e); len(r) > Most {
+		e := Entry{ID: IDOf(string(raw)), Outcome: Served}
+		if r = r.Add(e); len(r) > MaxEntries {
 			t.Fatal(len(r))
 		}
 		if got, _ := r.Find(e.ID); got.ID != e.ID {
--- a/internal/fleet/fleetsim/pinned/leader.go
+++ b/internal/fleet/fleetsim/pinned/leader.go
@@ -139,20 +139,20 @@
 	w := c.w
 	book := c.reading()
 	now := l.time(c)
-	v := migrate.View{Book: book, Slots: book.Pool(), Away: w.s.Away}
+	v := migrate.View{Book: book, Slots: book.Pool(), Outage: w.s.Away}
 	for _, r := range w.replicas {
 		v.Replicas = append(v.Replicas, r.name)
 	}
 	for i, o := range w.cos {
 		rank, ok := w.order[i]
 		if !ok {
-			rank = migrate.Stays
+			rank = migrate.RankNone
 		}
 		deadline, leaving := w.leaving[i]
 		owned := book.Owned(o.name)
 		v.Coordinators = append(v.Coordinators, migrate.Coordinator{Name: o.name, Zone: fmt.Sprint("z", i%3), Rank: rank, Leaving: leaving, Deadline: deadline,
-			Live: (o.up || w.Now-o.downAt < 2*time.Second) && c.silence(l, o.name) < limits.Lease,
-			Room: migrate.Room{Sessions: w.roomOf(), Told: owned, Open: 0, Queries: 1 << 16, Memory: 1 << 32}})
+			Live:     (o.up || w.Now-o.downAt < 2*time.Second) && c.silence(l, o.name) < limits.Lease,
+			Capacity: migrate.Capacity{MaxSessions: w.roomOf(), OwnedAtReport: owned, OpenQueries: 0, MaxQueries: 1 << 16, FreeMemory: 1 << 32}})
 	}
 	plan := l.planner.Step(now, v)
 	if w.s.Shared {
@@ -164,14 +164,14 @@
 	l.handMade, l.shifts = nil, nil
 	if len(body.Shifts) == 0 && (!w.s.Shared || c.mono() >= l.spreadAt) {
 		l.spreadAt = c.mono() + time.Second
-		if body.Shifts = c.spread(l, limits); len(body.Shifts) == session.ActsMost/2 { // there is more to deal
+		if body.Shifts = c.spread(l, limits); len(body.Shifts) == session.MaxActs/2 { // there is more to deal
 			l.spreadAt = c.mono() + spreadEvery
 		}
 	}
 	if plan.Tick && !l.ticking {
 		c.tickAgreed(l)
 	}
-	if len(body.Offers)+len(body.Withdrawals)+len(body.Shifts)+len(body.Backs) > 0 {
+	if len(body.Offers)+len(body.Withdrawals)+len(body.Shifts)+len(body.CancelledTransfers) > 0 {
 		l.planning = true
 		l.propose(c, session.KindPlan, body, func(error) { l.planning = false })
 	}
@@ -197,7 +197,7 @@
 				continue
 			}
 			if n := min(free, share-book.Pool().Held(o.name, r.name)); n > 0 {
-				if len(shifts) == session.ActsMost/2 {
+				if len(shifts) == session.MaxActs/2 {
 					return shifts
 				}
 				shifts = append(shifts, session.Shift{To: o.name, Replica: r.name, N: n})
--- a/internal/fleet/fleetsim/shedding/co.go
+++ b/internal/fleet/fleetsim/shedding/co.go
@@ -28,7 +28,7 @@
 	stalled    time.Duration // until then
 	queries    map[uint64]*query
 	parts      map[uint64]*part
-	own        pressure.Own
+	own        pressure.LocalLoad
 	sheds      *shed
 	wallOff    time.Duration
 	lie        int // -1: none
@@ -45,7 +45,7 @@
 	ask     *ask
 	class   int
 	cost    float64
-	verdict lanes.Verdict
+	verdict lanes.Decision
 	came    time.Duration
 	due     time.Duration
 	over    bool
@@ -152,7 +152,7 @@
 	case policy.Cancel:
 		if pt := c.parts[a.Part]; pt != nil && a.Attempt < len(pt.attempts) {
 			at := pt.attempts[a.Attempt]
-			w.q.At(w.q.Now, func() { w.ends(at, policy.Revoked) })
+			w.q.At(w.q.Now, func() { w.ends(at, policy.Cancelled) })
 		}
 	case policy.Timer:
 		handle, life := a.Handle, c.life
@@ -190,20 +190,20 @@
 }
 
 // take lets a query in to the module.
-func (c *coordinator) take(a *ask, cost float64, v lanes.Verdict) {
+func (c *coordinator) take(a *ask, cost float64, v lanes.Decision) {
 	w := c.w
 	w.ids++
 	q := &query{id: w.ids, ask: a, class: a.class, cost: cost, verdict: v, came: w.q.Now, due: w.q.Now + 3*time.Second}
 	c.queries[q.id] = q
 	var limits *policy.Limits
-	if v.YieldBy > 1 {
-		limits = &policy.Limits{YieldBy: v.YieldBy}
+	if v.PromiseDivisor > 1 {
+		limits = &policy.Limits{PromiseDivisor: v.PromiseDivisor}
 	}
 	hints := 0.0
 	for _, h := range a.hints {
 		hints += h
 	}
-	c.event(policy.Event{Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: -1, Due: epoch + q.due.Seconds(),
+	c.event(policy.Event{Kind: policy.QueryArrived, Query: q.id, Group: q.id, Class: q.class, Tenant: -1, Deadline: epoch + q.due.Seconds(),
 		Limits: limits, Count: len(a.hints), Retry: a.try > 0 && !w.plan.Unmarked, Work: hints})
 	for i, h := range a.hints {
 		w.ids++
--- a/internal/fleet/laneconfig/text.go
+++ b/internal/fleet/laneconfig/text.go
@@ -12,66 +12,68 @@
 )
 
 const (
-	// PackedMost bytes of a section, packed: 10,000 accounts with a mark of 32 random digits each have some 210 KB.
-	PackedMost = 256 << 10
-	// TextMost bytes of a section as it is, which is what an operators' file may render to.
-	TextMost = 4 << 20
+	// MaxPackedSize is the maximum size of a compressed section in bytes. With 10,000 accounts that have a mark of 32 random digits
+	// each it is about 210 KB.
+	MaxPackedSize = 256 << 10
+	// MaxTextSize is the maximum size of an uncompressed section in bytes, the same as that of a rendered operators' file.
+	MaxTextSize = 4 << 20
 )
 
-// SetBody is the command that puts a section in force.
+// SetBody is the body of the command that puts a section in force.
 type SetBody struct {
 	Revision int    `json:"revision"`
 	Sum      string `json:"sum"` // SHA-256 of the text
-	Z        []byte `json:"z"`   // the text, packed
+	Packed   []byte `json:"z"`   // the text, compressed
 }
 
-// Body is the command for a section. It fails for one that is too large to be agreed on.
-func Body(section *operator.Lanes, revision int) (SetBody, error) {
-	text, err := json.Marshal(section) // fields in their order, maps by key
+// NewSetBody returns the command body for a section. It fails if the section is too large.
+func NewSetBody(section *operator.Lanes, revision int) (SetBody, error) {
+	text, err := json.Marshal(section) // deterministic: fields are in order and maps are sorted by key
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
-	if len(text) > TextMost {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, %d at most", len(text), TextMost)
+	if len(text) > MaxTextSize {
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes, the limit is %d", len(text), MaxTextSize)
 	}
-	z, err := compress.Pack(text)
+	packed, err := compress.Pack(text)
 	if err != nil {
 		return SetBody{}, fmt.Errorf("laneconfig: %w", err)
 	}
-	if len(z) > PackedMost {
-		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes packed, %d at most: fewer accounts, or shorter marks", len(z), PackedMost)
+	if len(packed) > MaxPackedSize {
+		return SetBody{}, fmt.Errorf("laneconfig: the section has %d bytes compressed, the limit is %d: use fewer accounts or shorter marks", len(packed), MaxPackedSize)
 	}
-	return SetBody{revision, sumOf(text), z}, nil
+	return SetBody{revision, checksum(text), packed}, nil
 }
 
-// Section is the one that the command carries. ErrUnknown of the state machine is in the error if a newer program wrote it.
+// Section decodes the section. The error wraps statemachine.ErrUnknown if a newer program wrote it.
 func (b SetBody) Section() (*operator.Lanes, error) {
 	text, err := b.text()
 	if err != nil {
 		return nil, err
 	}
 	var l operator.Lanes
-	if err := statemachine.Strict(text, &l); err != nil {
+	if err := statemachine.DecodeStrict(text, &l); err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", b.Revision, err)
 	}
 	return &l, nil
 }
 
+// text returns the uncompressed section, after checking its size and checksum.
 func (b SetBody) text() ([]byte, error) {
-	if len(b.Z) > PackedMost {
-		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes packed, %d at most", b.Revision, len(b.Z), PackedMost)
+	if len(b.Packed) > MaxPackedSize {
+		return nil, fmt.Errorf("laneconfig: revision %d has %d bytes compressed, the limit is %d", b.Revision, len(b.Packed), MaxPackedSize)
 	}
-	text, err := compress.Unpack(b.Z, TextMost)
+	text, err := compress.Unpack(b.Packed, MaxTextSize)
 	if err != nil {
 		return nil, fmt.Errorf("laneconfig: revision %d: %w", b.Revision, err)
 	}
-	if sum := sumOf(text); sum != b.Sum {
-		return nil, fmt.Errorf("laneconfig: revision %d has the sum %.16s, and says %.16q", b.Revision, sum, b.Sum)
+	if sum := checksum(text); sum != b.Sum {
+		return nil, fmt.Errorf("laneconfig: revision %d has checksum %.16s, but the command contains %.16q", b.Revision, sum, b.Sum)
 	}
 	return text, nil
 }
 
-func sumOf(text []byte) string {
+func checksum(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/fleet/lanepart/roster.go
+++ b/internal/fleet/lanepart/roster.go
@@ -9,39 +9,39 @@
 	"birchcart/internal/fleet/member"
 )
 
-// RosterInterval is between looks at who there is.
-const RosterInterval = time.Second
+// MembershipInterval is the interval at which the membership is updated.
+const MembershipInterval = time.Second
 
-// roster is who there is, for the load shedding's steps alone.
-type roster struct {
-	host *Host
-	at   time.Duration
-	last loadshed.Crew
+// membershipCache caches the membership. Only the load shedding's goroutine uses it.
+type membershipCache struct {
+	host       *Host
+	updatedAt  time.Duration
+	membership loadshed.Membership
 }
 
-// current is who is agreed to be there and not gone, and who gossip hears of. What is agreed stays while this one is cut off, so
-// that it knows of how few it hears.
-func (r *roster) current() loadshed.Crew {
-	now := time.Since(r.host.StartTime)
-	if r.last.Names != nil && now < r.at+RosterInterval {
-		return r.last
+// current returns the co-ordinators that are in the agreed state and not gone, and those that gossip reports. The agreed ones stay
+// members while this co-ordinator is cut off, so that it notices from how few of them it hears.
+func (c *membershipCache) current() loadshed.Membership {
+	now := time.Since(c.host.StartTime)
+	if c.membership.Names != nil && now < c.updatedAt+MembershipInterval {
+		return c.membership
 	}
-	r.at = now
+	c.updatedAt = now
 	var agreed []maintenance.Machine
-	r.host.State.WithLock(func() { agreed = r.host.State.Maintenance.Machines() })
-	r.last = rosterOf(r.host.Name, agreed, r.host.Members())
-	return r.last
+	c.host.State.WithLock(func() { agreed = c.host.State.Maintenance.Machines() })
+	c.membership = membershipOf(c.host.Name, agreed, c.host.Members())
+	return c.membership
 }
 
-func rosterOf(self string, agreed []maintenance.Machine, heard []member.Member) (out loadshed.Crew) {
+func membershipOf(self string, agreed []maintenance.Machine, gossiped []member.Member) (out loadshed.Membership) {
 	out.Names = []string{self}
 	for _, m := range agreed {
 		if m.Kind == maintenance.Coordinator && m.Status != maintenance.Gone {
 			out.Names = append(out.Names, m.Name)
-			out.Agreed++
+			out.AgreedCount++
 		}
 	}
-	for _, m := range heard {
+	for _, m := range gossiped {
 		if m.State == member.Alive || m.State == member.Suspect {
 			out.Names = append(out.Names, m.Name)
 		}
--- a/internal/fleet/loadshed/crowd.go
+++ b/internal/fleet/loadshed/crowd.go
@@ -7,74 +7,75 @@
 )
 
 const (
-	// heavyPart: who asks for over one part of so many is cut in pieces.
-	heavyPart = 8
-	// pieces of such a one, by its queries' ids.
-	pieces = 64
-	// crowdKeep of what was asked counts still after a step.
-	crowdKeep = 0.9
+	// A key with more than 1/heavyDivisor of the recent cost is heavy.
+	heavyDivisor = 8
+	// partitionCount is the number of partitions that a heavy key is split into, by a hash of the query's ID.
+	partitionCount = 64
+	// decayFactor is the factor by which counted cost decreases at each step.
+	decayFactor = 0.9
 
-	crowdPlaces = 64
+	// counterCount is the number of counters that keys are hashed to.
+	counterCount = 64
 )
 
-// crowd tells what queries are cut by: the same is cut or not for a slot, by all co-ordinators. That is who asks: the account, else
-// the tenant, else the client's address. But one of them may ask for most of the traffic, as what is behind a gateway's address does,
-// and to cut all of it or nothing would be no level at all: such a one is cut by pieces.
-type crowd struct {
-	accounts askers // against all that is asked
-	others   askers // against what is asked by those of no account
+// shedKeys derives the keys by which queries are shed. For the length of a slot, all co-ordinators shed the queries of the same
+// keys. The key is that of the account, else of the tenant, else of the client's address. One key may have most of the traffic,
+// such as the address of a gateway. Shedding all of it or none would miss the shed level, so a heavy key is split into partitions.
+type shedKeys struct {
+	accounts  costCounters // by account, as part of the cost of all queries
+	noAccount costCounters // by tenant or client, as part of the cost of queries without an account
 }
 
-// key is what a query of no account is cut by.
-func (c *crowd) key(set *laneconfig.Set, q *exchange.Query, cost float64) uint64 {
+// key returns the key of a query that has no account.
+func (c *shedKeys) key(set *laneconfig.Set, q *exchange.Query, cost float64) uint64 {
 	key := uint64(0)
 	switch {
 	case uint(q.Tenant) < uint(len(set.Tenants)):
 		key = set.Tenants[q.Tenant]
 	case q.Client != "":
-		key = laneconfig.Key(q.Client)
+		key = laneconfig.HashName(q.Client)
 	default:
-		return laneconfig.Key(q.ID)
+		return laneconfig.HashName(q.ID)
 	}
-	c.accounts.all += cost
-	if c.others.heavy(key, cost) {
-		key = lanes.PieceKey(key, piece(q))
+	c.accounts.total += cost
+	if c.noAccount.record(key, cost) {
+		key = lanes.PartitionKey(key, partitionOf(q))
 	}
 	return key
 }
 
-// piece of its account that a query is cut with, from 1; 0 where the account is cut whole.
-func (c *crowd) piece(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
-	if c.accounts.heavy(account.Key, cost) {
-		return piece(q)
+// accountPartition returns the partition of its account that a query belongs to, from 1; 0 if the account is not split.
+func (c *shedKeys) accountPartition(account *laneconfig.Account, q *exchange.Query, cost float64) uint64 {
+	if c.accounts.record(account.Key, cost) {
+		return partitionOf(q)
 	}
 	return 0
 }
 
-func piece(q *exchange.Query) uint64 { return laneconfig.Key(q.ID)%pieces + 1 }
+func partitionOf(q *exchange.Query) uint64 { return laneconfig.HashName(q.ID)%partitionCount + 1 }
 
-func (c *crowd) fade() {
-	c.accounts.fade()
-	c.others.fade()
+func (c *shedKeys) decay() {
+	c.accounts.decay()
+	c.noAccount.decay()
 }
 
-// askers counts what was asked of late, by a hash of who asks.
-type askers struct {
-	cost [crowdPlaces]float64
-	all  float64
+// costCounters counts recent cost by a hash of the key.
+type costCounters struct {
+	cost  [counterCount]float64
+	total float64
 }
 
-// heavy counts a query, and tells whether its asker is to be cut in pieces.
-func (a *askers) heavy(key uint64, cost float64) bool {
-	at := key % crowdPlaces
-	a.cost[at] += cost
-	a.all += cost
-	return a.cost[at]*heavyPart > a.all
+// record counts a query and returns whether its key is heavy.
+func (c *costCounters) record(key uint64, cost float64) bool {
+	i := key % counterCount
+	c.cost[i] += cost
+	c.total += cost
+	return c.cost[i]*heavyDivisor > c.total
 }
 
-func (a *askers) fade() {
-	a.all *= crowdKeep
-	for i := range a.cost {
-		a.cost[i] *= crowdKeep
+func (c *costCounters) decay() {
+	c.total *= decayFactor
+	for i := range c.cost {
+		c.cost[i] *= decayFactor
 	}
 }
--- a/internal/fleet/loadshed/say.go
+++ b/internal/fleet/loadshed/say.go
@@ -10,101 +10,103 @@
 	"birchcart/internal/fleet/lanes"
 )
 
-// summary is what was told last.
-type summary struct {
-	at     time.Duration
-	counts lanes.Counts
-	set    *laneconfig.Set
-	level  bool // it was over 0, as told at turned
-	turned time.Duration
-	wrong  int // letters that could not be read since
-	why    string
+// logState is what was logged last.
+type logState struct {
+	loggedAt   time.Duration
+	counts     lanes.Counts
+	set        *laneconfig.Set
+	shedding   bool // whether the level was above 0, as logged at changedAt
+	changedAt  time.Duration
+	unreadable int    // number of unreadable messages since the last summary
+	lastError  string // of the newest one of them
 }
 
-// TurnEvery is between lines that say that shedding begins or ends.
-const TurnEvery = 2 * time.Second
+// TransitionLogInterval is the minimum interval between the log lines that say that shedding starts or ends.
+const TransitionLogInterval = 2 * time.Second
 
-// say logs when the fleet begins to shed and when it ends, and a summary each TellEvery while queries come.
-func (s *Shed) say(now time.Duration, level float64) {
-	t := &s.told
-	if on := level > 0; on != t.level && now >= t.turned+TurnEvery {
-		t.level, t.turned = on, now
-		text := "sheds no more"
-		if on {
-			text = "the fleet sheds load by lanes"
+// logSummary logs when the fleet starts and stops shedding, and a summary every SummaryInterval while queries arrive.
+func (s *Shedder) logSummary(now time.Duration, level float64) {
+	state := &s.logState
+	if shedding := level > 0; shedding != state.shedding && now >= state.changedAt+TransitionLogInterval {
+		state.shedding, state.changedAt = shedding, now
+		message := "the fleet no longer sheds load"
+		if shedding {
+			message = "the fleet sheds load by lanes"
 		}
-		s.o.Log.WithFields(s.figures(level)).Info(text)
+		s.options.Log.WithFields(s.logFields(level)).Info(message)
 	}
-	if now < t.at+TellEvery || s.set == nil {
+	if now < state.loggedAt+SummaryInterval || s.set == nil {
 		return
 	}
 	s.mu.Lock()
 	counts := s.gate.Counts()
 	s.mu.Unlock()
-	if t.wrong > 0 {
-		s.o.Log.WithFields(logrus.Fields{"letters": t.wrong, "newest": t.why}).Info("letters of lanes are left out")
+	if state.unreadable > 0 {
+		s.options.Log.WithFields(logrus.Fields{"letters": state.unreadable, "newest": state.lastError}).Info("unreadable lane messages discarded")
 	}
-	was, same := t.counts, t.set != nil && len(t.set.Lanes) == len(s.set.Lanes)
-	t.at, t.counts, t.set, t.wrong = now, counts, s.set, 0
-	all := 0.0
+	previous, sameLanes := state.counts, state.set != nil && len(state.set.Lanes) == len(s.set.Lanes)
+	state.loggedAt, state.counts, state.set, state.unreadable = now, counts, s.set, 0
+	totalCost := 0.0
 	for j := range s.set.Lanes {
-		f := logrus.Fields{"lane": s.set.Lanes[j].Name}
-		asked, admitted, refused := 0.0, 0.0, 0.0
-		for r := range lanes.Reasons {
+		fields := logrus.Fields{"lane": s.set.Lanes[j].Name}
+		offered, admitted, refused := 0.0, 0.0, 0.0
+		for r := range lanes.NumReasons {
 			cost := counts.Cost[j][r]
-			if same {
-				cost -= was.Cost[j][r]
+			if sameLanes {
+				cost -= previous.Cost[j][r]
 			}
-			if asked += cost; r.Refused() {
+			if offered += cost; r.Refused() {
 				refused += cost
 			} else {
 				admitted += cost
 			}
 			if cost > 0 {
-				f[keys[r]] = figure(cost)
+				fields[reasonKeys[r]] = rounded(cost)
 			}
 		}
-		if asked == 0 {
+		if offered == 0 {
 			continue
 		}
-		f["asked"], f["admitted"], f["refused"] = figure(asked), figure(admitted), figure(refused)
-		s.o.Log.WithFields(f).Info("lane")
-		all += asked
+		fields["asked"], fields["admitted"], fields["refused"] = rounded(offered), rounded(admitted), rounded(refused)
+		s.options.Log.WithFields(fields).Info("lane summary")
+		totalCost += offered
 	}
-	if all > 0 || level > 0 {
-		s.o.Log.WithFields(s.figures(level)).Info("the lanes")
+	if totalCost > 0 || level > 0 {
+		s.options.Log.WithFields(s.logFields(level)).Info("load shedding summary")
 	}
 }
 
-// sayStep logs at debug what the level of this step was found by.
-func (s *Shed) sayStep(level float64) {
-	if s.set == nil || !s.o.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
+// logStep logs the inputs of the shed level of this step, at level debug.
+func (s *Shedder) logStep(level float64) {
+	if s.set == nil || !s.options.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return
 	}
 	estimate := s.control.Estimate()
-	s.o.Log.WithFields(s.figures(level)).WithFields(logrus.Fields{
-		"own_asked": figure(s.own.Asked), "own_in_time": figure(s.own.InTime), "own_done": figure(s.own.Done),
-		"estimate": figure(estimate.Bears), "asked": figure(estimate.Asked), "comes_back": figure(estimate.ComesBack),
-		"peak_back": figure(estimate.PeakBack), "knee": figure(estimate.Knee), "storm": estimate.Storm,
+	s.options.Log.WithFields(s.logFields(level)).WithFields(logrus.Fields{
+		"own_asked": rounded(s.local.Offered), "own_in_time": rounded(s.local.InTime), "own_done": rounded(s.local.Completed),
+		"estimate": rounded(estimate.Capacity), "asked": rounded(estimate.Offered), "comes_back": rounded(estimate.Throughput),
+		"peak_back": rounded(estimate.PeakThroughput), "knee": rounded(estimate.Knee), "storm": estimate.Overloaded,
 	}).Debug("a step of the lanes")
 }
 
-// keys of the summary, by reason.
-var keys = [lanes.Reasons]string{"free", "guaranteed", "floor", "class_floor", "borrowed", "refused_cut", "refused_over_most"}
+// reasonKeys are the log field names of the reasons.
+var reasonKeys = [lanes.NumReasons]string{"free", "guaranteed", "floor", "class_floor", "borrowed", "refused_cut", "refused_over_most"}
 
-func (s *Shed) figures(level float64) logrus.Fields {
-	f := logrus.Fields{
-		"shed_level": figure(level), "own_pressure": figure(s.own.Pressure), "own_known": s.own.Known, "fleet_known": s.fleet.Known,
-		"fresh": s.fleet.Fresh, "members": s.fleet.Members, "bears": figure(s.control.Bears()),
+// logFields returns the fields that describe the state of load shedding.
+func (s *Shedder) logFields(level float64) logrus.Fields {
+	fields := logrus.Fields{
+		"shed_level": rounded(level), "own_pressure": rounded(s.local.Pressure), "own_known": s.local.Known, "fleet_known": s.fleet.Known,
+		"fresh": s.fleet.FreshReports, "members": s.fleet.Members, "bears": rounded(s.control.Capacity()),
 	}
 	if s.fleet.Known {
-		f["fleet_pressure"], f["fleet_asked"], f["fleet_in_time"] = figure(s.fleet.Pressure), figure(s.fleet.Asked), figure(s.fleet.InTime)
-		f["fleet_level"], f["news_age"] = figure(s.fleet.Level), s.fleet.Age.Round(time.Millisecond)
+		fields["fleet_pressure"], fields["fleet_asked"], fields["fleet_in_time"] = rounded(s.fleet.Pressure), rounded(s.fleet.Offered), rounded(s.fleet.InTime)
+		fields["fleet_level"], fields["news_age"] = rounded(s.fleet.Level), s.fleet.MeanAge.Round(time.Millisecond)
 	}
 	if s.set != nil {
-		f["revision"] = s.set.Revision
+		fields["revision"] = s.set.Revision
 	}
-	return f
+	return fields
 }
 
-func figure(v float64) float64 { return math.Round(v*1000) / 1000 }
+// rounded rounds to three decimal places.
+func rounded(v float64) float64 { return math.Round(v*1000) / 1000 }
--- a/internal/fleet/loadshed/share.go
+++ b/internal/fleet/loadshed/share.go
@@ -7,101 +7,101 @@
 	"birchcart/internal/fleet/shares"
 )
 
-// wants are what was asked of late by account, smoothed: of those that were used.
-type wants struct {
-	rates []float64 // cost a second
-	since []float64 // cost since the last step
-	there []bool
-	list  []int32 // accounts whose rate counts, in the order of coming
+// accountDemand is the smoothed demand of the accounts that had queries recently.
+type accountDemand struct {
+	rates         []float64 // cost per second, by account
+	costSinceStep []float64 // by account
+	active        []bool    // by account: whether it is in accounts
+	accounts      []int32   // accounts with a rate above 0, in the order in which they became active
 }
 
-// wantLeast is the rate below which an account counts as idle.
-const wantLeast = 0.01
+// minDemandRate is the rate below which an account counts as idle.
+const minDemandRate = 0.01
 
-func (w *wants) reset(accounts int) {
-	*w = wants{rates: make([]float64, accounts), since: make([]float64, accounts), there: make([]bool, accounts)}
+func (d *accountDemand) reset(accounts int) {
+	*d = accountDemand{rates: make([]float64, accounts), costSinceStep: make([]float64, accounts), active: make([]bool, accounts)}
 }
 
-// demand takes what was asked since the last step. It holds the lock.
-func (s *Shed) demand() {
-	w := &s.wants
-	for _, a := range s.used {
-		w.since[a], s.asked[a] = s.asked[a], 0
-		if !w.there[a] {
-			w.there[a] = true
-			w.list = append(w.list, a)
+// collectDemand takes over the cost offered since the last step. The caller holds s.mu.
+func (s *Shedder) collectDemand() {
+	d := &s.accountDemand
+	for _, a := range s.offeredAccounts {
+		d.costSinceStep[a], s.offered[a] = s.offered[a], 0
+		if !d.active[a] {
+			d.active[a] = true
+			d.accounts = append(d.accounts, a)
 		}
 	}
-	s.used = s.used[:0]
+	s.offeredAccounts = s.offeredAccounts[:0]
 }
 
-// share steps the shares with what came and what was asked.
-func (s *Shed) share(now time.Duration, crew Crew) []shares.Output {
-	in := s.in
-	s.in = nil
+// stepShares makes a step of the shares with the messages received and the current demand, and returns its outputs.
+func (s *Shedder) stepShares(now time.Duration, membership Membership) []shares.Output {
+	received := s.shareInputs
+	s.shareInputs = nil
 	if s.set == nil {
 		return nil
 	}
-	news := []shares.Input{shares.Set{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Members{Agreed: crew.Agreed, Live: crew.Live}}
-	by, bears := 1-math.Exp(-float64(Every)/float64(WantSpan)), s.control.Bears()
-	w := &s.wants
-	keep := w.list[:0]
-	for _, a := range w.list {
-		w.rates[a] += (w.since[a]/Every.Seconds() - w.rates[a]) * by
-		w.since[a] = 0
-		if w.rates[a] < wantLeast {
-			w.rates[a], w.there[a] = 0, false
+	inputs := []shares.Input{shares.Config{Revision: s.set.Revision, Accounts: len(s.set.Accounts)}, shares.Membership{Agreed: membership.AgreedCount, Live: membership.Live}}
+	smoothing, capacity := 1-math.Exp(-float64(StepInterval)/float64(DemandTimeConstant)), s.control.Capacity()
+	d := &s.accountDemand
+	stillActive := d.accounts[:0]
+	for _, a := range d.accounts {
+		d.rates[a] += (d.costSinceStep[a]/StepInterval.Seconds() - d.rates[a]) * smoothing
+		d.costSinceStep[a] = 0
+		if d.rates[a] < minDemandRate {
+			d.rates[a], d.active[a] = 0, false
 		} else {
-			keep = append(keep, a)
+			stillActive = append(stillActive, a)
 		}
-		if g := s.set.Accounts[a].Guarantee; g > 0 && bears > 0 {
-			news = append(news, shares.Demand{Account: uint32(a), Want: int64(min(1, w.rates[a]/(g*bears)) * shares.Whole)})
+		if guarantee := s.set.Accounts[a].Guarantee; guarantee > 0 && capacity > 0 {
+			inputs = append(inputs, shares.Demand{Account: uint32(a), Want: int64(min(1, d.rates[a]/(guarantee*capacity)) * shares.GuaranteeUnits)})
 		}
 	}
-	w.list = keep
-	return s.shares.Step(now, append(news, in...))
+	d.accounts = stillActive
+	return s.shares.Step(now, append(inputs, received...))
 }
 
-// partsAtOnce are told to the gate under one lock.
-const partsAtOnce = 256
+// sharesPerLock is the maximum number of shares that are set at the gate before the lock is released.
+const sharesPerLock = 256
 
-// part is what may be used of one account.
-type part struct {
+// accountShare is the share of the fleet's capacity that this co-ordinator may use for an account.
+type accountShare struct {
 	account int
 	share   float64
 }
 
-// parts tells the gate what it may use of each guarantee.
-func (s *Shed) parts(now time.Duration, out []shares.Output) {
-	var list []part
+// applyShares sets at the gate which share of each guarantee this co-ordinator may use.
+func (s *Shedder) applyShares(now time.Duration, outputs []shares.Output) {
+	var updates []accountShare
 	add := func(account uint32, amount int64) {
-		if int(account) < len(s.set.Accounts) { // a mixed set has some more
-			list = append(list, part{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.Whole})
+		if int(account) < len(s.set.Accounts) { // a merged set of the same revision, in force before, may have had more accounts
+			updates = append(updates, accountShare{int(account), s.set.Accounts[account].Guarantee * float64(amount) / shares.GuaranteeUnits})
 		}
 	}
-	for _, o := range out {
+	for _, o := range outputs {
 		switch o := o.(type) {
-		case shares.Even:
-			if o.Part != s.even {
-				s.even = o.Part
+		case shares.DefaultShare:
+			if o.Share != s.evenShare {
+				s.evenShare = o.Share
 				for a := range s.set.Accounts {
-					add(uint32(a), s.shares.Use(uint32(a)))
+					add(uint32(a), s.shares.Usable(uint32(a)))
 				}
 			}
-		case shares.Part:
-			if o.Part == shares.Evenly {
-				o.Part = s.even
+		case shares.AccountShare:
+			if o.Share == shares.UseDefault {
+				o.Share = s.evenShare
 			}
-			add(o.Account, o.Part)
+			add(o.Account, o.Share)
 		}
 	}
-	for len(list) > 0 {
-		n := min(len(list), partsAtOnce)
+	for len(updates) > 0 {
+		n := min(len(updates), sharesPerLock)
 		s.mu.Lock()
-		for _, p := range list[:n] {
-			s.gate.Share(now, p.account, p.share)
+		for _, u := range updates[:n] {
+			s.gate.SetShare(now, u.account, u.share)
 		}
 		s.mu.Unlock()
-		list = list[n:]
+		updates = updates[n:]
 	}
 }
--- a/internal/fleet/maintenance/compat_test.go
+++ b/internal/fleet/maintenance/compat_test.go
@@ -8,9 +8,9 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// TestStateOfEarlierVersion holds what is stored to the form of the version before the package was renamed (takeout, at 7c55f5a):
-// its saved state loads and is saved to the same bytes, and the same commands give the same digest, so that co-ordinators of
-// both versions agree on one state.
+// TestStateOfEarlierVersion checks compatibility with the version before the package was renamed (takeout, at 7c55f5a): its saved
+// state loads and is saved to the same bytes, and the same commands give the same digest. Otherwise co-ordinators of the two
+// versions would disagree on the state.
 func TestStateOfEarlierVersion(t *testing.T) {
 	old, err := os.ReadFile("testdata/state-of-7c55f5a.json")
 	if err != nil {
@@ -31,7 +31,7 @@
 	})
 	t.Run("the same commands give the same digest", func(t *testing.T) {
 		const digestThen, grantsThen = 6483368069660924322, 14
-		if digest, grants := play(t, 77, 150); digest != digestThen || grants != grantsThen {
+		if digest, grants := runRandomCommands(t, 77, 150); digest != digestThen || grants != grantsThen {
 			t.Errorf("digest %d after %d grants; the earlier version has %d after %d", digest, grants, uint64(digestThen), grantsThen)
 		}
 	})
--- a/internal/fleet/migrate/swap/property_test.go
+++ b/internal/fleet/migrate/swap/property_test.go
@@ -12,16 +12,16 @@
 	"birchcart/internal/fleet/session"
 )
 
-// judge looks at each plan from outside: by the book, and by what it saw itself.
-type judge struct {
-	t      *rapid.T
-	p      *Site
-	begun  []time.Duration     // offers seen in the book
-	tried  map[session.ID]bool // offered before
-	unsafe map[session.ID]bool
+// planChecker checks each plan against the book and against its own record of earlier plans.
+type planChecker struct {
+	t             *rapid.T
+	p             *Site
+	offerTimes    []time.Duration     // times of the offers that were applied
+	offeredBefore map[session.ID]bool // sessions with an earlier offer
+	unsafe        map[session.ID]bool
 }
 
-func (j *judge) place(name string) *migrate.Coordinator {
+func (j *planChecker) coordinator(name string) *migrate.Coordinator {
 	for i := range j.p.View.Coordinators {
 		if c := &j.p.View.Coordinators[i]; c.Name == name {
 			return c
@@ -30,52 +30,52 @@
 	return nil
 }
 
-// before the plan is applied.
-func (j *judge) before(plan migrate.Plan) {
+// checkPlan checks a plan before it is applied.
+func (j *planChecker) checkPlan(plan migrate.Plan) {
 	t, p := j.t, j.p
-	coming, open := map[string]int{}, map[string]float64{}
-	p.Book.Flights(func(r session.Record) bool {
+	inbound, openPerSession := map[string]int{}, map[string]float64{}
+	p.Book.Moves(func(r session.Record) bool {
 		if r.Phase == session.Offered {
-			coming[r.To]++
+			inbound[r.To]++
 		}
 		return true
 	})
-	least, offered := map[string]uint8{}, map[session.ID]bool{}
+	highestLane, offered := map[string]uint8{}, map[session.ID]bool{}
 	for _, o := range plan.Body.Offers {
 		r, ok := p.Book.Get(o.ID)
-		from, to := j.place(o.From), j.place(o.To)
+		from, to := j.coordinator(o.From), j.coordinator(o.To)
 		if !ok || r.Phase != session.Pinned || r.Owner != o.From || r.Epoch != o.Epoch {
-			t.Fatalf("offer of %v, it is %+v", o, r)
+			t.Fatalf("offer of %v, whose record is %+v", o, r)
 		}
 		if !from.Leaving || !from.Live || to == nil || to.Leaving || !to.Live || to == from || p.View.Paused {
 			t.Fatalf("offer from %+v to %+v", from, to)
 		}
 		if j.unsafe[o.ID] {
-			t.Fatalf("offer of %v, of which an unsafe query is open", o.ID)
+			t.Fatalf("offer of %v, which has an open unsafe query", o.ID)
 		}
-		coming[o.To]++
-		open[o.To] = max(open[o.To], float64(from.Room.Open)/float64(max(1, p.Book.Owned(o.From))))
-		least[o.From] = max(least[o.From], r.Lane)
+		inbound[o.To]++
+		openPerSession[o.To] = max(openPerSession[o.To], float64(from.Capacity.OpenQueries)/float64(max(1, p.Book.Owned(o.From))))
+		highestLane[o.From] = max(highestLane[o.From], r.Lane)
 		offered[o.ID] = true
 	}
 	for _, c := range p.View.Coordinators {
-		n := p.Book.Owned(c.Name) + coming[c.Name]
-		if _, asked := open[c.Name]; !asked {
+		n := p.Book.Owned(c.Name) + inbound[c.Name]
+		if _, offers := openPerSession[c.Name]; !offers {
 			continue
 		}
-		if n > c.Room.Sessions {
-			t.Fatalf("%s would own %d sessions, room for %d", c.Name, n, c.Room.Sessions)
+		if n > c.Capacity.MaxSessions {
+			t.Fatalf("%s would own %d sessions, its limit is %d", c.Name, n, c.Capacity.MaxSessions)
 		}
 		for _, r := range p.View.Replicas {
-			if held := p.Book.Pool().Held(c.Name, r); n > held*p.View.PerSlot {
+			if held := p.Book.Pool().Held(c.Name, r); n > held*p.View.SessionsPerSlot {
 				t.Fatalf("%s would own %d sessions with %d slots at %s", c.Name, n, held, r)
 			}
 		}
 	}
-	slots := slices.ContainsFunc(plan.Kept, func(k migrate.Kept) bool { return len(p.View.Replicas) > 0 })
-	for name, lane := range least {
+	slotsMayDelay := slices.ContainsFunc(plan.Deferred, func(k migrate.Deferred) bool { return len(p.View.Replicas) > 0 })
+	for name, lane := range highestLane {
 		idle := map[session.ID]bool{}
-		for _, id := range j.place(name).Idle {
+		for _, id := range j.coordinator(name).Idle {
 			idle[id] = true
 		}
 		busy := slices.ContainsFunc(plan.Body.Offers, func(o session.Offer) bool {
@@ -83,32 +83,33 @@
 			return o.From == name && r.Lane == lane && !idle[o.ID]
 		})
 		p.Book.ByOwner(name, func(r session.Record) bool {
-			if r.Since > p.Now-migrate.RescanEvery-time.Duration(len(p.View.Coordinators))*Tick {
-				return true // it came after the book was read
+			if r.Since > p.Now-migrate.RescanInterval-time.Duration(len(p.View.Coordinators))*TickInterval {
+				return true // the session was opened or moved here after the book was read
 			}
-			before := r.Lane < lane || r.Lane == lane && busy && idle[r.ID]
-			if before && r.Phase == session.Pinned && !offered[r.ID] && !j.tried[r.ID] && !j.unsafe[r.ID] && !slots {
+			goesEarlier := r.Lane < lane || r.Lane == lane && busy && idle[r.ID]
+			if goesEarlier && r.Phase == session.Pinned && !offered[r.ID] && !j.offeredBefore[r.ID] && !j.unsafe[r.ID] && !slotsMayDelay {
 				t.Fatalf("lane %d of %s is offered, and %v of lane %d, idle %v, is not", lane, name, r.ID, r.Lane, idle[r.ID])
 			}
 			return true
 		})
 	}
 	for _, o := range plan.Body.Offers {
-		j.tried[o.ID] = true
+		j.offeredBefore[o.ID] = true
 	}
 }
 
-// after it was applied at once, by a planner that sees all: nothing of it is refused, and the limits hold.
-func (j *judge) after(plan migrate.Plan, fresh bool) {
+// checkApplied checks a plan that was just applied: a planner with an up-to-date view has no part of it refused, and the limits
+// hold. fresh means that the planner is new.
+func (j *planChecker) checkApplied(plan migrate.Plan, fresh bool) {
 	l, _ := j.p.Book.Limits()
-	if why, n := j.p.Book.Refused(); n > 0 && !plan.Empty() && !fresh {
-		j.t.Fatalf("%d parts of a plan are refused: %v", n, why)
+	if reasons, n := j.p.Book.Refusals(); n > 0 && !plan.Empty() && !fresh {
+		j.t.Fatalf("%d parts of a plan were refused: %v", n, reasons)
 	}
 	for range plan.Body.Offers {
-		j.begun = append(j.begun, j.p.Now)
+		j.offerTimes = append(j.offerTimes, j.p.Now)
 	}
 	n := 0
-	for _, at := range j.begun {
+	for _, at := range j.offerTimes {
 		if at > j.p.Now-time.Minute {
 			n++
 		}
@@ -118,27 +119,28 @@
 	}
 }
 
-// Whatever happens to co-ordinators, words and leaders, each plan keeps to room, limits and order, and is the same when it is made
-// again; and once nothing happens any more, all that should go are emptied.
-func TestPlansKeepTheRules(t *testing.T) {
+// Random faults of co-ordinators, delayed reports and changes of the leader must not break the rules of a plan: it respects
+// capacity, limits and order, and a second planner with the same input makes the same plan. Once the faults end, the co-ordinator
+// that leaves loses all its sessions.
+func TestPlansKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, each := rapid.IntRange(3, 7).Draw(t, "co-ordinators"), rapid.IntRange(1, 12).Draw(t, "sessions each")
-		s := Settings{Coordinators: n, Sessions: n * each, Room: float64(rapid.IntRange(10, 40).Draw(t, "room")) / 10, Wave: 1, Zones: 3,
-			PerMinute: rapid.IntRange(1, 40).Draw(t, "a minute"), InFlight: rapid.IntRange(1, 8).Draw(t, "in flight"), Idle: 50}
+		n, owned := rapid.IntRange(3, 7).Draw(t, "co-ordinators"), rapid.IntRange(1, 12).Draw(t, "sessions each")
+		s := Settings{Coordinators: n, Sessions: n * owned, CapacityFactor: float64(rapid.IntRange(10, 40).Draw(t, "room")) / 10, WaveSize: 1, Zones: 3,
+			PerMinute: rapid.IntRange(1, 40).Draw(t, "a minute"), InFlight: rapid.IntRange(1, 8).Draw(t, "in flight"), IdlePercent: 50}
 		if rapid.Bool().Draw(t, "slots") {
-			s.Replicas, s.PerSlot = 2, rapid.IntRange(1, 5).Draw(t, "sessions a slot")
+			s.Replicas, s.SessionsPerSlot = 2, rapid.IntRange(1, 5).Draw(t, "sessions a slot")
 		}
 		p, err := New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		twin := migrate.New(migrate.Options{})
-		j := &judge{t: t, p: p, tried: map[session.ID]bool{}, unsafe: map[session.ID]bool{}}
+		secondPlanner := migrate.New(migrate.Options{})
+		j := &planChecker{t: t, p: p, offeredBefore: map[session.ID]bool{}, unsafe: map[session.ID]bool{}}
 		all := p.View.Coordinators
-		step := func(meddle bool) migrate.Plan {
-			p.Now += Tick
+		step := func(faults bool) migrate.Plan {
+			p.Now += TickInterval
 			for i := range all {
-				all[i].Room.Told = p.Book.Owned(all[i].Name)
+				all[i].Capacity.OwnedAtReport = p.Book.Owned(all[i].Name)
 				all[i].Idle = nil
 				p.Book.ByOwner(all[i].Name, func(r session.Record) bool {
 					if !p.busy(r.ID) {
@@ -148,29 +150,29 @@
 				})
 			}
 			lost, fresh := false, false
-			if meddle {
-				j.meddle(all)
+			if faults {
+				j.perturb(all)
 				lost = rapid.IntRange(0, 9).Draw(t, "lost") == 0
 				if fresh = rapid.IntRange(0, 19).Draw(t, "a new leader") == 0; fresh {
-					p.Planner, twin = migrate.New(migrate.Options{}), migrate.New(migrate.Options{})
-					clear(j.tried)
+					p.Planner, secondPlanner = migrate.New(migrate.Options{}), migrate.New(migrate.Options{})
+					clear(j.offeredBefore)
 				}
-			} else if err := p.act(); err != nil {
+			} else if err := p.runCoordinators(); err != nil {
 				t.Fatal(err)
 			}
 			plan := p.Planner.Step(p.Now, p.View)
-			if again := twin.Step(p.Now, p.View); !reflect.DeepEqual(plan, again) {
-				t.Fatalf("the same view gives\n%+v\nand\n%+v", plan, again)
+			if again := secondPlanner.Step(p.Now, p.View); !reflect.DeepEqual(plan, again) {
+				t.Fatalf("two planners with the same view made\n%+v\nand\n%+v", plan, again)
 			}
-			j.before(plan)
+			j.checkPlan(plan)
 			switch {
-			case lost: // it is seen as lost only later
+			case lost: // the planner notices the loss only later
 				return plan
 			case !plan.Empty():
 				if err := p.apply(session.KindPlan, plan.Body); err != nil {
 					t.Fatal(err)
 				}
-				j.after(plan, fresh)
+				j.checkApplied(plan, fresh)
 			default:
 				_ = p.apply(session.KindTick, session.TickBody{})
 			}
@@ -179,12 +181,12 @@
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			step(true)
 		}
-		// quiet again: one leaves, all others have room
+		// the faults end: one co-ordinator leaves, all others have capacity
 		clear(j.unsafe)
 		for i := range all {
 			c := &all[i]
-			c.Live, c.Leaving, c.Unsafe, c.Room.Open = true, i == 0, nil, 0
-			c.Room.Sessions = max(c.Room.Sessions, s.Sessions)
+			c.Live, c.Leaving, c.Unsafe, c.Capacity.OpenQueries = true, i == 0, nil, 0
+			c.Capacity.MaxSessions = max(c.Capacity.MaxSessions, s.Sessions)
 		}
 		p.View.Paused = false
 		var last migrate.Plan
@@ -193,21 +195,21 @@
 				return
 			}
 		}
-		t.Fatalf("%d sessions stay: %+v", p.Book.Owned(all[0].Name), last.Kept)
+		t.Fatalf("%d sessions stay: %+v", p.Book.Owned(all[0].Name), last.Deferred)
 	})
 }
 
-// meddle lets co-ordinators act, decline, die, leave and stay, and the operators stop the work.
-func (j *judge) meddle(all []migrate.Coordinator) {
+// perturb makes co-ordinators act, decline, die, leave and stay at random, and lets the operators pause the work.
+func (j *planChecker) perturb(all []migrate.Coordinator) {
 	t, p := j.t, j.p
-	p.Book.Flights(func(r session.Record) bool {
+	p.Book.Moves(func(r session.Record) bool {
 		switch a := (session.Act{ID: r.ID, Epoch: r.Epoch, Fence: r.Fence, Seq: r.Seq, Lane: r.Lane}); rapid.IntRange(0, 5).Draw(t, "act") {
 		case 0, 1:
-			a.Kind = session.Hand
-			if r.Phase == session.Handed {
+			a.Kind = session.HandOver
+			if r.Phase == session.HandedOver {
 				a.Kind = session.Adopt
 			} else if j.unsafe[r.ID] {
-				return true // its owner freezes nothing of which an unsafe query is open
+				return true // its owner does not freeze a session with an open unsafe query
 			}
 			_ = p.apply(session.KindActs, session.ActsBody{From: r.Owner, Acts: []session.Act{a}})
 		case 2:
@@ -218,7 +220,7 @@
 	})
 	for _, tr := range p.Book.Pool().Transfers() {
 		if rapid.Bool().Draw(t, "freed") {
-			_ = p.apply(session.KindActs, session.ActsBody{From: tr.Word(), Acts: []session.Act{{Kind: session.Freed, Fence: tr.Fence}}})
+			_ = p.apply(session.KindActs, session.ActsBody{From: tr.Releaser(), Acts: []session.Act{{Kind: session.Freed, Fence: tr.Fence}}})
 		}
 	}
 	switch c := &all[rapid.IntRange(0, len(all)-1).Draw(t, "who")]; rapid.IntRange(0, 9).Draw(t, "what") {
@@ -227,9 +229,9 @@
 	case 1:
 		c.Live = !c.Live
 	case 2:
-		c.Room.Sessions = rapid.IntRange(0, 30).Draw(t, "sessions")
+		c.Capacity.MaxSessions = rapid.IntRange(0, 30).Draw(t, "sessions")
 	case 3:
-		c.Room.Queries, c.Room.Open = 100, rapid.IntRange(0, 100).Draw(t, "open")
+		c.Capacity.MaxQueries, c.Capacity.OpenQueries = 100, rapid.IntRange(0, 100).Draw(t, "open")
 	case 4:
 		p.View.Paused = rapid.IntRange(0, 3).Draw(t, "paused") == 0
 	case 5:
@@ -237,7 +239,7 @@
 			delete(j.unsafe, u.ID)
 		}
 		c.Unsafe = nil
-		idle := slices.DeleteFunc(slices.Clone(c.Idle), func(id session.ID) bool { // what it does not own any more begins nothing there
+		idle := slices.DeleteFunc(slices.Clone(c.Idle), func(id session.ID) bool { // a session that it no longer owns starts no query there
 			r, ok := p.Book.Get(id)
 			return !ok || r.Owner != c.Name || r.Phase != session.Pinned && r.Phase != session.Offered
 		})
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -33,58 +33,60 @@
 	"birchcart/policy"
 )
 
-// The fleet at rest: real nodes on loopback addresses of their own, each voter in a process of its own, the followers some
-// sixty to a process. Counted at the sockets and by the kernel, not by what a node says of itself.
+// This file measures the traffic and the load of an idle fleet: real nodes on separate loopback addresses, each voter in a separate process, the
+// followers about sixty to a process. Traffic is counted at the sockets and CPU time by the kernel, not reported by the nodes.
 
 const (
-	restPart  = "BIRCHCART_REST_PART"
-	restProf  = "BIRCHCART_REST_PROFILE" // a directory: each process writes what its CPU did while joining and at rest
-	restSpan  = 20 * time.Second         // is measured
-	restJoin  = 30 * time.Second         // for each sixty, at the most
-	restLimit = 240 * time.Second        // until all are there, on a busy machine; some 10 s on a quiet one
+	idlePartEnv      = "BIRCHCART_REST_PART"
+	idleProfileEnv   = "BIRCHCART_REST_PROFILE" // a folder for the CPU profiles of each process while joining and while idle
+	idleMeasureTime  = 20 * time.Second         // length of the measurement
+	idleJoinTimeout  = 30 * time.Second         // for each process of followers to join, at most
+	idleStartTimeout = 240 * time.Second        // until all nodes have joined on a busy machine; it takes about 10 s on a quiet one
 )
 
-// part of the fleet that one process plays.
-type restOf struct {
+// idleProcessConfig says which nodes of the fleet a child process runs.
+type idleProcessConfig struct {
 	Dir      string
 	From, To int
 	Replicas int
 }
 
-// counted is what one node has caused so far, and its process if it is alone there.
-type restCount struct {
+// idleNodeStats holds the totals of one node so far. Streams, CPU and Memory are those of its whole process.
+type idleNodeStats struct {
 	Node           int
-	Bytes, Packets int64 // of the gossip and what goes by it
-	Streams        int64 // bytes that the process read and wrote, sockets' streams and files
+	Bytes, Packets int64 // of the gossip, including messages sent over it
+	Streams        int64 // bytes that the process read and wrote, on stream sockets and files
 	CPU            time.Duration
-	Up             int // members that it takes for up
+	Up             int // members that the node considers up
 	Memory         int64
 }
 
-func restAt(i, port int) string {
+// idleAddress returns the loopback address of a node, at a port.
+func idleAddress(i, port int) string {
 	pid := os.Getppid()
-	if os.Getenv(restPart) == "" {
+	if os.Getenv(idlePartEnv) == "" {
 		pid = os.Getpid()
 	}
 	return fmt.Sprintf("127.%d.%d.%d:%d", 100+pid%20, 1+(pid/20)%120*2+i/250, 1+i%250, port)
 }
 
-func restGrants(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
+// idleGrantsPath returns the path of a node's grants file.
+func idleGrantsPath(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("grants", i)) }
 
-// unsent is a replica side and a discovery that do nothing: no query comes.
-type unsent struct{}
+// noTraffic stands in for the replicas and discovery, and does nothing: the test sends no queries.
+type noTraffic struct{}
 
-func (unsent) Update([]exchange.Target)                    {}
-func (unsent) Send(uint64, []*exchange.Attempt)            {}
-func (unsent) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
-func (unsent) CancelUnsent(*exchange.Attempt) bool         { return false }
-func (unsent) CheckHealth(uint64)                          {}
-func (unsent) Watch()                                      {}
+func (noTraffic) Update([]exchange.Target)                    {}
+func (noTraffic) Send(uint64, []*exchange.Attempt)            {}
+func (noTraffic) Cancel(*exchange.Attempt) (found, sent bool) { return false, false }
+func (noTraffic) CancelUnsent(*exchange.Attempt) bool         { return false }
+func (noTraffic) CheckHealth(uint64)                          {}
+func (noTraffic) Watch()                                      {}
 
-// playRest is a process of the fleet: for each line on its input it writes what it counts.
-func playRest(raw string) {
-	// Long: the body of a child process: its set-up, then its answers line by line.
-	var p restOf
+// runIdleProcess is the body of a child process: for each line on its input it writes the totals of its nodes.
+func runIdleProcess(raw string) {
+	// Long: the whole child process: its set-up, then its answers line by line.
+	var p idleProcessConfig
 	fail := func(err error) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -99,14 +101,14 @@
 		name := fmt.Sprintf("n%03d", i)
 		text, err := os.ReadFile(filepath.Join(p.Dir, "config"))
 		fail(err)
-		cfg, err := config.Parse(text, config.Source{Name: name, Listen: restAt(i, 9080)})
+		cfg, err := config.Parse(text, config.Source{Name: name, Listen: idleAddress(i, 9080)})
 		fail(err)
 		text, err = os.ReadFile(filepath.Join(p.Dir, fmt.Sprint("operator", i)))
 		fail(err)
 		op, err := operator.Read(text)
 		fail(err)
 		e := exchange.New(cfg, logrus.NewEntry(log))
-		e.Join(unsent{}, unsent{})
+		e.Connect(noTraffic{}, noTraffic{})
 		n := New()
 		fail(n.Start(serve.Host{Config: cfg, Operator: op, Exchange: e, ListConfirmedAt: time.Now, Log: logrus.NewEntry(log).WithField("node", name), Shutdown: func() {}}))
 		go e.Run(context.Background())
@@ -118,15 +120,15 @@
 		e.UpdateReplicas(list)
 		nodes = append(nodes, n)
 	}
-	profile := restProfile(p.From, fail)
+	profile := idleProfiler(p.From, fail)
 	profile("join")
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		if in.Text() != "" {
 			profile(in.Text())
 		}
-		var all []restCount
-		var use syscall.Rusage
-		fail(syscall.Getrusage(syscall.RUSAGE_SELF, &use))
+		var all []idleNodeStats
+		var usage syscall.Rusage
+		fail(syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 		var streams int64
 		for _, line := range strings.Split(string(must(os.ReadFile("/proc/self/io"))), "\n") {
 			if k, v, _ := strings.Cut(line, ": "); k == "rchar" || k == "wchar" {
@@ -136,8 +138,8 @@
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
 		for i, n := range nodes {
-			c := restCount{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: use.Maxrss << 10,
-				CPU: time.Duration(use.Utime.Nano() + use.Stime.Nano())}
+			c := idleNodeStats{Node: p.From + i, Bytes: n.member.Traffic(), Packets: n.member.Packets(), Streams: streams, Memory: usage.Maxrss << 10,
+				CPU: time.Duration(usage.Utime.Nano() + usage.Stime.Nano())}
 			for _, m := range n.member.Members() {
 				if m.State == member.Alive {
 					c.Up++
@@ -149,9 +151,9 @@
 	}
 }
 
-// restProfile gives what ends the profile of this process that is under way and begins the next; "end" begins none.
-func restProfile(from int, fail func(error)) func(part string) {
-	dir := os.Getenv(restProf)
+// idleProfiler returns a function that ends the running CPU profile of this process and starts the next one; "end" starts none.
+func idleProfiler(from int, fail func(error)) func(part string) {
+	dir := os.Getenv(idleProfileEnv)
 	var f *os.File
 	return func(part string) {
 		if f != nil {
@@ -168,6 +170,7 @@
 	}
 }
 
+// must returns v, or panics on an error.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -175,16 +178,16 @@
 	return v
 }
 
-type restProcess struct {
+type idleProcess struct {
 	in  io.Writer
 	out *bufio.Reader
 }
 
-// TestRest is `make fleet-rest`.
+// TestRest measures an idle fleet; `make fleet-rest` runs it. Limits: 4,000 bytes/s for a follower, 5 % of a core for the leader.
 func TestRest(t *testing.T) {
-	// Long: one measurement over several processes, with its set-up and its report.
-	restNodes, err := strconv.Atoi(os.Getenv("BIRCHCART_REST"))
-	if err != nil || restNodes < 6 || restNodes > 400 {
+	// Long: one measurement over several processes, with set-up and report.
+	nodeCount, err := strconv.Atoi(os.Getenv("BIRCHCART_REST"))
+	if err != nil || nodeCount < 6 || nodeCount > 400 {
 		t.Skip("set BIRCHCART_REST to the number of nodes, 6 to 400, of which five vote")
 	}
 	dir := t.TempDir()
@@ -204,39 +207,39 @@
 	write("keys", []byte(base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{7}, 32))+"\n"))
 	voters, join := map[string]any{}, []string{}
 	for i := range 5 {
-		voters[fmt.Sprintf("n%03d", i)] = map[string]any{"address": restAt(i, 7300), "zone": standin.DataCentres[i%3]}
-		join = append(join, restAt(i, 7946))
+		voters[fmt.Sprintf("n%03d", i)] = map[string]any{"address": idleAddress(i, 7300), "zone": standin.DataCentres[i%3]}
+		join = append(join, idleAddress(i, 7946))
 	}
-	for i := range restNodes {
+	for i := range nodeCount {
 		write(fmt.Sprint("operator", i), must(json.Marshal(map[string]any{"version": 1, "placement": map[string]any{"holders_least": 2},
 			"fleet": map[string]any{"revision": 1, "voters": voters, "council": map[string]any{"found": true},
-				"gossip": map[string]any{"bind": restAt(i, 7946), "join": join}, "keys_file": filepath.Join(dir, "keys"),
-				"dir": filepath.Join(dir, fmt.Sprint("disk", i)), "grants_file": restGrants(dir, i), "out_by_zone": 1, "out_most": 2,
+				"gossip": map[string]any{"bind": idleAddress(i, 7946), "join": join}, "keys_file": filepath.Join(dir, "keys"),
+				"dir": filepath.Join(dir, fmt.Sprint("disk", i)), "grants_file": idleGrantsPath(dir, i), "out_by_zone": 1, "out_most": 2,
 				"parts_per_replica": 10, "work": []any{}}})))
 	}
-	var all []restProcess
+	var all []idleProcess
 	start := func(from, to int) {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), restPart+"="+string(must(json.Marshal(restOf{dir, from, to, 900}))), fmt.Sprint("GOMAXPROCS=", min(1+to-from, runtime.NumCPU())))
+		cmd.Env = append(os.Environ(), idlePartEnv+"="+string(must(json.Marshal(idleProcessConfig{dir, from, to, 900}))), fmt.Sprint("GOMAXPROCS=", min(1+to-from, runtime.NumCPU())))
 		cmd.Stderr = os.Stderr
 		in, out := must(cmd.StdinPipe()), must(cmd.StdoutPipe())
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { in.Close(); cmd.Process.Kill(); cmd.Wait() })
-		all = append(all, restProcess{in, bufio.NewReaderSize(out, 1<<20)})
+		all = append(all, idleProcess{in, bufio.NewReaderSize(out, 1<<20)})
 	}
-	count := func(part string) (by []restCount) {
+	count := func(part string) (by []idleNodeStats) {
 		t.Helper()
 		for _, p := range all {
 			fmt.Fprintln(p.in, part)
 		}
 		for _, p := range all {
-			var some []restCount
-			if line, err := p.out.ReadBytes('\n'); err != nil || json.Unmarshal(line, &some) != nil {
+			var stats []idleNodeStats
+			if line, err := p.out.ReadBytes('\n'); err != nil || json.Unmarshal(line, &stats) != nil {
 				t.Fatalf("a process has ended: %v", err)
 			}
-			by = append(by, some...)
+			by = append(by, stats...)
 		}
 		return by
 	}
@@ -244,20 +247,20 @@
 	for i := range 5 {
 		start(i, i+1)
 	}
-	for from := 5; from < restNodes; from += 59 {
-		start(from, min(from+59, restNodes))
-		for began := time.Now(); time.Since(began) < restJoin; time.Sleep(time.Second) { // a fleet is not started in one second
+	for from := 5; from < nodeCount; from += 59 {
+		start(from, min(from+59, nodeCount))
+		for began := time.Now(); time.Since(began) < idleJoinTimeout; time.Sleep(time.Second) { // waits for each group to join: a real fleet is not started within a second either
 			all := count("")
-			if slices.MinFunc(all, func(a, b restCount) int { return a.Up - b.Up }).Up == len(all) {
+			if slices.MinFunc(all, func(a, b idleNodeStats) int { return a.Up - b.Up }).Up == len(all) {
 				break
 			}
 		}
 	}
-	confirmedAt := func() (n int, leader string) { // by the grants files, whose lease holds and who is the same leader's
+	leaseHolders := func() (n int, leader string) { // counts the nodes whose grants file shows a valid lease and the same leader
 		var index uint64
-		for i := range restNodes {
+		for i := range nodeCount {
 			var g grantsfile.File
-			raw, err := os.ReadFile(restGrants(dir, i))
+			raw, err := os.ReadFile(idleGrantsPath(dir, i))
 			if err != nil || json.Unmarshal(raw, &g) != nil || g.CutOff || g.Leader == "" || leader != "" && g.Leader != leader {
 				continue
 			}
@@ -266,64 +269,64 @@
 		}
 		return n, leader
 	}
-	for said := time.Now(); ; {
-		n, leader := confirmedAt()
-		up := slices.MinFunc(count(""), func(a, b restCount) int { return a.Up - b.Up }).Up
-		if n == restNodes && up == restNodes {
-			t.Logf("all %d are there after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
+	for loggedAt := time.Now(); ; {
+		n, leader := leaseHolders()
+		up := slices.MinFunc(count(""), func(a, b idleNodeStats) int { return a.Up - b.Up }).Up
+		if n == nodeCount && up == nodeCount {
+			t.Logf("all %d nodes have joined after %v, %s leads", n, time.Since(began).Round(time.Second), leader)
 			break
 		}
-		if time.Since(began) > restLimit {
+		if time.Since(began) > idleStartTimeout {
 			count("end")
-			t.Fatalf("%d of %d hold a lease, the least has %d up, after %v", n, restNodes, up, restLimit)
+			t.Fatalf("%d of %d nodes hold a lease, the lowest count of members up is %d, after %v", n, nodeCount, up, idleStartTimeout)
 		}
-		if time.Since(said) > 20*time.Second {
-			said = time.Now()
-			t.Logf("after %v %d of %d hold a lease, the least has %d up", time.Since(began).Round(time.Second), n, restNodes, up)
+		if time.Since(loggedAt) > 20*time.Second {
+			loggedAt = time.Now()
+			t.Logf("after %v %d of %d nodes hold a lease, the lowest count of members up is %d", time.Since(began).Round(time.Second), n, nodeCount, up)
 		}
 		time.Sleep(time.Second)
 	}
-	time.Sleep(5 * time.Second) // what the last join set off
-	_, leader := confirmedAt()
+	time.Sleep(5 * time.Second) // lets the traffic of the last join subside
+	_, leader := leaseHolders()
 	before, at := count("rest"), time.Now()
-	time.Sleep(restSpan)
+	time.Sleep(idleMeasureTime)
 	after, span := count("end"), time.Since(at).Seconds()
-	left, still := confirmedAt()
-	figure := func(what string, from, to int) {
-		var bytes, packets, most int64
+	leased, newLeader := leaseHolders()
+	reportTraffic := func(role string, from, to int) {
+		var bytes, packets, maxBytes int64
 		for i := from; i < to; i++ {
 			b := after[i].Bytes - before[i].Bytes
-			bytes, packets, most = bytes+b, packets+after[i].Packets-before[i].Packets, max(most, b)
+			bytes, packets, maxBytes = bytes+b, packets+after[i].Packets-before[i].Packets, max(maxBytes, b)
 		}
 		n := float64(to-from) * span
-		t.Logf("%s: %.2f KB/s and %.1f packets/s a node on the mean, %.2f KB/s the most", what, float64(bytes)/n/1000, float64(packets)/n,
-			float64(most)/span/1000)
-		if what == "followers" && float64(bytes)/n > 4000 {
-			t.Errorf("a follower causes %.0f bytes/s, 4,000 are wanted", float64(bytes)/n)
+		t.Logf("%s: mean %.2f KB/s and %.1f packets/s per node, maximum %.2f KB/s", role, float64(bytes)/n/1000, float64(packets)/n,
+			float64(maxBytes)/span/1000)
+		if role == "followers" && float64(bytes)/n > 4000 {
+			t.Errorf("a follower causes %.0f bytes/s, limit 4,000", float64(bytes)/n)
 		}
 	}
-	figure("followers", 5, restNodes)
+	reportTraffic("followers", 5, nodeCount)
 	for i := range 5 {
-		who := "a voter"
+		role := "voter"
 		cpu := (after[i].CPU - before[i].CPU).Seconds() / span
 		if fmt.Sprintf("n%03d", i) == leader {
-			who = "the leader"
+			role = "leader"
 			if cpu > 0.05 {
-				t.Errorf("the leader takes %.1f %% of a core, 5 are wanted", 100*cpu)
+				t.Errorf("the leader uses %.1f %% of a core, limit 5", 100*cpu)
 			}
 		}
-		figure(who, i, i+1)
-		t.Logf("  %.2f %% of a core, %.1f KB/s read and written by streams, %d MB at the most", 100*cpu, float64(after[i].Streams-before[i].Streams)/span/1000,
+		reportTraffic(role, i, i+1)
+		t.Logf("  %.2f %% of a core, %.1f KB/s read and written by streams, peak memory %d MB", 100*cpu, float64(after[i].Streams-before[i].Streams)/span/1000,
 			after[i].Memory>>20)
 	}
 	var cpu time.Duration
 	memory := int64(0)
-	for i := 5; i < restNodes; i += 59 {
+	for i := 5; i < nodeCount; i += 59 {
 		cpu += after[i].CPU - before[i].CPU
 		memory += after[i].Memory >> 20 // of the process
 	}
-	t.Logf("the followers together: %.1f %% of a core each, %d MB each", 100*cpu.Seconds()/span/float64(restNodes-5), memory/int64(restNodes-5))
-	if left != restNodes || still != leader {
-		t.Errorf("%d of %d hold a lease at the end, %s led and %s leads: it was no rest", left, restNodes, leader, still)
+	t.Logf("followers: %.1f %% of a core each, %d MB each", 100*cpu.Seconds()/span/float64(nodeCount-5), memory/int64(nodeCount-5))
+	if leased != nodeCount || newLeader != leader {
+		t.Errorf("%d of %d nodes hold a lease at the end, leader %s before and %s after: the fleet was not idle", leased, nodeCount, leader, newLeader)
 	}
 }
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -10,93 +10,97 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// Tick implements statemachine.Part: offers and loans whose time is over end, and what is remembered for a time is forgotten.
-func (b *Book) Tick(now time.Duration) {
-	b.now = max(b.now, now)
-	b.pool.Tick(b.now)
-	if len(b.flights) > 0 && b.next <= b.now {
-		b.lapse()
+// Tick implements statemachine.Part. It advances agreed time, ends the offers, hand-overs and loans whose time is over, and drops
+// what is kept for a limited time.
+func (s *State) Tick(now time.Duration) {
+	s.now = max(s.now, now)
+	s.pool.Advance(s.now)
+	if len(s.moves) > 0 && s.nextExpiry <= s.now {
+		s.expireMoves()
 	}
 	n := 0
-	for n < len(b.offers) && b.offers[n].At+Minute < b.now-b.now%time.Second {
+	for n < len(s.offerCounts) && s.offerCounts[n].At+OfferWindow < s.now-s.now%time.Second {
 		n++
 	}
-	b.offers = b.offers[n:]
-	b.forget()
+	s.offerCounts = s.offerCounts[n:]
+	s.dropExpiredEnds()
 }
 
-// lapse ends the moves whose time is over: an offer is withdrawn, a handed session goes back to its source, or is free if
-// that had it back already. No one acts for a handed one, so that an adoption which comes late finds another epoch.
-func (b *Book) lapse() {
-	b.next = statemachine.MaxTime
-	for _, id := range sorted(b.flights) {
-		f, l := b.flights[id], b.live[id]
+// expireMoves ends the steps of moves whose time is over: an offer is withdrawn; a handed-over session returns to its source, or
+// becomes free if it has returned already. No co-ordinator acts for a handed-over session, and its epoch changes here, so that a
+// late adoption is refused.
+func (s *State) expireMoves() {
+	s.nextExpiry = statemachine.MaxTime
+	for _, id := range sortedIDs(s.moves) {
+		m, l := s.moves[id], s.sessions[id]
 		switch {
-		case f.Until > b.now:
+		case m.Until > s.now:
 		case l.phase == Offered:
-			b.pin(id, l)
+			s.pin(id, l)
 		default:
-			b.back(id, l, "no co-ordinator took it over in time")
+			s.returnToSource(id, l, "no co-ordinator took it over in time")
 		}
-		if f, ok := b.flights[id]; ok {
-			b.next = min(b.next, f.Until)
+		if m, ok := s.moves[id]; ok {
+			s.nextExpiry = min(s.nextExpiry, m.Until)
 		}
 	}
 }
 
-// pin ends a move where the session is.
-func (b *Book) pin(id ID, l live) {
-	delete(b.flights, id)
-	l.phase, l.since = Pinned, b.now
-	b.live[id] = l
+// pin ends a move: the session stays with its current owner.
+func (s *State) pin(id ID, l ownedSession) {
+	delete(s.moves, id)
+	l.phase, l.since = Pinned, s.now
+	s.sessions[id] = l
 }
 
-// Apply implements statemachine.Part. A command of several acts is refused if each of them is; Refused tells of the others.
-func (b *Book) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
-	b.Tick(now)
-	b.refused, b.refusal = nil, 0
+// Apply implements statemachine.Part. A command of several parts is refused only if all of them are; Refusals returns the errors
+// of the parts that were refused.
+func (s *State) Apply(now time.Duration, fence func() uint64, kind string, body []byte) error {
+	s.Tick(now)
+	s.refusals, s.refusalCount = nil, 0
 	switch kind {
 	case KindLimits:
-		return take(body, b.applyLimits)
+		return decodeAndApply(body, s.applyLimits)
 	case KindActs:
-		return take(body, b.applyActs)
+		return decodeAndApply(body, s.applyActs)
 	case KindPlan:
-		return take(body, func(p PlanBody) error { return b.applyPlan(p, fence) })
+		return decodeAndApply(body, func(p PlanBody) error { return s.applyPlan(p, fence) })
 	case KindRelease:
-		return take(body, b.applyRelease)
+		return decodeAndApply(body, s.applyRelease)
 	case KindTick:
-		return take(body, func(TickBody) error { return nil })
+		return decodeAndApply(body, func(TickBody) error { return nil })
 	}
-	return fmt.Errorf("session: kind %q: %w", kind, statemachine.ErrUnknown)
+	return fmt.Errorf("session: command kind %q: %w", kind, statemachine.ErrUnknown)
 }
 
-func take[B any](raw []byte, apply func(B) error) error {
+func decodeAndApply[B any](raw []byte, apply func(B) error) error {
 	var body B
-	if err := statemachine.Strict(raw, &body); err != nil {
-		return fmt.Errorf("session: body can not be read: %w", err)
+	if err := statemachine.DecodeStrict(raw, &body); err != nil {
+		return fmt.Errorf("session: cannot decode the command body: %w", err)
 	}
 	return apply(body)
 }
 
-// several counts what came of the parts of a command; each stands alone.
-func (b *Book) several(what fmt.Stringer, err error) bool {
+// countResult reports whether a part of a command succeeded, and records its error if it did not.
+func (s *State) countResult(what fmt.Stringer, err error) bool {
 	if err == nil {
 		return true
 	}
-	if b.refusal++; len(b.refused) < RefusedMost {
-		b.refused = append(b.refused, fmt.Sprintf("%s: %v", what, err))
+	if s.refusalCount++; len(s.refusals) < MaxRefusals {
+		s.refusals = append(s.refusals, fmt.Sprintf("%s: %v", what, err))
 	}
 	return false
 }
 
-func (b *Book) outcome(done int) error {
+// commandResult returns the error of a command of which done parts succeeded: nil if any did.
+func (s *State) commandResult(done int) error {
 	if done > 0 {
 		return nil
 	}
-	if b.refusal == 0 {
-		return errors.New("session: nothing to do")
+	if s.refusalCount == 0 {
+		return errors.New("session: the command has no parts")
 	}
-	return fmt.Errorf("session: all %d refused, first %s", b.refusal, b.refused[0])
+	return fmt.Errorf("session: all %d parts were refused, the first: %s", s.refusalCount, s.refusals[0])
 }
 
 func (a Act) String() string {
@@ -106,209 +110,214 @@
 	return fmt.Sprintf("%s %s of epoch %d", a.Kind, a.ID, a.Epoch)
 }
 
-func (b *Book) applyActs(c ActsBody) error {
-	if c.From == "" || len(c.From) > NameMost || len(c.Acts) > ActsMost {
-		return fmt.Errorf("session: %d acts of %.20q", len(c.Acts), c.From)
+func (s *State) applyActs(c ActsBody) error {
+	if c.From == "" || len(c.From) > MaxNameBytes || len(c.Acts) > MaxActs {
+		return fmt.Errorf("session: invalid command of %d acts from %.20q", len(c.Acts), c.From)
 	}
 	done := 0
 	for _, a := range c.Acts {
-		if b.several(a, b.act(c.From, a)) {
+		if s.countResult(a, s.act(c.From, a)) {
 			done++
 		}
 	}
 	if done > 0 {
-		if i, err := b.named(c.From); err == nil {
-			b.names[i].heard, b.names[i].known = b.now, b.now
+		if i, err := s.coordinatorIndex(c.From); err == nil {
+			s.coordinators[i].lastActAt, s.coordinators[i].lastKnownAt = s.now, s.now
 		}
 	}
-	return b.outcome(done)
+	return s.commandResult(done)
 }
 
-func (b *Book) act(from string, a Act) error {
+func (s *State) act(from string, a Act) error {
 	if a.Kind == Freed {
-		return b.freed(from, a.Fence)
+		return s.completeTransfer(from, a.Fence)
 	}
 	if a.Kind == Claim {
-		return b.claim(from, a)
+		return s.claim(from, a)
 	}
-	l, ok := b.live[a.ID]
+	l, ok := s.sessions[a.ID]
 	if !ok {
-		return errors.New("it is free")
+		return errors.New("the session is free")
 	}
 	if a.Epoch != l.epoch {
-		return fmt.Errorf("it is in epoch %d", l.epoch)
+		return fmt.Errorf("the session is in epoch %d", l.epoch)
 	}
-	owner := b.names[l.owner].name
+	owner := s.coordinators[l.owner].name
 	if a.Kind == Decline && l.phase == Offered {
-		return b.decline(from, a, l)
+		return s.decline(from, a, l)
 	}
 	if owner != from {
-		return fmt.Errorf("it is %s of %q, not of %q", l.phase, owner, from)
+		return fmt.Errorf("the session is %s, owned by %q, not by %q", l.phase, owner, from)
 	}
 	switch {
-	case a.Kind == Hand && l.phase == Offered:
-		return b.hand(from, a, l)
-	case a.Kind == Adopt && l.phase == Handed:
-		b.pin(a.ID, l)
+	case a.Kind == HandOver && l.phase == Offered:
+		return s.handOver(from, a, l)
+	case a.Kind == Adopt && l.phase == HandedOver:
+		s.pin(a.ID, l)
 		return nil
-	case a.Kind == Decline && l.phase == Handed:
-		b.back(a.ID, l, "no co-ordinator had room for it")
+	case a.Kind == Decline && l.phase == HandedOver:
+		s.returnToSource(a.ID, l, "no co-ordinator had room for it")
 		return nil
 	case a.Kind == End:
 		l.seq = max(l.seq, a.Seq)
-		b.end(a.ID, l, a.Why)
+		s.end(a.ID, l, a.Reason)
 		return nil
 	}
-	return fmt.Errorf("it is %s", l.phase)
+	return fmt.Errorf("the session is %s", l.phase)
 }
 
-func (b *Book) claim(from string, a Act) error {
-	r, owned := b.Get(a.ID)
+func (s *State) claim(from string, a Act) error {
+	r, owned := s.Get(a.ID)
 	switch {
 	case owned:
-		return fmt.Errorf("it is %s of %q in epoch %d", r.Phase, r.Owner, r.Epoch)
-	case b.now < b.quiet:
-		return fmt.Errorf("the era is new, nothing is claimed before %v, it is %v", b.quiet, b.now)
+		return fmt.Errorf("the session is %s, owned by %q, in epoch %d", r.Phase, r.Owner, r.Epoch)
+	case s.now < s.blockedUntil:
+		return fmt.Errorf("no session can be claimed before %v in a new era, the agreed time is %v", s.blockedUntil, s.now)
 	case a.Epoch != r.Epoch:
-		return fmt.Errorf("it was last in epoch %d", r.Epoch)
-	case len(b.live) >= b.limits.SessionsMost:
-		return fmt.Errorf("%d sessions, %d are allowed", len(b.live), b.limits.SessionsMost)
+		return fmt.Errorf("the session was last in epoch %d", r.Epoch)
+	case len(s.sessions) >= s.limits.MaxSessions:
+		return fmt.Errorf("%d sessions exist, %d are allowed", len(s.sessions), s.limits.MaxSessions)
 	}
-	i, err := b.named(from)
+	i, err := s.coordinatorIndex(from)
 	if err != nil {
 		return err
 	}
-	delete(b.ended, a.ID)
-	b.names[i].owned++
-	b.live[a.ID] = live{epoch: r.Epoch + 1, seq: r.Seq, since: b.now, owner: i, phase: Pinned, lane: a.Lane}
+	delete(s.ended, a.ID)
+	s.coordinators[i].owned++
+	s.sessions[a.ID] = ownedSession{epoch: r.Epoch + 1, seq: r.Seq, since: s.now, owner: i, phase: Pinned, lane: a.Lane}
 	return nil
 }
 
-func (b *Book) hand(from string, a Act, l live) error {
-	f := b.flights[a.ID]
+func (s *State) handOver(from string, a Act, l ownedSession) error {
+	m := s.moves[a.ID]
 	switch {
-	case a.Fence != f.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", f.Fence, a.Fence)
+	case a.Fence != m.Fence:
+		return fmt.Errorf("the current offer has number %d, not %d", m.Fence, a.Fence)
 	case a.Seq < l.seq:
-		return fmt.Errorf("%d queries begun, %d were", a.Seq, l.seq)
-	case len(a.State) > min(b.limits.StateMost, StateMost):
-		return fmt.Errorf("a state of %d bytes, %d are allowed", len(a.State), min(b.limits.StateMost, StateMost))
+		return fmt.Errorf("the hand-over counts %d queries begun, the agreed state %d", a.Seq, l.seq)
+	case len(a.State) > min(s.limits.MaxStateBytes, MaxStateBytes):
+		return fmt.Errorf("the hand-over has a state of %d bytes, %d are allowed", len(a.State), min(s.limits.MaxStateBytes, MaxStateBytes))
 	}
-	to, err := b.named(f.To)
+	to, err := s.coordinatorIndex(m.To)
 	if err != nil {
 		return err
 	}
-	f.Source, f.State, f.Hand = from, a.State, &word{from, a.Epoch, a.Fence}
-	b.fly(a.ID, f)
-	b.names[l.owner].owned--
-	b.names[to].owned++
-	l.owner, l.epoch, l.phase, l.since, l.seq, l.lane = to, l.epoch+1, Handed, b.now, a.Seq, a.Lane
-	b.live[a.ID] = l
+	m.Source, m.State, m.Hand = from, a.State, &handOverEvidence{from, a.Epoch, a.Fence}
+	s.startStep(a.ID, m)
+	s.coordinators[l.owner].owned--
+	s.coordinators[to].owned++
+	l.owner, l.epoch, l.phase, l.since, l.seq, l.lane = to, l.epoch+1, HandedOver, s.now, a.Seq, a.Lane
+	s.sessions[a.ID] = l
 	return nil
 }
 
-func (b *Book) decline(from string, a Act, l live) error {
-	switch f := b.flights[a.ID]; {
-	case f.To != from:
-		return fmt.Errorf("it is offered to %q, not to %q", f.To, from)
-	case f.Fence != a.Fence:
-		return fmt.Errorf("its offer is number %d, not %d", f.Fence, a.Fence)
-	}
-	b.pin(a.ID, l)
+func (s *State) decline(from string, a Act, l ownedSession) error {
+	switch m := s.moves[a.ID]; {
+	case m.To != from:
+		return fmt.Errorf("the session is offered to %q, not to %q", m.To, from)
+	case m.Fence != a.Fence:
+		return fmt.Errorf("the current offer has number %d, not %d", m.Fence, a.Fence)
+	}
+	s.pin(a.ID, l)
 	return nil
 }
 
-// back gives a handed session to its source, once; if that is gone, or had it back before, it is free.
-func (b *Book) back(id ID, l live, why string) {
-	f := b.flights[id]
-	to, err := b.named(f.Source)
-	if f.Source == "" || err != nil {
-		b.end(id, l, why)
+// returnToSource returns a handed-over session to its source. It frees the session if it has no source any more: the source was
+// released, or the session has returned before.
+func (s *State) returnToSource(id ID, l ownedSession, reason string) {
+	m := s.moves[id]
+	to, err := s.coordinatorIndex(m.Source)
+	if m.Source == "" || err != nil {
+		s.end(id, l, reason)
 		return
 	}
-	f.Source = ""
-	b.fly(id, f)
-	b.names[l.owner].owned--
-	b.names[to].owned++
-	l.owner, l.epoch, l.since = to, l.epoch+1, b.now
-	b.live[id] = l
+	m.Source = ""
+	s.startStep(id, m)
+	s.coordinators[l.owner].owned--
+	s.coordinators[to].owned++
+	l.owner, l.epoch, l.since = to, l.epoch+1, s.now
+	s.sessions[id] = l
 }
 
-// fly gives a flight its time: OfferFor for each step of it, offered, handed, handed back.
-func (b *Book) fly(id ID, f flight) {
-	f.Until = b.now + b.limits.OfferFor
-	b.flights[id] = f
-	b.next = min(b.next, f.Until)
+// startStep stores a move and starts the time of its next step, handed over or returned, which lasts at most Limits.StepTimeout.
+func (s *State) startStep(id ID, m move) {
+	m.Until = s.now + s.limits.StepTimeout
+	s.moves[id] = m
+	s.nextExpiry = min(s.nextExpiry, m.Until)
 }
 
-// end frees a session and keeps how it ended.
-func (b *Book) end(id ID, l live, why string) {
-	b.names[l.owner].owned--
-	delete(b.live, id)
-	delete(b.flights, id)
-	if len(b.ended) >= EndedMost {
-		b.drop()
-	}
-	b.ended[id] = ended{l.epoch, l.seq, b.now, unique.Make(clip(why)), b.first + uint64(len(b.ends))}
-	b.ends = append(b.ends, id)
+// end frees a session and remembers its end.
+func (s *State) end(id ID, l ownedSession, reason string) {
+	s.coordinators[l.owner].owned--
+	delete(s.sessions, id)
+	delete(s.moves, id)
+	if len(s.ended) >= MaxEnds {
+		s.dropOldestEnd()
+	}
+	s.ended[id] = endedSession{l.epoch, l.seq, s.now, unique.Make(truncateReason(reason)), s.firstPosition + uint64(len(s.endOrder))}
+	s.endOrder = append(s.endOrder, id)
 }
 
-// forget drops ends older than Remember, and the places of those that were claimed again.
-func (b *Book) forget() {
-	for len(b.ends) > 0 {
-		e, ok := b.ended[b.ends[0]]
-		if ok && e.n == b.first { // else it was claimed since: only its place goes
-			if e.at+Remember > b.now {
+// dropExpiredEnds drops ends older than EndRetention and the entries of endOrder whose sessions were claimed again. It compacts
+// endOrder when it has more than 64 entries over twice the number of remembered ends.
+func (s *State) dropExpiredEnds() {
+	for len(s.endOrder) > 0 {
+		e, ok := s.ended[s.endOrder[0]]
+		if ok && e.position == s.firstPosition { // otherwise the session was claimed since then, and only its entry in endOrder is dropped
+			if e.at+EndRetention > s.now {
 				break
 			}
-			b.over = max(b.over, e.epoch)
-			delete(b.ended, b.ends[0])
+			s.maxForgottenEpoch = max(s.maxForgottenEpoch, e.epoch)
+			delete(s.ended, s.endOrder[0])
 		}
-		b.ends = b.ends[1:]
-		b.first++
+		s.endOrder = s.endOrder[1:]
+		s.firstPosition++
 	}
-	if len(b.ends) <= 2*len(b.ended)+64 {
+	if len(s.endOrder) <= 2*len(s.ended)+64 {
 		return
 	}
-	keep := make([]ID, 0, len(b.ended))
-	for i, id := range b.ends {
-		if e, ok := b.ended[id]; ok && e.n == b.first+uint64(i) {
-			e.n = uint64(len(keep))
-			b.ended[id] = e
+	keep := make([]ID, 0, len(s.ended))
+	for i, id := range s.endOrder {
+		if e, ok := s.ended[id]; ok && e.position == s.firstPosition+uint64(i) {
+			e.position = uint64(len(keep))
+			s.ended[id] = e
 			keep = append(keep, id)
 		}
 	}
-	b.ends, b.first = keep, 0
+	s.endOrder, s.firstPosition = keep, 0
 }
 
-// drop forgets the oldest end. Its epoch counts for all that are not known from then on.
-func (b *Book) drop() {
-	for len(b.ends) > 0 {
-		id := b.ends[0]
-		e, ok := b.ended[id]
-		ok = ok && e.n == b.first
-		b.ends = b.ends[1:]
-		b.first++
+// dropOldestEnd drops the oldest end. From then on its epoch counts for all sessions that are not known.
+func (s *State) dropOldestEnd() {
+	for len(s.endOrder) > 0 {
+		id := s.endOrder[0]
+		e, ok := s.ended[id]
+		ok = ok && e.position == s.firstPosition
+		s.endOrder = s.endOrder[1:]
+		s.firstPosition++
 		if ok {
-			b.over = max(b.over, e.epoch)
-			delete(b.ended, id)
+			s.maxForgottenEpoch = max(s.maxForgottenEpoch, e.epoch)
+			delete(s.ended, id)
 			return
 		}
 	}
 }
 
-func (b *Book) freed(from string, fence uint64) error {
-	t, ok := b.pool.Transfer(fence)
+// completeTransfer applies Freed: it completes the stage of a transfer that waits for from.
+func (s *State) completeTransfer(from string, fence uint64) error {
+	t, ok := s.pool.Transfer(fence)
 	switch {
 	case !ok:
 		return errors.New("no such transfer is open")
 	case t.Stage == 0 && t.From == from:
-		return b.pool.Land(fence)
+		return s.pool.ConfirmSource(fence)
 	case t.Stage != 0 && t.To == from:
-		return b.pool.Return(fence)
+		return s.pool.ReturnLoan(fence)
 	}
-	return fmt.Errorf("the transfer is %s from %q to %q, it does not wait for %q", t.Stage, t.From, t.To, from)
+	return fmt.Errorf("the transfer is %s from %q to %q and does not wait for %q", t.Stage, t.From, t.To, from)
 }
 
-// clip cuts a reason, between two letters.
-func clip(why string) string { return strings.ToValidUTF8(why[:min(len(why), WhyMost)], "") }
+// truncateReason shortens a reason to MaxReasonBytes and keeps it valid UTF-8.
+func truncateReason(reason string) string {
+	return strings.ToValidUTF8(reason[:min(len(reason), MaxReasonBytes)], "")
+}
--- a/internal/fleet/session/book.go
+++ b/internal/fleet/session/book.go
@@ -13,253 +13,261 @@
 )
 
 const (
-	// Version of what is saved. Another one is refused in words.
+	// Version is the version of the saved form. Load refuses any other with an error that names both.
 	Version = 1
-	// SessionsMost in a book, whatever the operators' file says: a snapshot of so many has some 45 MB.
-	SessionsMost = 1_000_000
-	// FlightMost sessions offered or handed at once, whatever the operators' file says: a hand carries StateMost at most,
-	// so that the states of all have 10 MB. Twice as many are no use: that many moves take minutes by any PerMinute.
-	FlightMost = 10_000
-	// StateMost bytes in what a hand carries.
-	StateMost = 1 << 10
-	// PerMinuteMost offers a minute.
-	PerMinuteMost = 1_000_000
-	// Minute is the window of PerMinute, counted by whole seconds and one more.
-	Minute = time.Minute
-	// Remember is how long it is kept how a session ended. It is the state machine's time for ids, so that a claim which comes
-	// later than that is stale there. Half: a late claim may need a second look at the epoch, and a client that comes
-	// back after 5 minutes is told nothing of the end. Twice: twice the memory.
-	Remember = statemachine.IDRetention
-	// EndedMost ends are kept. The oldest goes first: its client is told nothing then, and its epoch counts for all that
-	// are not known (Book.over). A release of a co-ordinator with 60,000 sessions fits in.
-	EndedMost = 65_536
-	// NamesMost co-ordinators are known: of the fleet, and of what was in it within Remember.
-	NamesMost = 4_096
-	// NameMost bytes in a name.
-	NameMost = pool.NameMost
-	// WhyMost bytes in a reason. Longer ones are cut.
-	WhyMost = 120
-	// ActsMost acts, or parts of a plan, in one command.
-	ActsMost = 10_000
-	// TimeMost of a limit that is a time.
-	TimeMost = 24 * time.Hour
-	// EpochGap is left between the epochs of two eras: what was claimed and moved after the copy that a raft group is set
-	// up from is not known here. A session would have to change its owner a million times in between to reach it.
+	// MaxSessions bounds Limits.MaxSessions: a snapshot of this many sessions takes about 45 MB.
+	MaxSessions = 1_000_000
+	// MaxInFlight bounds Limits.InFlight, the sessions that are offered or handed over at a time. A hand-over carries at most
+	// MaxStateBytes, so that all states together take 10 MB. Twice as many would be no use: so many moves take minutes with any
+	// value of Limits.PerMinute.
+	MaxInFlight = 10_000
+	// MaxStateBytes bounds the state that a hand-over carries.
+	MaxStateBytes = 1 << 10
+	// MaxOffersPerMinute bounds Limits.PerMinute.
+	MaxOffersPerMinute = 1_000_000
+	// OfferWindow is the window in which Limits.PerMinute counts. Offers are counted per second, and the window is rounded up by
+	// one second.
+	OfferWindow = time.Minute
+	// EndRetention is how long the end of a session is remembered. It equals the time for which the state machine keeps command
+	// IDs, so that the state machine refuses a claim that arrives later as stale. With half of it, a late claim may have to read
+	// the epoch again, and a client that returns after 5 minutes does not learn why its session ended. Twice as long would take
+	// twice the memory.
+	EndRetention = statemachine.IDRetention
+	// MaxEnds bounds the ends that are remembered. The oldest is dropped first: its client then does not learn why the session
+	// ended, and its epoch counts for all sessions that are not known (State.maxForgottenEpoch). The release of a co-ordinator
+	// with 60,000 sessions fits.
+	MaxEnds = 65_536
+	// MaxCoordinators bounds the co-ordinators that are known: those of the fleet, and those that left it within EndRetention.
+	MaxCoordinators = 4_096
+	// MaxNameBytes bounds the name of a co-ordinator.
+	MaxNameBytes = pool.MaxNameBytes
+	// MaxReasonBytes bounds the reason for an end. A longer reason is truncated.
+	MaxReasonBytes = 120
+	// MaxActs bounds the acts, or the parts of a plan, in one command.
+	MaxActs = 10_000
+	// MaxLimitDuration bounds each duration in Limits.
+	MaxLimitDuration = 24 * time.Hour
+	// EpochGap separates the epochs of two eras. Claims and moves that followed the copy from which a raft group is set up anew are
+	// not known to the new group. A session would have to change its owner a million times in between to exceed the gap.
 	EpochGap = 1 << 20
-	// RefusedMost refusals of one command are kept in words; the rest is counted.
-	RefusedMost = 8
+	// MaxRefusals bounds the refusals of one command whose text is kept; all are counted.
+	MaxRefusals = 8
 )
 
-// live is a session that is owned; by its ID in the book. What a move adds is kept apart, in flight.
-type live struct {
+// ownedSession is a session that has an owner, kept by ID in State.sessions. What a move adds is kept in State.moves.
+type ownedSession struct {
 	epoch uint64
 	seq   uint64
 	since time.Duration
-	owner uint16 // in Book.names
+	owner uint16 // index in State.coordinators
 	phase Phase
 	lane  uint8
 }
 
-// flight is what is known of a session that is offered or handed.
-type flight struct {
-	From     string        // its owner when it was offered
-	To       string        // who it was offered to
-	Epoch    uint64        // when it was offered
-	Fence    uint64        // of the offer
-	Until    time.Duration // of the offer; handed, and handed back: of that
-	Revision int           // of the limits that the offer was checked against
-	Source   string        // handed: who gets it back
-	State    []byte        // handed
-	Hand     *word         // handed: the word of it
+// move is the additional state of a session that is offered or handed over. Its fields are saved under their Go names.
+type move struct {
+	From     string            // the owner when the session was offered
+	To       string            // the co-ordinator that it was offered to
+	Epoch    uint64            // of the session when it was offered
+	Fence    uint64            // number of the offer
+	Until    time.Duration     // end of the current step: offered, handed over or returned
+	Revision int               // of the limits that applied to the offer
+	Source   string            // handed over: the co-ordinator that it returns to, see Record.Source
+	State    []byte            // handed over: what the hand-over carried
+	Hand     *handOverEvidence // handed over: the evidence for it
 }
 
-// word is the evidence of a hand, for Check.
-type word struct {
+// handOverEvidence records which act handed a session over, for Check. Its fields are saved under their Go names.
+type handOverEvidence struct {
 	By    string
 	Epoch uint64
 	Fence uint64
 }
 
-// ended is how a session ended.
-type ended struct {
+// endedSession describes the end of a session.
+type endedSession struct {
 	epoch, seq uint64
 	at         time.Duration
-	why        unique.Handle[string]
-	n          uint64 // its place in Book.ends
+	reason     unique.Handle[string]
+	position   uint64 // State.firstPosition plus its index in State.endOrder
 }
 
-// name is a co-ordinator that owns or owned something.
-type name struct {
-	name     string
-	owned    int
-	heard    time.Duration // its last act that was not refused; 0: none
-	released time.Duration // its last release; 0: none
-	known    time.Duration // the later of both, and of when it was entered
+// coordinator is a co-ordinator that owns a session, or that acted or was released within EndRetention.
+type coordinator struct {
+	name        string
+	owned       int
+	lastActAt   time.Duration // time of its last act that was not refused; 0: none
+	releasedAt  time.Duration // time of its last release; 0: none
+	lastKnownAt time.Duration // the latest of both and of the time at which it was entered
 }
 
-// second counts the offers in one second of agreed time.
-type second struct {
+// offerCount counts the offers in one second of agreed time.
+type offerCount struct {
 	At time.Duration `json:"at"`
 	N  int           `json:"n"`
 }
 
-// Book is the agreed state. The zero value is of no use; New makes one. Not for two goroutines at once, not even to read.
-type Book struct {
-	now      time.Duration
-	limits   Limits
-	limitsAt time.Duration
-	quiet    time.Duration // of a new era: nothing is claimed or moved before
-	fence    uint64        // the highest number of an offer or a transfer
-
-	live    map[ID]live
-	flights map[ID]flight
-	next    time.Duration // no flight ends before
-	names   []name
-	byName  map[string]uint16
-	offers  []second // of the last minute, by time
-
-	ended map[ID]ended
-	ends  []ID   // in order of their end; one that was claimed since is in ended no more, or with another place
-	first uint64 // the place of ends[0]
-	over  uint64 // the highest epoch of those that are forgotten: the next of one that is not known is higher
+// State is the agreed state of all pinned sessions. New creates one; the zero value is not usable. It is not safe for concurrent
+// use, not even for concurrent reads.
+type State struct {
+	now          time.Duration
+	limits       Limits
+	limitsAt     time.Duration
+	blockedUntil time.Duration // in a new era, nothing is claimed or moved before this time
+	fence        uint64        // highest number of an offer or a transfer
+
+	sessions     map[ID]ownedSession
+	moves        map[ID]move
+	nextExpiry   time.Duration // no step of a move ends before this time
+	coordinators []coordinator
+	indexByName  map[string]uint16
+	offerCounts  []offerCount // of the last minute, in order of time
+
+	ended             map[ID]endedSession
+	endOrder          []ID   // by time of the end; a session claimed since then is missing in ended, or has another position there
+	firstPosition     uint64 // position of endOrder[0]
+	maxForgottenEpoch uint64 // highest epoch of all forgotten ends: a session that is not known gets a higher one
 
 	pool *pool.Pool
 
-	refused []string // by the last command, no part of the state
-	refusal int
+	refusals     []string // of the last command; not part of the agreed state
+	refusalCount int
 }
 
-// New makes an empty book. Nothing is claimed in it before there are limits.
-func New() *Book {
-	return &Book{
-		live: map[ID]live{}, flights: map[ID]flight{}, byName: map[string]uint16{}, ended: map[ID]ended{}, pool: pool.New(),
-		next: statemachine.MaxTime,
+// New returns an empty state. Nothing can be claimed in it before it has limits.
+func New() *State {
+	return &State{
+		sessions: map[ID]ownedSession{}, moves: map[ID]move{}, indexByName: map[string]uint16{}, ended: map[ID]endedSession{}, pool: pool.New(),
+		nextExpiry: statemachine.MaxTime,
 	}
 }
 
-// Clone is an independent copy: some 100 bytes a session.
-func (b *Book) Clone() *Book {
-	n := *b
-	n.live, n.flights, n.byName, n.ended = maps.Clone(b.live), maps.Clone(b.flights), maps.Clone(b.byName), maps.Clone(b.ended)
-	n.names, n.offers, n.ends = slices.Clone(b.names), slices.Clone(b.offers), slices.Clone(b.ends)
-	n.pool, n.refused = b.pool.Clone(), slices.Clone(b.refused)
-	n.limits.Caps = maps.Clone(b.limits.Caps)
+// Clone returns an independent copy, which takes about 100 bytes a session.
+func (s *State) Clone() *State {
+	n := *s
+	n.sessions, n.moves, n.indexByName, n.ended = maps.Clone(s.sessions), maps.Clone(s.moves), maps.Clone(s.indexByName), maps.Clone(s.ended)
+	n.coordinators, n.offerCounts, n.endOrder = slices.Clone(s.coordinators), slices.Clone(s.offerCounts), slices.Clone(s.endOrder)
+	n.pool, n.refusals = s.pool.Clone(), slices.Clone(s.refusals)
+	n.limits.Caps = maps.Clone(s.limits.Caps)
 	return &n
 }
 
-// Get gives a session that is owned. Of one that is free it gives false and what is still known: Epoch, which a claim has
-// to name, and, for Remember after its end, Seq and Why.
-func (b *Book) Get(id ID) (Record, bool) {
-	if l, ok := b.live[id]; ok {
-		return b.record(id, l), true
+// Get returns the record of a session that is owned, and true. For a free session it returns false and what is still known: Epoch,
+// which a claim has to name, and, for EndRetention after its end, Seq and Reason.
+func (s *State) Get(id ID) (Record, bool) {
+	if l, ok := s.sessions[id]; ok {
+		return s.record(id, l), true
 	}
-	if e, ok := b.ended[id]; ok {
-		return Record{ID: id, Epoch: e.epoch, Seq: e.seq, Since: e.at, Why: e.why.Value()}, false
+	if e, ok := s.ended[id]; ok {
+		return Record{ID: id, Epoch: e.epoch, Seq: e.seq, Since: e.at, Reason: e.reason.Value()}, false
 	}
-	return Record{ID: id, Epoch: b.over}, false
+	return Record{ID: id, Epoch: s.maxForgottenEpoch}, false
 }
 
-func (b *Book) record(id ID, l live) Record {
-	r := Record{ID: id, Owner: b.names[l.owner].name, Epoch: l.epoch, Phase: l.phase, Seq: l.seq, Lane: l.lane, Since: l.since}
+func (s *State) record(id ID, l ownedSession) Record {
+	r := Record{ID: id, Owner: s.coordinators[l.owner].name, Epoch: l.epoch, Phase: l.phase, Seq: l.seq, Lane: l.lane, Since: l.since}
 	if l.phase != Pinned {
-		f := b.flights[id]
-		r.Fence, r.Until = f.Fence, f.Until
+		m := s.moves[id]
+		r.Fence, r.Until = m.Fence, m.Until
 		if l.phase == Offered {
-			r.To = f.To
+			r.To = m.To
 		} else {
-			r.Source, r.State = f.Source, f.State
+			r.Source, r.State = m.Source, m.State
 		}
 	}
 	return r
 }
 
-// Len is how many sessions are owned.
-func (b *Book) Len() int { return len(b.live) }
+// Len returns the number of sessions that are owned.
+func (s *State) Len() int { return len(s.sessions) }
 
-// Owned is how many sessions co owns, those handed to it included.
-func (b *Book) Owned(co string) int {
-	if i, ok := b.byName[co]; ok {
-		return b.names[i].owned
+// Owned returns the number of sessions that co owns, including those handed over to it.
+func (s *State) Owned(co string) int {
+	if i, ok := s.indexByName[co]; ok {
+		return s.coordinators[i].owned
 	}
 	return 0
 }
 
-// Moving is how many sessions are offered or handed.
-func (b *Book) Moving() int { return len(b.flights) }
+// Moving returns the number of sessions that are offered or handed over.
+func (s *State) Moving() int { return len(s.moves) }
 
-// MovesOf says that a session is on its way from co, to it, or back.
-func (b *Book) MovesOf(co string) bool {
-	for id, f := range b.flights {
-		l := b.live[id]
-		if b.names[l.owner].name == co || l.phase == Offered && f.To == co || l.phase == Handed && f.Source == co {
+// HasMoves reports whether a session is moving from co, to co or back to co.
+func (s *State) HasMoves(co string) bool {
+	for id, m := range s.moves {
+		l := s.sessions[id]
+		if s.coordinators[l.owner].name == co || l.phase == Offered && m.To == co || l.phase == HandedOver && m.Source == co {
 			return true
 		}
 	}
 	return false
 }
 
-// Begun is how many offers count against PerMinute now.
-func (b *Book) Begun() int {
+// RecentOffers returns the number of offers that count against Limits.PerMinute now.
+func (s *State) RecentOffers() int {
 	n := 0
-	for _, s := range b.offers {
-		if s.At+Minute >= b.now-b.now%time.Second {
-			n += s.N
+	for _, count := range s.offerCounts {
+		if count.At+OfferWindow >= s.now-s.now%time.Second {
+			n += count.N
 		}
 	}
 	return n
 }
 
-// Now is the agreed time that the book was last told.
-func (b *Book) Now() time.Duration { return b.now }
+// Now returns the agreed time of the last tick or command.
+func (s *State) Now() time.Duration { return s.now }
 
-// Quiet is the agreed time before which nothing is claimed or moved, since the era is new.
-func (b *Book) Quiet() time.Duration { return b.quiet }
+// BlockedUntil returns the agreed time before which nothing is claimed or moved because the era is new.
+func (s *State) BlockedUntil() time.Duration { return s.blockedUntil }
 
-// Pool is the state of the slots, to be read.
-func (b *Book) Pool() *pool.Pool { return b.pool }
+// Pool returns the state of the slots. The caller must not change it.
+func (s *State) Pool() *pool.Pool { return s.pool }
 
-// Limits in force, and their revision; 0 as long as there are none.
-func (b *Book) Limits() (Limits, int) { return b.limits, b.limits.Revision }
+// Limits returns the limits in force and their revision, which is 0 as long as there are none.
+func (s *State) Limits() (Limits, int) { return s.limits, s.limits.Revision }
 
-// Refused tells what the last command would have done and may not, each in words, RefusedMost of them, and how many in
-// all. It is no part of the state.
-func (b *Book) Refused() ([]string, int) { return b.refused, b.refusal }
+// Refusals returns the errors of the refused parts of the last command, at most MaxRefusals of them, and the number of all refused
+// parts. They are not part of the agreed state.
+func (s *State) Refusals() ([]string, int) { return s.refusals, s.refusalCount }
 
-// All gives every session that is owned, by its id.
-func (b *Book) All(yield func(Record) bool) { b.each(yield, func(live) bool { return true }) }
+// All yields every session that is owned, in order of its ID.
+func (s *State) All(yield func(Record) bool) {
+	s.eachMatching(yield, func(ownedSession) bool { return true })
+}
 
-// ByOwner gives the sessions that co owns, by their id.
-func (b *Book) ByOwner(co string, yield func(Record) bool) {
-	if i, ok := b.byName[co]; ok && b.names[i].owned > 0 {
-		b.each(yield, func(l live) bool { return l.owner == i })
+// ByOwner yields the sessions that co owns, in order of their IDs.
+func (s *State) ByOwner(co string, yield func(Record) bool) {
+	if i, ok := s.indexByName[co]; ok && s.coordinators[i].owned > 0 {
+		s.eachMatching(yield, func(l ownedSession) bool { return l.owner == i })
 	}
 }
 
-// Flights gives the sessions that are offered or handed, by their id.
-func (b *Book) Flights(yield func(Record) bool) {
-	for _, id := range sorted(b.flights) {
-		if !yield(b.record(id, b.live[id])) {
+// Moves yields the sessions that are offered or handed over, in order of their IDs.
+func (s *State) Moves(yield func(Record) bool) {
+	for _, id := range sortedIDs(s.moves) {
+		if !yield(s.record(id, s.sessions[id])) {
 			return
 		}
 	}
 }
 
-func (b *Book) each(yield func(Record) bool, which func(live) bool) {
+// eachMatching yields the sessions for which matches returns true, in order of their IDs.
+func (s *State) eachMatching(yield func(Record) bool, matches func(ownedSession) bool) {
 	var ids []ID
-	for id, l := range b.live {
-		if which(l) {
+	for id, l := range s.sessions {
+		if matches(l) {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(x, y ID) int { return bytes.Compare(x[:], y[:]) })
 	for _, id := range ids {
-		if !yield(b.record(id, b.live[id])) {
+		if !yield(s.record(id, s.sessions[id])) {
 			return
 		}
 	}
 }
 
-func sorted[V any](m map[ID]V) []ID {
+func sortedIDs[V any](m map[ID]V) []ID {
 	ids := make([]ID, 0, len(m))
 	for id := range m {
 		ids = append(ids, id)
@@ -268,36 +276,40 @@
 	return ids
 }
 
-// named finds or enters a co-ordinator. One that owns nothing and was not heard of for Remember makes room.
-func (b *Book) named(co string) (uint16, error) {
-	if i, ok := b.byName[co]; ok {
-		if b.gone(int(i)) {
-			b.names[i] = name{name: co, known: b.now}
+// coordinatorIndex returns the index of a co-ordinator, and enters it first if it is not known. A new co-ordinator takes the entry
+// of an expired one if there is any.
+func (s *State) coordinatorIndex(co string) (uint16, error) {
+	if i, ok := s.indexByName[co]; ok {
+		if s.expired(int(i)) {
+			s.coordinators[i] = coordinator{name: co, lastKnownAt: s.now}
 		}
 		return i, nil
 	}
-	if co == "" || len(co) > NameMost {
-		return 0, fmt.Errorf("a co-ordinator's name has 1 to %d bytes, not %d", NameMost, len(co))
+	if co == "" || len(co) > MaxNameBytes {
+		return 0, fmt.Errorf("a co-ordinator's name has 1 to %d bytes, not %d", MaxNameBytes, len(co))
 	}
-	at := len(b.names)
-	for i := range b.names {
-		if b.gone(i) {
+	at := len(s.coordinators)
+	for i := range s.coordinators {
+		if s.expired(i) {
 			at = i
 			break
 		}
 	}
 	switch {
-	case at == NamesMost:
-		return 0, fmt.Errorf("%d co-ordinators are known, no more are allowed", NamesMost)
-	case at == len(b.names):
-		b.names = append(b.names, name{})
+	case at == MaxCoordinators:
+		return 0, fmt.Errorf("%d co-ordinators are known, no more are allowed", MaxCoordinators)
+	case at == len(s.coordinators):
+		s.coordinators = append(s.coordinators, coordinator{})
 	default:
-		delete(b.byName, b.names[at].name)
+		delete(s.indexByName, s.coordinators[at].name)
 	}
-	b.names[at] = name{name: co, known: b.now}
-	b.byName[co] = uint16(at)
+	s.coordinators[at] = coordinator{name: co, lastKnownAt: s.now}
+	s.indexByName[co] = uint16(at)
 	return uint16(at), nil
 }
 
-// gone says that a co-ordinator is forgotten: it owns nothing, and nothing was heard of it for Remember.
-func (b *Book) gone(i int) bool { return b.names[i].owned == 0 && b.names[i].known < b.now-Remember }
+// expired reports whether a co-ordinator counts as forgotten: it owns nothing, and has not been entered, acted or been released
+// within EndRetention.
+func (s *State) expired(i int) bool {
+	return s.coordinators[i].owned == 0 && s.coordinators[i].lastKnownAt < s.now-EndRetention
+}
--- a/internal/fleet/session/cost_test.go
+++ b/internal/fleet/session/cost_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// many is a book of n sessions of 20 co-ordinators, a tenth of them in flight with a state, and claims for n more.
-func many(t testing.TB, n int) *Book {
+// largeState returns a state with n sessions of 20 co-ordinators, a tenth of them handed over with a state, up to MaxInFlight.
+func largeState(t testing.TB, n int) *State {
 	l := limits
-	l.SessionsMost, l.InFlight, l.PerMinute, l.OfferFor, l.StateMost = SessionsMost, FlightMost, PerMinuteMost, time.Hour, StateMost
-	b, fence := New(), uint64(0)
+	l.MaxSessions, l.InFlight, l.PerMinute, l.StepTimeout, l.MaxStateBytes = MaxSessions, MaxInFlight, MaxOffersPerMinute, time.Hour, MaxStateBytes
+	state, fence := New(), uint64(0)
 	apply := func(kind string, body any) {
 		raw, err := json.Marshal(body)
 		if err == nil {
-			err = b.Apply(1000*sec, func() uint64 { fence++; return fence }, kind, raw)
+			err = state.Apply(1000*second, func() uint64 { fence++; return fence }, kind, raw)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -32,14 +32,14 @@
 		for _, x := range body.Acts[:100] {
 			plan.Offers = append(plan.Offers, Offer{ID: x.ID, Epoch: 1, From: co, To: "co-ordinator-x"})
 			n := fence + uint64(len(plan.Offers))
-			hands.Acts = append(hands.Acts, Act{Kind: Hand, ID: x.ID, Epoch: 1, Fence: n, State: []byte("a state of some bytes")})
+			hands.Acts = append(hands.Acts, Act{Kind: HandOver, ID: x.ID, Epoch: 1, Fence: n, State: []byte("a state of some bytes")})
 		}
-		if b.Moving()+100 <= FlightMost {
+		if state.Moving()+100 <= MaxInFlight {
 			apply(KindPlan, plan)
 			apply(KindActs, hands)
 		}
 	}
-	return b
+	return state
 }
 
 func claims(co string, from int) ActsBody {
@@ -50,7 +50,7 @@
 	return body
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -58,71 +58,72 @@
 	return m.HeapAlloc
 }
 
-// 100,000 sessions, 10,000 of them handed: memory, snapshot, and a command of 1,000 claims.
-func TestCost(t *testing.T) {
+// Bounds the cost of 100,000 sessions, 10,000 of them handed over: memory, snapshot size and the time of a command of 1,000 claims.
+func TestMemorySnapshotAndApplyCost(t *testing.T) {
 	n := 100_000
-	if race {
-		n = 10_000 // what it costs is not looked at
+	if raceEnabled {
+		n = 10_000 // the race detector changes the costs, so they are not checked
 	}
-	before := heap()
-	b := many(t, n)
-	if b.Len() != n || b.Moving() != n/10 {
-		t.Fatal(b.Len(), b.Moving())
+	before := heapBytes()
+	state := largeState(t, n)
+	if state.Len() != n || state.Moving() != n/10 {
+		t.Fatal(state.Len(), state.Moving())
 	}
-	each := int(heap()-before) / n
-	raw, err := b.Save()
+	bytesPerSession := int(heapBytes()-before) / n
+	raw, err := state.Save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Now()
+	begin := time.Now()
 	again := New()
 	if err := again.Load(raw); err != nil {
 		t.Fatal(err)
 	}
-	load := time.Since(at)
-	if two, _ := again.Save(); string(two) != string(raw) {
-		t.Fatal("saved again, another")
+	load := time.Since(begin)
+	if resaved, _ := again.Save(); string(resaved) != string(raw) {
+		t.Fatal("the restored state saves to other bytes")
 	}
 	body, _ := json.Marshal(claims("c0", n))
 	best := time.Hour
-	for range 20 { // the best, since others have the machine too
-		c := b.Clone()
-		at := time.Now()
-		if err := c.Apply(1000*sec, nil, KindActs, body); err != nil || c.Len() != n+1000 {
+	for range 20 { // the best of 20, because the machine is shared
+		c := state.Clone()
+		begin := time.Now()
+		if err := c.Apply(1000*second, nil, KindActs, body); err != nil || c.Len() != n+1000 {
 			t.Fatal(err, c.Len())
 		}
-		best = min(best, time.Since(at))
+		best = min(best, time.Since(begin))
 	}
-	t.Logf("%d bytes of heap and %d of a snapshot each; load %v; 1,000 claims (%d bytes) %v", each, len(raw)/n, load, len(body), best)
-	if race {
+	t.Logf("%d bytes of heap and %d of a snapshot each; load %v; 1,000 claims (%d bytes) %v", bytesPerSession, len(raw)/n, load, len(body), best)
+	if raceEnabled {
 		return
 	}
-	if each >= 200 || len(raw)/n >= 100 { // under 400 is asked for
-		t.Errorf("%d bytes of heap and %d of a snapshot each, 200 and 100 are allowed", each, len(raw)/n)
+	if bytesPerSession >= 200 || len(raw)/n >= 100 { // the requirement is less than 400 bytes a session
+		t.Errorf("%d bytes of heap and %d of a snapshot each, 200 and 100 are allowed", bytesPerSession, len(raw)/n)
 	}
 	if best > 5*time.Millisecond {
 		t.Errorf("1,000 claims take %v, 5 ms are allowed", best)
 	}
 }
 
-// A snapshot that is torn anywhere, damaged, of another version or with a field that is not known changes nothing.
-func TestLoadTakesAllOrNothing(t *testing.T) {
-	p := start(t, limits)
-	for _, id := range []ID{a, b, c} {
-		p.claim("c0", id)
-	}
-	p.must(KindActs, acts("c0", Act{Kind: End, ID: c, Epoch: 1, Why: "idle"}))
-	p.offer(b, "c1")
-	p.hand(b, 4)
-	p.must(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
-	good := p.save()
-	spoiled := []string{strings.Replace(good, `"v":1`, `"v":2`, 1), strings.Replace(good, `"v":1`, `"v":1,"x":1`, 1), good + good,
+// Loading a snapshot that is truncated or damaged at any byte, of another version, or with an unknown field fails and changes
+// nothing.
+func TestLoadIsAtomic(t *testing.T) {
+	h := newHarness(t, limits)
+	for _, id := range []ID{idA, idB, idC} {
+		h.claim("c0", id)
+	}
+	h.mustApply(KindActs, acts("c0", Act{Kind: End, ID: idC, Epoch: 1, Reason: "idle"}))
+	h.offer(idB, "c1")
+	h.handOver(idB, 4)
+	h.mustApply(KindPlan, PlanBody{Shifts: []Shift{{"", "c0", "r0", 4, 0}, {"c0", "c1", "r0", 2, 0}}})
+	good := h.save()
+	damaged := []string{strings.Replace(good, `"v":1`, `"v":2`, 1), strings.Replace(good, `"v":1`, `"v":1,"x":1`, 1), good + good,
 		strings.Replace(good, `"sum":`, `"sum":1`, 1)}
 	for i := range good {
-		spoiled = append(spoiled, good[:i], good[:i]+string(good[i]^1)+good[i+1:])
+		damaged = append(damaged, good[:i], good[:i]+string(good[i]^1)+good[i+1:])
 	}
-	for _, raw := range spoiled {
-		if err := p.b.Load([]byte(raw)); err == nil || p.save() != good {
+	for _, raw := range damaged {
+		if err := h.state.Load([]byte(raw)); err == nil || h.save() != good {
 			t.Fatalf("%v of %s", err, raw)
 		}
 	}
@@ -130,70 +131,70 @@
 	if err := n.Load([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	p.b = n
-	p.is(b, "c1", 2, Handed)
-	if p.save() != good || p.is(c, "", 1, Free).Why != "idle" {
-		t.Fatal(p.save())
+	h.state = n
+	h.expect(idB, "c1", 2, HandedOver)
+	if h.save() != good || h.expect(idC, "", 1, Free).Reason != "idle" {
+		t.Fatal(h.save())
 	}
 	clone := n.Clone()
-	p.claim("c2", c)
-	p.must(KindActs, acts("c1", Act{Kind: Decline, ID: b, Epoch: 2}))
-	if p.b = clone; p.save() != good {
-		t.Fatal("a clone follows")
+	h.claim("c2", idC)
+	h.mustApply(KindActs, acts("c1", Act{Kind: Decline, ID: idB, Epoch: 2}))
+	if h.state = clone; h.save() != good {
+		t.Fatal("a change of the original shows in its clone")
 	}
 }
 
-// A snapshot whose checksum is right and whose lists do not fit is refused all the same.
-func TestLoadRefuses(t *testing.T) {
-	raw, _ := fuzzed(t).Save()
-	var o outer
+// A snapshot with a correct checksum but invalid lists is refused.
+func TestLoadRefusesInvalidLists(t *testing.T) {
+	raw, _ := stateWithAllPhases(t).Save()
+	var o envelope
 	if err := json.Unmarshal(raw, &o); err != nil {
 		t.Fatal(err)
 	}
-	long := strings.Repeat("x", NameMost+1)
-	for words, spoil := range map[string]func(*saved){
-		"in_flight":                              func(v *saved) { v.Limits.InFlight = -1 },
-		"4097 names":                             func(v *saved) { v.Names = make([]savedName, NamesMost+1) },
-		"10001 fl":                               func(v *saved) { v.Flights = make([]savedFlight, FlightMost+1) },
-		"65537 rea":                              func(v *saved) { v.Whys = make([]string, EndedMost+1) },
-		"63 seconds":                             func(v *saved) { v.Offers = make([]second, 63) },
-		"time of -1n":                            func(v *saved) { v.Quiet = -1 },
-		"time of 219":                            func(v *saved) { v.Quiet = 250*365*24*time.Hour + 1 },
-		"now 16m40s, limits of 16m40.000000001s": func(v *saved) { v.LimitsAt++ },
-		"slots of 16m39.999999999s":              func(v *saved) { v.Pool.Now-- },
-		`co-ordinator "c1" is out of order`:      func(v *saved) { v.Names = append(v.Names, v.Names[1]) },
-		`co-ordinator ""`:                        func(v *saved) { v.Names[0].Name = "" },
-		`co-ordinator "xxxx`:                     func(v *saved) { v.Names[1].Name = long },
-		"0 offers at":                            func(v *saved) { v.Offers[0].N = 0 },
-		"1000001 offers":                         func(v *saved) { v.Offers[0].N = PerMinuteMost + 1 },
-		"2 offers at 16m40.000000001s":           func(v *saved) { v.Offers[0].At++ },
-		"2 offers at -1s":                        func(v *saved) { v.Offers[0].At = -sec },
-		"2 offers at 16m41s":                     func(v *saved) { v.Offers[0].At += sec },
-		"2 offers at 16m40s":                     func(v *saved) { v.Offers = append(v.Offers, v.Offers[0]) },
-		"session 2 is torn":                      func(v *saved) { v.Live = v.Live[:len(v.Live)-1] },
-		"session 1 is torn":                      func(v *saved) { v.Live = append(v.Live[:22:22], v.Live[:22]...) },
-		"session 0 is torn":                      func(v *saved) { v.Live[16] = 2 },
-		"flight of 0300":                         func(v *saved) { v.Flights[0] = v.Flights[1] },
-		"reason 1 is out":                        func(v *saved) { v.Whys = append(v.Whys, v.Whys...) },
-		"reason 0 is out":                        func(v *saved) { v.Whys[0] = long },
-		"end 0 is torn":                          func(v *saved) { v.Ended = v.Ended[:len(v.Ended)-1] },
-		"end 1 is torn, or there twice":          func(v *saved) { v.Ended = append(v.Ended, v.Ended...) },
-		"pool: saved":                            func(v *saved) { v.Pool.Sites[0].Free = -1 },
-		"S7:":                                    func(v *saved) { v.Flights[0].Until = v.Now },
-		"S1: c0 owns 2":                          func(v *saved) { v.Names[0].Heard = v.Now + 1 },
+	long := strings.Repeat("x", MaxNameBytes+1)
+	for want, corrupt := range map[string]func(*savedState){
+		"in_flight":          func(v *savedState) { v.Limits.InFlight = -1 },
+		"4097 co-ordinators": func(v *savedState) { v.Coordinators = make([]savedCoordinator, MaxCoordinators+1) },
+		"10001 moves":        func(v *savedState) { v.Moves = make([]savedMove, MaxInFlight+1) },
+		"65537 rea":          func(v *savedState) { v.Reasons = make([]string, MaxEnds+1) },
+		"63 seconds":         func(v *savedState) { v.Offers = make([]offerCount, 63) },
+		"invalid time -1n":   func(v *savedState) { v.BlockedUntil = -1 },
+		"invalid time 219":   func(v *savedState) { v.BlockedUntil = 250*365*24*time.Hour + 1 },
+		"state at 16m40s has limits of 16m40.000000001s": func(v *savedState) { v.LimitsAt++ },
+		"slots of 16m39.999999999s":                      func(v *savedState) { v.Pool.Now-- },
+		`co-ordinator "c1" is out of order`:              func(v *savedState) { v.Coordinators = append(v.Coordinators, v.Coordinators[1]) },
+		`co-ordinator ""`:                                func(v *savedState) { v.Coordinators[0].Name = "" },
+		`co-ordinator "xxxx`:                             func(v *savedState) { v.Coordinators[1].Name = long },
+		"0 offers at":                                    func(v *savedState) { v.Offers[0].N = 0 },
+		"1000001 offers":                                 func(v *savedState) { v.Offers[0].N = MaxOffersPerMinute + 1 },
+		"2 offers at 16m40.000000001s":                   func(v *savedState) { v.Offers[0].At++ },
+		"2 offers at -1s":                                func(v *savedState) { v.Offers[0].At = -second },
+		"2 offers at 16m41s":                             func(v *savedState) { v.Offers[0].At += second },
+		"2 offers at 16m40s":                             func(v *savedState) { v.Offers = append(v.Offers, v.Offers[0]) },
+		"session 2 is truncated":                         func(v *savedState) { v.Sessions = v.Sessions[:len(v.Sessions)-1] },
+		"session 1 is truncated":                         func(v *savedState) { v.Sessions = append(v.Sessions[:22:22], v.Sessions[:22]...) },
+		"session 0 is truncated":                         func(v *savedState) { v.Sessions[16] = 2 },
+		"move of 0300":                                   func(v *savedState) { v.Moves[0] = v.Moves[1] },
+		"reason 1 is out":                                func(v *savedState) { v.Reasons = append(v.Reasons, v.Reasons...) },
+		"reason 0 is out":                                func(v *savedState) { v.Reasons[0] = long },
+		"end 0 is truncated":                             func(v *savedState) { v.Ended = v.Ended[:len(v.Ended)-1] },
+		"end 1 is truncated, invalid or duplicate":       func(v *savedState) { v.Ended = append(v.Ended, v.Ended...) },
+		"pool: saved":                                    func(v *savedState) { v.Pool.Replicas[0].Free = -1 },
+		"S7:":                                            func(v *savedState) { v.Moves[0].Until = v.Now },
+		"S1: c0 owns 2 sessions":                         func(v *savedState) { v.Coordinators[0].LastActAt = v.Now + 1 },
 	} {
-		var v saved
-		if err := json.Unmarshal(o.Book, &v); err != nil {
+		var v savedState
+		if err := json.Unmarshal(o.State, &v); err != nil {
 			t.Fatal(err)
 		}
-		spoil(&v)
-		book, err := json.Marshal(v)
+		corrupt(&v)
+		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := New()
-		if err := b.Load(seal(book)); err == nil || !strings.Contains(err.Error(), words) || b.Len() != 0 {
-			t.Errorf("%v, want %q", err, words)
+		state := New()
+		if err := state.Load(wrapWithChecksum(encoded)); err == nil || !strings.Contains(err.Error(), want) || state.Len() != 0 {
+			t.Errorf("%v, want %q", err, want)
 		}
 	}
 }
--- a/internal/fleet/sessionowner/rig_test.go
+++ b/internal/fleet/sessionowner/rig_test.go
@@ -13,44 +13,44 @@
 	sec = time.Second
 )
 
-// tb is what is used of a test; *rapid.T is one too.
+// tb is the subset of testing.TB that these tests use; *rapid.T implements it too.
 type tb interface {
 	Helper()
 	Fatal(a ...any)
 	Fatalf(format string, a ...any)
 }
 
-// world is one book, its log's index and numbers, and a clock for all.
-type world struct {
+// sharedState is the agreed state with its log index and last fence number, and the clock that all owners of a test share.
+type sharedState struct {
 	t            tb
-	b            *session.Book
+	book         *session.State
 	now          time.Duration
 	index, fence uint64
 }
 
-// rig is an owner beside the book.
+// rig is an Owner under test with the agreed state.
 type rig struct {
-	*world
-	name string
-	k    *Owner
-	acts []session.Act // proposed and not yet applied
-	out  []Output      // of the last step
+	*sharedState
+	name  string
+	owner *Owner
+	acts  []session.Act // proposed and not yet applied
+	out   []Output      // outputs of the last step
 }
 
 var limits = session.Limits{
-	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, OfferFor: 10 * sec, IdleFor: 60 * sec,
-	Lease: 6 * sec, Grace: sec, SessionsMost: 100_000, StateMost: 1024, Slots: 3,
+	Revision: 1, Caps: map[string]int{"r1": 40, "r2": 20}, InFlight: 1000, PerMinute: 10_000, StepTimeout: 10 * sec, IdleTimeout: 60 * sec,
+	Lease: 6 * sec, Grace: sec, MaxSessions: 100_000, MaxStateBytes: 1024, Slots: 3,
 }
 
-// newRig is owner "a" with 3 and 1 slots at r1 and r2, and a lease for long.
+// newRig returns the owner "a" with 3 slots at r1, 1 slot at r2, and a long lease.
 func newRig(t tb, o Options) *rig {
-	w := &world{t: t, b: session.New(), now: sec}
+	w := &sharedState{t: t, book: session.New(), now: sec}
 	w.apply(session.KindLimits, session.LimitsBody{Limits: limits})
-	return w.rig("a", o, 3, 1)
+	return w.newRigFor("a", o, 3, 1)
 }
 
-func (w *world) rig(name string, o Options, r1, r2 int) *rig {
-	r := &rig{world: w, name: name, k: New(name, o)}
+func (w *sharedState) newRigFor(name string, o Options, r1, r2 int) *rig {
+	r := &rig{sharedState: w, name: name, owner: New(name, o)}
 	if r1 > 0 {
 		w.plan(session.PlanBody{Shifts: []session.Shift{{To: name, Replica: "r1", N: r1}, {To: name, Replica: "r2", N: r2}}})
 	}
@@ -60,20 +60,20 @@
 
 func (r *rig) step(in ...Input) []Output {
 	r.t.Helper()
-	r.out = slices.Clone(r.k.Step(r.now, in))
+	r.out = slices.Clone(r.owner.Step(r.now, in))
 	for _, o := range r.out {
 		if a, ok := o.(Propose); ok {
 			r.acts = append(r.acts, a.Act)
 		}
 	}
-	if err := r.k.Check(); err != nil {
+	if err := r.owner.Check(); err != nil {
 		r.t.Fatal(err)
 	}
 	return r.out
 }
 
-// pass moves the time on, step by step.
-func (r *rig) pass(d time.Duration) (all []Output) {
+// advance moves the clock forward in steps of 50 ms and collects the outputs.
+func (r *rig) advance(d time.Duration) (all []Output) {
 	r.t.Helper()
 	for end := r.now + d; r.now < end; {
 		r.now = min(end, r.now+50*ms)
@@ -83,34 +83,37 @@
 	return all
 }
 
-func (r *world) apply(kind string, body any) {
-	r.t.Helper()
+func (w *sharedState) apply(kind string, body any) {
+	w.t.Helper()
 	raw, err := json.Marshal(body)
 	if err != nil {
-		r.t.Fatal(err)
+		w.t.Fatal(err)
 	}
-	r.index++
-	r.b.Tick(r.now)
-	_ = r.b.Apply(r.now, func() uint64 { r.fence++; return r.fence }, kind, raw) // or it is refused
-	if err := r.b.Check(); err != nil {
-		r.t.Fatal(err)
+	w.index++
+	w.book.Tick(w.now)
+	// An error means that the change was refused, which some tests intend.
+	_ = w.book.Apply(w.now, func() uint64 { w.fence++; return w.fence }, kind, raw)
+	if err := w.book.Check(); err != nil {
+		w.t.Fatal(err)
 	}
 }
 
-func (r *world) plan(p session.PlanBody) { r.t.Helper(); r.apply(session.KindPlan, p) }
+func (w *sharedState) plan(p session.PlanBody) { w.t.Helper(); w.apply(session.KindPlan, p) }
 
-func (r *world) by(co string, acts ...session.Act) {
-	r.t.Helper()
-	r.apply(session.KindActs, session.ActsBody{From: co, Acts: acts})
+func (w *sharedState) applyActs(co string, acts ...session.Act) {
+	w.t.Helper()
+	w.apply(session.KindActs, session.ActsBody{From: co, Acts: acts})
 }
 
-func (r *world) applied() Applied { return Applied{State: r.b, Index: r.index, AgreedTime: r.now} }
+func (w *sharedState) applied() Applied {
+	return Applied{State: w.book, Index: w.index, AgreedTime: w.now}
+}
 
-// agree applies what was proposed and shows the outcome.
-func (r *rig) agree() []Output {
+// applyProposed applies the proposed acts to the agreed state and delivers the result to the owner.
+func (r *rig) applyProposed() []Output {
 	r.t.Helper()
 	if len(r.acts) > 0 {
-		r.by(r.name, r.acts...)
+		r.applyActs(r.name, r.acts...)
 		r.acts = nil
 	}
 	return r.step(r.applied())
@@ -118,22 +121,22 @@
 
 func id(n int) session.ID { return session.IDOf(n, []byte("key")) }
 
-// q is a safe query of session 1 with 4 s of time.
-func (r *rig) q(token uint64, e Effect) Arrived {
+// newQuery returns a query of session 1 with the given effect and a deadline in 4 s.
+func (r *rig) newQuery(token uint64, e Effect) Arrived {
 	return Arrived{Token: token, Session: id(1), Effect: e, Deadline: r.now + 4*sec, Window: 10 * sec, Replicas: []string{"r1"}}
 }
 
-func (r *world) offer(n int, to string) {
-	r.t.Helper()
-	rec, _ := r.b.Get(id(n))
-	r.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
-	if rec, _ = r.b.Get(id(n)); rec.Phase != session.Offered {
-		r.t.Fatalf("not offered: %+v", rec)
+func (w *sharedState) offer(n int, to string) {
+	w.t.Helper()
+	rec, _ := w.book.Get(id(n))
+	w.plan(session.PlanBody{Offers: []session.Offer{{ID: id(n), Epoch: rec.Epoch, From: rec.Owner, To: to}}})
+	if rec, _ = w.book.Get(id(n)); rec.Phase != session.Offered {
+		w.t.Fatalf("not offered: %+v", rec)
 	}
 }
 
-// word finds the one output of type T about a token.
-func word[T Output](r *rig, match func(T) bool) (T, bool) {
+// findOutput returns the first output of type T of the last step that matches.
+func findOutput[T Output](r *rig, match func(T) bool) (T, bool) {
 	for _, o := range r.out {
 		if w, ok := o.(T); ok && match(w) {
 			return w, true
@@ -144,39 +147,39 @@
 }
 
 func (r *rig) ran(token uint64) bool {
-	_, ok := word(r, func(o Run) bool { return o.Token == token })
+	_, ok := findOutput(r, func(o Run) bool { return o.Token == token })
 	return ok
 }
 
-func (r *rig) refused(token uint64, reason Reason) bool {
-	_, ok := word(r, func(o Reject) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
+func (r *rig) rejected(token uint64, reason Reason) bool {
+	_, ok := findOutput(r, func(o Reject) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
 	return ok
 }
 
 func (r *rig) failed(token uint64, reason Reason) bool {
-	_, ok := word(r, func(o Fail) bool { return o.Token == token && o.Reason == reason })
+	_, ok := findOutput(r, func(o Fail) bool { return o.Token == token && o.Reason == reason })
 	return ok
 }
 
-func (r *rig) recalled(token uint64, reason Reason) bool {
-	_, ok := word(r, func(o Cancel) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
+func (r *rig) cancelled(token uint64, reason Reason) bool {
+	_, ok := findOutput(r, func(o Cancel) bool { return o.Token == token && o.Reason == reason && o.RetryAfter > 0 })
 	return ok
 }
 
 func (r *rig) want(ok bool, what string) {
 	r.t.Helper()
 	if !ok {
-		r.t.Fatalf("%s; at %v came %+v", what, r.now, r.out)
+		r.t.Fatalf("%s; outputs at %v: %+v", what, r.now, r.out)
 	}
 }
 
-// claimed opens session 1 with a first safe query, token 1.
-func claimed(t tb) *rig {
+// newClaimedRig returns a rig that has claimed session 1 and runs an Idempotent query with token 1 there.
+func newClaimedRig(t tb) *rig {
 	t.Helper()
 	r := newRig(t, Options{})
-	r.step(r.q(1, Idempotent))
+	r.step(r.newQuery(1, Idempotent))
 	r.want(!r.ran(1), "ran without a claim")
-	r.agree()
+	r.applyProposed()
 	r.want(r.ran(1), "did not run after the claim")
 	return r
 }
--- a/internal/fleet/sessionpart/propose.go
+++ b/internal/fleet/sessionpart/propose.go
@@ -16,78 +16,79 @@
 	"birchcart/internal/fleet/statemachine"
 )
 
-// actSize bytes of an entry are one act, in JSON, and as many again one with numbers or a reason. Twice as many: more messages;
-// half: an entry may be larger than the raft group takes, and comes to nothing each time.
-const actSize = 104
+// actBytes is the estimated size of an act in a log entry, in JSON. An act with a fence, a sequence number or a reason counts
+// twice. A larger estimate makes more messages. With half of it an entry may exceed the raft group's limit and fail at each retry.
+const actBytes = 104
 
-// limits are what the section says, with the fleet's revision, lease and grace.
+// limits returns the limits of the sessions section, with the revision, lease and grace period of the fleet section.
 func (p *Part) limits() session.Limits {
 	f, s := p.host.Section(), p.section
 	return session.Limits{
-		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, OfferFor: fleetfile.Milliseconds(s.Offer),
-		IdleFor: time.Duration(s.Idle * float64(time.Second)), Lease: fleetfile.Milliseconds(f.Lease), Grace: fleetfile.Milliseconds(f.Grace),
-		SessionsMost: s.Most, StateMost: session.StateMost, Slots: s.Slots,
+		Revision: f.Revision, InFlight: s.Flight, PerMinute: s.Minute, StepTimeout: fleetfile.Milliseconds(s.Offer),
+		IdleTimeout: time.Duration(s.Idle * float64(time.Second)), Lease: fleetfile.Milliseconds(f.Lease), Grace: fleetfile.Milliseconds(f.Grace),
+		MaxSessions: s.Most, MaxStateBytes: session.MaxStateBytes, Slots: s.Slots,
 	}
 }
 
-// command is one for the agreed sessions.
+// command is a command for the agreed sessions.
 type command struct {
-	at           time.Duration // agreed time
-	id, kind     string
-	body         any    // the kind's body, as package session has it
-	controllerNo uint64 // the controller's number of it; 0: another's
+	at             time.Duration // agreed time
+	id, kind       string
+	body           any    // the body that package session defines for the kind
+	proposalNumber uint64 // the controller's number of the proposal; 0 if it isn't the controller's
 }
 
-// propose puts a command to the raft group, beside the step. What comes to nothing is wanted again by who wants it.
+// propose proposes a command to the raft group in its own goroutine. It doesn't retry: the component that requested a failed
+// command requests it again.
 func (p *Part) propose(group *raftgroup.Group, c command) {
 	raw, err := json.Marshal(c.body)
 	if err == nil {
 		raw, err = statemachine.Command{V: statemachine.Version, ID: c.id, Part: agreedstate.SessionsPart, Kind: c.kind, At: c.at, Body: raw}.Encode()
 	}
 	if err != nil {
-		p.host.Log.WithError(err).Error("a proposal for the sessions can't be written")
-		p.finish(c.controllerNo, true)
+		p.host.Log.WithError(err).Error("cannot encode a sessions proposal")
+		p.reportResult(c.proposalNumber, true)
 		return
 	}
 	if group == nil || p.inFlight.Load() >= MaxInFlight {
-		p.finish(c.controllerNo, true) // it enters no log
+		p.reportResult(c.proposalNumber, true) // the proposal surely doesn't enter the log
 		return
 	}
 	p.inFlight.Add(1)
 	go func() {
 		defer p.inFlight.Add(-1)
 		err := group.ProposeWithin(raw)
-		p.finish(c.controllerNo, !errors.Is(err, raftgroup.ErrOutcomeUnknown))
+		p.reportResult(c.proposalNumber, !errors.Is(err, raftgroup.ErrOutcomeUnknown))
 		if err != nil {
-			level := logrus.DebugLevel // what came twice or late, mostly
+			level := logrus.DebugLevel // most failures are duplicate or late commands
 			if c.kind == session.KindLimits {
 				level = logrus.WarnLevel
 			}
-			p.host.Log.WithError(err).WithFields(logrus.Fields{"kind": c.kind, "id": c.id}).Log(level, "a proposal for the sessions came to nothing")
+			p.host.Log.WithError(err).WithFields(logrus.Fields{"kind": c.kind, "id": c.id}).Log(level, "sessions proposal failed")
 		}
 		p.host.Wake()
 	}()
 }
 
-// finish notes the end of a proposal of the controller's. Any goroutine may call it.
-func (p *Part) finish(controllerNo uint64, known bool) {
-	if controllerNo == 0 {
+// reportResult records the end of one of the controller's proposals. It may be called from any goroutine.
+func (p *Part) reportResult(number uint64, outcomeKnown bool) {
+	if number == 0 {
 		return
 	}
 	p.mu.Lock()
-	p.results = append(p.results, sessionctl.Done{No: controllerNo, Known: known})
+	p.results = append(p.results, sessionctl.Result{Number: number, OutcomeKnown: outcomeKnown})
 	p.mu.Unlock()
 }
 
-// countFitting is how many acts go in one message, and so in one entry of the log; the others come again from who wants them.
+// countFitting returns how many of the acts fit into one message, and so into one log entry. The owner sends the others again.
 func countFitting(acts []session.Act) int {
 	size := 0
 	for i := range acts {
 		a := &acts[i]
-		if size += actSize; a.Fence+a.Seq > 0 || a.Why != "" {
-			size += actSize + len(a.Why) + len(a.State)*4/3
+		if size += actBytes; a.Fence+a.Seq > 0 || a.Reason != "" {
+			size += actBytes + len(a.Reason) + len(a.State)*4/3
 		}
-		if i == session.ActsMost || size > peerproto.MaxEntrySize && i > 0 {
+		if i == session.MaxActs || size > peerproto.MaxEntrySize && i > 0 {
 			return i
 		}
 	}
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -1,12 +1,15 @@
-// Package shares holds one co-ordinator's part of what the lanes guarantee to accounts. A guarantee is the fleet's; traffic
-// lands unevenly. So each co-ordinator has an even part of each account's guarantee, its home part, and those that need more
-// than theirs borrow for a while what others leave idle. Pure: time comes in by the own monotonic clock, messages and what is
-// used of late too; what is to be sent comes out.
+// Package shares manages one co-ordinator's shares of the guarantees that lanes give to accounts. A guarantee holds for the whole fleet,
+// but traffic is uneven. Each co-ordinator therefore has an even share of each account's guarantee, its home share, and those
+// that need more borrow for a while what others leave unused.
 //
-// The sum of what all may use never grows over the guarantee by words that are lost, late, repeated or out of order: a lender
-// counts a loan from its making and for longer, by the drift, than its borrower, which counts it from the sending of its ask; a
-// loan acts once by its number; and a new process of a lender, which knows nothing of the loans of the one before, uses no more
-// than what is never lent, for as long as such loans may last. What is over it comes of counting co-ordinators only, see Members.
+// The package is pure: the time of the co-ordinator's monotonic clock, the received messages and the recent demand are passed in, and the
+// messages to send are returned.
+//
+// Lost, late, repeated or reordered messages never raise the sum of all shares over the guarantee, for these reasons. A lender counts a
+// loan from granting it, its borrower from sending the request, and the lender counts longer to allow for clock drift. The sequence number
+// of a request ensures that a loan takes effect only once. After a restart, a lender does not know the loans of its previous process and
+// uses only what is never lent, for as long as such loans may last. The sum can exceed the guarantee only because of how
+// co-ordinators are counted, see Membership.
 package shares
 
 import (
@@ -17,251 +20,257 @@
 	"time"
 )
 
-// Whole is the whole of one account's guarantee; all amounts are parts of it.
-const Whole = 1_000_000
+// GuaranteeUnits is the number of units that make up one account's guarantee; all amounts are in these units.
+const GuaranteeUnits = 1_000_000
 
-// Times and bounds.
+// Times and limits.
 const (
-	// LoanFor is how long a loan lasts for its borrower.
-	LoanFor = 10 * time.Second
-	// Drift is by how much two clocks may run apart: one part of so many.
-	Drift = 100
-	// AskEvery is between asks for one account.
-	AskEvery = 250 * time.Millisecond
-	// AskPeers are asked each time.
-	AskPeers = 2
-	// LendPart: of its home part each lends at most one part of so many, in all. More would leave a new process, which may not use it
-	// while old loans last, too little; less moves less to where traffic lands.
-	LendPart = 2
-	// StepPart: one loan is at most one part of so many of the home part.
-	StepPart = 4
-	// Spare is left to a lender above its own use of late: one part of so many of it.
-	Spare = 4
-	// RaiseAfter is how long fewer co-ordinators are agreed before home parts grow.
-	RaiseAfter = LoanFor
-	// ShortMost accounts are asked for in one message, the shortest first.
-	ShortMost = 64
-	// LoansMost are kept as a lender, and as many as a borrower; further ones are not made.
-	LoansMost = 65_536
+	// LoanDuration is how long a loan lasts for its borrower.
+	LoanDuration = 10 * time.Second
+	// DriftDivisor bounds the drift between two clocks to 1/DriftDivisor of the elapsed time.
+	DriftDivisor = 100
+	// RequestInterval is the time between two rounds of requests.
+	RequestInterval = 250 * time.Millisecond
+	// PeersPerRound is how many peers are asked in each round.
+	PeersPerRound = 2
+	// LendDivisor limits all loans of an account together to 1/LendDivisor of the home share. Lending more would leave too little to a
+	// new process, which may not use that part while old loans last; lending less would move less to where the traffic is.
+	LendDivisor = 2
+	// LoanDivisor limits one loan to 1/LoanDivisor of the home share.
+	LoanDivisor = 4
+	// ReserveDivisor sets the reserve that a lender keeps beyond its recent demand: 1/ReserveDivisor of that demand.
+	ReserveDivisor = 4
+	// GrowAfter is how long a lower number of co-ordinators must be agreed before home shares grow.
+	GrowAfter = LoanDuration
+	// MaxRequestsPerPeer is how many accounts are requested from one peer in a round, the largest shortages first, and how many loans
+	// are renewed in a round.
+	MaxRequestsPerPeer = 64
+	// MaxLoans is the maximum number of loans as a lender, and also as a borrower. No further loans are made.
+	MaxLoans = 65_536
 )
 
-// Options of one co-ordinator's part.
+// Options configures one co-ordinator.
 type Options struct {
 	Name        string
-	Incarnation uint64 // of the process, greater than that of any process before of the same name
-	Fleet       int    // co-ordinators of the settings, until Members says what is agreed
-	Seed        uint64 // of whom it asks
+	Incarnation uint64 // of the process, greater than that of any earlier process of the same name
+	FleetSize   int    // configured number of co-ordinators, used until Membership gives the agreed one
+	Seed        uint64 // for the random choice of peers
 }
 
-// loan is one of ours to a peer, or of a peer's to us.
+// loan is a loan to a peer, or from a peer.
 type loan struct {
 	peer        string
 	incarnation uint64 // of the borrower's process
 	account     uint32
-	no          uint64 // of the ask
+	seq         uint64 // of the request
 	amount      int64
-	until       time.Duration
+	expiresAt   time.Duration
 }
 
-type key struct {
+type loanKey struct {
 	peer    string
 	account uint32
 }
 
-// asked is an ask of ours that may still be answered.
-type asked struct {
-	no      uint64
-	at      time.Duration
+// pendingRequest is a request to a peer that may still be answered.
+type pendingRequest struct {
+	seq     uint64
+	sentAt  time.Duration
 	account uint32
 }
 
-// Shares is one co-ordinator's part. Not for several goroutines at once.
+// Shares holds one co-ordinator's shares and loans. It is not safe for concurrent use.
 type Shares struct {
-	o        Options
-	rng      *rand.Rand
-	began    time.Duration
-	stepped  bool
-	now      time.Duration
-	revision int // of the lanes in force; messages of another are passed over
-	accounts int
+	options         Options
+	rng             *rand.Rand
+	recoveringSince time.Duration
+	stepped         bool
+	now             time.Duration
+	revision        int // of the lanes in force; messages of other revisions are ignored
+	accounts        int
 
-	members  int // by which home parts are counted
-	fewest   int // by which they were counted ever: loans of then may last
-	fewer    int // agreed since fewerAt, and to be counted by from RaiseAfter on; 0: none
-	fewerAt  time.Duration
-	peers    []string
-	last     uint64 // number of the newest ask
-	asks     map[key]asked
-	want     map[uint32]int64 // of late, by account
-	askedAt  time.Duration
-	lent     map[key]*loan
-	lentSum  map[uint32]int64
-	borrowed map[key]*loan
-	hasSum   map[uint32]int64 // of borrowed, as of now
-	out      []Output
-	told     map[uint32]int64 // what the gate was last told, where it is not the home part
+	members          int // number of co-ordinators that home shares are computed from
+	minMembers       int // lowest value of members so far: loans made then may still last
+	pendingMembers   int // lower number agreed since pendingMembersAt, to be applied GrowAfter later; 0: none
+	pendingMembersAt time.Duration
+	peers            []string
+	lastSeq          uint64 // number of the newest request
+	pending          map[loanKey]pendingRequest
+	wanted           map[uint32]int64 // recent demand by account
+	lastRoundAt      time.Duration
+	lent             map[loanKey]*loan
+	lentTotal        map[uint32]int64
+	borrowed         map[loanKey]*loan
+	borrowedTotal    map[uint32]int64 // usable amount of borrowed, at now
+	out              []Output
+	reported         map[uint32]int64 // last share reported to the gate, of accounts whose share is not the default one
 }
 
-// New makes it. Without a Set it holds no account.
+// New returns the shares of one co-ordinator. They have no accounts until a Config.
 func New(o Options) *Shares {
 	h := fnv.New64a()
-	h.Write([]byte(o.Name)) // or all would ask the same two
-	return &Shares{o: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)), members: max(1, o.Fleet), fewest: max(1, o.Fleet), asks: map[key]asked{}, want: map[uint32]int64{},
-		lent: map[key]*loan{}, lentSum: map[uint32]int64{}, borrowed: map[key]*loan{}, hasSum: map[uint32]int64{}, told: map[uint32]int64{}}
+	h.Write([]byte(o.Name)) // otherwise all co-ordinators would ask the same peers
+	return &Shares{options: o, rng: rand.New(rand.NewPCG(o.Seed^h.Sum64(), o.Incarnation)),
+		members: max(1, o.FleetSize), minMembers: max(1, o.FleetSize), pending: map[loanKey]pendingRequest{}, wanted: map[uint32]int64{},
+		lent: map[loanKey]*loan{}, lentTotal: map[uint32]int64{}, borrowed: map[loanKey]*loan{}, borrowedTotal: map[uint32]int64{},
+		reported: map[uint32]int64{}}
 }
 
-// Home is the own even part of each account, before loans.
-func (s *Shares) Home() int64 { return Whole / int64(s.members) }
+// HomeShare returns this co-ordinator's even share of each account's guarantee, before loans.
+func (s *Shares) HomeShare() int64 { return GuaranteeUnits / int64(s.members) }
 
-// free is what of a home part is never lent and what a new process may use, while loans of the one before may last.
-func (s *Shares) free() int64 { return s.Home() - s.Home()/LendPart }
+// unlendableShare returns the part of a home share that is never lent. A new process may use it while loans of the previous one may last.
+func (s *Shares) unlendableShare() int64 { return s.HomeShare() - s.HomeShare()/LendDivisor }
 
-// young says that loans of the process before this one may last. Its lender's side ended them LoanFor and the drift after it
-// was heard; their borrowers began to count before that.
-func (s *Shares) young() bool { return s.now < s.began+LoanFor+LoanFor/Drift }
+// recovering reports whether loans that this process does not know of may still last. The previous process granted them before this one
+// started, and their borrowers began to count even earlier. All have expired LoanDuration plus the drift after the start.
+func (s *Shares) recovering() bool {
+	return s.now < s.recoveringSince+LoanDuration+LoanDuration/DriftDivisor
+}
 
-// Use is what this co-ordinator may use of an account's guarantee now.
-func (s *Shares) Use(account uint32) int64 {
+// Usable returns what this co-ordinator may use of an account's guarantee now.
+func (s *Shares) Usable(account uint32) int64 {
 	if account >= uint32(s.accounts) {
 		return 0
 	}
-	use := s.Home() - s.lentSum[account]
-	if s.young() {
-		use = min(use, s.free())
+	usable := s.HomeShare() - s.lentTotal[account]
+	if s.recovering() {
+		usable = min(usable, s.unlendableShare())
 	}
-	return max(0, use) + s.hasSum[account]
+	return max(0, usable) + s.borrowedTotal[account]
 }
 
-// sumUp adds up what is borrowed of each account. In its last third a loan fades, so that one that is cut off comes back to its
-// home part by steps.
-func (s *Shares) sumUp() {
-	clear(s.hasSum)
+// updateBorrowedTotal adds up the usable loans from peers by account. A loan fades in its last third, so that a borrower that is cut off
+// returns to its home share gradually.
+func (s *Shares) updateBorrowedTotal() {
+	clear(s.borrowedTotal)
 	for _, l := range s.borrowed {
-		s.hasSum[l.account] += l.worth(s.now)
+		s.borrowedTotal[l.account] += l.usable(s.now)
 	}
 }
 
-func (l *loan) worth(now time.Duration) int64 {
-	return l.amount * int64(max(0, min(l.until-now, LoanFor/3))) / int64(LoanFor/3)
+func (l *loan) usable(now time.Duration) int64 {
+	return l.amount * int64(max(0, min(l.expiresAt-now, LoanDuration/3))) / int64(LoanDuration/3)
 }
 
-// Step takes news at the own monotonic time and says what is to be sent and told. A time before the last one counts as the
-// last one. The result holds until the next call.
+// Step handles input at time now of the co-ordinator's monotonic clock and returns the messages to send and the shares to report. If now is
+// before the last step, the time of the last step is used. The result is valid until the next call.
 func (s *Shares) Step(now time.Duration, in []Input) []Output {
 	if !s.stepped {
-		s.stepped, s.began = true, now
+		s.stepped, s.recoveringSince = true, now
 	}
 	s.now, s.out = max(now, s.now), s.out[:0]
-	s.age()
+	s.expire()
 	for _, i := range in {
 		switch i := i.(type) {
-		case Set:
-			s.set(i)
-		case Members:
-			s.count(i)
+		case Config:
+			s.applyConfig(i)
+		case Membership:
+			s.applyMembership(i)
 		case Demand:
-			s.demand(i)
-		case Ask:
-			s.lend(i)
-		case Lent:
-			s.take(i)
+			s.applyDemand(i)
+		case LoanRequest:
+			s.handleRequest(i)
+		case LoanReply:
+			s.handleReply(i)
 		}
 	}
-	s.ask()
-	s.tell()
+	s.requestLoans()
+	s.reportShares()
 	return s.out
 }
 
-// set begins anew with other accounts: numbers of accounts mean others from now on. What was lent is still in use by borrowers
-// that have not heard of it, which a young process bears in mind.
-func (s *Shares) set(i Set) {
+// applyConfig drops all state when the revision changes because account numbers then stand for other accounts. Borrowers that do not know
+// the new revision yet still use what was lent, so the co-ordinator limits its own use as after a restart.
+func (s *Shares) applyConfig(i Config) {
 	if i.Revision == s.revision {
 		return
 	}
-	lends := len(s.lent) > 0
+	hadLoans := len(s.lent) > 0
 	s.revision, s.accounts = i.Revision, i.Accounts
-	clear(s.asks)
-	clear(s.want)
+	clear(s.pending)
+	clear(s.wanted)
 	clear(s.lent)
-	clear(s.lentSum)
+	clear(s.lentTotal)
 	clear(s.borrowed)
-	clear(s.hasSum)
-	clear(s.told)
-	if lends {
-		s.began = s.now
+	clear(s.borrowedTotal)
+	clear(s.reported)
+	if hadLoans {
+		s.recoveringSince = s.now
 	}
 }
 
-// count takes the agreed number of co-ordinators: more of them lower the home parts at once, fewer raise them later.
-func (s *Shares) count(i Members) {
-	s.peers = slices.DeleteFunc(slices.Clone(i.Live), func(name string) bool { return name == s.o.Name })
+// applyMembership applies the agreed number of co-ordinators: a higher one lowers home shares at once, a lower one raises them later.
+func (s *Shares) applyMembership(i Membership) {
+	s.peers = slices.DeleteFunc(slices.Clone(i.Live), func(name string) bool { return name == s.options.Name })
 	switch n := max(1, i.Agreed); {
-	case i.Agreed <= 0: // not known: as it was
+	case i.Agreed <= 0: // not known: unchanged
 	case n >= s.members:
-		s.members, s.fewer = n, 0
-	case s.fewer == 0 || n > s.fewer:
-		s.fewer, s.fewerAt = n, s.now
+		s.members, s.pendingMembers = n, 0
+	case s.pendingMembers == 0 || n > s.pendingMembers:
+		s.pendingMembers, s.pendingMembersAt = n, s.now
 	}
 }
 
-func (s *Shares) demand(i Demand) {
+func (s *Shares) applyDemand(i Demand) {
 	if i.Account >= uint32(s.accounts) || i.Want <= 0 {
-		delete(s.want, i.Account)
+		delete(s.wanted, i.Account)
 		return
 	}
-	s.want[i.Account] = min(i.Want, Whole)
+	s.wanted[i.Account] = min(i.Want, GuaranteeUnits)
 }
 
-// age ends what is over.
-func (s *Shares) age() {
-	if s.fewer > 0 && s.now >= s.fewerAt+RaiseAfter {
-		s.members, s.fewer = s.fewer, 0
-		s.fewest = min(s.fewest, s.members)
+// expire drops expired loans and requests, and applies a lower number of members once GrowAfter has passed.
+func (s *Shares) expire() {
+	if s.pendingMembers > 0 && s.now >= s.pendingMembersAt+GrowAfter {
+		s.members, s.pendingMembers = s.pendingMembers, 0
+		s.minMembers = min(s.minMembers, s.members)
 	}
-	for k, l := range s.lent { // in any order: each is on its own
-		if s.now >= l.until {
-			s.unlend(k, l)
+	for k, l := range s.lent { // the order does not matter: loans are independent
+		if s.now >= l.expiresAt {
+			s.removeLent(k, l)
 		}
 	}
 	for k, l := range s.borrowed {
-		if s.now >= l.until {
+		if s.now >= l.expiresAt {
 			delete(s.borrowed, k)
 		}
 	}
-	for k, a := range s.asks {
-		if s.now >= a.at+LoanFor {
-			delete(s.asks, k)
+	for k, a := range s.pending {
+		if s.now >= a.sentAt+LoanDuration {
+			delete(s.pending, k)
 		}
 	}
-	s.sumUp()
+	s.updateBorrowedTotal()
 }
 
-// tell has the gate know the part of most accounts, and of each of which it is another.
-func (s *Shares) tell() {
-	even := s.Home()
-	if s.young() {
-		even = s.free()
+// reportShares reports the default share, and each account's share if it changed since it was last reported. An account that has the
+// default share again is reported with UseDefault.
+func (s *Shares) reportShares() {
+	defaultShare := s.HomeShare()
+	if s.recovering() {
+		defaultShare = s.unlendableShare()
 	}
-	s.out = append(s.out, Even{Part: even})
-	named := map[uint32]bool{}
-	for _, loans := range []map[key]*loan{s.lent, s.borrowed} {
+	s.out = append(s.out, DefaultShare{Share: defaultShare})
+	accounts := map[uint32]bool{}
+	for _, loans := range []map[loanKey]*loan{s.lent, s.borrowed} {
 		for k := range loans {
-			named[k.account] = true
+			accounts[k.account] = true
 		}
 	}
-	for a := range s.told {
-		named[a] = true
+	for a := range s.reported {
+		accounts[a] = true
 	}
-	for _, a := range slices.Sorted(maps.Keys(named)) {
-		use := s.Use(a)
-		was, told := s.told[a]
+	for _, a := range slices.Sorted(maps.Keys(accounts)) {
+		usable := s.Usable(a)
+		previous, reported := s.reported[a]
 		switch {
-		case use == even && told:
-			delete(s.told, a)
-			s.out = append(s.out, Part{Account: a, Part: Evenly})
-		case use != even && (!told || was != use):
-			s.told[a] = use
-			s.out = append(s.out, Part{Account: a, Part: use})
+		case usable == defaultShare && reported:
+			delete(s.reported, a)
+			s.out = append(s.out, AccountShare{Account: a, Share: UseDefault})
+		case usable != defaultShare && (!reported || previous != usable):
+			s.reported[a] = usable
+			s.out = append(s.out, AccountShare{Account: a, Share: usable})
 		}
 	}
 }
--- a/internal/fleet/shares/types.go
+++ b/internal/fleet/shares/types.go
@@ -1,89 +1,89 @@
 package shares
 
-// Input is news for a Step.
+// Input is an event that Step handles.
 type Input interface{ input() }
 
 type (
-	// Set says which lanes are in force, and how many accounts of them have a guarantee, by their numbers from 0.
-	Set struct {
+	// Config gives the revision of the lanes in force and the number of their accounts with a guarantee. Accounts are numbered from 0.
+	Config struct {
 		Revision int
 		Accounts int
 	}
-	// Members says how many co-ordinators are agreed to be there, 0 if that is not known, and who is heard of now. Where more
-	// serve than are agreed, as one does that all others count as gone, the sum of all parts is over the guarantee by as many
-	// home parts: that is the slack.
-	Members struct {
+	// Membership gives the agreed number of co-ordinators, 0 if unknown, and the names of those that are alive. If more co-ordinators
+	// serve than are agreed, for example one that all others consider gone, the sum of all shares exceeds the guarantee by one home share
+	// for each of them. This excess is accepted.
+	Membership struct {
 		Agreed int
 		Live   []string
 	}
-	// Demand is what came of one account of late, as a part of its guarantee; 0: nothing.
+	// Demand is the recent demand for one account, in units of its guarantee; 0: none.
 	Demand struct {
 		Account uint32
 		Want    int64
 	}
-	// Ask is a peer's wish to borrow, or to keep what it has. Numbers of a process only grow.
-	Ask struct {
+	// LoanRequest is a peer's request to borrow, or to keep what it has borrowed. The sequence numbers of one process only grow.
+	LoanRequest struct {
 		From        string
 		Incarnation uint64
-		No          uint64
+		Seq         uint64
 		Revision    int
 		Account     uint32
 		Want        int64
 	}
-	// Lent answers an Ask; Amount 0: there is nothing to be had.
-	Lent struct {
+	// LoanReply is the reply to a LoanRequest. Amount 0 means that nothing is lent.
+	LoanReply struct {
 		From        string // the lender
 		To          string
 		Incarnation uint64 // of the borrower
-		No          uint64 // of its ask
+		Seq         uint64 // of its request
 		Revision    int
 		Account     uint32
 		Amount      int64
 	}
 )
 
-func (Set) input()     {}
-func (Members) input() {}
-func (Demand) input()  {}
-func (Ask) input()     {}
-func (Lent) input()    {}
+func (Config) input()      {}
+func (Membership) input()  {}
+func (Demand) input()      {}
+func (LoanRequest) input() {}
+func (LoanReply) input()   {}
 
-// Output is something to be done before the next Step.
+// Output is something to do before the next Step.
 type Output interface{ output() }
 
 type (
-	// SendAsk goes to a peer; nothing follows if it is lost.
-	SendAsk struct {
-		To  string
-		Ask Ask
+	// SendRequest sends a request to a peer. A lost request has no effect.
+	SendRequest struct {
+		To      string
+		Request LoanRequest
 	}
-	// SendLent answers one.
-	SendLent struct {
-		To   string
-		Lent Lent
+	// SendReply sends the reply to a peer's request.
+	SendReply struct {
+		To    string
+		Reply LoanReply
 	}
-	// Even is the part of each account that no Part names.
-	Even struct{ Part int64 }
-	// Part is what may be used of one account now, until the next one of it.
-	Part struct {
+	// DefaultShare is the share of each account without an AccountShare of its own.
+	DefaultShare struct{ Share int64 }
+	// AccountShare is the share of one account, until the next AccountShare for it.
+	AccountShare struct {
 		Account uint32
-		Part    int64
+		Share   int64
 	}
 )
 
-func (SendAsk) output()  {}
-func (SendLent) output() {}
-func (Even) output()     {}
-func (Part) output()     {}
+func (SendRequest) output()  {}
+func (SendReply) output()    {}
+func (DefaultShare) output() {}
+func (AccountShare) output() {}
 
-// Evenly as the part of one account: that of all that are not named.
-const Evenly = -1
+// UseDefault as AccountShare.Share means that the account has the DefaultShare again.
+const UseDefault = -1
 
-// askAgain is how long an ask waits for its answer before the same peer is asked again.
-const askAgain = 4 * AskEvery
+// requestTimeout is how long a request waits for its reply before the same peer is asked again.
+const requestTimeout = 4 * RequestInterval
 
-// lenderFor is how long a lender counts a loan: its borrower counted from before, by a clock that may be slower.
-const lenderFor = LoanFor + LoanFor/Drift*2
+// lenderLoanDuration is how long a lender counts a loan: its borrower began to count earlier, by a clock that may be slower.
+const lenderLoanDuration = LoanDuration + LoanDuration/DriftDivisor*2
 
-// borrowerFor is how long a borrower counts a loan from the sending of its ask.
-const borrowerFor = LoanFor - LoanFor/Drift
+// borrowerLoanDuration is how long a borrower counts a loan from sending its request.
+const borrowerLoanDuration = LoanDuration - LoanDuration/DriftDivisor
--- a/internal/fleet/statemachine/compat_test.go
+++ b/internal/fleet/statemachine/compat_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestSnapshotOfEarlierVersionLoads reads a snapshot that the package wrote under its earlier name (ledger, at 7c55f5a):
-// three commands and a new epoch. It has to load, give the same state, and be saved again to the same bytes.
+// TestSnapshotOfEarlierVersionLoads loads a snapshot that this package wrote at commit 7c55f5a, when it was called ledger.
+// The snapshot holds three commands and a new epoch. It must load, yield the same state, and be saved to the same bytes.
 func TestSnapshotOfEarlierVersionLoads(t *testing.T) {
 	old, err := os.ReadFile("testdata/snapshot-of-7c55f5a.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine, _ := one()
+	machine, _ := newTestMachine()
 	if err := machine.Load(old); err != nil {
 		t.Fatalf("snapshot of the earlier version refused: %v", err)
 	}
@@ -29,9 +29,9 @@
 	if !bytes.Equal(again, old) {
 		t.Errorf("saved again, the snapshot differs from the earlier version's:\n%s\n%s", again, old)
 	}
-	replayed, _ := one()
+	replayed, _ := newTestMachine()
 	for i, id := range []string{"a", "b", "c"} {
-		if err := replayed.Apply(uint64(i+1), put(id, "put", time.Duration(i+1)*time.Second)); err != nil {
+		if err := replayed.Apply(uint64(i+1), encodeBookCommand(id, "put", time.Duration(i+1)*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if now, err := replayed.Save(); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("the same commands give other bytes than the earlier version did (%v):\n%s\n%s", err, now, old)
+		t.Errorf("the same commands produce other bytes than in the earlier version (%v):\n%s\n%s", err, now, old)
 	}
 }
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -19,28 +19,28 @@
 	"birchcart/internal/fleet/view"
 )
 
-// writtenGrants is what the grants file was last made of.
+// writtenGrants is the content from which the grants file was last written.
 type writtenGrants struct {
-	ever   bool
-	cut    bool
-	leader string
-	items  []maintenance.Item
-	grants []view.Grant
+	initialized bool
+	cutOff      bool
+	leader      string
+	items       []maintenance.Item
+	grants      []view.Grant
 }
 
-// stepResult is what the pure parts want, and what was agreed when they were asked.
+// stepResult is the output of the view and the drain controller, with the agreed state that they saw.
 type stepResult struct {
 	view             []view.Output
 	controller       []drainctl.Output
 	grants           grantsfile.File
-	limitsRevision   int // agreed
-	requestsRevision int
+	limitsRevision   int // of the agreed limits
+	requestsRevision int // of the agreed requests
 }
 
-// step gives all events to the pure parts and carries out what they want.
+// step passes all events since the last step to the view and the drain controller, and carries out their outputs.
 func (n *Node) step() {
 	now, wall := n.now(), time.Duration(time.Now().UnixNano())
-	n.takeInputs()
+	n.collectInputs()
 	n.feedController(now)
 	var r stepResult
 	n.state.WithLock(func() { r = n.stepLocked(now, wall) })
@@ -60,7 +60,7 @@
 		}
 	}
 	if n.lanes != nil {
-		n.lanes.Step(lanepart.Turn{Now: now, Term: n.term, Group: n.raftGroup})
+		n.lanes.Step(lanepart.StepInput{Now: now, Term: n.term, Group: n.raftGroup})
 	}
 	n.agreedRevision = r.limitsRevision
 	n.reportFile(now, r.limitsRevision, r.requestsRevision)
@@ -70,7 +70,7 @@
 	n.logSummary(now)
 }
 
-// stepLocked steps the view and the drain controller while no command is applied.
+// stepLocked steps the view and the drain controller; the caller's lock keeps commands from being applied meanwhile.
 func (n *Node) stepLocked(now, wall time.Duration) (r stepResult) {
 	machine, order := n.state.Machine, n.state.Maintenance
 	if err := machine.Halted(); err != nil && !n.halted {
@@ -84,7 +84,7 @@
 		n.controllerInputs = append(n.controllerInputs, drainctl.Applied{State: order, Index: n.index, Now: machine.Now(), Epoch: n.epoch})
 		r.grants.Items = order.Items()
 	}
-	var complete, notInInventory bool // of an answer
+	var complete, notInInventory bool // of the pending reply
 	if a := n.pendingAnswer; a != nil {
 		a.Truncated = a.Truncated || n.index < n.pendingAnswerIndex
 		n.viewInputs, n.pendingAnswer, complete = append(n.viewInputs, *a), nil, !a.Truncated
@@ -95,7 +95,8 @@
 	}
 	n.agreedTime = machine.Now()
 	r.view = n.view.Step(now, n.viewInputs)
-	// One that was read after its lease is over had the view apply nothing: the drains of the process before stay.
+	// A reply that is handled after its lease has expired makes the view apply nothing: the drains of the previous
+	// process stay, and the reply does not count as catching up.
 	n.caughtUp = n.caughtUp || complete && (notInInventory || !n.view.CutOff(now))
 	if !n.halted {
 		r.controller = n.controller.Step(now, wall, n.controllerInputs)
@@ -107,7 +108,7 @@
 	return r
 }
 
-// executeController carries out what the drain controller wants.
+// executeController carries out an output of the drain controller.
 func (n *Node) executeController(o drainctl.Output) {
 	switch o := o.(type) {
 	case drainctl.Propose:
@@ -119,8 +120,8 @@
 	}
 }
 
-// takeInputs takes the list and the file that came since the last step.
-func (n *Node) takeInputs() {
+// collectInputs passes on the endpoint list and the operators' file if they changed since the last step.
+func (n *Node) collectInputs() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.inputsChanged {
@@ -146,7 +147,7 @@
 	n.controllerInputs = append(n.controllerInputs, drainctl.MaintenanceFile{Limits: n.fileReport.Limits, Requests: n.fileReport.Requests})
 }
 
-// sampleLoad measures the own load and publishes it by gossip.
+// sampleLoad measures the local load every FeedInterval and publishes it by gossip.
 func (n *Node) sampleLoad(now time.Duration) {
 	if now < n.ownLoad.At+FeedInterval {
 		return
@@ -160,13 +161,13 @@
 	}
 }
 
-// feedController gives the leader the list and the members.
+// feedController passes the endpoint list and the members to the leader's drain controller every FeedInterval.
 func (n *Node) feedController(now time.Duration) {
 	n.sampleLoad(now)
-	if n.term == 0 || n.fedAt > 0 && now < n.fedAt+FeedInterval {
+	if n.term == 0 || n.controllerFedAt > 0 && now < n.controllerFedAt+FeedInterval {
 		return
 	}
-	n.fedAt = now
+	n.controllerFedAt = now
 	n.loads[n.name] = n.ownLoad
 	maps.DeleteFunc(n.loads, func(_ string, l inventory.LoadReport) bool { return now-l.At > LoadRetention })
 	n.controllerInputs = append(n.controllerInputs, drainctl.Membership{Members: inventory.Coordinators(n.member.Members(), n.loads, n.voters, now)})
@@ -179,7 +180,7 @@
 	}
 }
 
-// execute carries out what the view wants.
+// execute carries out an output of the view.
 func (n *Node) execute(o view.Output) {
 	switch o := o.(type) {
 	case view.Drains:
@@ -195,13 +196,13 @@
 	}
 }
 
-// leave goes, if the file says so: the leadership first, then the drain as by SIGTERM.
+// leave shuts this co-ordinator down for maintenance if the file says so; otherwise it only logs that the site's tools may.
 func (n *Node) leave(fence uint64) {
 	n.mu.Lock()
 	self := n.file.Fleet.Self
 	n.mu.Unlock()
 	if !self {
-		n.log.WithField("fence", fence).Info("this co-ordinator may go for work; the site's tools end it")
+		n.log.WithField("fence", fence).Info("this co-ordinator may go for work; the site's tools have to stop it")
 		return
 	}
 	if n.sessions != nil {
@@ -211,7 +212,7 @@
 	n.shutdownForMaintenance(fence)
 }
 
-// shutdownForMaintenance ends this co-ordinator as by SIGTERM, the leadership first.
+// shutdownForMaintenance transfers the leadership and then shuts this co-ordinator down as SIGTERM does.
 func (n *Node) shutdownForMaintenance(fence uint64) {
 	n.log.WithField("fence", fence).Info("this co-ordinator goes for work")
 	go func() {
@@ -220,12 +221,12 @@
 	}()
 }
 
-// writeGrants has the grants file replaced, if it would say something else.
+// writeGrants has the grants file replaced if its content changed.
 func (n *Node) writeGrants(now time.Duration, f grantsfile.File) {
 	w := &n.written
-	cut := n.view.CutOff(now)
-	same := w.ever && cut == w.cut && n.leader == w.leader && slices.Equal(n.grants, w.grants)
-	if f.Items != nil || !w.ever {
+	cutOff := n.view.CutOff(now)
+	same := w.initialized && cutOff == w.cutOff && n.leader == w.leader && slices.Equal(n.grants, w.grants)
+	if f.Items != nil || !w.initialized {
 		items := grantsfile.RecentItems(f.Items, f.Now)
 		same = same && slices.Equal(items, w.items)
 		w.items = items
@@ -233,8 +234,8 @@
 	if same {
 		return
 	}
-	w.ever, w.cut, w.leader, w.grants = true, cut, n.leader, n.grants
-	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cut, w.items
+	w.initialized, w.cutOff, w.leader, w.grants = true, cutOff, n.leader, n.grants
+	f.Version, f.Name, f.Leader, f.CutOff, f.Items = grantsfile.Version, n.name, n.leader, cutOff, w.items
 	reasons := map[string]string{}
 	for _, r := range n.fileReport.Requests.Requests {
 		reasons[r.ID] = r.Reason
@@ -249,7 +250,7 @@
 	n.writer.Put(f)
 }
 
-// sameRequests compares by what is written, as the state machine does; no requests are no requests.
+// sameRequests compares the JSON encodings, as the state machine does. Without requests, a nil list and an empty one are equal.
 func sameRequests(a, b maintenance.RequestsBody) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
