--- a/internal/fleet/store/archive_test.go
+++ b/internal/fleet/store/archive_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What an outlived seat leaves is kept, and no seat finds it.
-func TestASeatOfBeforeIsPutAside(t *testing.T) {
+// Archive must keep the files of each earlier voter in the directory and fail after MaxArchives.
+func TestArchiveKeepsFilesUpToLimit(t *testing.T) {
 	dir := t.TempDir()
 	for range MaxArchives {
 		if err := os.WriteFile(filepath.Join(dir, "council.db"), nil, 0o600); err != nil {
@@ -21,6 +21,6 @@
 		t.Errorf("%v", left)
 	}
 	if Archive(dir, "era-1") == nil {
-		t.Error("without end")
+		t.Error("more than MaxArchives archives were made")
 	}
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -25,10 +25,10 @@
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("STORE_CHILD"); dir != "" {
 		if os.Getenv("STORE_LIMIT") == "snapshot" {
-			fmt.Println(snapshotOnAFullDisk(dir))
+			fmt.Println(snapshotOnFullDisk(dir))
 			return
 		}
-		child(dir)
+		writeUntilKilled(dir)
 		return
 	}
 	goleak.VerifyTestMain(m)
@@ -38,10 +38,10 @@
 	return &raft.Log{Index: i, Term: 1 + i/100, Data: []byte(strings.Repeat(strconv.FormatUint(i, 10)+" ", int(i%40)))}
 }
 
-// child writes until it is killed and says what was acknowledged: "last first term". With a limit, it says each
-// error, and ends at a success after one.
-func child(dir string) {
-	// Long: the child process's whole script, which the test that kills it reads line by line in this order.
+// writeUntilKilled runs in a child process. It writes until it is killed and prints what was acknowledged as
+// "acked last first term". With a limit, it prints the first error, checks that the next write fails as well, and returns.
+func writeUntilKilled(dir string) {
+	// Long: the complete program of the child process; runChild parses its output line by line.
 	o := Options{}
 	limit := os.Getenv("STORE_LIMIT")
 	var file *os.File
@@ -68,7 +68,7 @@
 	}
 	rng := rand.New(rand.NewSource(time.Now().UnixNano()))
 	for step := 0; ; step++ {
-		if kind == "step" && step == n { // from here on each write of the file fails
+		if kind == "step" && step == n { // from here on, all writes to the file fail
 			null, _ := os.Open(os.DevNull)
 			_ = syscall.Dup3(int(null.Fd()), int(file.Fd()), 0)
 		}
@@ -106,8 +106,8 @@
 	}
 }
 
-// play runs a child, kills it after a time, and gives what it acknowledged last.
-func play(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, said string) {
+// runChild runs a child process, kills it after a time, and returns what it acknowledged last and its other output.
+func runChild(t *testing.T, dir, limit string, after time.Duration) (last, first, term uint64, output string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "STORE_CHILD="+dir, "STORE_LIMIT="+limit)
@@ -122,21 +122,21 @@
 	lines := bufio.NewScanner(out)
 	var kill *time.Timer
 	for lines.Scan() {
-		if kill == nil { // the time counts from its first word
+		if kill == nil { // the time counts from the first line of output
 			kill = time.AfterFunc(after, func() { _ = c.Process.Kill() })
 		}
 		if _, err := fmt.Sscanf(lines.Text(), "acked %d %d %d", &last, &first, &term); err != nil {
-			said += lines.Text() + "\n"
+			output += lines.Text() + "\n"
 		}
 	}
 	_ = c.Wait()
 	if kill != nil {
 		kill.Stop()
 	}
-	return last, first, term, said
+	return last, first, term, output
 }
 
-func check(t *testing.T, dir string, last, first, term uint64) {
+func checkStore(t *testing.T, dir string, last, first, term uint64) {
 	t.Helper()
 	s, err := Open(dir, Options{})
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestKilledAtAnyMoment(t *testing.T) {
+func TestAcknowledgedWritesSurviveKill(t *testing.T) {
 	dir := t.TempDir()
 	rounds := 8
 	if testing.Short() {
@@ -165,12 +165,12 @@
 	}
 	acked := uint64(0)
 	for range rounds {
-		last, first, term, said := play(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
-		if said != "" {
-			t.Fatal(said)
+		last, first, term, output := runChild(t, dir, "", time.Duration(rand.Intn(60_000))*time.Microsecond)
+		if output != "" {
+			t.Fatal(output)
 		}
 		acked = max(acked, last)
-		check(t, dir, last, first, term)
+		checkStore(t, dir, last, first, term)
 	}
 	if acked < 20 {
 		t.Errorf("only %d entries were written", acked)
@@ -178,7 +178,7 @@
 	t.Logf("%d kills, %d entries", rounds, acked)
 }
 
-func TestFullDiskAndFailedWrites(t *testing.T) {
+func TestNoWritesAfterFailedWrite(t *testing.T) {
 	failures := 0
 	limits := []string{"size:1", "size:8192", "size:32768", "size:36864", "size:49152"}
 	for step := range 8 {
@@ -186,21 +186,21 @@
 	}
 	for _, limit := range limits {
 		dir := t.TempDir()
-		last, first, term, said := play(t, dir, limit, 10*time.Second)
-		if strings.Contains(said, "wrong") {
-			t.Errorf("%s: %s", limit, said)
+		last, first, term, output := runChild(t, dir, limit, 10*time.Second)
+		if strings.Contains(output, "wrong") {
+			t.Errorf("%s: %s", limit, output)
 		}
-		if strings.Contains(said, "failed") {
+		if strings.Contains(output, "failed") {
 			failures++
 		} else {
-			t.Errorf("%s: no write failed: %s", limit, said)
+			t.Errorf("%s: no write failed: %s", limit, output)
 		}
-		check(t, dir, last, first, term)
+		checkStore(t, dir, last, first, term)
 	}
 	t.Logf("%d failures", failures)
 }
 
-func TestBounded(t *testing.T) {
+func TestFileSizeLimit(t *testing.T) {
 	s, err := Open(t.TempDir(), Options{MaxSize: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +211,7 @@
 			break
 		}
 		if i > 16 {
-			t.Fatal("over its most")
+			t.Fatal("the file exceeds its maximum size")
 		}
 	}
 	if s.Failed() == nil || s.Size() > 1<<20 {
@@ -219,7 +219,7 @@
 	}
 }
 
-func filled(t *testing.T) (dir string, whole []byte) {
+func newFilledStore(t *testing.T) (dir string, whole []byte) {
 	dir = t.TempDir()
 	s, err := Open(dir, Options{})
 	if err != nil {
@@ -240,16 +240,16 @@
 	return dir, whole
 }
 
-func TestTornAndDamaged(t *testing.T) {
-	dir, whole := filled(t)
+func TestTornOrDamagedFileIsRefused(t *testing.T) {
+	dir, whole := newFilledStore(t)
 	path := filepath.Join(dir, File)
 	for _, n := range []int{0, 1, 100, 4095, 4096, 8192, 12288, len(whole) / 2} {
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := Open(dir, Options{}); err == nil && n == len(whole)/2 { // only pages that nothing used are gone
+		if s, err := Open(dir, Options{}); err == nil && n == len(whole)/2 { // only unused pages are missing
 			s.Close()
-			check(t, dir, 200, 1, 7)
+			checkStore(t, dir, 200, 1, 7)
 		} else if !errors.Is(err, ErrTorn) {
 			t.Errorf("cut to %d bytes: %v", n, err)
 		}
@@ -270,16 +270,16 @@
 			continue
 		}
 		s.Close()
-		check(t, dir, 200, 1, 7) // in pages that nothing uses, or refused: nothing else
+		checkStore(t, dir, 200, 1, 7) // the damage must be in unused pages
 	}
 	t.Logf("%d of 60 damaged files refused, the others whole", refused)
 	if refused < 8 {
-		t.Error("too few refused for the test to mean something")
+		t.Error("too few files were refused for a meaningful test")
 	}
 }
 
-func TestNewerVersion(t *testing.T) {
-	dir, _ := filled(t)
+func TestNewerVersionIsRefused(t *testing.T) {
+	dir, _ := newFilledStore(t)
 	db, err := bolt.Open(filepath.Join(dir, File), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -288,13 +288,13 @@
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "2, this program knows 1") {
+	if _, err := Open(dir, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "version 2, this program supports 1") {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestInUse(t *testing.T) {
-	dir, _ := filled(t)
+func TestDirectoryInUseIsRefused(t *testing.T) {
+	dir, _ := newFilledStore(t)
 	s, err := Open(dir, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -305,16 +305,16 @@
 	}
 }
 
-// snapshotOnAFullDisk writes a snapshot, one more that the disk has no room for, and one after there is room again.
-func snapshotOnAFullDisk(dir string) error {
+// snapshotOnFullDisk writes a snapshot, several that do not fit on the disk, and one after the disk has space again.
+func snapshotOnFullDisk(dir string) error {
 	snaps, err := Snapshots(dir, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
-	one := raft.Configuration{Servers: []raft.Server{{ID: "a", Address: "a:1"}}}
-	_, wire := raft.NewInmemTransport("a:1")
+	configuration := raft.Configuration{Servers: []raft.Server{{ID: "a", Address: "a:1"}}}
+	_, transport := raft.NewInmemTransport("a:1")
 	write := func(index uint64, size int) error {
-		sink, err := snaps.Create(raft.SnapshotVersionMax, index, 1, one, 1, wire)
+		sink, err := snaps.Create(raft.SnapshotVersionMax, index, 1, configuration, 1, transport)
 		if err != nil {
 			return err
 		}
@@ -323,7 +323,7 @@
 		}
 		return sink.Close()
 	}
-	newest := func(index uint64, size int) error {
+	checkNewest := func(index uint64, size int) error {
 		all, err := snaps.List()
 		if err != nil || len(all) == 0 || all[0].Index != index {
 			return fmt.Errorf("%d is not the newest of %v: %w", index, all, err)
@@ -339,26 +339,26 @@
 		}
 		return nil
 	}
-	limit := func(n uint64) error {
+	setSizeLimit := func(n uint64) error {
 		return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: 1 << 40})
 	}
-	if err := errors.Join(write(5, 50<<10), newest(5, 50<<10), limit(100<<10)); err != nil {
+	if err := errors.Join(write(5, 50<<10), checkNewest(5, 50<<10), setSizeLimit(100<<10)); err != nil {
 		return err
 	}
-	for index := uint64(6); index < 12; index++ { // more than are kept
+	for index := uint64(6); index < 12; index++ { // more than SnapshotsRetained
 		if write(index, 300<<10) == nil {
-			return errors.New("a snapshot was taken that the disk has no room for")
+			return errors.New("a snapshot that does not fit on the disk was written")
 		}
-		if err := newest(5, 50<<10); err != nil {
+		if err := checkNewest(5, 50<<10); err != nil {
 			return err
 		}
 	}
-	return errors.Join(limit(1<<40), write(12, 300<<10), newest(12, 300<<10))
+	return errors.Join(setSizeLimit(1<<40), write(12, 300<<10), checkNewest(12, 300<<10))
 }
 
-// A snapshot that the disk has no room for is an error, and leaves the one before as the newest.
-func TestSnapshotOnAFullDisk(t *testing.T) {
-	if _, _, _, said := play(t, t.TempDir(), "snapshot", time.Minute); said != "<nil>\n" {
-		t.Error(said)
+// Writing a snapshot that does not fit on the disk must fail and leave the previous snapshot as the newest.
+func TestSnapshotOnFullDisk(t *testing.T) {
+	if _, _, _, output := runChild(t, t.TempDir(), "snapshot", time.Minute); output != "<nil>\n" {
+		t.Error(output)
 	}
 }
--- a/internal/fleet/view/check.go
+++ b/internal/fleet/view/check.go
@@ -9,50 +9,50 @@
 	"birchcart/internal/fleet/maintenance"
 )
 
-// evidence is kept beside the deciding, from what goes out and what the agreed state says, so that Check does not
-// rest on what the decisions rest on.
-type evidence struct {
-	since map[string]time.Duration // when the set that goes out first had a name; as long as it has
-	fence map[string]uint64        // the live grant under which it goes out
-	wrong error                    // the first thing that was wrong
+// checkState records the emitted drains and the grants of the agreed state. It is kept apart from the state that the decisions
+// use, so that Check is independent of them.
+type checkState struct {
+	appliedSince map[string]time.Duration // by machine: when the emitted set first contained it; deleted when it no longer does
+	grantFences  map[string]uint64        // by machine: the fence of the live grant under which it is drained
+	violation    error                    // the first violated invariant
 }
 
-func (e *evidence) fail(format string, a ...any) {
-	if e.wrong == nil {
-		e.wrong = fmt.Errorf(format, a...)
+func (e *checkState) fail(format string, a ...any) {
+	if e.violation == nil {
+		e.violation = fmt.Errorf(format, a...)
 	}
 }
 
-// recordGrants notes under which grants the drains are.
+// recordGrants records the fence of the live grant of each drained machine.
 func (v *View) recordGrants(names []string) {
 	for _, n := range names {
 		if i := v.liveGrantIndex(n); i >= 0 {
-			v.evidence.fence[n] = v.live[i].Fence
+			v.checks.grantFences[n] = v.live[i].Fence
 		}
 	}
 }
 
-// checkChange looks at a new set of drains that goes out.
+// checkChange checks V1, V3 and V4 for a changed set of drains that is about to be emitted.
 func (v *View) checkChange(now time.Duration, names []string) {
 	for _, n := range v.sentDrains {
 		if slices.Contains(names, n) {
 			continue
 		}
-		delete(v.evidence.since, n)
-		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.evidence.fence[n] && !(v.CutOff(now) && now >= v.endOf(v.live[i].Until)) {
-			v.evidence.fail("V1: the drain of %s was lifted at %v while its grant %d lives", n, now, v.live[i].Fence)
+		delete(v.checks.appliedSince, n)
+		if i := v.liveGrantIndex(n); i >= 0 && v.live[i].Fence == v.checks.grantFences[n] && !(v.CutOff(now) && now >= v.grantEnd(v.live[i].Until)) {
+			v.checks.fail("V1: the drain of %s was lifted at %v while its grant %d is live", n, now, v.live[i].Fence)
 		}
 	}
 	for _, n := range names {
 		if slices.Contains(v.sentDrains, n) {
 			continue
 		}
-		v.evidence.since[n] = now
+		v.checks.appliedSince[n] = now
 		if v.liveGrantIndex(n) < 0 {
-			v.evidence.fail("V3: %s was drained at %v without a live grant", n, now)
+			v.checks.fail("V3: %s was drained at %v without a live grant", n, now)
 		}
 		if v.CutOff(now) && v.polls.answered {
-			v.evidence.fail("V4: %s was drained at %v while cut off", n, now)
+			v.checks.fail("V4: %s was drained at %v while cut off", n, now)
 		}
 	}
 }
@@ -61,31 +61,33 @@
 	return slices.IndexFunc(v.live, func(it maintenance.Item) bool { return it.Machine == name })
 }
 
-// checkReported looks at a drain that is reported as applied.
-func (v *View) checkReported(now time.Duration, l drain) {
-	if v.machines[l.machine].Kind == maintenance.Coordinator {
+// checkReported checks V2 for a drain that is reported as applied.
+func (v *View) checkReported(now time.Duration, d drain) {
+	if v.machines[d.machine].Kind == maintenance.Coordinator {
 		return
 	}
-	if since, ok := v.evidence.since[l.machine]; !ok || now-since < v.limits.Grace {
-		v.evidence.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
-			l.machine, now, ok, since, v.limits.Grace)
+	if since, ok := v.checks.appliedSince[d.machine]; !ok || now-since < v.limits.Grace {
+		v.checks.fail("V2: the drain of %s was reported as applied at %v; applied %t at %v, Grace %v",
+			d.machine, now, ok, since, v.limits.Grace)
 	}
 }
 
-// Check names what does not hold, or ever did not:
-// V1 a drain was lifted while its grant lives (cut off: before the grant's end by the own clock and the drift),
-// V2 one was reported as applied before a Grace had passed since it went out, V3 a machine was drained without a live grant,
-// V4 one was newly drained while cut off (but by a process never answered yet), V5 what is remembered is over its bound
-// or out of order.
+// Check returns the first invariant that was ever violated, or nil:
+//   - V1: a drain is not lifted while its grant is live. While cut off it may be lifted once the grant has ended by the local
+//     clock, with the drift added.
+//   - V2: a drain is not reported as applied until it has been emitted for Grace.
+//   - V3: a machine is not drained without a live grant.
+//   - V4: no machine is newly drained while cut off, except by a process that has not been answered yet.
+//   - V5: the number of remembered polls is at most MaxSentPolls, and the drains are sorted by fence.
 func (v *View) Check() error {
-	if v.evidence.wrong != nil {
-		return v.evidence.wrong
+	if v.checks.violation != nil {
+		return v.checks.violation
 	}
 	if len(v.polls.sent) > MaxSentPolls {
 		return fmt.Errorf("V5: %d polls are remembered, %d at most", len(v.polls.sent), MaxSentPolls)
 	}
 	if !slices.IsSortedFunc(v.drains, byFence) {
-		return errors.New("V5: what is applied is out of order")
+		return errors.New("V5: the drains are not sorted by fence")
 	}
 	return nil
 }
--- a/policy/count.go
+++ b/policy/count.go
@@ -1,25 +1,26 @@
 package policy
 
-// Part count (DESIGN; FAST CLOUD sec. IV and V).
+// Part count: how many of a query's parts to send at first (DESIGN; FAST CLOUD, sections IV and V).
 
 import "math"
 
-// model is what a class's recent part latencies say.
+// model holds the estimates made from the recent part latencies of one class. Latencies are modelled as a
+// constant Δ plus an exponentially distributed time with mean 1/μ.
 type model struct {
 	delta, spread float64 // Δ and 1/μ
 	mean          float64
-	swift, middle float64 // quantiles: about the work alone, and the median
-	tail          float64 // the latency from which a part is late
-	seen          samples
-	work          ewma // hints of parts
+	fast, median  float64 // fast: quantile that is about the time of the work without queueing
+	lateLatency   float64 // quantile from which a part counts as late
+	latencies     samples
+	workHints     ewma // work hints of parts
 }
 
-// share is L: the instance's share of the servers that hold the class's shards, at least m.
-func (p *Policy) share(m int) float64 {
-	return max(float64(m), float64(p.up)/float64(p.cfg.Aggregators))
+// serverShare returns L: the instance's share of the replicas that are up, at least m.
+func (p *Policy) serverShare(m int) float64 {
+	return max(float64(m), float64(p.upCount)/float64(p.cfg.Coordinators))
 }
 
-// threshold is Q_s: the backlog, in queries, at which s and s+1 parts have the same modelled delay.
+// threshold returns Q_s: the backlog, in queries, at which s and s+1 parts have the same modelled delay.
 func (md *model) threshold(m, s int, l float64) float64 {
 	capacity := func(s int) float64 { return l / (float64(s)*md.delta + float64(m)*md.spread) }
 	queue := func(s int, c float64) float64 { return float64(s+1) / (2 * float64(s) * c) } // times λ/(C−λ)
@@ -34,23 +35,27 @@
 	if disc < 0 {
 		return math.Inf(1)
 	}
-	// The smaller root in a form that holds for qa near zero.
+	// The smaller root, in a form that is stable for qa near zero.
 	root := 2 * qc / (-qb + math.Sqrt(disc))
-	if md.delta <= 0 || !(root > 0 && root < c2) { // without Δ one more part never costs capacity
+	if md.delta <= 0 || !(root > 0 && root < c2) { // without Δ an additional part costs no capacity
 		return math.Inf(1)
 	}
 	return root * root * b1 / (c1 - root)
 }
 
-// needOf is m: how many of k parts of equal weight make a whole answer.
-func needOf(c *Class, k int) int { return min(k, max(1, int(math.Ceil(c.Need*float64(k)-weightSlip)))) }
+// neededParts returns m: how many of k parts of equal weight make a complete answer.
+func neededParts(c *Class, k int) int {
+	return min(k, max(1, int(math.Ceil(c.Need*float64(k)-weightTolerance))))
+}
 
-// backlog is that of own parts beyond L, in queries of m parts.
-func (p *Policy) backlog(m int) float64 { return max(0, float64(p.inFlight)-p.share(m)) / float64(m) }
+// backlog returns the instance's own parts in flight beyond L, in queries of m parts.
+func (p *Policy) backlog(m int) float64 {
+	return max(0, float64(p.inFlight)-p.serverShare(m)) / float64(m)
+}
 
-// partCount is s: k on an empty backlog, m on a long one.
+// partCount returns s, the number of parts to send: k with no backlog, down to m with a long one.
 func (p *Policy) partCount(class, m, k int) int {
-	l, backlog := p.share(m), p.backlog(m)
+	l, backlog := p.serverShare(m), p.backlog(m)
 	if backlog == 0 {
 		return k
 	}
@@ -61,16 +66,17 @@
 	return s
 }
 
-// learn refreshes the estimates.
-func (p *Policy) learn() {
+// refreshModels updates the estimates from the recent samples.
+func (p *Policy) refreshModels() {
 	for i := range p.models {
 		md := &p.models[i]
-		x := md.seen.recent(p.now - memory*p.cfg.Classes[i].Promise)
-		if len(x) < leastSeen {
+		x := md.latencies.recent(p.now - historySpan*p.cfg.Classes[i].Promise)
+		if len(x) < minSamples {
 			continue
 		}
-		md.swift, md.middle, md.tail = quantile(x, swiftShare), quantile(x, 0.5), quantile(x, tailShare)
-		x = x[:len(x)-int(cutWorst*float64(len(x)))]
+		md.fast, md.median, md.lateLatency = quantile(x, fastQuantile),
+			quantile(x, 0.5), quantile(x, lateQuantile)
+		x = x[:len(x)-int(trimmedShare*float64(len(x)))]
 		md.mean, md.spread = moments(x)
 		md.delta = max(0, md.mean-md.spread)
 	}
